--- a/process/roster/active.go
+++ b/process/roster/active.go
@@ -9,30 +9,30 @@
 )
 
 const (
-	// requestCost is what a request takes of a processor, in seconds of a core: some
-	// decisions, two or three calls to targets and an answer that is passed on.
-	requestCost = 0.005
-	// headroom is how many times the processor that requests take on the mean the
-	// daemons that get them have: requests come in bursts of a few times their mean,
-	// and each waits for those before it.
-	headroom = 5
-	// leastActive is the least number of daemons of an availability zone that get
+	// requestCoreSeconds is the CPU time of a request in core seconds. It covers routing
+	// decisions, two or three calls to targets and forwarding the answer.
+	requestCoreSeconds = 0.005
+	// processorHeadroom is the ratio of the CPU capacity of the active daemons to the mean
+	// CPU use of their requests. Bursts reach a few times the mean rate, and each request
+	// of a burst queues behind the earlier ones.
+	processorHeadroom = 5
+	// minActive is the minimum number of daemons of an availability zone that get
 	// requests.
-	leastActive = 4
-	// idleShare is the least share of a zone's processors that they have: the first
-	// requests come before their rate is known.
-	idleShare = 0.25
-	// namedShare is the part of these that one caller is named, no fewer than
-	// leastActive: those that the caller's order and their weights put first.
-	namedShare = 3
-	// unknownProcessor is assumed where a processor isn't stated, in thousandths of
-	// a core.
-	unknownProcessor = 1000
+	minActive = 4
+	// minActiveShare is the minimum share of a zone's CPU capacity that the active daemons
+	// have. The first requests arrive before their rate is known.
+	minActiveShare = 0.25
+	// namedDivisor is the ratio of the active daemons to those named to one caller. At
+	// least minActive are named; the caller's order and the daemons' weights decide which.
+	namedDivisor = 3
+	// defaultMillicores is assumed for VMs with unknown CPU capacity, in thousandths of a
+	// core.
+	defaultMillicores = 1000
 )
 
-// rateLevel is a rate of requests as daemons report it, so that only changes that
-// matter are reported: 0 for none, else the least n for which 2^(n-1) a second are
-// no fewer.
+// rateLevel returns the logarithmic level in which daemons report a request rate, so that
+// only significant changes are reported: 0 for no requests, else the smallest n >= 1 with
+// perSecond <= 2^(n-1).
 func rateLevel(perSecond float64) uint8 {
 	switch {
 	case perSecond <= 0:
@@ -43,8 +43,8 @@
 	return 1 + uint8(math.Ceil(math.Log2(perSecond)))
 }
 
-// rate is what a reported level stands for at most, in requests a second. Who gets
-// none may get one.
+// rate returns the upper bound of the reported rate level in requests per second. A daemon
+// without requests counts as level 1, because it may get one.
 func (m *Member) rate() float64 { return math.Exp2(float64(max(m.RateLevel, 1) - 1)) }
 
 // idle reports whether a daemon gets no requests.
@@ -52,7 +52,7 @@
 
 func (m *Member) millicores() float64 {
 	if m.Millicores == 0 {
-		return unknownProcessor
+		return defaultMillicores
 	}
 	return float64(m.Millicores)
 }
@@ -63,18 +63,18 @@
 	rate float64
 }
 
-// active returns the daemons that callers of an availability zone are sent to, and
-// how many of them one caller is named: in a large fleet the zone's fastest ones,
-// as many as its requests take with some headroom. Without enough in the zone it
-// returns all.
+// activeDaemons returns the daemons that callers of an availability zone are sent to, and
+// how many of them are named to one caller. In a large fleet these are the zone's fastest
+// daemons, as many as its request rate needs plus headroom. If the zone has too few
+// daemons, all daemons of the fleet are returned.
 //
-// The load that it answers: a thousand daemons get less than a request a second
-// each, most of them on a fifth of a core. Nearly each request finds no connection
-// to its target, and waits for a slow processor, while fast ones are idle.
-func active(all []candidate, zone string) (list []address.Member, named int) {
+// Without this selection a thousand daemons get less than one request per second each,
+// most of them on a fifth of a core. Almost every request then has to open a connection to
+// its target and waits for a slow CPU while fast VMs are idle.
+func activeDaemons(all []candidate, zone string) (list []address.Member, named int) {
 	near := slices.DeleteFunc(slices.Clone(all), func(c candidate) bool { return c.Zone != zone })
-	if len(all) <= smallFleet+1 || len(near) < leastActive {
-		return members(all), len(all)
+	if len(all) <= maxFullMeshPeers+1 || len(near) < minActive {
+		return addressMembers(all), len(all)
 	}
 	slices.SortFunc(near, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(b.Weight, a.Weight), cmp.Compare(a.Addr, b.Addr))
@@ -82,18 +82,18 @@
 	total, needed := 0.0, 0.0
 	for _, c := range near {
 		total += c.Weight
-		needed += c.rate * requestCost * headroom
+		needed += c.rate * requestCoreSeconds * processorHeadroom
 	}
-	needed = max(needed, idleShare*total)
-	n, there := 0, 0.0
-	for n < len(near) && (n < leastActive || there < needed) {
-		there += near[n].Weight
+	needed = max(needed, minActiveShare*total)
+	n, capacity := 0, 0.0
+	for n < len(near) && (n < minActive || capacity < needed) {
+		capacity += near[n].Weight
 		n++
 	}
-	return members(near[:n]), max(n/namedShare, leastActive)
+	return addressMembers(near[:n]), max(n/namedDivisor, minActive)
 }
 
-func members(list []candidate) []address.Member {
+func addressMembers(list []candidate) []address.Member {
 	out := make([]address.Member, 0, len(list))
 	for _, c := range list {
 		out = append(out, c.Member)
--- a/process/roster/active_test.go
+++ b/process/roster/active_test.go
@@ -7,8 +7,8 @@
 	"github.com/pomelospool/pomelospool/connection/address"
 )
 
-// servers are daemons of one availability zone by their processors.
-func servers(zone string, weights ...float64) []candidate {
+// candidatesOf returns daemons of one availability zone with the given CPU weights.
+func candidatesOf(zone string, weights ...float64) []candidate {
 	var out []candidate
 	for i, w := range weights {
 		out = append(out, candidate{Member: address.Member{Addr: fmt.Sprint(zone, i), Zone: zone, Weight: w}, rate: 1})
@@ -24,39 +24,39 @@
 	return out
 }
 
-// Guards against requests at a thousand slow daemons where a few fast ones do, and
-// against too few daemons for the requests that there are.
+// Guards against sending requests to a thousand slow daemons where a few fast ones
+// suffice, and against selecting too few daemons for the request rate.
 func TestFastestDaemonsGetTheRequests(t *testing.T) {
-	mixed := servers("a", append(repeat(1.6, 10), repeat(0.192, 187)...)...)
+	mixed := candidatesOf("a", append(repeat(1.6, 10), repeat(0.192, 187)...)...)
 	for _, c := range []struct {
 		perSecond, least, most int
 	}{{0, 8, 10}, {128, 8, 10}, {500, 10, 20}, {2000, 190, 197}, {100_000, 197, 197}} {
 		for i := range 10 {
 			mixed[i].rate = max(float64(c.perSecond)/10, 1)
 		}
-		got, _ := active(append(servers("b", repeat(8, 30)...), mixed...), "a")
-		there := 0.0
+		got, _ := activeDaemons(append(candidatesOf("b", repeat(8, 30)...), mixed...), "a")
+		capacity := 0.0
 		for _, m := range got {
 			if m.Zone != "a" {
 				t.Fatalf("a caller of zone a is sent to %+v", m)
 			}
-			there += m.Weight
+			capacity += m.Weight
 		}
 		if len(got) < c.least || len(got) > c.most {
 			t.Errorf("%d daemons for %d requests a second, want %d to %d", len(got), c.perSecond, c.least, c.most)
 		}
-		if need := float64(c.perSecond) * requestCost * 2; there < need && len(got) < len(mixed) {
-			t.Errorf("%v cores for %d requests a second", there, c.perSecond)
+		if need := float64(c.perSecond) * requestCoreSeconds * 2; capacity < need && len(got) < len(mixed) {
+			t.Errorf("%v cores for %d requests a second", capacity, c.perSecond)
 		}
 	}
 }
 
-func TestSmallFleetsAndZonesAreNamedWhole(t *testing.T) {
-	if got, named := active(servers("a", repeat(1, 12)...), "a"); len(got) != 12 || named != 12 {
+func TestSmallFleetsAndZonesUseAllDaemons(t *testing.T) {
+	if got, named := activeDaemons(candidatesOf("a", repeat(1, 12)...), "a"); len(got) != 12 || named != 12 {
 		t.Errorf("%d of 12 daemons", len(got))
 	}
-	few := append(servers("a", 1, 1, 1), servers("b", repeat(1, 40)...)...)
-	if got, named := active(few, "a"); len(got) != 43 || named != 43 {
+	few := append(candidatesOf("a", 1, 1, 1), candidatesOf("b", repeat(1, 40)...)...)
+	if got, named := activeDaemons(few, "a"); len(got) != 43 || named != 43 {
 		t.Errorf("%d of 43 daemons for a zone of three", len(got))
 	}
 }
--- a/process/roster/aggregate.go
+++ b/process/roster/aggregate.go
@@ -14,86 +14,88 @@
 )
 
 const (
-	// aggregatorsPerZone is the number of daemons of an availability zone that
-	// aggregate the work of the zone's daemons: with one dead the other goes on. Both
-	// receive the heartbeats of all.
+	// aggregatorsPerZone is the number of daemons of an availability zone that aggregate
+	// the state of the zone's daemons. Each of them receives the heartbeats of all, so
+	// that the other one continues when one dies.
 	aggregatorsPerZone = 2
-	// digestEvery is the time between two digests of one of them.
-	digestEvery = 500 * time.Millisecond
-	// changeAfter is how long a daemon's change of state waits for others.
-	changeAfter = 50 * time.Millisecond
-	// replyTimeout is the silence after which one that is sent heartbeats counts as
-	// no aggregator: three digests.
-	replyTimeout = 3 * digestEvery
-	// unresponsiveAfter is the silence after which an aggregator finds a daemon
-	// unresponsive: six heartbeats.
+	// digestInterval is the interval between two digests of an aggregator.
+	digestInterval = 500 * time.Millisecond
+	// changeDelay is how long a daemon's change of state waits for further changes.
+	changeDelay = 50 * time.Millisecond
+	// replyTimeout is the time without a reply after which a receiver of heartbeats no
+	// longer counts as an aggregator. It spans three digests.
+	replyTimeout = 3 * digestInterval
+	// unresponsiveAfter is the time without heartbeats after which an aggregator marks a
+	// daemon unresponsive. It spans six heartbeats.
 	unresponsiveAfter = 6 * heartbeatInterval
-	// staleAfter is the time after which nothing arrives any more that says a
-	// daemon is alive that was unresponsive before.
+	// staleAfter is the time after which reports from before a daemon became unresponsive
+	// can no longer arrive.
 	staleAfter = unresponsiveAfter + relayedAliveAge
-	// contactWithin is the time within which an aggregator must have received a datagram of any
-	// daemon to find others unresponsive: two heartbeats, of which its zone alone sends many.
-	contactWithin = 2 * heartbeatInterval
-	// settled is how long a daemon must aggregate before it finds others
-	// unresponsive: they have to notice that it does.
-	settled = replyTimeout + 2*heartbeatInterval
-	// changeRepeats is the number of digests that repeat a change, so that lost
-	// datagrams hardly hide it.
+	// maxContactAge is the maximum age of the last datagram of any daemon for an
+	// aggregator to mark others unresponsive. It spans two heartbeats, and the zone alone
+	// sends many in that time.
+	maxContactAge = 2 * heartbeatInterval
+	// aggregatorWarmup is how long a daemon must have been an aggregator before it marks
+	// others unresponsive. Until then they may not know that it is one.
+	aggregatorWarmup = replyTimeout + 2*heartbeatInterval
+	// changeRepeats is the number of digests that repeat a change, so that lost datagrams
+	// rarely hide it.
 	changeRepeats = 3
-	// digestTTL is how long a daemon that sent another zone's digest gets this
-	// one's: it aggregates, whatever this one believes of its zone.
+	// digestTTL is how long a daemon that sent another zone's digest is sent the digests
+	// of this zone. It aggregates, whatever this daemon assumes about its zone.
 	digestTTL = replyTimeout
-	// fallbackReceivers is the number of the zone's daemons that one without digests
-	// sends heartbeats to, so that of a herd that died all are found unresponsive at once and
-	// not two after two. Those that live say who aggregates.
+	// fallbackReceivers is the number of the zone's daemons that a daemon without digests
+	// sends heartbeats to. If many daemons died at once, all of them are thus found
+	// unresponsive together and not two at a time. The live ones reply with the current
+	// aggregators.
 	fallbackReceivers = 16
-	// randomReceivers is the number of any daemons that it sends heartbeats to in addition, for
-	// what it doesn't know.
+	// randomReceivers is the number of additional receivers from any zone, in case the
+	// daemon's view of its zone is wrong.
 	randomReceivers = 2
-	// relayedAliveAge is the age up to which others' reports that a daemon is alive are
-	// relayed.
-	relayedAliveAge = 3 * digestEvery
+	// relayedAliveAge is the maximum age of others' reports that a daemon is alive for
+	// them to be relayed.
+	relayedAliveAge = 3 * digestInterval
 )
 
-// What fits into one datagram: an entry of work takes 20 bytes, a row 85, a
-// read of three parts 50, a token 5.
+// Limits of what one datagram holds. A work entry takes 20 bytes, a row 85, a read
+// of three parts 50 and a token 5.
 const (
-	workPerDatagram  = 56
-	rowsPerDatagram  = 12
-	readsPerDatagram = 22
-	aliveInHead      = 240
+	workPerDatagram   = 56
+	rowsPerDatagram   = 12
+	readsPerDatagram  = 22
+	tokensPerDatagram = 240
 )
 
-// aggregation is the state of aggregating, guarded by Roster.mu.
+// aggregation is the state of an aggregator, guarded by Roster.mu.
 //
-// The load that it answers: with all daemons telling all, 295 of them send
-// 65,000 datagrams a second and take 220 each, and a daemon's death shows after
-// 9 s. Summed up, each takes some 40, of whatever number of daemons.
+// If every daemon sent to all others, 295 daemons would send 65,000 datagrams per second
+// in total and receive 220 each, and a daemon's death would be noticed after 9 s. With
+// aggregation each receives some 40, whatever the number of daemons.
 type aggregation struct {
-	on          bool
-	at, of      int               // which of its zone's aggregators it is, of how many
-	since       time.Time         // on, or off, since then
-	lastDigest  time.Time         // the last digest of all daemons
-	lastContact time.Time         // the last datagram of any daemon
-	rotate      int               // number of digests sent
-	fleet       []engines.Read    // reads to be passed on to the zone's daemons
-	zone        []engines.Read    // and to the aggregators of other zones
-	parts       map[string]uint32 // of the last digest, by its zone
-	changed     chan struct{}
+	on           bool
+	index, count int               // index of this daemon among its zone's aggregators, and their number
+	since        time.Time         // time of the last change of on
+	lastDigest   time.Time         // time of the last digest of the whole fleet
+	lastContact  time.Time         // time of the last datagram of any daemon
+	digestCount  int               // number of digests sent
+	fleetReads   []engines.Read    // reads to relay to the zone's daemons
+	zoneReads    []engines.Read    // reads to relay to the aggregators of other zones
+	parts        map[string]uint32 // number of parts of the last digest, by its zone
+	changed      chan struct{}
 }
 
-// wake has changes sent soon.
-func (a *aggregation) wake() {
+// notifyChange requests that changes are sent soon.
+func (a *aggregation) notifyChange() {
 	select {
 	case a.changed <- struct{}{}:
 	default:
 	}
 }
 
-// aggregate sends digests while this daemon is one of the aggregators.
+// aggregate sends digests while this daemon is an aggregator.
 func (r *Roster) aggregate() error {
 	ctx := r.tomb.Context(context.Background())
-	tick := time.NewTimer(digestEvery)
+	tick := time.NewTimer(digestInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -101,30 +103,30 @@
 			return nil
 		case <-tick.C:
 			r.publish(true)
-			tick.Reset(digestEvery + rand.N(digestEvery/10))
+			tick.Reset(digestInterval + rand.N(digestInterval/10))
 			continue
 		case <-r.agg.changed:
 		}
-		if pause.For(ctx, changeAfter) != nil {
+		if pause.For(ctx, changeDelay) != nil {
 			return nil
 		}
 		r.publish(false)
 	}
 }
 
-// aggregators returns the addresses of the aggregators of a zone, as far as
-// this one knows. Callers hold r.mu.
+// aggregators returns the addresses of a zone's aggregators as far as this daemon knows.
+// Callers hold r.mu.
 func (r *Roster) aggregators(zone string, now time.Time) []string {
-	return r.firstOf(zone, aggregatorsPerZone, now)
+	return r.aggregatorCandidates(zone, aggregatorsPerZone, now)
 }
 
-// firstOf returns the first daemons of a zone that may aggregate: those with the
-// widest links, then by name. Callers hold r.mu.
+// aggregatorCandidates returns the first n daemons of a zone that may aggregate, by
+// descending link bandwidth, then by VM name. Callers hold r.mu.
 //
-// Digests to the daemons of a zone of 70 fill a link of 20 Mbit/s while many
-// daemons change their state. A daemon behind it reads neither the store nor its
-// peers in time, and goes on sending requests to targets that have left.
-func (r *Roster) firstOf(zone string, n int, now time.Time) []string {
+// Digests to the daemons of a zone of 70 fill a link of 20 Mbit/s while many daemons
+// change their state. A daemon behind such a link reads neither the store nor its peers in
+// time, and keeps sending requests to targets that have left.
+func (r *Roster) aggregatorCandidates(zone string, n int, now time.Time) []string {
 	var found []*Member
 	for _, p := range r.peers {
 		if p.member.Zone == zone && r.mayAggregate(p, now) {
@@ -138,32 +140,32 @@
 	return peerAddrsOf(found[:min(len(found), n)])
 }
 
-// mayAggregate reports whether a daemon may be an aggregator. One that is only
-// listed in the store may, until it doesn't answer. Callers hold r.mu.
+// mayAggregate reports whether a daemon may be an aggregator. A daemon known only from the
+// store may be one until it fails to reply. Callers hold r.mu.
 func (r *Roster) mayAggregate(p *peer, now time.Time) bool {
 	switch {
 	case p.member.State == Leaving || p.dead:
 		return false
-	case !p.asked.IsZero() && now.Sub(p.asked) > replyTimeout:
+	case !p.unansweredSince.IsZero() && now.Sub(p.unansweredSince) > replyTimeout:
 		return false
 	}
 	return !p.known || p.alive(now, r.patience())
 }
 
-// heartbeatReceivers returns the daemons that a heartbeat goes to in a large fleet: the
-// own zone's aggregators, and without digests some others, which say who they
-// are. Callers hold r.mu.
+// heartbeatReceivers returns the receivers of a heartbeat in a large fleet: the
+// aggregators of the own zone and, if no digests arrive, some other daemons, which reply
+// with the aggregators. Callers hold r.mu.
 func (r *Roster) heartbeatReceivers(now time.Time) []net.Addr {
 	all := r.aggregators(r.self.Zone, now)
 	at := slices.Index(all, r.self.PeerAddr)
 	on := at >= 0
-	r.switchTo(on, now)
-	r.agg.at, r.agg.of = max(at, 0), max(len(all), 1)
-	blind := !on && now.Sub(r.agg.lastDigest) > replyTimeout
+	r.setAggregating(on, now)
+	r.agg.index, r.agg.count = max(at, 0), max(len(all), 1)
+	noDigests := !on && now.Sub(r.agg.lastDigest) > replyTimeout
 	n := aggregatorsPerZone
-	if blind {
+	if noDigests {
 		n = fallbackReceivers
-		all = r.firstOf(r.self.Zone, n, now)
+		all = r.aggregatorCandidates(r.self.Zone, n, now)
 	}
 	var to []net.Addr
 	for _, addr := range all {
@@ -171,13 +173,13 @@
 		if p == nil {
 			continue // this daemon
 		}
-		if p.asked.IsZero() {
-			p.asked = now
+		if p.unansweredSince.IsZero() {
+			p.unansweredSince = now
 		}
 		to = append(to, p.addr)
 	}
 	for _, p := range r.peers {
-		if !blind || len(to) >= n+randomReceivers {
+		if !noDigests || len(to) >= n+randomReceivers {
 			break
 		}
 		to = append(to, p.addr)
@@ -185,79 +187,79 @@
 	return to
 }
 
-// switchTo begins or ends to aggregate. What was received before is part of other
-// aggregates from then on. Callers hold r.mu.
-func (r *Roster) switchTo(on bool, now time.Time) {
+// setAggregating starts or stops aggregating. Work and demand received before are cleared,
+// because from then on they are part of other aggregates. Callers hold r.mu.
+func (r *Roster) setAggregating(on bool, now time.Time) {
 	if r.agg.on == on {
 		return
 	}
 	r.agg.on, r.agg.since = on, now
-	r.agg.fleet, r.agg.zone = nil, nil
+	r.agg.fleetReads, r.agg.zoneReads = nil, nil
 	for _, p := range r.peers {
 		// An earlier aggregator may not have sent the last changes.
-		p.repeat = changeRepeats
+		p.repeatsLeft = changeRepeats
 	}
 	r.o.Book.Forget()
 	r.o.Demand.Forget()
 	log.WithFields(log.Fields{"zone": r.self.Zone, "on": on, "daemons": 1 + len(r.peers)}).Info("roster: aggregates its zone")
 }
 
-// unanswered reports whether a daemon that was to aggregate says nothing, and nobody
-// says that it lives. Callers hold r.mu.
+// unanswered reports whether an expected aggregator hasn't replied and nobody reports it
+// alive. Callers hold r.mu.
 func (r *Roster) unanswered(p *peer, now time.Time) bool {
-	return !p.asked.IsZero() && now.Sub(p.asked) > replyTimeout && now.Sub(p.lastSeen) > replyTimeout
+	return !p.unansweredSince.IsZero() && now.Sub(p.unansweredSince) > replyTimeout && now.Sub(p.lastSeen) > replyTimeout
 }
 
-// maxUnresponsiveRatio is how many times as many daemons may become unresponsive together as
-// still send something.
+// maxUnresponsiveRatio is the maximum ratio of newly unresponsive daemons to responsive
+// ones. Above it the aggregator assumes a fault on its own side.
 const maxUnresponsiveRatio = 3
 
-// detectUnresponsive marks the daemons of the zone that sent this one heartbeats and
-// send none any more. Callers hold r.mu.
+// detectUnresponsive marks the daemons of the zone that used to send heartbeats to this
+// one and no longer do. Callers hold r.mu.
 //
-// The guards are against a daemon that is cut off, or that the others no longer send
-// heartbeats to: it would say that the zone's daemons are dead, also once it is back,
-// and other zones, which learn of their last heartbeats later, would believe it. One
-// that receives nothing finds nobody unresponsive, since heartbeats stop at slightly
-// different times. Where nearly all become unresponsive at once they count as dead
-// only once nobody reports them alive.
+// An aggregator that is isolated, or that the others no longer send heartbeats to, must
+// not report the zone's daemons as dead. It would repeat the report when it is reachable
+// again, and other zones, which receive the last heartbeats later, would accept it. An
+// aggregator that receives no datagrams at all therefore marks nobody, since heartbeats
+// stop at slightly different times. If nearly all daemons become unresponsive at once,
+// they count as dead only once nobody reports them alive.
 func (r *Roster) detectUnresponsive(now time.Time) {
-	if now.Sub(r.agg.lastContact) > contactWithin {
+	if now.Sub(r.agg.lastContact) > maxContactAge {
 		return
 	}
-	telling := 0
-	var silent []*peer
+	responsive := 0
+	var unresponsive []*peer
 	for _, p := range r.peers {
 		switch {
 		case p.member.Zone != r.self.Zone || !p.known:
 		case !p.dead && r.unanswered(p, now):
 			p.markUnresponsive("no answer")
-		case now.Sub(r.agg.since) < settled || p.heartbeat.Before(r.agg.since):
-		case now.Sub(p.heartbeat) < unresponsiveAfter:
-			telling++
+		case now.Sub(r.agg.since) < aggregatorWarmup || p.lastHeartbeat.Before(r.agg.since):
+		case now.Sub(p.lastHeartbeat) < unresponsiveAfter:
+			responsive++
 		case !p.dead && !p.unresponsive:
-			silent = append(silent, p)
+			unresponsive = append(unresponsive, p)
 		}
 	}
-	if telling*maxUnresponsiveRatio < len(silent) && len(silent) > maxUnresponsiveRatio {
+	if responsive*maxUnresponsiveRatio < len(unresponsive) && len(unresponsive) > maxUnresponsiveRatio {
 		return
 	}
-	for _, p := range silent {
+	for _, p := range unresponsive {
 		p.unresponsive = true
 		p.markUnresponsive("no beat")
 	}
 }
 
-// observeContact records a datagram of another daemon. After a time without any,
-// this one was cut off, and the others' silence meanwhile was its own. Callers
+// observeContact records a datagram of another daemon. After a gap without any datagram
+// this daemon was isolated, so the timers by which it judges others start anew. Callers
 // hold r.mu.
 func (r *Roster) observeContact(now time.Time) {
 	if now.Sub(r.agg.lastContact) > deadAfter {
 		r.agg.since = now
 		for _, p := range r.peers {
-			p.repeat = changeRepeats
-			if !p.asked.IsZero() {
-				p.asked = now
+			p.repeatsLeft = changeRepeats
+			if !p.unansweredSince.IsZero() {
+				p.unansweredSince = now
 			}
 		}
 	}
--- a/process/roster/aggregate_test.go
+++ b/process/roster/aggregate_test.go
@@ -12,8 +12,9 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// withLarge runs a test on a fleet of n daemons in zones, all started at once.
-func withLarge(t *testing.T, n, zones int, test func(t *testing.T, d *daemons)) {
+// withLarge runs a test on a fleet of n daemons in the given number of zones, all started
+// at once.
+func withLarge(t *testing.T, n, zones int, test func(t *testing.T, d *testFleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDaemons()
 		d.zones = zones
@@ -21,147 +22,147 @@
 			d.add(i+1, 1)
 		}
 		defer d.stop()
-		rest(6 * time.Second)
+		sleep(6 * time.Second)
 		test(t, d)
 	})
 }
 
-func (d *daemons) stop() {
+func (d *testFleet) stop() {
 	for _, r := range d.all {
 		_ = r.Stop()
 	}
 	synctest.Wait()
 }
 
-func rest(d time.Duration) { _ = pause.For(context.Background(), d) }
+func sleep(d time.Duration) { _ = pause.For(context.Background(), d) }
 
-// expect checks that every daemon but those that are left out names so many
+// expect checks that every daemon except the excluded ones returns the given number of
 // addresses.
-func (d *daemons) expect(t *testing.T, want int, what string, but map[int]bool) {
+func (d *testFleet) expect(t *testing.T, want int, what string, except map[int]bool) {
 	t.Helper()
 	for i, r := range d.all {
-		if n := addrs(r); !but[i+1] && n != want {
+		if n := addrs(r); !except[i+1] && n != want {
 			t.Errorf("%s: daemon %d names %d addresses, want %d", what, i+1, n, want)
 			return
 		}
 	}
 }
 
-// cut silences daemons.
-func (d *daemons) cut(vms map[int]bool, on bool) {
+// setCut cuts or restores the network of daemons.
+func (d *testFleet) setCut(vms map[int]bool, on bool) {
 	for vm := range vms {
-		d.w.SetCut(peerAddr(vm), on)
+		d.net.SetCut(peerAddr(vm), on)
 	}
 }
 
-// dieAndReturn silences daemons, and lets them be heard again: all others must
-// name neither too many nor too few within these times.
-func (d *daemons) dieAndReturn(t *testing.T, out map[int]bool, dead, back time.Duration) {
+// cutAndRestore cuts the network of daemons and restores it. After each step all other
+// daemons must return the expected number of addresses within the given time.
+func (d *testFleet) cutAndRestore(t *testing.T, out map[int]bool, dead, back time.Duration) {
 	t.Helper()
-	d.cut(out, true)
-	rest(dead)
+	d.setCut(out, true)
+	sleep(dead)
 	d.expect(t, len(d.all)-len(out), "dead", out)
-	d.cut(out, false)
-	rest(back)
+	d.setCut(out, false)
+	sleep(back)
 	d.expect(t, len(d.all), "back", nil)
 }
 
-// A VM with a fifth of a core takes the datagrams of 294 others, and has no
-// time left for requests: each told all others what it does.
-func TestWhatADaemonTakesDoesNotGrowWithTheFleet(t *testing.T) {
+// Guards against a datagram rate per daemon that grows with the fleet. When each daemon
+// sent to all others, a VM with a fifth of a core that received the datagrams of 294
+// others had no CPU time left for requests.
+func TestDatagramRateDoesNotGrowWithFleet(t *testing.T) {
 	perSecond := map[int]int{}
 	for _, n := range []int{60, 300} {
-		withLarge(t, n, 5, func(t *testing.T, d *daemons) {
+		withLarge(t, n, 5, func(t *testing.T, d *testFleet) {
 			d.expect(t, n, fmt.Sprint("fleet of ", n), nil)
-			before := d.w.Sent()
-			rest(10 * time.Second)
-			perSecond[n] = (d.w.Sent() - before) / 10 / n
+			before := d.net.Sent()
+			sleep(10 * time.Second)
+			perSecond[n] = (d.net.Sent() - before) / 10 / n
 		})
 	}
 	if perSecond[300] > 2*perSecond[60] || perSecond[300] > 60 {
-		t.Errorf("datagrams that a daemon takes in a second, by fleet: %v", perSecond)
+		t.Errorf("datagrams received by a daemon per second, by fleet size: %v", perSecond)
 	}
 }
 
-// Callers are sent to a daemon of a large fleet that was killed, for nine
-// seconds: that many datagrams make their pause long, and four of them had to
-// be missing.
-func TestSilentDaemonOfALargeFleetIsOutSoon(t *testing.T) {
-	withLarge(t, 60, 3, func(t *testing.T, d *daemons) {
+// Guards against naming a killed daemon of a large fleet to callers for nine seconds. With
+// direct heartbeats to all, the intervals between heartbeats were long, and four of them
+// had to be missed.
+func TestUnresponsiveDaemonOfLargeFleetIsRemoved(t *testing.T) {
+	withLarge(t, 60, 3, func(t *testing.T, d *testFleet) {
 		out := map[int]bool{40: true}
-		d.cut(out, true)
-		rest(2500 * time.Millisecond)
+		d.setCut(out, true)
+		sleep(2500 * time.Millisecond)
 		d.expect(t, 59, "silent", out)
-		d.cut(out, false)
-		rest(2 * time.Second)
+		d.setCut(out, false)
+		sleep(2 * time.Second)
 		d.expect(t, 60, "back", out)
-		rest(3 * time.Second)
+		sleep(3 * time.Second)
 		d.expect(t, 60, "and knows the others", nil)
 	})
 }
 
-// A zone's aggregators die together, and the zone's daemons hear nothing
-// of any other: the next ones by name take it over.
+// If all aggregators of a zone die together, the zone's daemons receive nothing from other
+// zones. The next daemons in the order must become aggregators.
 func TestAggregatorsThatDieTogetherAreReplaced(t *testing.T) {
-	withLarge(t, 60, 3, func(t *testing.T, d *daemons) {
+	withLarge(t, 60, 3, func(t *testing.T, d *testFleet) {
 		out := map[int]bool{3: true, 6: true} // the first of the third zone
-		d.dieAndReturn(t, out, 6*time.Second, 6*time.Second)
+		d.cutAndRestore(t, out, 6*time.Second, 6*time.Second)
 	})
 }
 
-// Callers are sent to a daemon that has been off for nine seconds. Its last words
-// reached other zones and not the aggregator of its own, whose word that it is
-// silent is older then and isn't taken. It is forgotten by its silence, until its
-// row is sent again by turns, with a newer heartbeat than the zone's daemons know,
-// who only hear that it lives: they took it for news of its life.
-func TestRowsOfADeadDaemonAreNoNewsOfItsLife(t *testing.T) {
+// Guards against naming a dead daemon to callers for nine seconds. Its last heartbeats
+// reached other zones but not its own zone's aggregator, whose older report of its death
+// is then ignored. Later the periodic repetition of its row carries a newer heartbeat than
+// the zone's daemons know, and they took it as a sign that the daemon is alive.
+func TestStaleRowsDoNotReviveDeadDaemon(t *testing.T) {
 	now := time.Now()
 	member := Member{VM: "x", PeerAddr: "10.0.0.1:7000", Incarnation: 1, State: Ready}
-	roster := func(heard time.Time) (*Roster, *peer) {
-		p := &peer{member: member, known: true, seq: 40, lastSeen: heard}
+	roster := func(lastSeen time.Time) (*Roster, *peer) {
+		p := &peer{member: member, known: true, seq: 40, lastSeen: lastSeen}
 		return &Roster{peers: map[string]*peer{member.PeerAddr: p}, tokens: map[uint32]string{}}, p
 	}
 	r, p := roster(now.Add(-9 * time.Second))
 	r.mergeRow(&row{Member: member, Seq: 50, AgeMs: 9000}, now)
 	if p.alive(now, relayedDeadAfter) {
-		t.Error("a row that is nine seconds old brings it back")
+		t.Error("a row that is nine seconds old revives the daemon")
 	}
 	r.mergeRow(&row{Member: member, Seq: 51, AgeMs: 200}, now)
 	if !p.alive(now, relayedDeadAfter) {
-		t.Error("a row of now doesn't bring it back")
+		t.Error("a current row doesn't revive the daemon")
 	}
-	for heard, want := range map[time.Duration]bool{0: false, 2 * time.Second: true} {
-		r, p := roster(now.Add(-heard))
+	for age, want := range map[time.Duration]bool{0: false, 2 * time.Second: true} {
+		r, p := roster(now.Add(-age))
 		r.mergeRow(&row{Member: member, Seq: 39, Dead: true}, now)
 		if p.dead != want {
-			t.Errorf("heard %v ago, and said to be silent since an earlier beat: gone %v", heard, p.dead)
+			t.Errorf("seen %v ago and reported dead as of an earlier heartbeat: dead %v", age, p.dead)
 		}
 	}
 	_, p = roster(now.Add(-9 * time.Second))
 	s := &round{}
-	for rotate := range rowRounds {
-		r := &Roster{agg: aggregation{rotate: rotate}}
-		r.describe(s, p, false, now, true)
+	for rotate := range digestsPerRowCycle {
+		r := &Roster{agg: aggregation{digestCount: rotate}}
+		r.addPeerState(s, p, false, now, true)
 	}
 	if len(s.memberRows) != 0 {
-		t.Errorf("rows told of it by turns: %+v", s.memberRows)
+		t.Errorf("rows repeated for a dead daemon: %+v", s.memberRows)
 	}
 }
 
 // More than half of all daemons lose power at the same moment.
-func TestHerdThatDies(t *testing.T) {
-	withLarge(t, 60, 3, func(t *testing.T, d *daemons) {
+func TestSimultaneousDeathOfMostDaemons(t *testing.T) {
+	withLarge(t, 60, 3, func(t *testing.T, d *testFleet) {
 		out := map[int]bool{}
 		for vm := 1; vm <= 33; vm++ {
 			out[vm] = true
 		}
-		d.dieAndReturn(t, out, 10*time.Second, 8*time.Second)
+		d.cutAndRestore(t, out, 10*time.Second, 8*time.Second)
 	})
 }
 
-// Callers open connections to a daemon that is stopping, and lose them.
-func TestLeavingDaemonOfALargeFleetIsOutAtOnce(t *testing.T) {
-	withLarge(t, 60, 3, func(t *testing.T, d *daemons) {
+// Guards against callers that open connections to a stopping daemon and lose them.
+func TestLeavingDaemonOfLargeFleetIsRemovedAtOnce(t *testing.T) {
+	withLarge(t, 60, 3, func(t *testing.T, d *testFleet) {
 		for _, vm := range []int{3, 50} {
 			d.all[vm-1].SetState(Leaving)
 			synctest.Wait()
@@ -170,65 +171,66 @@
 	})
 }
 
-// A daemon that says it leaves must not be brought back by aggregates made before.
+// Aggregates that were built earlier must not revive a daemon that has announced that it
+// leaves.
 func TestLeavingDaemonStaysOutUnderLoss(t *testing.T) {
-	withLarge(t, 60, 3, func(t *testing.T, d *daemons) {
-		d.w.SetLoss(0.1)
+	withLarge(t, 60, 3, func(t *testing.T, d *testFleet) {
+		d.net.SetLoss(0.1)
 		d.all[49].SetState(Leaving)
-		rest(3 * time.Second)
+		sleep(3 * time.Second)
 		for range 20 {
-			rest(100 * time.Millisecond)
+			sleep(100 * time.Millisecond)
 			d.expect(t, 59, "leaving", nil)
 		}
 	})
 }
 
-// Links lose datagrams: daemons that live must not be taken for dead.
-func TestLossDoesNotTakeDaemonsOut(t *testing.T) {
-	withLarge(t, 60, 3, func(t *testing.T, d *daemons) {
-		d.w.SetLoss(0.05)
+// Lost datagrams must not make live daemons count as dead.
+func TestLossDoesNotRemoveDaemons(t *testing.T) {
+	withLarge(t, 60, 3, func(t *testing.T, d *testFleet) {
+		d.net.SetLoss(0.05)
 		for range 100 {
-			rest(100 * time.Millisecond)
+			sleep(100 * time.Millisecond)
 			d.expect(t, 60, "one datagram in twenty is lost", nil)
 		}
 	})
 }
 
-// A daemon that comes later, or again, is known to all and knows all.
-func TestDaemonsThatComeLater(t *testing.T) {
-	withLarge(t, 40, 3, func(t *testing.T, d *daemons) {
+// A daemon that joins later or restarts becomes known to all others, and learns of them.
+func TestDaemonsThatJoinLater(t *testing.T) {
+	withLarge(t, 40, 3, func(t *testing.T, d *testFleet) {
 		_ = d.all[2].Stop()
 		d.all = append(d.all[:2], d.all[3:]...)
-		rest(time.Second)
+		sleep(time.Second)
 		d.add(3, 2)
 		d.add(41, 1)
-		rest(2 * time.Second)
+		sleep(2 * time.Second)
 		d.expect(t, 41, "later", nil)
 	})
 }
 
-// A daemon counts the prompts that it sent twice, as its own and as a part of
-// the sum: the engine that it uses looks busier to it than to all others.
-func TestSumsLeaveOutWhatTheReceiverTold(t *testing.T) {
-	withLarge(t, 60, 3, func(t *testing.T, d *daemons) {
+// Guards against counting a daemon's own prompts twice, once directly and once as part of
+// the aggregates. The engines that it uses would look busier to it than to others.
+func TestDigestsExcludeReceiversOwnWork(t *testing.T) {
+	withLarge(t, 60, 3, func(t *testing.T, d *testFleet) {
 		parts := []port.PromptPart{{ID: 1, Tokens: 500}, {ID: 2, Tokens: 50}}
-		for _, vm := range []int{10, 20, 33, 3} { // of several zones, one aggregates up
+		for _, vm := range []int{10, 20, 33, 3} { // several zones; one of them is an aggregator
 			defer d.books[vm-1].Prefill("e", 10_000, parts, 0, 100*time.Millisecond)()
 			defer d.books[vm-1].Decode("f", 10_000, parts, 0)()
 		}
-		rest(3 * time.Second)
+		sleep(3 * time.Second)
 		for i, b := range d.books {
 			if n := b.Load("f", nil).Streams; n != 4 {
 				t.Errorf("daemon %d counts %d streams, want 4", i+1, n)
 			}
 			if b.Load("e", parts).Cached < 500 {
-				t.Errorf("daemon %d doesn't know what was read", i+1)
+				t.Errorf("daemon %d doesn't know the cached parts", i+1)
 			}
 		}
 		d.books[19].Changing("g", port.RoleDecode)
 		d.books[20].Down("h", time.Now().Add(time.Minute))
 		d.books[21].Down("h", time.Now().Add(time.Minute))
-		rest(2 * time.Second)
+		sleep(2 * time.Second)
 		for i, b := range d.books {
 			if b.Load("g", nil).Becomes != port.RoleDecode || !b.Load("h", nil).Unreachable() {
 				t.Errorf("daemon %d: %+v, %+v", i+1, b.Load("g", nil), b.Load("h", nil))
@@ -237,17 +239,17 @@
 	})
 }
 
-// A daemon that nobody hears finds all others silent, and says so to those
-// that hear it.
-func TestCutOffAggregatorTakesNobodyOut(t *testing.T) {
-	withLarge(t, 60, 3, func(t *testing.T, d *daemons) {
+// An isolated aggregator finds all others unresponsive, and must not report that once it
+// is reachable again.
+func TestIsolatedAggregatorRemovesNoDaemons(t *testing.T) {
+	withLarge(t, 60, 3, func(t *testing.T, d *testFleet) {
 		out := map[int]bool{3: true}
-		d.cut(out, true)
-		rest(5 * time.Second)
+		d.setCut(out, true)
+		sleep(5 * time.Second)
 		d.expect(t, 59, "cut off", out)
-		d.cut(out, false)
+		d.setCut(out, false)
 		for range 30 {
-			rest(100 * time.Millisecond)
+			sleep(100 * time.Millisecond)
 			for i, r := range d.all {
 				if n := addrs(r); n < 59 && i != 2 {
 					t.Fatalf("daemon %d names %d addresses after the return of one", i+1, n)
@@ -257,44 +259,45 @@
 	})
 }
 
-// Callers of other zones lose five daemons that live. An aggregator is cut off;
-// the heartbeats of its zone stop at slightly different times, and those that stopped
-// first are silent while the others still count as telling. It says so once it
-// is back, of heartbeats that are newer than those which other zones know.
-func TestAggregatorThatHearsNobodyFindsNobodySilent(t *testing.T) {
+// Guards against an isolated aggregator that removes live daemons from the addresses of
+// other zones. The heartbeats of its zone stop at slightly different times, and those that
+// stopped first look unresponsive while the others still count as responsive. Once
+// reachable again it reported these as dead, as of heartbeats newer than those that other
+// zones know.
+func TestIsolatedAggregatorFindsNobodyUnresponsive(t *testing.T) {
 	now := time.Now()
-	zone := func(heardAny time.Duration) *Roster {
+	zone := func(contactAge time.Duration) *Roster {
 		r := &Roster{self: Member{Zone: "z"}, peers: map[string]*peer{}}
-		r.agg.on, r.agg.since, r.agg.lastContact = true, now.Add(-time.Minute), now.Add(-heardAny)
+		r.agg.on, r.agg.since, r.agg.lastContact = true, now.Add(-time.Minute), now.Add(-contactAge)
 		for i := range 19 {
 			last := unresponsiveAfter - 100*time.Millisecond
 			if i < 5 {
 				last = unresponsiveAfter + 100*time.Millisecond
 			}
 			addr := peerAddr(i + 1)
-			r.peers[addr] = &peer{member: Member{PeerAddr: addr, Zone: "z"}, known: true, heartbeat: now.Add(-last), lastSeen: now.Add(-last)}
+			r.peers[addr] = &peer{member: Member{PeerAddr: addr, Zone: "z"}, known: true, lastHeartbeat: now.Add(-last), lastSeen: now.Add(-last)}
 		}
 		r.detectUnresponsive(now)
 		return r
 	}
-	for heardAny, want := range map[time.Duration]int{unresponsiveAfter - 100*time.Millisecond: 0, heartbeatInterval: 5} {
+	for contactAge, want := range map[time.Duration]int{unresponsiveAfter - 100*time.Millisecond: 0, heartbeatInterval: 5} {
 		dead := 0
-		for _, p := range zone(heardAny).peers {
+		for _, p := range zone(contactAge).peers {
 			if p.dead {
 				dead++
 			}
 		}
 		if dead != want {
-			t.Errorf("%v after the last datagram of any daemon %d are found silent, want %d", heardAny, dead, want)
+			t.Errorf("%v after the last datagram of any daemon %d are found unresponsive, want %d", contactAge, dead, want)
 		}
 	}
 }
 
-// A zone's daemons read from two others. While a fleet starts their answers
-// come late, and all read the store themselves for seconds: the two aggregators
-// read the store, too, and tell the zone so much that their links are full.
-func TestAggregatorsReadForNobody(t *testing.T) {
-	withLarge(t, 60, 3, func(t *testing.T, d *daemons) {
+// Guards against aggregators that also relay the store's records. Their digests saturate
+// their links; while a fleet starts their answers are late, and all daemons of the zone
+// read the store themselves for seconds.
+func TestAggregatorsDoNotRelayStore(t *testing.T) {
+	withLarge(t, 60, 3, func(t *testing.T, d *testFleet) {
 		direct, from := 0, map[string]int{}
 		for _, r := range d.all {
 			readers := r.Upstream().Peers
@@ -304,7 +307,7 @@
 			}
 			from[readers[0]]++
 			if len(readers) != 2 || readers[0] == readers[1] {
-				t.Errorf("it asks %v", readers)
+				t.Errorf("reads from %v", readers)
 			}
 		}
 		if direct != 6 || len(from) != 6 {
@@ -318,9 +321,9 @@
 	})
 }
 
-// All daemons start again at the same moment, and each lists and reads the store
-// for itself, since it has heard of no other yet. Those that the store names are
-// asked at once, and not for long if they don't live.
+// Guards against daemons that all list and read the store themselves because they start at
+// the same time and haven't received a heartbeat yet. They must use the daemons listed in
+// the store at once, and stop using those that turn out not to be alive.
 func TestStartingDaemonsReadFromThoseThatAreListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDaemons()
@@ -335,20 +338,20 @@
 		defer d.stop()
 		<-r.Listed()
 		if got := r.Upstream().Peers; len(got) != 2 {
-			t.Errorf("it asks %v", got)
+			t.Errorf("reads from %v", got)
 		}
-		rest(startFor + 100*time.Millisecond)
+		sleep(startupPeriod + 100*time.Millisecond)
 		if got := r.Upstream().Peers; len(got) != 0 {
-			t.Errorf("it asks %v, of which it has heard nothing", got)
+			t.Errorf("reads from %v, which never responded", got)
 		}
 	})
 }
 
-// Prompts are read again whose parts an engine keeps: of more reads than fit into
-// a digest the first ones were told, most of them of a few hundred tokens, and
-// both of a zone's aggregators told the same ones.
-func TestWeightyReadsAreTold(t *testing.T) {
-	withLarge(t, 60, 3, func(t *testing.T, d *daemons) {
+// Guards against prefilling prompts again whose parts an engine has cached. When there
+// were more reads than fit into a digest, it held the first ones, most of them of a few
+// hundred tokens, and both aggregators of a zone sent the same ones.
+func TestLargestReadsAreReported(t *testing.T) {
+	withLarge(t, 60, 3, func(t *testing.T, d *testFleet) {
 		const prompts, small, large = 400, 300, 13_000
 		part := func(i int) []port.PromptPart {
 			tokens := small
@@ -360,7 +363,7 @@
 		for i := range prompts {
 			defer d.books[i%60].Prefill(fmt.Sprint("e", i%20), 1_000_000, part(i), 0, 0)()
 		}
-		rest(3 * time.Second)
+		sleep(3 * time.Second)
 		for vm, b := range d.books {
 			missing := 0
 			for i := range prompts {
@@ -376,11 +379,11 @@
 	})
 }
 
-// Hundreds of daemons choose by news that is half a second old: all choose the
-// engine that was idle then, and prompts wait behind each other though other
-// engines are idle.
-func TestKeepersKnowQueuesAtOnce(t *testing.T) {
-	withLarge(t, 60, 3, func(t *testing.T, d *daemons) {
+// Guards against hundreds of daemons that choose by data half a second old. All of them
+// choose the engine that was idle then, and prompts queue there while other engines are
+// idle.
+func TestOwnersKnowQueuesAtOnce(t *testing.T) {
+	withLarge(t, 60, 3, func(t *testing.T, d *testFleet) {
 		ids := []string{"e", "f", "g"}
 		ask := func(vm int, want ...time.Duration) {
 			t.Helper()
@@ -402,9 +405,9 @@
 		one()
 		synctest.Wait()
 		ask(20, 300*time.Millisecond, 100*time.Millisecond, 0)
-		// Work that lasts is sent again, also to an owner that is new.
-		rest(5 * time.Second)
-		ask(20, 0, 0, 0) // as long as predicted, and more
+		// Unfinished work is reported again, also to a new owner.
+		sleep(5 * time.Second)
+		ask(20, 0, 0, 0) // the predicted time has passed
 		defer d.books[10].Prefill("e", 10_000, nil, 0, 300*time.Millisecond)()
 		synctest.Wait()
 		ask(20, 300*time.Millisecond)
@@ -412,10 +415,10 @@
 	})
 }
 
-// The owner of an engine dies, and with it what it knew: what still holds is
-// sentHeartbeat to the next one, and nobody waits for the dead one's answer.
-func TestKeepersThatDie(t *testing.T) {
-	withLarge(t, 60, 3, func(t *testing.T, d *daemons) {
+// An engine's owner dies with its state. Current work must be reported to the next owner,
+// and queries must not wait for the dead one beyond the time limit.
+func TestOwnerFailover(t *testing.T) {
+	withLarge(t, 60, 3, func(t *testing.T, d *testFleet) {
 		defer d.books[6].Prefill("e", 10_000, nil, 0, time.Hour)()
 		synctest.Wait()
 		r := d.all[19]
@@ -423,23 +426,23 @@
 		to := r.owner(engines.Hash("e"), time.Now())
 		r.mu.Unlock()
 		if to == nil {
-			t.Fatal("the daemon that is asked keeps the engine")
+			t.Fatal("the querying daemon owns the engine")
 		}
-		d.w.SetCut(to.String(), true)
+		d.net.SetCut(to.String(), true)
 		begun := time.Now()
 		if got := r.Queues(context.Background(), []string{"e"}); got[0] != -1 || time.Since(begun) > queryTimeout {
-			t.Errorf("a dead keeper's answer: %v after %v", got, time.Since(begun))
+			t.Errorf("reply of a dead owner: %v after %v", got, time.Since(begun))
 		}
-		rest(4 * time.Second)
+		sleep(4 * time.Second)
 		if got := r.Queues(context.Background(), []string{"e"}); got[0] <= 0 {
-			t.Errorf("the next keeper's answer: %v", got)
+			t.Errorf("reply of the next owner: %v", got)
 		}
 	})
 }
 
-// Notes overtake each other: an engine looks busy with a prompt that has long
-// been read.
-func TestNotesThatAreOvertakenAreLeftOut(t *testing.T) {
+// Guards against work reports that arrive out of order: an engine would look busy with a
+// prompt that was prefilled long ago.
+func TestOutOfOrderWorkReportsAreIgnored(t *testing.T) {
 	r := &Roster{ownership: newOwnership()}
 	now := time.Now()
 	busy := engines.Work{Target: 7, Prompts: 1, Reading: 500_000}
@@ -448,14 +451,14 @@
 	if w := r.ownership.book.LoadOf(7, nil).Wait; w != 0 {
 		t.Errorf("wait %v", w)
 	}
-	r.handleWorkReport(&workReport{Seq: 1, Work: busy}, "a", now.Add(2*deadAfter)) // started again
+	r.handleWorkReport(&workReport{Seq: 1, Work: busy}, "a", now.Add(2*deadAfter)) // restarted
 	if w := r.ownership.book.LoadOf(7, nil).Wait; w == 0 {
-		t.Error("a daemon that was started again isn't believed")
+		t.Error("the report of a restarted daemon is ignored")
 	}
 }
 
-// TestDaemonsBehindWideLinksAggregate guards against a daemon whose own reads
-// starve behind the digests that it sends over a narrow link.
+// Guards against an aggregator with a narrow link, whose own reads starve behind the
+// digests that it sends.
 func TestDaemonsBehindWideLinksAggregate(t *testing.T) {
 	const narrow, wide = 20, 200
 	synctest.Test(t, func(t *testing.T) {
@@ -468,7 +471,7 @@
 			}
 			d.addBehind(vm, 1, link)
 		}
-		rest(6 * time.Second)
+		sleep(6 * time.Second)
 		for i, r := range d.all {
 			r.mu.Lock()
 			on := r.agg.on
--- a/process/roster/announce.go
+++ b/process/roster/announce.go
@@ -14,112 +14,113 @@
 )
 
 const (
-	// listBackoff is the wait after a failed listing of the contacts.
+	// listBackoff is the delay after a failed listing of the contacts.
 	listBackoff = 500 * time.Millisecond
-	// leastContacts is the number of contacts that are enough: with as many a
-	// daemon that starts knows that the fleet is large.
-	leastContacts = smallFleet + 2
-	// zoneContacts is the number of contacts of an availability zone with links at
-	// least as wide as its own that are enough for a daemon.
-	zoneContacts = 4
-	// contactDelay is the longest that a daemon with a link of one Mbit/s leaves
-	// others precedence to become contacts, and maxContactDelay that of any.
+	// minContacts is the number of contacts that suffices. With that many a starting
+	// daemon can tell that the fleet is large.
+	minContacts = maxFullMeshPeers + 2
+	// minZoneContacts is the number of contacts in a daemon's availability zone, with
+	// links at least as wide as its own, that suffices.
+	minZoneContacts = 4
+	// contactDelay is the maximum delay before a daemon with a link of 1 Mbit/s becomes a
+	// contact; it shrinks in proportion to the bandwidth. maxContactDelay bounds it for
+	// all daemons. The delay lets daemons with wider links become contacts first.
 	contactDelay    = 10 * time.Second
 	maxContactDelay = time.Second
-	// unheardAfter is the time without a datagram after which a daemon becomes a
-	// contact, since those that it found are gone.
-	unheardAfter = 3 * time.Second
+	// noContactTimeout is the time without a datagram after which a daemon becomes a
+	// contact, because the contacts that it found are gone.
+	noContactTimeout = 3 * time.Second
 )
 
-// entry is what a contact writes of itself into the store, under its VM's name.
-type entry struct {
-	Addr     string `json:"addr"` // for the other daemons
+// contactRecord is what a contact stores about itself, under its VM's name.
+type contactRecord struct {
+	Addr     string `json:"addr"` // peer address
 	Zone     string `json:"zone"`
 	LinkMbps uint32 `json:"link_mbps,omitempty"`
 }
 
-// announce has this daemon find the others, and be found.
+// announce discovers the other daemons and makes this one discoverable.
 //
-// The store holds a few contacts of each availability zone, with the widest links,
-// and the daemons learn of all others from these. The load that it answers: each
-// of a thousand daemons writes itself at its start and lists all, 3,000 calls and
-// 136 MB, which are paid for.
+// The store holds a few contacts of each availability zone, those with the widest links.
+// Daemons learn of all others from these contacts. If each of a thousand daemons wrote its
+// own record at its start and listed all, that would be 3,000 calls and 136 MB, which are
+// billed.
 //
-// Two daemons that start at once find each other: of two contacts, the one
-// that lists second sees the first, and its heartbeat reaches the other.
+// Two daemons that start at the same time find each other: of two contacts, the one that
+// lists second sees the first, and its heartbeat reaches the first one.
 func (r *Roster) announce() error {
 	ctx := r.tomb.Context(context.Background())
 	for failed := 0; ; failed++ {
 		err := r.join(ctx)
 		if err == nil || failed > 0 {
-			r.listedOne.Do(func() { close(r.listed) })
+			r.listedOnce.Do(func() { close(r.listed) })
 		}
 		if err == nil {
 			break
 		}
-		log.WithError(err).Debug("roster: contacts not listed yet")
+		log.WithError(err).Debug("roster: listing or writing contacts failed; retrying")
 		if pause.For(ctx, listBackoff) != nil {
 			return nil
 		}
 	}
-	for !r.written {
-		if pause.For(ctx, unheardAfter) != nil {
+	for !r.isContact {
+		if pause.For(ctx, noContactTimeout) != nil {
 			return nil
 		}
-		if r.contacted(time.Now()) {
+		if r.hasRecentContact(time.Now()) {
 			continue
 		}
 		if err := r.becomeContact(ctx); err != nil {
-			log.WithError(err).Debug("roster: not written as a contact yet")
+			log.WithError(err).Debug("roster: writing the contact record failed; retrying")
 		}
 	}
 	return nil
 }
 
-// join lists the contacts, and has this daemon become one if more are needed.
+// join lists the contacts, and makes this daemon a contact if more are needed.
 func (r *Roster) join(ctx context.Context) error {
-	contacts, err := r.list(ctx)
-	if err != nil || r.written || r.enoughContacts(contacts) {
+	contacts, err := r.listContacts(ctx)
+	if err != nil || r.isContact || r.enoughContacts(contacts) {
 		return err
 	}
 	if err := pause.For(ctx, r.delay()); err != nil {
 		return err
 	}
-	if contacts, err = r.list(ctx); err != nil || r.enoughContacts(contacts) {
+	if contacts, err = r.listContacts(ctx); err != nil || r.enoughContacts(contacts) {
 		return err
 	}
 	return r.becomeContact(ctx)
 }
 
-// becomeContact writes this daemon into the store, and lists those that others
-// have written meanwhile.
+// becomeContact writes this daemon's record to the store and lists the contacts that were
+// written meanwhile.
 func (r *Roster) becomeContact(ctx context.Context) error {
 	self := &r.o.Self
-	value, err := json.Marshal(entry{Addr: self.PeerAddr, Zone: self.Zone, LinkMbps: self.LinkMbps})
+	value, err := json.Marshal(contactRecord{Addr: self.PeerAddr, Zone: self.Zone, LinkMbps: self.LinkMbps})
 	if err != nil {
-		return fmt.Errorf("roster: own entry: %w", err)
+		return fmt.Errorf("roster: encode contact record: %w", err)
 	}
 	if _, err := r.o.Store.Put(ctx, port.TopicDaemons, self.VM, value); err != nil {
 		return err
 	}
-	r.written = true
-	_, err = r.list(ctx)
+	r.isContact = true
+	_, err = r.listContacts(ctx)
 	return err
 }
 
-// delay is how long this daemon leaves others precedence: those with wide links
-// are the better contacts.
+// delay returns a random time to wait before this daemon becomes a contact. It is shorter
+// for wide links, because daemons with wide links are better contacts.
 func (r *Roster) delay() time.Duration {
 	return rand.N(min(contactDelay/time.Duration(r.o.Self.link()), maxContactDelay))
 }
 
-// enoughContacts reports whether this daemon needn't be one too. It is one already
-// if it finds itself.
-func (r *Roster) enoughContacts(contacts map[string]entry) bool {
+// enoughContacts reports whether the listed contacts suffice, so that this daemon needn't
+// become one. They also suffice if this daemon is among them.
+func (r *Roster) enoughContacts(contacts map[string]contactRecord) bool {
 	total, near := 0, 0
 	for vm, e := range contacts {
 		if vm == r.o.Self.VM && e.Addr == r.o.Self.PeerAddr {
-			r.written = true
+			r.isContact = true
 			return true
 		}
 		total++
@@ -127,19 +128,19 @@
 			near++
 		}
 	}
-	return total >= leastContacts && near >= zoneContacts
+	return total >= minContacts && near >= minZoneContacts
 }
 
-// contacted reports whether a datagram of any other daemon came recently.
-func (r *Roster) contacted(now time.Time) bool {
+// hasRecentContact reports whether a datagram of any other daemon arrived recently.
+func (r *Roster) hasRecentContact(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return now.Sub(r.agg.lastContact) < unheardAfter
+	return now.Sub(r.agg.lastContact) < noContactTimeout
 }
 
-// list reads the contacts, by VM.
-func (r *Roster) list(ctx context.Context) (map[string]entry, error) {
-	contacts := make(map[string]entry)
+// listContacts reads the contacts from the store, by VM name, and adds them as peers.
+func (r *Roster) listContacts(ctx context.Context) (map[string]contactRecord, error) {
+	contacts := make(map[string]contactRecord)
 	after := ""
 	for {
 		page, err := r.o.Store.Newest(ctx, port.TopicDaemons, after)
@@ -147,9 +148,9 @@
 			return nil, err
 		}
 		for _, rec := range page.Records {
-			var e entry
+			var e contactRecord
 			if err := json.Unmarshal(rec.Value, &e); err != nil {
-				log.WithError(err).WithField("vm", rec.Key).Warn("roster: entry can't be read")
+				log.WithError(err).WithField("vm", rec.Key).Warn("roster: can't decode contact record")
 				continue
 			}
 			contacts[rec.Key] = e
@@ -168,6 +169,6 @@
 	}
 	r.upstreamAt = time.Time{}
 	r.mu.Unlock()
-	r.send(false)
+	r.sendHeartbeat(false)
 	return contacts, nil
 }
--- a/process/roster/digest.go
+++ b/process/roster/digest.go
@@ -12,92 +12,93 @@
 	"github.com/pomelospool/pomelospool/connection/speed"
 )
 
-// digest is a part of what an aggregator sends: of its availability zone to
-// those of other zones, of all to the daemons of its own zone. Each datagram
-// holds by itself.
+// digest is one part of an aggregator's summary. Aggregators of other zones are sent the
+// summary of this availability zone, the zone's own daemons that of the whole fleet. Each
+// datagram can be processed by itself.
 type digest struct {
 	_       struct{} `cbor:",toarray"`
 	From    string   // peer address of the sender
-	Zone    string   // whose aggregates these are; empty: all daemons'
+	Zone    string   // availability zone that is summarized; empty: the whole fleet
 	Rows    []row
-	Alive   []uint32 // tokens of daemons that live
-	HasWork bool     // Part, Parts and Work hold
-	Part    uint32   // of the engines, by their hash
-	Parts   uint32
+	Alive   []uint32 // tokens of live daemons
+	HasWork bool     // whether Part, Parts and Work are set
+	Part    uint32   // index of this part; engines are assigned to parts by hash
+	Parts   uint32   // number of parts
 	Work    []engines.Work
 	Reads   []engines.Read
 	Claims  []Claim
 	Speeds  []speed.Update
-	Asked   bool // Demand holds
+	Asked   bool // whether Demand is set
 	Demand  []demand.Update
-	// AliveSum is the sum of the tokens of all that live, the sender and the
-	// receiver among them; 0: not stated.
+	// AliveSum is the sum of the tokens of all live daemons, including the sender and the
+	// receiver; 0 if unset.
 	AliveSum uint64
-	Clock    int64 // the sender's estimate of the time, microseconds since 1970; 0: not stated
+	Clock    int64 // sender's estimate of the time in microseconds since 1970; 0 if unset
 }
 
-// row is a daemon's last state, or that it has been unresponsive since.
+// row is the last known state of one daemon.
 type row struct {
 	_      struct{} `cbor:",toarray"`
 	Member Member
 	Seq    uint64
-	Dead   bool
-	AgeMs  uint32 // since it was last known to live
+	Dead   bool   // unresponsive since the heartbeat Seq
+	AgeMs  uint32 // time since it was last known to be alive
 }
 
-// rowOf is what is sent of a daemon now.
+// rowOf returns the row that describes a peer now.
 func rowOf(p *peer, now time.Time) row {
-	age := min(max(now.Sub(p.lastSeen), 0), forgetAfter)
+	age := min(max(now.Sub(p.lastSeen), 0), peerExpiry)
 	return row{Member: p.member, Seq: p.seq, Dead: p.dead, AgeMs: uint32(age.Milliseconds())}
 }
 
-// A digest's datagram is the kind, the number of the receiver's newest heartbeat
-// that the aggregates hold, 0 for none, and the message. So the message is encoded
-// once for all receivers.
-const digestHead = 1 + 8
+// digestHeaderSize is the size of the header of a digest's datagram: the kind, and the
+// number of the receiver's newest heartbeat that is part of the aggregates, 0 if none.
+// Only the header differs between receivers, so the message is encoded once for all.
+const digestHeaderSize = 1 + 8
 
 func (d *digest) encode() ([]byte, error) {
 	data, err := cbor.Marshal(d)
 	if err != nil {
 		return nil, fmt.Errorf("roster: digest: %w", err)
 	}
-	return append(make([]byte, digestHead, digestHead+len(data)), data...), nil
+	return append(make([]byte, digestHeaderSize, digestHeaderSize+len(data)), data...), nil
 }
 
-// head fills in the head for one receiver.
-func head(data []byte, seen uint64) {
+// putDigestHeader writes the header for one receiver.
+func putDigestHeader(data []byte, ownSeq uint64) {
 	data[0] = kindDigest
-	binary.BigEndian.PutUint64(data[1:], seen)
+	binary.BigEndian.PutUint64(data[1:], ownSeq)
 }
 
 func (r *Roster) handleDigest(data []byte) error {
-	if len(data) < digestHead {
-		return errShort
+	if len(data) < digestHeaderSize {
+		return errShortDatagram
 	}
 	var d digest
-	if err := cbor.Unmarshal(data[digestHead:], &d); err != nil {
+	if err := cbor.Unmarshal(data[digestHeaderSize:], &d); err != nil {
 		return fmt.Errorf("roster: digest: %w", err)
 	}
 	r.mergeDigest(&d, binary.BigEndian.Uint64(data[1:]))
 	return nil
 }
 
-// mergeDigest takes a digest that holds this daemon's heartbeat of that number.
-func (r *Roster) mergeDigest(d *digest, seen uint64) {
+// mergeDigest merges a digest whose aggregates include this daemon's heartbeat with the
+// number ownSeq.
+func (r *Roster) mergeDigest(d *digest, ownSeq uint64) {
 	now := time.Now()
 	r.observeClock("digest of "+d.From, d.Clock)
 	r.mu.Lock()
 	r.observeContact(now)
 	sender := r.addPeer(Member{PeerAddr: d.From})
 	if p := sender; p != nil {
-		p.asked = time.Time{}
+		p.unansweredSince = time.Time{}
 		if p.known {
 			p.confirmAlive(now)
 		}
 		switch {
 		case !d.HasWork:
 		case d.Zone != "":
-			p.digest = now
+			p.lastDigest = now
 		default:
 			r.agg.lastDigest = now
 		}
@@ -108,36 +109,36 @@
 	}
 	for _, token := range d.Alive {
 		p := r.peers[r.tokens[token]]
-		// Two aggregators of the same zone would keep a dead daemon of another one
-		// alive, each by the other's report.
+		// Without this check two aggregators of one zone would keep a dead daemon of
+		// another zone alive, each by the other's report.
 		echo := r.agg.on && d.Zone == "" && p != nil && p.member.Zone != r.self.Zone
 		if p != nil && !echo {
 			p.confirmAlive(now)
 		}
 	}
 	if d.AliveSum != 0 && !r.agg.on {
-		r.confirmSum(d.AliveSum, now)
+		r.confirmAliveSum(d.AliveSum, now)
 	}
-	// This daemon needn't receive what it aggregates itself.
-	mine := d.Zone == "" && !r.agg.on
-	others := d.Zone != "" && d.Zone != r.self.Zone && r.agg.on
+	// An aggregator skips the summary that it builds itself.
+	fleetDigest := d.Zone == "" && !r.agg.on
+	otherZone := d.Zone != "" && d.Zone != r.self.Zone && r.agg.on
 	var own sentHeartbeat
 	for _, t := range r.sent {
-		if mine && t.seq == seen {
+		if fleetDigest && t.seq == ownSeq {
 			own = t
 		}
 	}
 	on := r.agg.on
 	r.mu.Unlock()
 	if changed && on {
-		r.agg.wake()
+		r.agg.notifyChange()
 	}
 	if d.HasWork && d.Part == 0 && d.Zone != "" && !on && sender != nil {
 		r.redirect(r.self.Zone, sender.addr)
 	}
 	r.o.Claims.Merge(d.Claims)
 	r.o.Speeds.Merge(d.Speeds)
-	if !mine && !others {
+	if !fleetDigest && !otherZone {
 		return
 	}
 	if d.HasWork {
@@ -146,46 +147,48 @@
 	if d.Asked {
 		r.o.Demand.Merge(summaryName(d.Zone), demand.Less(d.Demand, own.demand))
 	}
-	if fresh := r.o.Book.MergeReads(d.Reads); others {
+	if fresh := r.o.Book.MergeReads(d.Reads); otherZone {
 		r.relayReads(fresh, false)
 	}
 }
 
-// confirmSum notes that those live that count as alive here, if their sum is that of
-// an aggregator. Callers hold r.mu.
-func (r *Roster) confirmSum(sum uint64, now time.Time) {
+// confirmAliveSum confirms that the live peers are alive if the sum of their tokens equals
+// that of an aggregator. Callers hold r.mu.
+func (r *Roster) confirmAliveSum(sum uint64, now time.Time) {
 	own := uint64(r.self.token())
-	var living []*peer
+	var alive []*peer
 	for _, p := range r.peers {
 		if p.alive(now, r.patience()) {
 			own += uint64(p.member.token())
-			living = append(living, p)
+			alive = append(alive, p)
 		}
 	}
 	if own != sum {
-		return // a list follows
+		return // the aggregator also sends the full list from time to time
 	}
-	for _, p := range living {
+	for _, p := range alive {
 		p.confirmAlive(now)
 	}
 }
 
-// mergeRow takes what another daemon reports of one. It returns whether that is
-// updates. Callers hold r.mu.
+// mergeRow merges another daemon's report about a daemon. It returns whether the report is
+// to be passed on: it changed the peer's state, or this daemon refutes it. Callers hold
+// r.mu.
 func (r *Roster) mergeRow(w *row, now time.Time) bool {
 	p := r.addPeer(w.Member)
 	if p == nil {
 		return false
 	}
 	if w.Dead {
-		direct := r.agg.on && p.member.Zone == r.self.Zone && now.Sub(p.heartbeat) < unresponsiveAfter
-		// Its last heartbeat may have reached this daemon and not the one that reports it.
+		direct := r.agg.on && p.member.Zone == r.self.Zone && now.Sub(p.lastHeartbeat) < unresponsiveAfter
+		// The daemon's last heartbeat may have reached this daemon and not the
+		// reporting one.
 		newer := p.seq > w.Seq && now.Sub(p.lastSeen) < deadAfter
 		switch {
 		case !p.known || p.dead || p.member.Incarnation != w.Member.Incarnation || newer:
 			return false
 		case direct:
-			p.repeat = changeRepeats // it sends this daemon heartbeats
+			p.repeatsLeft = changeRepeats // it still sends heartbeats to this daemon
 			return true
 		}
 		p.seq = max(p.seq, w.Seq)
@@ -198,18 +201,18 @@
 	return r.update(p, &w.Member, w.Seq, now.Add(-time.Duration(w.AgeMs)*time.Millisecond))
 }
 
-// summaryName is the name under which a digest's aggregates are kept.
+// summaryName returns the name under which a digest's aggregates are stored.
 func summaryName(zone string) string { return "sum of " + zone }
 
-// partName is the same for a part of them.
+// partName returns the name under which one part of a digest's work is stored.
 func partName(zone string, part uint32) string {
 	return fmt.Sprintf("%s, part %d", summaryName(zone), part)
 }
 
-// mergeLoads takes a part of a digest's work, less what this daemon sent itself.
+// mergeLoads merges a part of a digest's work, minus what this daemon itself reported.
 //
-// The number of parts changes with that of the engines. What an earlier number
-// left is taken out, or it would count twice until it is too old.
+// The number of parts depends on the number of engines. When it changes, the earlier parts
+// are removed, or they would count twice until they expire.
 func (r *Roster) mergeLoads(d *digest, own *sentHeartbeat) {
 	r.mu.Lock()
 	before := r.agg.parts[d.Zone]
--- a/process/roster/duties.go
+++ b/process/roster/duties.go
@@ -9,9 +9,9 @@
 	"github.com/apex/log"
 )
 
-// MayLead reports whether this daemon takes the duties that one of them has:
-// whether it is the first of Leaders. Two may think so for a while; claims keep
-// them apart.
+// MayLead reports whether this daemon performs the duties of which one daemon of the fleet
+// is in charge, that is, whether it is the first of Leaders. Two daemons may be leaders
+// for a while; claims prevent that they conflict.
 func (r *Roster) MayLead() bool {
 	if !r.Ready() || r.o.StoreAway() {
 		return false
@@ -21,15 +21,15 @@
 	return r.leader(time.Now()) == r.self.PeerAddr
 }
 
-// leader returns the peer address of the daemon that is the first of those that may
-// lead, empty if none may. Callers hold r.mu.
+// leader returns the peer address of the leader, or an empty string if no daemon may lead.
+// Callers hold r.mu.
 func (r *Roster) leader(now time.Time) string {
 	var first *Member
-	if mayLead(&r.self) {
+	if canLead(&r.self) {
 		first = &r.self
 	}
 	for _, p := range r.peers {
-		if mayLead(&p.member) && (first == nil || widestFirst(&p.member, first) < 0) && r.isAlive(p, now) {
+		if canLead(&p.member) && (first == nil || widestFirst(&p.member, first) < 0) && r.isAlive(p, now) {
 			first = &p.member
 		}
 	}
@@ -39,28 +39,29 @@
 	return first.PeerAddr
 }
 
-func mayLead(m *Member) bool { return m.State == Ready && !m.StoreAway }
+// canLead reports whether a daemon takes requests and can read the store.
+func canLead(m *Member) bool { return m.State == Ready && !m.StoreAway }
 
-// widestFirst orders daemons by their links, then by name: the first ones aggregate
-// their zone, and the first one leads.
+// widestFirst orders daemons by descending link bandwidth, then by VM name. The first ones
+// of a zone aggregate, and the first one of the fleet leads.
 func widestFirst(a, b *Member) int {
 	return cmp.Or(cmp.Compare(b.LinkMbps, a.LinkMbps), cmp.Compare(a.VM, b.VM))
 }
 
-// Leaders returns the first n daemons that may lead, the one that does first:
-// of those that take requests and can read the store the ones with the widest
-// links, then by name.
+// Leaders returns the first n daemons that may lead, starting with the leader. Daemons
+// that take requests and can read the store may lead, in the order of descending link
+// bandwidth, then of VM names.
 func (r *Roster) Leaders(n int) []Member {
-	fit := slices.DeleteFunc(r.Members(), func(m Member) bool { return !mayLead(&m) })
+	fit := slices.DeleteFunc(r.Members(), func(m Member) bool { return !canLead(&m) })
 	slices.SortFunc(fit, func(a, b Member) int { return widestFirst(&a, &b) })
 	return fit[:min(len(fit), n)]
 }
 
-// SendUsage sends a report of usage to a daemon's peer address. It may be lost.
+// SendUsage sends a usage report to a daemon's peer address. Delivery isn't guaranteed.
 func (r *Roster) SendUsage(data []byte, to string) {
 	addr, err := net.ResolveUDPAddr("udp4", to)
 	if err != nil {
-		log.WithError(err).WithField("addr", to).Warn("roster: address can't be read")
+		log.WithError(err).WithField("addr", to).Warn("roster: can't resolve peer address")
 		return
 	}
 	r.write(append([]byte{kindUsage}, data...), addr)
@@ -68,19 +69,21 @@
 
 // FleetClock estimates the time of day from the clocks of all daemons.
 type FleetClock interface {
-	Wall() time.Time // of this VM
-	Now() time.Time  // the estimate
+	Wall() time.Time // clock of this VM
+	Now() time.Time  // estimate
 	Observe(sender string, wall time.Time)
 }
 
-// observeClock takes a sender's time of day in microseconds; 0: not stated.
+// observeClock records a sender's clock reading in microseconds since 1970; 0 means that
+// none was sent.
 func (r *Roster) observeClock(sender string, micros int64) {
 	if r.o.Clock != nil && micros != 0 {
 		r.o.Clock.Observe(sender, time.UnixMicro(micros))
 	}
 }
 
-// ownClock is this VM's time of day in microseconds, 0 if it isn't observed.
+// ownClock returns this VM's clock reading in microseconds since 1970, or 0 without a
+// FleetClock.
 func (r *Roster) ownClock() int64 {
 	if r.o.Clock == nil {
 		return 0
@@ -88,7 +91,8 @@
 	return r.o.Clock.Wall().UnixMicro()
 }
 
-// fleetClock is the same for the estimate.
+// fleetClock returns the estimated time in microseconds since 1970, or 0 without a
+// FleetClock.
 func (r *Roster) fleetClock() int64 {
 	if r.o.Clock == nil {
 		return 0
--- a/process/roster/heartbeat.go
+++ b/process/roster/heartbeat.go
@@ -17,31 +17,32 @@
 	"github.com/pomelospool/pomelospool/internal/pause"
 )
 
-// heartbeat is what one daemon sends of itself in one datagram.
+// heartbeat is the datagram in which a daemon reports its own state.
 type heartbeat struct {
 	_      struct{} `cbor:",toarray"`
 	Member Member
 	Seq    uint64
 	Work   []engines.Work
 	Reads  []engines.Read
-	Peers  []string // addresses of other daemons, in a small fleet
+	Peers  []string // addresses of other daemons, sent in small fleets only
 	Claims []Claim
 	Speeds []speed.Update
 	Demand []demand.Update
-	Clock  int64 // time of day of the sender's VM, microseconds since 1970
+	Clock  int64 // clock of the sender's VM, microseconds since 1970
 }
 
-// sentHeartbeat is a heartbeat of this daemon's, to be taken out of aggregates that hold it.
+// sentHeartbeat records what a heartbeat of this daemon contained, so that it can be
+// subtracted from aggregates that include it.
 type sentHeartbeat struct {
 	seq    uint64
 	work   []engines.Work
 	demand []demand.Update
 }
 
-// maxSent is the number of own heartbeats that are kept: those of some 5 s.
-const maxSent = 16
+// maxSentHeartbeats is the number of own heartbeats kept: those of about 4 s.
+const maxSentHeartbeats = 16
 
-// Claim says for how long the newest claim on a subject has stood at least.
+// Claim states how long the newest claim on a subject has stood at least.
 type Claim struct {
 	_       struct{} `cbor:",toarray"`
 	Subject string
@@ -49,30 +50,30 @@
 	AgeMs   int64
 }
 
-// Claims gives and takes what daemons know of claims.
+// Claims exchanges what daemons know of claims.
 type Claims interface {
 	Report() []Claim
 	Merge(claims []Claim)
 }
 
-// Speeds gives and takes what daemons have learnt of engines' speed.
+// Speeds exchanges the engine speeds that daemons have measured.
 type Speeds interface {
 	Report() []speed.Update
 	Best() []speed.Update
-	Merge(words []speed.Update)
+	Merge(updates []speed.Update)
 }
 
-// Demand gives and takes what callers ask of each daemon. The names are those
-// of reports that were received.
+// Demand exchanges the demand of callers that each daemon sees. SumOf selects received
+// reports by name.
 type Demand interface {
 	Report() []demand.Update
 	SumOf(names func(name string) bool) []demand.Update
-	Merge(from string, words []demand.Update)
+	Merge(from string, updates []demand.Update)
 	Forget()
 }
 
-// sendHeartbeats sends heartbeats: at least every heartbeatInterval, and in a small fleet soon after
-// updates.
+// sendHeartbeats sends heartbeats at least every heartbeatInterval and, in a small fleet,
+// soon after a change.
 func (r *Roster) sendHeartbeats() error {
 	ctx := r.tomb.Context(context.Background())
 	tick := time.NewTimer(heartbeatInterval)
@@ -82,7 +83,7 @@
 		case <-r.tomb.Dying():
 			return nil
 		case <-tick.C:
-			r.send(false)
+			r.sendHeartbeat(false)
 			r.repeatWorkReports(time.Now())
 			tick.Reset(heartbeatInterval + rand.N(heartbeatInterval/10))
 			continue
@@ -95,44 +96,44 @@
 		if pause.For(ctx, wait) != nil {
 			return nil
 		}
-		r.send(false)
+		r.sendHeartbeat(false)
 	}
 }
 
-// batchWait is how long a change waits for more, and whether it is sent before the
-// next heartbeat.
+// batchWait returns how long a change waits for further changes, and whether it is sent
+// before the next regular heartbeat.
 func (r *Roster) batchWait() (wait time.Duration, soon bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return batchDelay * time.Duration(max(len(r.peers), 1)), r.small()
 }
 
-// send sends one heartbeat: in a small fleet, or with all, to every daemon known,
-// else to the aggregators.
-func (r *Roster) send(all bool) {
-	b := heartbeat{Claims: r.o.Claims.Report(), Speeds: r.o.Speeds.Report(), Demand: r.o.Demand.Report(), Clock: r.ownClock()}
-	b.Work, b.Reads = r.o.Book.Own()
+// sendHeartbeat sends one heartbeat. In a small fleet, or if all is set, it goes to every
+// known daemon, else to the aggregators.
+func (r *Roster) sendHeartbeat(all bool) {
+	hb := heartbeat{Claims: r.o.Claims.Report(), Speeds: r.o.Speeds.Report(), Demand: r.o.Demand.Report(), Clock: r.ownClock()}
+	hb.Work, hb.Reads = r.o.Book.Own()
 	now := time.Now()
 	r.mu.Lock()
-	r.paused.tick(now)
+	r.paused.recordActivity(now)
 	r.seq++
 	r.self.StoreAway = r.storeFails()
 	r.self.RateLevel = r.ownRate()
-	b.Member, b.Seq = r.self, r.seq
-	r.sent = append(r.sent, sentHeartbeat{seq: r.seq, work: b.Work, demand: b.Demand})
-	r.sent = r.sent[max(len(r.sent)-maxSent, 0):]
-	r.forget(now)
+	hb.Member, hb.Seq = r.self, r.seq
+	r.sent = append(r.sent, sentHeartbeat{seq: r.seq, work: hb.Work, demand: hb.Demand})
+	r.sent = r.sent[max(len(r.sent)-maxSentHeartbeats, 0):]
+	r.expirePeers(now)
 	var to []net.Addr
 	if all || r.small() {
-		to, b.Peers = r.everyone(now)
+		to, hb.Peers = r.allPeers(now)
 	} else {
 		to = r.heartbeatReceivers(now)
 	}
 	r.mu.Unlock()
-	r.relayReads(b.Reads, true)
-	data, err := encode(&b)
+	r.relayReads(hb.Reads, true)
+	data, err := encodeHeartbeat(&hb)
 	if err != nil {
-		log.WithError(err).Error("roster: beat can't be encoded")
+		log.WithError(err).Error("roster: can't encode heartbeat")
 		return
 	}
 	for _, addr := range to {
@@ -140,6 +141,7 @@
 	}
 }
 
+// ownRate returns the rate level of this daemon.
 func (r *Roster) ownRate() uint8 {
 	if r.o.Rate == nil {
 		return 1
@@ -147,6 +149,7 @@
 	return rateLevel(r.o.Rate())
 }
 
+// storeFails reports whether this daemon's own calls to the store fail.
 func (r *Roster) storeFails() bool {
 	if r.o.StoreFails == nil {
 		return r.o.StoreAway()
@@ -154,42 +157,44 @@
 	return r.o.StoreFails()
 }
 
-// write sends a datagram. One that can't be sent is as good as lost on the way.
+// write sends a datagram. Errors are ignored: a datagram that can't be sent is handled
+// like one that is lost.
 func (r *Roster) write(data []byte, to net.Addr) { _, _ = r.conn.WriteTo(data, to) }
 
-// forget drops the daemons that were unresponsive for long. Callers hold r.mu.
-func (r *Roster) forget(now time.Time) {
+// expirePeers removes the daemons that have been unresponsive for peerExpiry. Callers hold
+// r.mu.
+func (r *Roster) expirePeers(now time.Time) {
 	for addr, p := range r.peers {
-		if now.Sub(p.lastSeen) > forgetAfter {
-			r.drop(addr)
+		if now.Sub(p.lastSeen) > peerExpiry {
+			r.removePeer(addr)
 		}
 	}
 }
 
-// everyone returns all daemons known, and from time to time the addresses of
-// some that live. Callers hold r.mu.
-func (r *Roster) everyone(now time.Time) (to []net.Addr, named []string) {
+// allPeers returns all known daemons and, in every heartbeatsPerPeerList-th heartbeat, the
+// addresses of some live ones. Callers hold r.mu.
+func (r *Roster) allPeers(now time.Time) (to []net.Addr, named []string) {
 	for addr, p := range r.peers {
 		to = append(to, p.addr)
-		if r.seq%peersEvery == 0 && len(named) < maxPeers && p.alive(now, r.patience()) {
+		if r.seq%heartbeatsPerPeerList == 0 && len(named) < maxListedPeers && p.alive(now, r.patience()) {
 			named = append(named, addr)
 		}
 	}
 	return to, named
 }
 
-// encode leaves out what doesn't fit into one datagram: the reads
-// first, which only cost a prompt being read again.
-func encode(b *heartbeat) ([]byte, error) {
-	data, err := packed(kindHeartbeat, b)
-	if err != nil || len(data) <= maxDatagram {
+// encodeHeartbeat encodes a heartbeat. If it doesn't fit into one datagram, the reads and
+// the peers are left out: without the reads a prompt is at worst prefilled again.
+func encodeHeartbeat(hb *heartbeat) ([]byte, error) {
+	data, err := encodeMessage(kindHeartbeat, hb)
+	if err != nil || len(data) <= maxDatagramSize {
 		return data, err
 	}
-	b.Reads, b.Peers = nil, nil
-	return packed(kindHeartbeat, b)
+	hb.Reads, hb.Peers = nil, nil
+	return encodeMessage(kindHeartbeat, hb)
 }
 
-// Kinds of datagrams, their first byte.
+// Kinds of datagrams, sent as the first byte.
 const (
 	kindHeartbeat  = 1
 	kindDigest     = 2
@@ -199,10 +204,10 @@
 	kindUsage      = 6
 )
 
-var errShort = errors.New("roster: datagram is too short")
+var errShortDatagram = errors.New("roster: datagram is too short")
 
-// packed encodes a message behind its kind.
-func packed(kind byte, message any) ([]byte, error) {
+// encodeMessage encodes a message with its kind as the first byte.
+func encodeMessage(kind byte, message any) ([]byte, error) {
 	data, err := cbor.Marshal(message)
 	if err != nil {
 		return nil, fmt.Errorf("roster: %w", err)
@@ -210,7 +215,7 @@
 	return append([]byte{kind}, data...), nil
 }
 
-// receiveDatagrams takes datagrams until the socket closes.
+// receiveDatagrams handles datagrams until the socket is closed.
 func (r *Roster) receiveDatagrams() error {
 	buf := make([]byte, 64<<10)
 	for {
@@ -219,14 +224,14 @@
 			return nil
 		}
 		if err != nil {
-			log.WithError(err).Warn("roster: can't receive")
+			log.WithError(err).Warn("roster: receiving a datagram failed")
 			if pause.For(r.tomb.Context(context.Background()), heartbeatInterval) != nil {
 				return nil
 			}
 			continue
 		}
 		if err := r.handleDatagram(buf[:n], from); err != nil {
-			log.WithError(err).WithField("from", from.String()).Warn("roster: datagram can't be read")
+			log.WithError(err).WithField("from", from.String()).Warn("roster: can't decode datagram")
 		}
 	}
 }
@@ -234,15 +239,15 @@
 // handleDatagram decodes and handles one datagram.
 func (r *Roster) handleDatagram(data []byte, from net.Addr) error {
 	if len(data) == 0 {
-		return errShort
+		return errShortDatagram
 	}
 	switch data[0] {
 	case kindHeartbeat:
-		var b heartbeat
-		if err := cbor.Unmarshal(data[1:], &b); err != nil {
-			return fmt.Errorf("roster: beat: %w", err)
+		var hb heartbeat
+		if err := cbor.Unmarshal(data[1:], &hb); err != nil {
+			return fmt.Errorf("roster: decode heartbeat: %w", err)
 		}
-		r.handleHeartbeat(&b, from)
+		r.handleHeartbeat(&hb, from)
 	case kindDigest:
 		return r.handleDigest(data)
 	case kindUsage:
@@ -256,11 +261,11 @@
 	return nil
 }
 
-// handleHeartbeat merges a heartbeat.
-func (r *Roster) handleHeartbeat(b *heartbeat, from net.Addr) {
-	key := b.Member.PeerAddr
+// handleHeartbeat merges a heartbeat of another daemon.
+func (r *Roster) handleHeartbeat(hb *heartbeat, from net.Addr) {
+	key := hb.Member.PeerAddr
 	if key != r.o.Self.PeerAddr {
-		r.observeClock(key, b.Clock)
+		r.observeClock(key, hb.Clock)
 	}
 	now := time.Now()
 	r.mu.Lock()
@@ -274,42 +279,43 @@
 		p = &peer{addr: from}
 		r.peers[key] = p
 	}
-	// Datagrams overtake each other: an older one must not bring back a daemon
-	// that said it leaves.
-	if p.known && p.outdated(b.Member.Incarnation, b.Seq, now) {
+	// Datagrams may arrive out of order: an older one must not revive a daemon that
+	// has announced that it leaves.
+	if p.known && p.outdated(hb.Member.Incarnation, hb.Seq, now) {
 		r.mu.Unlock()
 		return
 	}
-	changed := r.update(p, &b.Member, b.Seq, now)
-	// Others may have reported it before its own first heartbeat.
-	fresh := p.sender != b.Member.Incarnation && now.Sub(p.since) < newFor
-	p.sender = b.Member.Incarnation
-	p.heartbeat, p.heartbeatSeq, p.unresponsive, p.asked = now, b.Seq, false, time.Time{}
+	changed := r.update(p, &hb.Member, hb.Seq, now)
+	// Other daemons may have reported this daemon before its own first heartbeat
+	// arrived.
+	fresh := p.senderIncarnation != hb.Member.Incarnation && now.Sub(p.firstSeen) < newPeerAge
+	p.senderIncarnation = hb.Member.Incarnation
+	p.lastHeartbeat, p.heartbeatSeq, p.unresponsive, p.unansweredSince = now, hb.Seq, false, time.Time{}
 	small := r.small()
-	sums := !small && r.agg.on && b.Member.Zone == r.self.Zone
-	for _, addr := range b.Peers {
+	aggregates := !small && r.agg.on && hb.Member.Zone == r.self.Zone
+	for _, addr := range hb.Peers {
 		r.addPeer(Member{PeerAddr: addr})
 	}
 	r.mu.Unlock()
-	r.o.Claims.Merge(b.Claims)
-	r.o.Speeds.Merge(b.Speeds)
+	r.o.Claims.Merge(hb.Claims)
+	r.o.Speeds.Merge(hb.Speeds)
 	switch {
 	case small:
-		r.o.Book.Merge(key, b.Work, b.Reads)
-		r.o.Demand.Merge(key, b.Demand)
+		r.o.Book.Merge(key, hb.Work, hb.Reads)
+		r.o.Demand.Merge(key, hb.Demand)
 		if fresh {
 			r.Notify()
 		}
-	case sums:
-		r.relayReads(r.o.Book.Merge(key, b.Work, b.Reads), true)
-		r.o.Demand.Merge(key, b.Demand)
+	case aggregates:
+		r.relayReads(r.o.Book.Merge(key, hb.Work, hb.Reads), true)
+		r.o.Demand.Merge(key, hb.Demand)
 		if fresh {
 			r.sendMembers(from)
 		}
 		if changed {
-			r.agg.wake()
+			r.agg.notifyChange()
 		}
-	case b.Member.State != Leaving:
-		r.redirect(b.Member.Zone, from)
+	case hb.Member.State != Leaving:
+		r.redirect(hb.Member.Zone, from)
 	}
 }
--- a/process/roster/idle_test.go
+++ b/process/roster/idle_test.go
@@ -9,8 +9,8 @@
 	"github.com/pomelospool/pomelospool/connection/engines"
 )
 
-// Guards against daemons that get no requests and receive what all others do at all
-// engines: sixteen datagrams from each of two aggregators, twice a second.
+// Guards against sending the work of all daemons at all engines to daemons that get no
+// requests: sixteen datagrams from each of two aggregators, twice a second.
 func TestIdleDaemonsReceiveLittle(t *testing.T) {
 	const size, serving, busy = 400, 10, 500
 	const span = 5 * time.Second
@@ -27,18 +27,18 @@
 			d.add(i+1, 1)
 		}
 		defer d.stop()
-		rest(8 * time.Second)
+		sleep(8 * time.Second)
 		for i := range busy {
 			d.books[size-1-i%serving].Decode(fmt.Sprint("engine", i), 1000, nil, 0)
 		}
-		rest(2 * time.Second)
+		sleep(2 * time.Second)
 		before := d.received()
-		rest(span)
+		sleep(span)
 		perSecond := make([]int, size)
 		for i, n := range d.received() {
 			perSecond[i] = (n - before[i]) / int(span/time.Second)
 		}
-		// The first daemons of each zone aggregate, and so receive heartbeats.
+		// The first daemons of each zone are aggregators and receive heartbeats.
 		for i := 10; i < size-serving; i++ {
 			if perSecond[i] > 10_000 {
 				t.Errorf("daemon %d receives %d bytes a second", i+1, perSecond[i])
@@ -49,15 +49,15 @@
 		for i := range busy {
 			known += min(last.Load(fmt.Sprint("engine", i), nil).Streams, 1)
 		}
-		if known < maxWork/2 {
+		if known < maxWorkPerDigest/2 {
 			t.Errorf("a daemon with requests knows the work of %d engines", known)
 		}
 		d.expect(t, size, "with sums of the living", nil)
 	})
 }
 
-// received is the bytes that each daemon has received.
-func (d *daemons) received() []int {
+// received returns the number of bytes that each daemon has received.
+func (d *testFleet) received() []int {
 	var out []int
 	for _, e := range d.ends {
 		_, n := e.Bytes()
--- a/process/roster/owner.go
+++ b/process/roster/owner.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	// queryTimeout is how long a question may take: some times the way between two
-	// zones there and back, and what a busy VM needs to answer. Whoever has not
-	// answered then is estimated from the aggregates.
+	// queryTimeout is the time limit of a queue query. It covers a few round trips between
+	// two zones and the time a busy VM needs to reply. Queues whose owner hasn't replied
+	// by then are estimated from the aggregates.
 	queryTimeout = 15 * time.Millisecond
-	// workReportInterval is how long a report of work counts before it is sent
-	// again: reports count for three times as long.
+	// workReportInterval is the interval at which a report of work is repeated. A report
+	// is valid for three times as long.
 	workReportInterval = 500 * time.Millisecond
-	// maxReports is the number of reports kept from which on old ones are dropped.
+	// maxReports is the number of stored reports from which on expired ones are removed.
 	maxReports = 4096
 )
 
-// workReport is what one daemon has at one engine now, sent to the engine's owner.
+// workReport is a daemon's current work at one engine, sent to the engine's owner.
 type workReport struct {
 	_    struct{} `cbor:",toarray"`
-	Seq  uint64   // rises over a daemon's reports
+	Seq  uint64   // increases with each report of a daemon
 	Work engines.Work
 }
 
-// queueQuery asks an engines' owner for their queues.
+// queueQuery queries the owner of some engines for their queues.
 type queueQuery struct {
 	_       struct{} `cbor:",toarray"`
 	ID      uint64
@@ -46,60 +46,62 @@
 	Queues []queue
 }
 
+// queue is the expected wait at one engine.
 type queue struct {
 	_      struct{} `cbor:",toarray"`
 	Target uint64
 	WaitUs uint32
 }
 
-// ownership is what daemons of a large fleet send each engine's owner, and the
-// questions that are open.
+// ownership is the state of what the daemons of a large fleet report to each engine's
+// owner, and of this daemon's pending queries.
 //
-// The load that it answers: hundreds of daemons choose among hundreds of
-// engines, and each sees one in hundreds of an engine's work. By aggregates that are
-// half a second old all choose the same engine at once, and a prompt that takes
-// 45 ms waits 450. One daemon owns each engine's queue and receives each
-// change as it happens; a daemon that is about to choose asks the owners of a few.
+// Hundreds of daemons choose among hundreds of engines, and each one sees only a small
+// part of an engine's work. With aggregates that are half a second old all of them choose
+// the same engine at once, and a prompt that takes 45 ms waits 450 ms. Therefore one
+// daemon owns each engine's queue and receives each change as it happens, and a daemon
+// that is about to choose queries the owners of a few engines.
 type ownership struct {
-	book *engines.Book // others' and own work at the engines kept here
+	book *engines.Book // work at the engines whose queues this daemon owns
 
-	mu      sync.Mutex
-	seq     uint64
-	last    map[string]receivedReport // by name of the report in the book
-	busy    map[uint64]ownWork        // own work that owners have received
-	next    uint64
-	pending map[uint64]*pendingQuery
+	mu          sync.Mutex
+	seq         uint64
+	lastReports map[string]receivedReport // by name of the report in the book
+	reported    map[uint64]ownWork        // own work that was reported to owners
+	lastQueryID uint64
+	pending     map[uint64]*pendingQuery
 }
 
+// receivedReport is the sequence number of a report and the time it was received.
 type receivedReport struct {
 	seq uint64
 	at  time.Time
 }
 
-// ownWork is when own work was last sent to an owner.
+// ownWork is own work and the time it was last sent to an owner.
 type ownWork struct {
 	work engines.Work
 	at   time.Time
 }
 
-// pendingQuery is an open question.
+// pendingQuery is a queue query that waits for replies.
 type pendingQuery struct {
-	left  int // owners that haven't answered
+	left  int // owners that haven't replied
 	waits map[uint64]time.Duration
 	done  chan struct{}
 }
 
 func newOwnership() ownership {
 	return ownership{
-		book:    engines.New(time.Now, func(engines.Work) {}),
-		last:    make(map[string]receivedReport),
-		busy:    make(map[uint64]ownWork),
-		pending: make(map[uint64]*pendingQuery),
+		book:        engines.New(time.Now, func(engines.Work) {}),
+		lastReports: make(map[string]receivedReport),
+		reported:    make(map[uint64]ownWork),
+		pending:     make(map[uint64]*pendingQuery),
 	}
 }
 
-// Changed records that this daemon's work at an engine changed, and reports it to the daemon that
-// has to know.
+// Changed records that this daemon's work at an engine changed. In a small fleet it
+// requests a heartbeat, in a large one it reports the work to the engine's owner.
 func (r *Roster) Changed(w engines.Work) {
 	r.mu.Lock()
 	small := r.small()
@@ -108,83 +110,84 @@
 		r.Notify()
 		return
 	}
-	r.workReport(w, time.Now())
+	r.sendWorkReport(w, time.Now())
 }
 
-// workReport sends an engine's owner this daemon's work there.
-func (r *Roster) workReport(w engines.Work, now time.Time) {
-	k := &r.ownership
-	k.mu.Lock()
-	k.seq++
-	n := workReport{Seq: k.seq, Work: w}
+// sendWorkReport reports this daemon's work at an engine to the engine's owner.
+func (r *Roster) sendWorkReport(w engines.Work, now time.Time) {
+	s := &r.ownership
+	s.mu.Lock()
+	s.seq++
+	report := workReport{Seq: s.seq, Work: w}
 	if w.Idle() {
-		delete(k.busy, w.Target)
+		delete(s.reported, w.Target)
 	} else {
-		k.busy[w.Target] = ownWork{work: w, at: now}
+		s.reported[w.Target] = ownWork{work: w, at: now}
 	}
-	k.mu.Unlock()
+	s.mu.Unlock()
 	r.mu.Lock()
 	to := r.owner(w.Target, now)
 	r.mu.Unlock()
 	if to == nil {
-		r.handleWorkReport(&n, r.o.Self.PeerAddr, now)
+		r.handleWorkReport(&report, r.o.Self.PeerAddr, now)
 		return
 	}
-	r.sendMessage(kindWorkReport, &n, to)
+	r.sendMessage(kindWorkReport, &report, to)
 }
 
-// repeatWorkReports sends again what still holds, for new owners and for
-// reports that were lost.
+// repeatWorkReports reports work again that hasn't ended, in case that the owner changed
+// or a report was lost.
 func (r *Roster) repeatWorkReports(now time.Time) {
 	var again []engines.Work
 	r.ownership.mu.Lock()
-	for _, t := range r.ownership.busy {
+	for _, t := range r.ownership.reported {
 		if now.Sub(t.at) >= workReportInterval {
 			again = append(again, t.work)
 		}
 	}
 	r.ownership.mu.Unlock()
 	for _, w := range again {
-		r.workReport(w, now)
+		r.sendWorkReport(w, now)
 	}
 }
 
-// owners are the daemons that own engines' queues, as of a moment.
+// owners caches the daemons that may own engines' queues.
 type owners struct {
 	at   time.Time
 	list []ownerPoint
 }
 
-// ownerPoint is a daemon by the hash of its peer address; addr nil: this one.
+// ownerPoint is a daemon by the hash of its peer address. A nil addr stands for this
+// daemon.
 type ownerPoint struct {
 	hash uint64
 	addr net.Addr
 }
 
-// ownersFor is how long the list of owners is used.
-const ownersFor = heartbeatInterval
+// ownersTTL is how long the list of owners is cached.
+const ownersTTL = heartbeatInterval
 
 // ownerList returns the daemons that may own queues. Callers hold r.mu.
 func (r *Roster) ownerList(now time.Time) []ownerPoint {
-	k := &r.owners
-	if !k.at.IsZero() && now.Sub(k.at) < ownersFor {
-		return k.list
+	cache := &r.owners
+	if !cache.at.IsZero() && now.Sub(cache.at) < ownersTTL {
+		return cache.list
 	}
-	k.at, k.list = now, k.list[:0]
+	cache.at, cache.list = now, cache.list[:0]
 	if r.self.State != Leaving {
-		k.list = append(k.list, ownerPoint{hash: engines.Hash(r.self.PeerAddr)})
+		cache.list = append(cache.list, ownerPoint{hash: engines.Hash(r.self.PeerAddr)})
 	}
 	for addr, p := range r.peers {
 		if p.member.State != Leaving && p.alive(now, r.patience()) {
-			k.list = append(k.list, ownerPoint{hash: engines.Hash(addr), addr: p.addr})
+			cache.list = append(cache.list, ownerPoint{hash: engines.Hash(addr), addr: p.addr})
 		}
 	}
-	return k.list
+	return cache.list
 }
 
-// owner returns the address of the daemon that owns an engine's queue, nil
-// for this one: the one that the hash of both names, so that each daemon finds
-// the same without talking. Callers hold r.mu.
+// owner returns the address of the daemon that owns an engine's queue, or nil if it is
+// this daemon. The owner is chosen by rendezvous hashing, so that all daemons find the
+// same one without communication. Callers hold r.mu.
 func (r *Roster) owner(target uint64, now time.Time) net.Addr {
 	var to net.Addr
 	var best uint64
@@ -196,7 +199,7 @@
 	return to
 }
 
-// mix spreads the bits of a hash: the finalizer of MurmurHash3.
+// mix distributes the bits of a hash. It is the finalizer of MurmurHash3.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -207,52 +210,53 @@
 
 // sendMessage sends a message to one daemon.
 func (r *Roster) sendMessage(kind byte, message any, to net.Addr) {
-	data, err := packed(kind, message)
+	data, err := encodeMessage(kind, message)
 	if err != nil {
-		// Messages of numbers always encode.
+		// Messages that consist of numbers can always be encoded.
 		panic(err)
 	}
 	r.write(data, to)
 }
 
-// handleWorkReport merges a daemon's report. An older one that was overtaken is left out.
-func (r *Roster) handleWorkReport(n *workReport, from string, now time.Time) {
-	name := fmt.Sprintf("%s at %x", from, n.Work.Target)
-	k := &r.ownership
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if old, ok := k.last[name]; ok && n.Seq <= old.seq && now.Sub(old.at) < deadAfter {
+// handleWorkReport merges a daemon's report. A report that arrives after a newer one is
+// ignored.
+func (r *Roster) handleWorkReport(report *workReport, from string, now time.Time) {
+	name := fmt.Sprintf("%s at %x", from, report.Work.Target)
+	s := &r.ownership
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if old, ok := s.lastReports[name]; ok && report.Seq <= old.seq && now.Sub(old.at) < deadAfter {
 		return
 	}
-	if len(k.last) >= maxReports {
-		for other, l := range k.last {
+	if len(s.lastReports) >= maxReports {
+		for other, l := range s.lastReports {
 			if now.Sub(l.at) > deadAfter {
-				delete(k.last, other)
+				delete(s.lastReports, other)
 			}
 		}
 	}
-	k.last[name] = receivedReport{seq: n.Seq, at: now}
-	if n.Work.Idle() {
-		k.book.Merge(name, nil, nil)
+	s.lastReports[name] = receivedReport{seq: report.Seq, at: now}
+	if report.Work.Idle() {
+		s.book.Merge(name, nil, nil)
 		return
 	}
-	k.book.Merge(name, []engines.Work{n.Work}, nil)
+	s.book.Merge(name, []engines.Work{report.Work}, nil)
 }
 
-// Asks reports whether owners are asked: in a small fleet each daemon receives
-// all work at once.
+// Asks reports whether owners are queried. In a small fleet they aren't, because each
+// daemon receives all work at once.
 func (r *Roster) Asks() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.small()
 }
 
-// Queues returns how long a prompt will wait at engines that are about to be
-// chosen from, as far as their owners answer: -1 where they don't. It returns nil
-// in a small fleet, where each daemon receives all work at once.
+// Queues returns the expected wait of a prompt at each of the given engines, or -1 where
+// the owner doesn't reply in time. It returns nil in a small fleet, where each daemon
+// receives all work at once.
 func (r *Roster) Queues(ctx context.Context, targets []string) []time.Duration {
 	now := time.Now()
-	asks := make(map[net.Addr][]uint64)
+	queries := make(map[net.Addr][]uint64)
 	waits := make(map[uint64]time.Duration, len(targets))
 	r.mu.Lock()
 	if r.small() {
@@ -262,13 +266,13 @@
 	for _, t := range targets {
 		hash := engines.Hash(t)
 		if to := r.owner(hash, now); to != nil {
-			asks[to] = append(asks[to], hash)
+			queries[to] = append(queries[to], hash)
 		} else {
 			waits[hash] = r.ownership.book.LoadOf(hash, nil).Wait
 		}
 	}
 	r.mu.Unlock()
-	r.ask(ctx, asks, waits)
+	r.queryOwners(ctx, queries, waits)
 	out := make([]time.Duration, len(targets))
 	for i, t := range targets {
 		w, known := waits[engines.Hash(t)]
@@ -280,34 +284,34 @@
 	return out
 }
 
-// ask adds what owners answer in time to waits.
-func (r *Roster) ask(ctx context.Context, asks map[net.Addr][]uint64, waits map[uint64]time.Duration) {
-	if len(asks) == 0 {
+// queryOwners queries the owners and adds what they reply in time to waits.
+func (r *Roster) queryOwners(ctx context.Context, queries map[net.Addr][]uint64, waits map[uint64]time.Duration) {
+	if len(queries) == 0 {
 		return
 	}
-	k := &r.ownership
-	a := &pendingQuery{left: len(asks), waits: waits, done: make(chan struct{})}
-	k.mu.Lock()
-	k.next++
-	id := k.next
-	k.pending[id] = a
-	k.mu.Unlock()
-	for to, hashes := range asks {
+	s := &r.ownership
+	p := &pendingQuery{left: len(queries), waits: waits, done: make(chan struct{})}
+	s.mu.Lock()
+	s.lastQueryID++
+	id := s.lastQueryID
+	s.pending[id] = p
+	s.mu.Unlock()
+	for to, hashes := range queries {
 		r.sendMessage(kindQueueQuery, &queueQuery{ID: id, Targets: hashes}, to)
 	}
 	limit := time.NewTimer(queryTimeout)
 	defer limit.Stop()
 	select {
-	case <-a.done:
+	case <-p.done:
 	case <-limit.C:
 	case <-ctx.Done():
 	}
-	k.mu.Lock()
-	delete(k.pending, id)
-	k.mu.Unlock()
+	s.mu.Lock()
+	delete(s.pending, id)
+	s.mu.Unlock()
 }
 
-// handleQueueQuery answers a question.
+// handleQueueQuery replies to a query.
 func (r *Roster) handleQueueQuery(q *queueQuery, from net.Addr) {
 	out := queueReply{ID: q.ID}
 	for _, t := range q.Targets {
@@ -317,20 +321,21 @@
 	r.sendMessage(kindQueueReply, &out, from)
 }
 
-// handleQueueReply takes an answer. One that comes too late finds no question.
-func (r *Roster) handleQueueReply(n *queueReply) {
-	k := &r.ownership
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	a := k.pending[n.ID]
-	if a == nil {
+// handleQueueReply records a reply. A reply that arrives after the query has ended is
+// ignored.
+func (r *Roster) handleQueueReply(reply *queueReply) {
+	s := &r.ownership
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	p := s.pending[reply.ID]
+	if p == nil {
 		return
 	}
-	for _, q := range n.Queues {
-		a.waits[q.Target] = time.Duration(q.WaitUs) * time.Microsecond
+	for _, q := range reply.Queues {
+		p.waits[q.Target] = time.Duration(q.WaitUs) * time.Microsecond
 	}
-	if a.left--; a.left == 0 {
-		close(a.done)
+	if p.left--; p.left == 0 {
+		close(p.done)
 	}
 }
 
@@ -339,9 +344,9 @@
 	var err error
 	switch data[0] {
 	case kindWorkReport:
-		var n workReport
-		if err = cbor.Unmarshal(data[1:], &n); err == nil {
-			r.handleWorkReport(&n, from.String(), time.Now())
+		var report workReport
+		if err = cbor.Unmarshal(data[1:], &report); err == nil {
+			r.handleWorkReport(&report, from.String(), time.Now())
 		}
 	case kindQueueQuery:
 		var q queueQuery
@@ -349,15 +354,15 @@
 			r.handleQueueQuery(&q, from)
 		}
 	case kindQueueReply:
-		var a queueReply
-		if err = cbor.Unmarshal(data[1:], &a); err == nil {
-			r.handleQueueReply(&a)
+		var reply queueReply
+		if err = cbor.Unmarshal(data[1:], &reply); err == nil {
+			r.handleQueueReply(&reply)
 		}
 	default:
-		err = errors.New("unknown kind")
+		err = errors.New("unknown datagram kind")
 	}
 	if err != nil {
-		return fmt.Errorf("roster: datagram of kind %d: %w", data[0], err)
+		return fmt.Errorf("roster: decode datagram of kind %d: %w", data[0], err)
 	}
 	return nil
 }
--- a/process/roster/paused.go
+++ b/process/roster/paused.go
@@ -7,55 +7,57 @@
 )
 
 const (
-	// pausedAfter is the time without a heartbeat of its own after which a daemon was
-	// paused: three heartbeats.
+	// pausedAfter is the time without an own heartbeat after which this process counts as
+	// having been paused. It spans three heartbeats.
 	pausedAfter = 3 * heartbeatInterval
-	// settleAfterPause is how long after a pause those count as alive that did
-	// before it: what they sent meanwhile is read, and they send again.
-	settleAfterPause = 2 * digestEvery
+	// settleAfterPause is how long after a pause daemons still count as alive that were
+	// alive before it. In that time this process reads what was sent during the pause, and
+	// the others send again.
+	settleAfterPause = 2 * digestInterval
 )
 
-// pauses knows the last pause of this process, guarded by Roster.mu.
+// pauses records the last pause of this process, guarded by Roster.mu.
 //
-// A daemon that was paused for a second has received nothing for that long. It would
-// answer the callers that asked in the meantime with its own address alone.
+// A daemon that was paused for a second has received nothing for that long. Without this
+// record it would answer callers with its own address alone.
 type pauses struct {
-	running time.Time // the last sign that this process ran
-	began   time.Time // of the last pause: the last sign before it
-	ended   time.Time
+	lastActivity time.Time // last time that this process was known to run
+	start        time.Time // start of the last pause: the last activity before it
+	end          time.Time // end of the last pause
 }
 
-// tick records that this process runs.
-func (p *pauses) tick(now time.Time) {
-	if p.pausing(now) {
-		p.began, p.ended = p.running, now
-		log.WithField("ms", now.Sub(p.began).Milliseconds()).Warn("roster: paused")
+// recordActivity records that this process runs, and logs a pause that has just ended.
+func (p *pauses) recordActivity(now time.Time) {
+	if p.resuming(now) {
+		p.start, p.end = p.lastActivity, now
+		log.WithField("ms", now.Sub(p.start).Milliseconds()).Warn("roster: process was paused")
 	}
-	p.running = now
+	p.lastActivity = now
 }
 
-// pausing reports whether a pause ends at this moment.
-func (p *pauses) pausing(now time.Time) bool {
-	return !p.running.IsZero() && now.Sub(p.running) > pausedAfter
+// resuming reports whether this process resumes from a pause now.
+func (p *pauses) resuming(now time.Time) bool {
+	return !p.lastActivity.IsZero() && now.Sub(p.lastActivity) > pausedAfter
 }
 
-// before returns the begin of a pause that ends now, or has ended a moment ago.
-func (p *pauses) before(now time.Time) (time.Time, bool) {
+// recentStart returns the start of a pause that ends now or has ended within
+// settleAfterPause.
+func (p *pauses) recentStart(now time.Time) (time.Time, bool) {
 	switch {
-	case p.pausing(now):
-		return p.running, true
-	case !p.ended.IsZero() && now.Sub(p.ended) < settleAfterPause:
-		return p.began, true
+	case p.resuming(now):
+		return p.lastActivity, true
+	case !p.end.IsZero() && now.Sub(p.end) < settleAfterPause:
+		return p.start, true
 	}
 	return time.Time{}, false
 }
 
-// isAlive reports whether a daemon counts as alive here: by what was received
-// recently, or before a pause of this process. Callers hold r.mu.
+// isAlive reports whether a daemon counts as alive, by what was received recently or
+// before a recent pause of this process. Callers hold r.mu.
 func (r *Roster) isAlive(p *peer, now time.Time) bool {
 	if p.alive(now, r.patience()) {
 		return true
 	}
-	before, paused := r.paused.before(now)
+	before, paused := r.paused.recentStart(now)
 	return paused && p.alive(before, r.patience())
 }
--- a/process/roster/peer.go
+++ b/process/roster/peer.go
@@ -9,37 +9,39 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// peer is another daemon as this one knows it.
+// peer is what this daemon knows of another one.
 type peer struct {
-	member       Member
-	known        bool      // it was seen, not only listed in the store
-	dead         bool      // unresponsive to a daemon that it sends heartbeats to; a newer heartbeat revives it
-	deadSince    time.Time // when that was said
-	seq          uint64    // of its newest heartbeat that is known here
-	lastSeen     time.Time // when it was last known to be alive
-	heartbeat    time.Time // when its last own heartbeat came here
-	heartbeatSeq uint64    // number of that heartbeat
-	sender       uint64    // incarnation that sent it
-	since        time.Time // when this incarnation was first known
-	unresponsive bool      // no heartbeat came since it was found unresponsive here
-	asked        time.Time // since when it is sent heartbeats, as an aggregator, without an answer; zero: it answers
-	digest       time.Time // when its last digest of another zone came here
-	repeat       int       // digests that its state is still sent in
-	addr         net.Addr
+	member            Member
+	known             bool      // it was seen, not only listed as a contact
+	dead              bool      // reported or found unresponsive; a newer heartbeat revives it
+	deadSince         time.Time // when it was marked dead
+	seq               uint64    // number of its newest known heartbeat
+	lastSeen          time.Time // when it was last known to be alive
+	lastHeartbeat     time.Time // when its last own heartbeat was received
+	heartbeatSeq      uint64    // number of that heartbeat
+	senderIncarnation uint64    // incarnation that sent that heartbeat
+	firstSeen         time.Time // when its current incarnation was first known
+	unresponsive      bool      // no heartbeat was received since this daemon found it unresponsive
+	unansweredSince   time.Time // since when it is sent heartbeats as an aggregator without a reply; zero: it replies
+	lastDigest        time.Time // when its last digest of another zone was received
+	repeatsLeft       int       // number of digests in which its state is still repeated
+	addr              net.Addr
 }
 
-// newFor is how long after it was first known a daemon's first heartbeat is answered
-// with all others: it has just started.
-const newFor = 5 * time.Second
+// newPeerAge is the age of a daemon, since it was first known, up to which its first
+// heartbeat is answered with all members: it has just started.
+const newPeerAge = 5 * time.Second
 
+// alive reports whether a daemon was seen within the given time and isn't marked dead.
 func (p *peer) alive(now time.Time, patience time.Duration) bool {
 	return p.known && !p.dead && now.Sub(p.lastSeen) < patience
 }
 
 // small reports whether each daemon sends to all others. Callers hold r.mu.
-func (r *Roster) small() bool { return len(r.peers) <= smallFleet }
+func (r *Roster) small() bool { return len(r.peers) <= maxFullMeshPeers }
 
-// patience is the silence after which a daemon counts as dead. Callers hold r.mu.
+// patience returns the time without reports after which a daemon counts as dead. Callers
+// hold r.mu.
 func (r *Roster) patience() time.Duration {
 	if r.small() {
 		return deadAfter
@@ -47,10 +49,9 @@
 	return relayedDeadAfter
 }
 
-// outdated reports whether a report of a daemon's process, at that heartbeat, is older
-// than what is known. A daemon that was started again while its clock stood
-// further back has a lower incarnation; it is believed once the earlier one is
-// unresponsive.
+// outdated reports whether a report about an incarnation of a daemon, as of the heartbeat
+// seq, is older than the known state. A daemon that restarted with its clock set back has
+// a lower incarnation. It is accepted once the earlier incarnation is unresponsive.
 func (p *peer) outdated(incarnation, seq uint64, now time.Time) bool {
 	if incarnation == p.member.Incarnation {
 		return seq <= p.seq
@@ -58,20 +59,20 @@
 	return incarnation < p.member.Incarnation && now.Sub(p.lastSeen) < deadAfter/2
 }
 
-// update takes a daemon's state at a heartbeat. It returns whether that
-// is more than that it lives. Callers hold r.mu.
+// update stores a daemon's state as of a heartbeat. It returns whether the state changed,
+// apart from the daemon being alive. Callers hold r.mu.
 func (r *Roster) update(p *peer, m *Member, seq uint64, at time.Time) bool {
 	changed := !p.known || p.dead || p.member.Incarnation != m.Incarnation || p.member.State != m.State || p.member.StoreAway != m.StoreAway
 	if p.member.RateLevel != m.RateLevel {
-		p.repeat = changeRepeats
+		p.repeatsLeft = changeRepeats
 	}
 	if changed {
-		log.WithFields(log.Fields{"vm": m.VM, "addr": m.CallerAddr, "state": m.State, "incarnation": m.Incarnation}).Info("roster: daemon")
-		p.repeat = changeRepeats
+		log.WithFields(log.Fields{"vm": m.VM, "addr": m.CallerAddr, "state": m.State, "incarnation": m.Incarnation}).Info("roster: daemon state changed")
+		p.repeatsLeft = changeRepeats
 		r.owners.at = time.Time{}
 	}
 	if !p.known || p.member.Incarnation != m.Incarnation {
-		p.since = time.Now()
+		p.firstSeen = time.Now()
 	}
 	delete(r.tokens, p.member.token())
 	p.member, p.known, p.dead, p.seq = *m, true, false, seq
@@ -82,9 +83,8 @@
 	return changed
 }
 
-// confirmAlive records that another daemon reports this one alive. Of one that was
-// found unresponsive that counts only once earlier reports can't arrive any
-// more.
+// confirmAlive records another daemon's report that this peer is alive. If the peer was
+// marked dead, the report counts only once earlier reports can no longer arrive.
 func (p *peer) confirmAlive(now time.Time) {
 	if p.dead && now.Sub(p.deadSince) < staleAfter {
 		return
@@ -96,13 +96,13 @@
 	p.lastSeen = now
 }
 
-// markUnresponsive records that a daemon is dead. Callers hold r.mu.
+// markUnresponsive marks a daemon as dead. Callers hold r.mu.
 func (p *peer) markUnresponsive(why string) {
-	p.dead, p.deadSince, p.repeat = true, time.Now(), changeRepeats
+	p.dead, p.deadSince, p.repeatsLeft = true, time.Now(), changeRepeats
 	log.WithFields(log.Fields{"vm": p.member.VM, "addr": p.member.CallerAddr, "incarnation": p.member.Incarnation, "why": why}).Info("roster: daemon unresponsive")
 }
 
-// token stands for one process of a daemon in lists of those that live.
+// token returns a short hash of a daemon's process, for lists of live daemons.
 func (m *Member) token() uint32 {
 	d := xxhash.New()
 	_, _ = d.WriteString(m.PeerAddr) // never fails
@@ -112,7 +112,8 @@
 	return uint32(d.Sum64())
 }
 
-// addPeer adds a daemon that hasn't been seen yet. Callers hold r.mu.
+// addPeer returns the peer with the address of m and adds it if it is new. It returns nil
+// for this daemon and for an invalid address. Callers hold r.mu.
 func (r *Roster) addPeer(m Member) *peer {
 	if p := r.peers[m.PeerAddr]; p != nil {
 		if !p.known && m.VM != "" {
@@ -125,7 +126,7 @@
 	}
 	udp, err := net.ResolveUDPAddr("udp4", m.PeerAddr)
 	if err != nil {
-		log.WithError(err).WithField("addr", m.PeerAddr).Warn("roster: address can't be read")
+		log.WithError(err).WithField("addr", m.PeerAddr).Warn("roster: can't resolve peer address")
 		return nil
 	}
 	p := &peer{member: m, addr: udp, lastSeen: time.Now().Add(-deadAfter)}
@@ -133,8 +134,8 @@
 	return p
 }
 
-// drop forgets a daemon. Callers hold r.mu.
-func (r *Roster) drop(addr string) {
+// removePeer removes a daemon. Callers hold r.mu.
+func (r *Roster) removePeer(addr string) {
 	delete(r.tokens, r.peers[addr].member.token())
 	delete(r.peers, addr)
 }
--- a/process/roster/publish.go
+++ b/process/roster/publish.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	// maxRelayed bounds the reads of one digest: 7 kB to each receiver, twice a
+	// maxReadsPerDigest bounds the reads of one digest: 7 kB to each receiver, twice a
 	// second.
-	maxRelayed = 6 * readsPerDatagram
-	// maxWork bounds the engines in one digest: 5 kB to each receiver, twice a
-	// second. Those with less work are as good as idle to a daemon that chooses: it
-	// asks the owners of their queues in any case.
-	maxWork = 256
-	// maxPendingReads bounds those that wait for it.
+	maxReadsPerDigest = 6 * readsPerDatagram
+	// maxWorkPerDigest bounds the engines in one digest: 5 kB to each receiver, twice a
+	// second. A daemon that chooses can treat the engines with less work as idle, because
+	// it queries the owners of their queues in any case.
+	maxWorkPerDigest = 256
+	// maxPendingReads bounds the reads that wait for the next digest.
 	maxPendingReads = 1024
 )
 
-// relayReads queues new reads, to be sent to the zone's daemons and, if
-// they are from here, to other zones.
+// relayReads queues new reads to be sent to the zone's daemons and, if they come from the
+// own zone, to other zones.
 //
-// The zone's aggregators receive the same reads, and each relays its share of
-// them. The load that it answers: 890 prompts a second, each read by one engine
-// and decoded by another, and a digest that held the first 44 reads of half a
-// second, the same from both aggregators. On a day of 36 s 46 million tokens of
-// shared parts were read again, 38 million so.
-func (r *Roster) relayReads(reads []engines.Read, here bool) {
+// The aggregators of a zone receive the same reads, and each one relays its share of them.
+// With 890 prompts per second, each prefilled by one engine and decoded by another, a
+// digest that held only the first 44 reads of half a second, the same from both
+// aggregators, had 38 of 46 million tokens of shared prompt parts prefilled again within
+// 36 s.
+func (r *Roster) relayReads(reads []engines.Read, ownZone bool) {
 	if len(reads) == 0 {
 		return
 	}
@@ -40,46 +40,47 @@
 	if !r.agg.on {
 		return
 	}
-	for _, one := range reads {
-		if int(one.Key()%uint64(r.agg.of)) != r.agg.at {
+	for _, read := range reads {
+		if int(read.Key()%uint64(r.agg.count)) != r.agg.index {
 			continue
 		}
-		if len(r.agg.fleet) < maxPendingReads {
-			r.agg.fleet = append(r.agg.fleet, one.Shared())
+		if len(r.agg.fleetReads) < maxPendingReads {
+			r.agg.fleetReads = append(r.agg.fleetReads, read.Shared())
 		}
-		if here && len(r.agg.zone) < maxPendingReads {
-			r.agg.zone = append(r.agg.zone, one.Shared())
+		if ownZone && len(r.agg.zoneReads) < maxPendingReads {
+			r.agg.zoneReads = append(r.agg.zoneReads, read.Shared())
 		}
 	}
 }
 
-// costliest are the reads that are sent: those of the most tokens, which it
-// costs most to read again.
+// costliest returns the reads to send: those with the most tokens, which cost most to
+// prefill again.
 func costliest(reads []engines.Read) []engines.Read {
 	slices.SortStableFunc(reads, func(a, b engines.Read) int { return cmp.Compare(b.Tokens(), a.Tokens()) })
-	return reads[:min(len(reads), maxRelayed)]
+	return reads[:min(len(reads), maxReadsPerDigest)]
 }
 
-// receiver is a daemon that gets a digest, and its newest heartbeat in the aggregates.
+// receiver is a daemon that is sent a digest, and the number of its newest heartbeat that
+// is part of the aggregates.
 type receiver struct {
-	addr net.Addr
-	seen uint64
+	addr         net.Addr
+	heartbeatSeq uint64
 }
 
-// round is what one round sends.
+// round is the content and the receivers of one round of digests.
 type round struct {
-	members    []receiver // of the zone
-	idle       []receiver // of the zone, those that choose no engines
+	members    []receiver // daemons of the zone that choose engines
+	idle       []receiver // daemons of the zone that get no requests
 	others     []receiver // aggregators of other zones
-	toMembers  digest     // of all daemons
-	toOthers   digest     // of the zone
+	toMembers  digest     // summary of the fleet
+	toOthers   digest     // summary of the zone
 	memberRows []row
 	otherRows  []row
 	local      map[string]bool // peer addresses of the zone's daemons
 }
 
-// publish sends digests if this daemon is an aggregator: whole ones, or only
-// changes of daemons.
+// publish sends digests if this daemon is an aggregator: whole ones, or only the rows of
+// changed daemons.
 func (r *Roster) publish(whole bool) {
 	now := time.Now()
 	r.mu.Lock()
@@ -98,8 +99,8 @@
 	r.sendTo(s.others, s.toOthers, s.otherRows, whole)
 }
 
-// collect puts together whom this round goes to and what it says of daemons.
-// Callers hold r.mu.
+// collect determines the receivers of this round and the rows that it contains. Callers
+// hold r.mu.
 func (r *Roster) collect(now time.Time, whole bool) *round {
 	s := &round{
 		toMembers: digest{From: r.self.PeerAddr},
@@ -107,17 +108,17 @@
 		local:     make(map[string]bool),
 	}
 	if whole {
-		r.agg.rotate++
-		s.toMembers.Reads, r.agg.fleet = engines.AsOf(costliest(r.agg.fleet), now), nil
-		s.toOthers.Reads, r.agg.zone = engines.AsOf(costliest(r.agg.zone), now), nil
+		r.agg.digestCount++
+		s.toMembers.Reads, r.agg.fleetReads = engines.AsOf(costliest(r.agg.fleetReads), now), nil
+		s.toOthers.Reads, r.agg.zoneReads = engines.AsOf(costliest(r.agg.zoneReads), now), nil
 	}
 	leader := r.leader(now)
-	zones := make(map[string]net.Addr) // any daemon of a zone, to find it again after a cut
-	own := row{Member: r.self, Seq: r.seq}
-	s.memberRows, s.otherRows = append(s.memberRows, own), append(s.otherRows, own)
+	zones := make(map[string]net.Addr) // any daemon of each zone, to reach the zone again after a partition
+	self := row{Member: r.self, Seq: r.seq}
+	s.memberRows, s.otherRows = append(s.memberRows, self), append(s.otherRows, self)
 	for addr, p := range r.peers {
 		near := p.member.Zone == r.self.Zone
-		r.describe(s, p, near, now, whole)
+		r.addPeerState(s, p, near, now, whole)
 		switch {
 		case near:
 			s.local[addr] = true
@@ -125,8 +126,8 @@
 			if p.member.idle() && addr != leader {
 				to = &s.idle
 			}
-			*to = append(*to, receiver{addr: p.addr, seen: p.heartbeatSeq})
-		case now.Sub(p.digest) < digestTTL:
+			*to = append(*to, receiver{addr: p.addr, heartbeatSeq: p.heartbeatSeq})
+		case now.Sub(p.lastDigest) < digestTTL:
 			s.others = append(s.others, receiver{addr: p.addr})
 		case p.member.Zone != "":
 			zones[p.member.Zone] = p.addr
@@ -138,36 +139,37 @@
 			s.others = append(s.others, receiver{addr: any})
 		}
 		for _, addr := range aggregators {
-			if p := r.peers[addr]; now.Sub(p.digest) >= digestTTL {
+			if p := r.peers[addr]; now.Sub(p.lastDigest) >= digestTTL {
 				s.others = append(s.others, receiver{addr: p.addr})
 			}
 		}
 	}
-	s.toMembers.sumAlive(r.self.token(), whole && r.agg.rotate%aliveRounds == 0)
+	s.toMembers.summarizeAlive(r.self.token(), whole && r.agg.digestCount%digestsPerAliveList == 0)
 	return s
 }
 
-// describe adds what is to be sent of one daemon. Callers hold r.mu.
-func (r *Roster) describe(s *round, p *peer, near bool, now time.Time, whole bool) {
+// addPeerState adds the row and the alive token of one daemon to a round. Callers hold
+// r.mu.
+func (r *Roster) addPeerState(s *round, p *peer, near bool, now time.Time, whole bool) {
 	if !p.known {
 		return
 	}
 	token := p.member.token()
-	turn := whole && int(token%rowRounds) == r.agg.rotate%rowRounds
-	if p.repeat > 0 || turn && p.alive(now, relayedAliveAge) {
-		one := rowOf(p, now)
-		s.memberRows = append(s.memberRows, one)
+	scheduled := whole && int(token%digestsPerRowCycle) == r.agg.digestCount%digestsPerRowCycle
+	if p.repeatsLeft > 0 || scheduled && p.alive(now, relayedAliveAge) {
+		entry := rowOf(p, now)
+		s.memberRows = append(s.memberRows, entry)
 		if near {
-			s.otherRows = append(s.otherRows, one)
+			s.otherRows = append(s.otherRows, entry)
 		}
-		p.repeat = max(p.repeat-1, 0)
+		p.repeatsLeft = max(p.repeatsLeft-1, 0)
 	}
 	if !whole || p.dead {
 		return
 	}
 	since, limit := p.lastSeen, relayedAliveAge
 	if near {
-		since, limit = p.heartbeat, unresponsiveAfter
+		since, limit = p.lastHeartbeat, unresponsiveAfter
 	}
 	if now.Sub(since) > limit {
 		return
@@ -178,13 +180,15 @@
 	}
 }
 
-// aliveRounds is the number of digests over which a list of the living that takes
-// more than one datagram is sent again; the others hold its sum.
-const aliveRounds = 4
+// digestsPerAliveList is the number of digests of which one contains the full list of live
+// daemons, if the list takes more than one datagram. The others contain only the sum of
+// its tokens.
+const digestsPerAliveList = 4
 
-// sumAlive has a long list of the living stand as its sum, or beside it.
-func (d *digest) sumAlive(self uint32, list bool) {
-	if len(d.Alive) <= aliveInHead {
+// summarizeAlive adds the sum of the tokens if the list of live daemons is long, and drops
+// the list unless list is set.
+func (d *digest) summarizeAlive(self uint32, list bool) {
+	if len(d.Alive) <= tokensPerDatagram {
 		return
 	}
 	d.AliveSum = uint64(self)
@@ -196,23 +200,24 @@
 	}
 }
 
-// withoutWork is the digest for daemons that choose no engines. What these receive
-// doesn't grow with the requests of others.
+// withoutWork returns the digest for daemons that choose no engines. The amount they
+// receive doesn't grow with the requests of others.
 func (d digest) withoutWork() digest {
 	d.Work, d.Reads = nil, nil
 	return d
 }
 
-// rowRounds is the number of digests over which all rows are sent again, for
-// those who missed a change: 10 s.
-const rowRounds = 20
+// digestsPerRowCycle is the number of digests over which all rows are repeated, for
+// daemons that missed a change. A cycle takes 10 s.
+const digestsPerRowCycle = 20
 
-// fillSummaries fills in what engines have to do and what callers ask.
+// fillSummaries fills in the engines' work, the callers' demand, claims, speeds and the
+// clock.
 func (r *Roster) fillSummaries(s *round) {
 	local := func(name string) bool { return s.local[name] }
 	all := func(string) bool { return true }
-	s.toMembers.Work = engines.Busiest(r.o.Book.Sum(), maxWork)
-	s.toOthers.Work = engines.Busiest(r.o.Book.SumOf(local), maxWork)
+	s.toMembers.Work = engines.Busiest(r.o.Book.Sum(), maxWorkPerDigest)
+	s.toOthers.Work = engines.Busiest(r.o.Book.SumOf(local), maxWorkPerDigest)
 	s.toMembers.Demand, s.toOthers.Demand = r.o.Demand.SumOf(all), r.o.Demand.SumOf(local)
 	claims, speeds := r.o.Claims.Report(), r.o.Speeds.Best()
 	s.toMembers.Claims, s.toOthers.Claims = claims, claims
@@ -220,44 +225,45 @@
 	s.toMembers.Clock, s.toOthers.Clock = r.fleetClock(), r.fleetClock()
 }
 
-// sendTo sends a digest, cut into datagrams.
+// sendTo sends a digest, split into datagrams, to each receiver.
 func (r *Roster) sendTo(to []receiver, d digest, rows []row, whole bool) {
 	if len(to) == 0 {
 		return
 	}
-	for _, one := range cut(d, rows, whole, min(r.o.Book.Known(), maxWork)) {
-		data, err := one.encode()
+	for _, part := range splitDigest(d, rows, whole, min(r.o.Book.Known(), maxWorkPerDigest)) {
+		data, err := part.encode()
 		if err != nil {
-			log.WithError(err).Error("roster: digest can't be encoded")
+			log.WithError(err).Error("roster: can't encode digest")
 			return
 		}
 		for _, t := range to {
-			head(data, t.seen)
+			putDigestHeader(data, t.heartbeatSeq)
 			r.write(data, t.addr)
 		}
 	}
 }
 
-// cut makes datagrams of a digest. Engines are shared out to a number of parts
-// that follows from how many are known, so that each part is sent whole.
-func cut(d digest, rows []row, whole bool, known int) []digest {
+// splitDigest splits a digest into datagrams. Engines are assigned to parts by hash. The
+// number of parts depends on the number of known engines, so that each part fits into one
+// datagram.
+func splitDigest(d digest, rows []row, whole bool, known int) []digest {
 	var out []digest
-	one := func() digest { return digest{From: d.From, Zone: d.Zone} }
+	newPart := func() digest { return digest{From: d.From, Zone: d.Zone} }
 	for chunk := range slices.Chunk(rows, rowsPerDatagram) {
-		c := one()
+		c := newPart()
 		c.Rows = chunk
 		out = append(out, c)
 	}
 	if !whole {
 		return out
 	}
-	for chunk := range slices.Chunk(d.Alive, aliveInHead) {
-		c := one()
+	for chunk := range slices.Chunk(d.Alive, tokensPerDatagram) {
+		c := newPart()
 		c.Alive = chunk
 		out = append(out, c)
 	}
 	for chunk := range slices.Chunk(d.Reads, readsPerDatagram) {
-		c := one()
+		c := newPart()
 		c.Reads = chunk
 		out = append(out, c)
 	}
@@ -266,7 +272,7 @@
 		parts = uint32(max((known+workPerDatagram-1)/workPerDatagram, 1))
 	}
 	for part := range parts {
-		c := one()
+		c := newPart()
 		c.HasWork, c.Part, c.Parts = true, part, parts
 		for _, w := range d.Work {
 			if uint32(w.Target%uint64(parts)) == part {
@@ -281,7 +287,7 @@
 	return out
 }
 
-// sendMembers sends a daemon that has just started all others.
+// sendMembers sends all live members to a daemon that has just started.
 func (r *Roster) sendMembers(to net.Addr) {
 	r.mu.Lock()
 	var rows []row
--- a/process/roster/roster.go
+++ b/process/roster/roster.go
@@ -1,12 +1,13 @@
-// Package roster knows the other daemons: who is alive and takes requests, and
-// what work they have at the engines. Daemons exchange small
-// datagrams. A lost one does no harm, since each repeats what still holds; grpc
-// between the daemons would hold updates back behind a packet that is sent again.
+// Package roster tracks the other daemons of the fleet: which of them are alive and take
+// requests, and how much work each has at the engines. Daemons exchange small UDP
+// datagrams. A lost datagram does no harm, because each one repeats the state that still
+// holds. A grpc stream would delay newer updates behind a retransmitted packet.
 //
-// In a small fleet each daemon sends to all others. In a large one a few in each
-// availability zone aggregate what its daemons send, exchange the aggregates with other
-// zones' and send the zone's daemons the whole: what a daemon sends and receives
-// grows with the engines' number, not with the daemons'.
+// In a small fleet each daemon sends to all others. In a large fleet a few daemons of each
+// availability zone aggregate what the zone's daemons send, exchange the aggregates with
+// other zones and send the aggregate of the fleet to the zone's daemons. The traffic of
+// one daemon therefore grows with the number of engines and not with the number of
+// daemons.
 package roster
 
 import (
@@ -24,116 +25,121 @@
 )
 
 const (
-	// heartbeatInterval is the time between heartbeats without changes.
+	// heartbeatInterval is the interval between heartbeats while nothing changes.
 	heartbeatInterval = 250 * time.Millisecond
-	// batchDelay is how long a change waits for more before it is sent, per daemon
-	// that it is sent to: with 5 others 10 ms.
+	// batchDelay is how long a change waits for further changes before it is sent,
+	// multiplied by the number of receivers: 10 ms with 5 other daemons.
 	batchDelay = 2 * time.Millisecond
-	// smallFleet is the number of other daemons up to which each sends to all
-	// others, and changes go out at once. In a larger fleet each sends to the few
-	// daemons of its availability zone that aggregate (see aggregate.go).
-	smallFleet = 16
-	// deadAfter is the silence after which a daemon that sends heartbeats to this one
-	// counts as dead: four heartbeats, so that lost datagrams alone hardly do it.
+	// maxFullMeshPeers is the number of other daemons up to which each daemon sends to all
+	// others and changes are sent at once. In a larger fleet each daemon sends to the
+	// aggregators of its availability zone (see aggregate.go).
+	maxFullMeshPeers = 16
+	// deadAfter is the time without heartbeats after which a daemon that sends them to
+	// this one counts as dead. It spans four heartbeats, so that lost datagrams alone
+	// rarely cause it.
 	deadAfter = 1100 * time.Millisecond
-	// relayedDeadAfter is the silence after which a daemon counts as dead of which
-	// others report: they repeat it twice a second, and report at once when it is unresponsive.
+	// relayedDeadAfter is the time without reports after which a daemon counts as dead
+	// that this one knows only from others' reports. Aggregators repeat these reports
+	// twice a second and report an unresponsive daemon at once.
 	relayedDeadAfter = 2500 * time.Millisecond
-	// forgetAfter is how long an unresponsive daemon is sent heartbeats.
-	forgetAfter = 30 * time.Second
-	// peersEvery is the number of heartbeats between two that name other daemons.
-	peersEvery = 8
-	// maxPeers bounds the daemons named in one heartbeat.
-	maxPeers = 24
-	// maxDatagram is the largest datagram sent, below what links carry whole.
-	maxDatagram = 1400
-	// isolatedKeep is how long the last addresses are still given when every
-	// other daemon and the store became unresponsive at once.
-	isolatedKeep = 15 * time.Second
+	// peerExpiry is how long heartbeats are still sent to an unresponsive daemon before it
+	// is removed.
+	peerExpiry = 30 * time.Second
+	// heartbeatsPerPeerList is the number of heartbeats of which one lists other daemons.
+	heartbeatsPerPeerList = 8
+	// maxListedPeers bounds the number of daemons listed in one heartbeat.
+	maxListedPeers = 24
+	// maxDatagramSize is the largest payload sent. It is below the MTU of common links, so
+	// that datagrams aren't fragmented.
+	maxDatagramSize = 1400
+	// isolationGrace is how long callers still get the last known addresses after all
+	// other daemons and the store became unresponsive at once.
+	isolationGrace = 15 * time.Second
 )
 
-// State says whether a daemon takes requests.
+// State is a daemon's lifecycle state.
 type State uint8
 
-// The states.
 const (
 	Starting State = iota
 	Ready
 	Leaving
 )
 
-// Member is what a daemon says of itself.
+// Member is what a daemon reports about itself.
 type Member struct {
 	_           struct{} `cbor:",toarray"`
 	VM          string
-	Incarnation uint64 // of its process, rising
+	Incarnation uint64 // of its process, increasing with each start
 	CallerAddr  string
 	PeerAddr    string
 	Zone        string
 	State       State
 	StoreAway   bool   // its own calls to the store fail
-	LinkMbps    uint32 // bandwidth of its VM's link in Mbit/s, 0: not known
-	Millicores  uint32 // processor of its VM in thousandths of a core, 0: not known
-	RateLevel   uint8  // callers' requests a second, see rateLevel
+	LinkMbps    uint32 // bandwidth of its VM's link in Mbit/s, 0 if unknown
+	Millicores  uint32 // CPU of its VM in thousandths of a core, 0 if unknown
+	RateLevel   uint8  // requests from callers per second, see rateLevel
 }
 
-// Options of a Roster.
+// Options configures a Roster.
 type Options struct {
 	Self   Member
 	Store  port.Store
 	Book   *engines.Book
-	Claims Claims        // what the daemons exchange of claims
-	Speeds Speeds        // and of engines' speed
-	Demand Demand        // and of callers' demand
-	TTL    time.Duration // how long callers keep addresses
-	// StoreAway reports whether this daemon doesn't know what the store says now.
+	Claims Claims        // claims that the daemons exchange
+	Speeds Speeds        // measured speeds of engines
+	Demand Demand        // demand of callers
+	TTL    time.Duration // how long callers may cache addresses
+	// StoreAway reports whether this daemon has no current data of the store.
 	StoreAway func() bool
-	// StoreFails reports whether its own calls to the store fail; nil: StoreAway.
+	// StoreFails reports whether this daemon's own calls to the store fail. If nil,
+	// StoreAway is used.
 	StoreFails func() bool
-	// Rooted has one daemon read the store for the whole fleet: the bounds leave
-	// time for another hop.
+	// Rooted lets a single daemon read the store for the whole fleet. It is set when the
+	// configured time bounds leave time for one more hop.
 	Rooted bool
-	// Clock gets the other daemons' clocks; nil: none.
+	// Clock receives the other daemons' clock readings. It may be nil.
 	Clock FleetClock
-	// Usage takes other daemons' reports of usage; nil: there are none.
+	// Usage handles usage reports of other daemons. If nil, they are dropped.
 	Usage func(data []byte) error
-	// Rate is the number of callers' requests in the last seconds, per second; nil: some, not counted.
+	// Rate returns the recent number of requests from callers per second. If nil, the
+	// daemon reports that it gets requests without a measured rate.
 	Rate func() float64
 	// Conn replaces the UDP socket, in tests.
 	Conn net.PacketConn
 }
 
-// Roster is safe for concurrent use.
+// Roster tracks the daemons of the fleet. It is safe for concurrent use.
 type Roster struct {
 	o       Options
 	conn    net.PacketConn
 	tomb    tomb.Tomb
 	updates chan struct{}
 
-	mu      sync.Mutex
-	self    Member
-	seq     uint64
-	peers   map[string]*peer  // by peer address
-	tokens  map[uint32]string // peer address by the token that stands for a daemon's process
-	sent    []sentHeartbeat   // recent own heartbeats, the newest last
-	agg     aggregation
-	paused  pauses
-	written bool // this daemon is a contact; of announce
-	// listedAt is when the contacts were read, zero before.
+	mu        sync.Mutex
+	self      Member
+	seq       uint64
+	peers     map[string]*peer  // by peer address
+	tokens    map[uint32]string // peer address by the token of a daemon's process
+	sent      []sentHeartbeat   // recent own heartbeats, the newest last
+	agg       aggregation
+	paused    pauses
+	isContact bool // whether this daemon is a contact; used by announce only
+	// listedAt is when the contacts were first listed, zero before.
 	listedAt time.Time
-	// upstream was found at upstreamAt.
+	// upstream is cached since upstreamAt.
 	upstream   Upstream
 	upstreamAt time.Time
 
-	ownership ownership
-	owners    owners        // guarded by mu
-	listed    chan struct{} // closed once the daemons were listed, or that failed twice
-	listedOne sync.Once
+	ownership  ownership
+	owners     owners        // guarded by mu
+	listed     chan struct{} // closed once the contacts were listed, or two attempts failed
+	listedOnce sync.Once
 
-	sockets sync.Once
+	closeOnce sync.Once
 }
 
-// New opens the roster's socket.
+// New opens the roster's UDP socket.
 func New(o Options) (*Roster, error) {
 	conn := o.Conn
 	if conn == nil {
@@ -156,7 +162,7 @@
 	}, nil
 }
 
-// Start announces this daemon and begins to send and receive heartbeats.
+// Start announces this daemon and starts to send and receive heartbeats.
 func (r *Roster) Start() {
 	r.tomb.Go(r.receiveDatagrams)
 	r.tomb.Go(r.sendHeartbeats)
@@ -164,25 +170,25 @@
 	r.tomb.Go(r.aggregate)
 }
 
-// Stop ends all.
+// Stop closes the socket and waits for the roster's goroutines.
 func (r *Roster) Stop() error {
 	r.tomb.Kill(nil)
 	r.close()
 	return r.tomb.Wait()
 }
 
-func (r *Roster) close() { r.sockets.Do(func() { _ = r.conn.Close() }) }
+func (r *Roster) close() { r.closeOnce.Do(func() { _ = r.conn.Close() }) }
 
-// SetState changes what this daemon says of itself, and broadcasts it now:
-// to all of them that it leaves, so that callers learn it in time.
+// SetState changes the state of this daemon and sends it at once. Leaving goes to all
+// known daemons, so that they stop naming this one to callers in time.
 func (r *Roster) SetState(s State) {
 	r.mu.Lock()
 	r.self.State = s
 	r.mu.Unlock()
-	r.send(s == Leaving)
+	r.sendHeartbeat(s == Leaving)
 }
 
-// Notify asks for a heartbeat soon, without waiting for it.
+// Notify requests a heartbeat soon, without waiting for it.
 func (r *Roster) Notify() {
 	select {
 	case r.updates <- struct{}{}:
@@ -190,7 +196,7 @@
 	}
 }
 
-// Members returns the daemons that are alive, this one first, then by name.
+// Members returns the live daemons: this one first, the others by VM name.
 func (r *Roster) Members() []Member {
 	now := time.Now()
 	r.mu.Lock()
@@ -205,7 +211,8 @@
 	return append([]Member{r.self}, out...)
 }
 
-// ReadyPeers returns the peer addresses of the other daemons that take requests.
+// ReadyPeers returns the peer addresses of the other daemons that take requests, including
+// those that are leaving.
 func (r *Roster) ReadyPeers() []string {
 	return r.peerAddrs(func(m *Member) bool { return m.State == Ready || m.State == Leaving })
 }
@@ -216,19 +223,19 @@
 	return r.peerAddrs(func(m *Member) bool { return m.State == Ready && !m.StoreAway })
 }
 
-// peerAddrs returns the peer addresses of the other daemons that fit.
-func (r *Roster) peerAddrs(fits func(m *Member) bool) []string {
+// peerAddrs returns the peer addresses of the other daemons that match.
+func (r *Roster) peerAddrs(match func(m *Member) bool) []string {
 	var out []string
 	for _, m := range r.Members()[1:] {
-		if fits(&m) {
+		if match(&m) {
 			out = append(out, m.PeerAddr)
 		}
 	}
 	return out
 }
 
-// Known is the number of daemons that were seen recently, dead ones and this
-// one included.
+// Known returns the number of daemons known, including dead ones that haven't expired and
+// this one.
 func (r *Roster) Known() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -242,21 +249,20 @@
 	return r.self.State == Ready
 }
 
-// Addresses returns the callers' addresses of the daemons that take requests,
-// in the order of the caller with that address in an availability zone: each
-// has one of its own, since callers read no more than the first few of a large
-// fleet.
+// Addresses returns the caller-facing addresses of the daemons that take requests, and how
+// long they may be cached. The order depends on the availability zone and the address of
+// the caller, since callers use only the first few addresses of a large fleet.
 //
-// The guard is against a daemon that is cut off: it sees no other and
-// would send all callers that ask it to itself alone. When the others and the
-// store became unresponsive together, the daemons seen recently still count.
+// An isolated daemon receives heartbeats of no other one and would send all callers that
+// ask it to itself alone. If the other daemons and the store became unresponsive together,
+// Addresses therefore still includes the daemons seen recently.
 func (r *Roster) Addresses(zone, caller string) ([]string, time.Duration) {
 	serving := r.serving
 	if len(r.Members()) == 1 && r.o.StoreAway() {
 		serving = r.recentlySeen
 	}
 	all := serving()
-	list, named := active(all, zone)
+	list, named := activeDaemons(all, zone)
 	entries := address.NewBook(func() []address.Member { return list }, r.o.TTL).Answer(zone, address.Seed(caller)).Addresses
 	out := make([]string, 0, len(entries))
 	for _, e := range entries[:min(len(entries), named)] {
@@ -265,21 +271,21 @@
 	return out, r.o.TTL
 }
 
-// serving returns the daemons that take requests.
+// serving returns the live daemons that take requests.
 func (r *Roster) serving() []candidate {
 	now := time.Now()
-	return r.forCallers(func(p *peer) bool { return r.isAlive(p, now) })
+	return r.candidates(func(p *peer) bool { return r.isAlive(p, now) })
 }
 
-// recentlySeen returns the same with those that have become unresponsive since.
+// recentlySeen is like serving, but includes the daemons that became unresponsive within
+// isolationGrace.
 func (r *Roster) recentlySeen() []candidate {
 	now := time.Now()
-	return r.forCallers(func(p *peer) bool { return now.Sub(p.lastSeen) < isolatedKeep })
+	return r.candidates(func(p *peer) bool { return now.Sub(p.lastSeen) < isolationGrace })
 }
 
-// forCallers returns the daemons that take requests, this one included, of
-// those that there are.
-func (r *Roster) forCallers(there func(p *peer) bool) []candidate {
+// candidates returns this daemon and the included others, as far as they take requests.
+func (r *Roster) candidates(include func(p *peer) bool) []candidate {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []candidate
@@ -293,7 +299,7 @@
 	}
 	add(&r.self)
 	for _, p := range r.peers {
-		if there(p) {
+		if include(p) {
 			add(&p.member)
 		}
 	}
--- a/process/roster/roster_test.go
+++ b/process/roster/roster_test.go
@@ -26,15 +26,15 @@
 	m.Run()
 }
 
-// list is a store that holds the daemons only.
-type list struct {
+// fakeStore is a store that holds only the daemons' contact records.
+type fakeStore struct {
 	mu      sync.Mutex
 	lists   int
 	puts    int
 	records map[string]port.KeyedRecord
 }
 
-func (l *list) Newest(context.Context, port.Topic, string) (port.KeyedPage, error) {
+func (l *fakeStore) Newest(context.Context, port.Topic, string) (port.KeyedPage, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lists++
@@ -45,7 +45,7 @@
 	return page, nil
 }
 
-func (l *list) Put(_ context.Context, _ port.Topic, key string, value []byte) (int64, error) {
+func (l *fakeStore) Put(_ context.Context, _ port.Topic, key string, value []byte) (int64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.puts++
@@ -53,37 +53,37 @@
 	return 0, nil
 }
 
-func (l *list) Read(context.Context, port.Topic, int64, time.Duration) (port.KeyedBatch, error) {
+func (l *fakeStore) Read(context.Context, port.Topic, int64, time.Duration) (port.KeyedBatch, error) {
 	return port.KeyedBatch{}, errors.New("not used")
 }
 
-func (l *list) PutAt(context.Context, port.Topic, string, []byte, int64) (int64, error) {
+func (l *fakeStore) PutAt(context.Context, port.Topic, string, []byte, int64) (int64, error) {
 	return 0, errors.New("not used")
 }
 
-// daemons is a fleet of rosters.
-type daemons struct {
-	w      *packetnet.Net
-	store  *list
+// testFleet is a fleet of rosters on a simulated network.
+type testFleet struct {
+	net    *packetnet.Net
+	store  *fakeStore
 	away   atomic.Bool
-	zones  int                  // availability zones, 0: one
-	rate   func(vm int) float64 // requests a second of each, nil: not counted
+	zones  int                  // number of availability zones, 0: one
+	rate   func(vm int) float64 // requests per second of each daemon, nil: not counted
 	all    []*Roster
 	books  []*engines.Book
 	ends   []*packetnet.End
-	claims []*claimBook
+	claims []*fakeClaims
 }
 
 func peerAddr(vm int) string { return fmt.Sprintf("10.0.%d.%d:7000", vm/250, vm%250) }
 
-func (d *daemons) zone(vm int) string { return fmt.Sprint("z", vm%max(d.zones, 1)) }
+func (d *testFleet) zone(vm int) string { return fmt.Sprint("z", vm%max(d.zones, 1)) }
 
-func (d *daemons) add(vm int, incarnation uint64) *Roster {
+func (d *testFleet) add(vm int, incarnation uint64) *Roster {
 	return d.addBehind(vm, incarnation, 0)
 }
 
-// addBehind adds a daemon behind a link of that bandwidth.
-func (d *daemons) addBehind(vm int, incarnation uint64, linkMbps uint32) *Roster {
+// addBehind adds a daemon whose link has the given bandwidth.
+func (d *testFleet) addBehind(vm int, incarnation uint64, linkMbps uint32) *Roster {
 	addr := peerAddr(vm)
 	var r *Roster
 	book := engines.New(time.Now, func(w engines.Work) {
@@ -91,8 +91,8 @@
 			r.Changed(w)
 		}
 	})
-	claims := &claimBook{}
-	end := d.w.Open(addr)
+	claims := &fakeClaims{}
+	end := d.net.Open(addr)
 	d.ends = append(d.ends, end)
 	var rate func() float64
 	if d.rate != nil {
@@ -116,11 +116,11 @@
 	return r
 }
 
-func newDaemons() *daemons {
-	return &daemons{w: packetnet.New(2), store: &list{records: map[string]port.KeyedRecord{}}}
+func newDaemons() *testFleet {
+	return &testFleet{net: packetnet.New(2), store: &fakeStore{records: map[string]port.KeyedRecord{}}}
 }
 
-func withFleet(t *testing.T, n int, test func(t *testing.T, d *daemons)) {
+func withFleet(t *testing.T, n int, test func(t *testing.T, d *testFleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDaemons()
 		for i := range n {
@@ -141,7 +141,7 @@
 }
 
 func TestDaemonsFindEachOther(t *testing.T) {
-	withFleet(t, 5, func(t *testing.T, d *daemons) {
+	withFleet(t, 5, func(t *testing.T, d *testFleet) {
 		for i, r := range d.all {
 			if len(r.Members()) != 5 || addrs(r) != 5 {
 				t.Errorf("daemon %d knows %d members, %d addresses", i, len(r.Members()), addrs(r))
@@ -153,9 +153,9 @@
 	})
 }
 
-// Callers open connections to a daemon that is stopping, and lose them.
-func TestLeavingDaemonIsOutOfTheAnswersAtOnce(t *testing.T) {
-	withFleet(t, 3, func(t *testing.T, d *daemons) {
+// Guards against callers that open connections to a stopping daemon and lose them.
+func TestLeavingDaemonIsRemovedFromAddressesAtOnce(t *testing.T) {
+	withFleet(t, 3, func(t *testing.T, d *testFleet) {
 		d.all[2].SetState(Leaving)
 		synctest.Wait()
 		if addrs(d.all[0]) != 2 || addrs(d.all[2]) != 2 {
@@ -164,15 +164,15 @@
 	})
 }
 
-// Callers are sent to a daemon that was killed, for seconds.
-func TestSilentDaemonIsOutSoon(t *testing.T) {
-	withFleet(t, 3, func(t *testing.T, d *daemons) {
-		d.w.SetCut("10.0.0.3:7000", true)
+// Guards against sending callers to a killed daemon for seconds.
+func TestUnresponsiveDaemonIsRemoved(t *testing.T) {
+	withFleet(t, 3, func(t *testing.T, d *testFleet) {
+		d.net.SetCut("10.0.0.3:7000", true)
 		_ = pause.For(context.Background(), deadAfter+heartbeatInterval)
 		if addrs(d.all[0]) != 2 {
 			t.Errorf("%d addresses, want 2", addrs(d.all[0]))
 		}
-		d.w.SetCut("10.0.0.3:7000", false)
+		d.net.SetCut("10.0.0.3:7000", false)
 		_ = pause.For(context.Background(), 2*heartbeatInterval)
 		if addrs(d.all[0]) != 3 {
 			t.Errorf("%d addresses after its return, want 3", addrs(d.all[0]))
@@ -180,10 +180,10 @@
 	})
 }
 
-// A daemon that is cut off sends all callers that ask it to itself alone.
-func TestCutOffDaemonStillNamesTheOthers(t *testing.T) {
-	withFleet(t, 3, func(t *testing.T, d *daemons) {
-		d.w.SetCut("10.0.0.1:7000", true)
+// Guards against an isolated daemon that sends all callers that ask it to itself alone.
+func TestIsolatedDaemonStillNamesOthers(t *testing.T) {
+	withFleet(t, 3, func(t *testing.T, d *testFleet) {
+		d.net.SetCut("10.0.0.1:7000", true)
 		d.away.Store(true)
 		_ = pause.For(context.Background(), 5*time.Second)
 		if addrs(d.all[0]) != 3 {
@@ -191,27 +191,27 @@
 		}
 		d.away.Store(false)
 		if addrs(d.all[0]) != 1 {
-			t.Errorf("%d addresses though the store shows that the others are gone", addrs(d.all[0]))
+			t.Errorf("%d addresses though the store is reachable and the others are gone", addrs(d.all[0]))
 		}
 	})
 }
 
-// pause stops a daemon for that long: it sends and receives nothing.
-func (d *daemons) pause(vm int, long time.Duration) {
-	asleep := make(chan struct{})
-	d.claims[vm-1].asleep.Store(&asleep)
-	d.w.SetCut(peerAddr(vm), true)
+// pause pauses a daemon: it sends and receives nothing for the given time.
+func (d *testFleet) pause(vm int, long time.Duration) {
+	resumed := make(chan struct{})
+	d.claims[vm-1].resumed.Store(&resumed)
+	d.net.SetCut(peerAddr(vm), true)
 	_ = pause.For(context.Background(), long)
-	d.w.SetCut(peerAddr(vm), false)
-	d.claims[vm-1].asleep.Store(nil)
-	close(asleep)
+	d.net.SetCut(peerAddr(vm), false)
+	d.claims[vm-1].resumed.Store(nil)
+	close(resumed)
 }
 
-// TestPausedDaemonStillNamesTheOthers guards against callers that are all sent
-// to one daemon because it heard of no other while it was paused itself.
-func TestPausedDaemonStillNamesTheOthers(t *testing.T) {
+// Guards against a daemon that names only itself to callers after a pause, because it
+// received no heartbeat of others while it was paused.
+func TestPausedDaemonStillNamesOthers(t *testing.T) {
 	for _, n := range []int{3, 30} {
-		withFleet(t, n, func(t *testing.T, d *daemons) {
+		withFleet(t, n, func(t *testing.T, d *testFleet) {
 			_ = pause.For(context.Background(), 4*time.Second)
 			d.pause(n, 5*time.Second)
 			if got := addrs(d.all[n-1]); got != n {
@@ -221,7 +221,7 @@
 			if got := addrs(d.all[n-1]); got != n {
 				t.Errorf("%d of %d addresses some time later", got, n)
 			}
-			d.w.SetCut(peerAddr(1), true)
+			d.net.SetCut(peerAddr(1), true)
 			d.pause(n, 5*time.Second)
 			_ = pause.For(context.Background(), settleAfterPause+heartbeatInterval)
 			if got := addrs(d.all[n-1]); got != n-1 {
@@ -231,10 +231,9 @@
 	}
 }
 
-// A daemon that was started again while its clock stood further back would
-// stay unknown to the others for good.
+// Guards against ignoring a daemon forever that restarted with its clock set back.
 func TestRestartWithAnEarlierClock(t *testing.T) {
-	withFleet(t, 2, func(t *testing.T, d *daemons) {
+	withFleet(t, 2, func(t *testing.T, d *testFleet) {
 		_ = d.all[1].Stop()
 		_ = pause.For(context.Background(), time.Second)
 		d.add(2, 0)
@@ -245,9 +244,9 @@
 	})
 }
 
-// An old datagram arrives after a newer one: a daemon that said it leaves would
-// be back in the answers.
-func TestOlderBeatsAreLeftOut(t *testing.T) {
+// Guards against datagrams that arrive out of order: a daemon that announced that it
+// leaves would be named to callers again.
+func TestOutdatedHeartbeatsAreIgnored(t *testing.T) {
 	p := &peer{member: Member{VM: "a", Incarnation: 2}, seq: 7, lastSeen: time.Unix(100, 0)}
 	now := time.Unix(100, 0).Add(heartbeatInterval)
 	cases := []struct {
@@ -256,17 +255,16 @@
 	}{{2, 8, false}, {2, 7, true}, {2, 6, true}, {1, 9, true}, {3, 1, false}}
 	for _, tc := range cases {
 		if got := p.outdated(tc.incarnation, tc.seq, now); got != tc.want {
-			t.Errorf("incarnation %d, beat %d: outdated %v", tc.incarnation, tc.seq, got)
+			t.Errorf("incarnation %d, heartbeat %d: outdated %v", tc.incarnation, tc.seq, got)
 		}
 	}
 }
 
-// Guards against callers that all open their connections to the same few of the
-// daemons that they may be sent to, which refuse and are late, while the others
-// have nothing to do.
+// Guards against callers that all connect to the same few daemons, which then refuse or
+// delay requests while the others are idle.
 func TestCallersSpreadOverALargeFleet(t *testing.T) {
-	for level, least := range map[uint8]float64{0: idleShare, 7: 1} { // idle, and with 64 requests a second at each
-		synctest.Test(t, func(t *testing.T) { // the daemons were heard just now, however long this takes
+	for level, least := range map[uint8]float64{0: minActiveShare, 7: 1} { // idle, and 64 requests per second at each
+		synctest.Test(t, func(t *testing.T) { // virtual time keeps the daemons alive, however long this takes
 			const daemons, callers = 295, 549
 			zones := []string{"a", "b", "c", "d", "e"}
 			r := &Roster{o: Options{TTL: time.Second}, self: Member{State: Starting}, peers: map[string]*peer{}}
@@ -277,7 +275,7 @@
 			got, read := map[string]int{}, 0
 			for i := range callers {
 				addrs, _ := r.Addresses(zones[i%len(zones)], fmt.Sprintf("100.64.%d.%d", i/250, i%250))
-				if len(addrs) < leastActive {
+				if len(addrs) < minActive {
 					t.Fatalf("%d addresses", len(addrs))
 				}
 				for _, a := range addrs {
@@ -286,21 +284,22 @@
 				read += len(addrs)
 			}
 			if float64(len(got)) < least*daemons {
-				t.Errorf("%d of %d daemons are named", len(got), daemons)
+				t.Errorf("%d of %d daemons are in the addresses", len(got), daemons)
 			}
 			mean := read / len(got)
 			for addr, n := range got {
 				if n < mean/2 || n > mean*2 {
-					t.Errorf("%s is read by %d callers, %d on the mean", addr, n, mean)
+					t.Errorf("%s is named to %d callers, %d on average", addr, n, mean)
 				}
 			}
 		})
 	}
 }
 
-// Six daemons each send a long prompt to the engine that looks idle to all.
+// Guards against six daemons that each send a long prompt to the engine that looks idle to
+// all of them.
 func TestWorkIsKnownElsewhereSoon(t *testing.T) {
-	withFleet(t, 3, func(t *testing.T, d *daemons) {
+	withFleet(t, 3, func(t *testing.T, d *testFleet) {
 		parts := []port.PromptPart{{ID: 1, Tokens: 500}}
 		done := d.books[0].Prefill("e", 10_000, parts, 0, 500*time.Millisecond)
 		_ = pause.For(context.Background(), 3*batchDelay)
@@ -317,30 +316,30 @@
 	})
 }
 
-// claimBook notes what is heard of claims.
-type claimBook struct {
+// fakeClaims records received claims.
+type fakeClaims struct {
 	own, received []Claim
-	asleep        atomic.Pointer[chan struct{}] // nil: awake
+	resumed       atomic.Pointer[chan struct{}] // not nil while the daemon is paused
 }
 
-// Report blocks while the daemon sleeps, so that it sends nothing.
-func (c *claimBook) Report() []Claim {
-	if asleep := c.asleep.Load(); asleep != nil {
-		<-*asleep
+// Report blocks while the daemon is paused, so that it sends nothing.
+func (c *fakeClaims) Report() []Claim {
+	if resumed := c.resumed.Load(); resumed != nil {
+		<-*resumed
 	}
 	return c.own
 }
-func (c *claimBook) Merge(cs []Claim) { c.received = append(c.received, cs...) }
+func (c *fakeClaims) Merge(cs []Claim) { c.received = append(c.received, cs...) }
 
-// What a daemon knows of claims gets lost between it and the others, and the
-// next holder waits for a lease that is long over.
-func TestClaimsTravelWithBeats(t *testing.T) {
+// Guards against losing claims between daemons: the next holder would wait for a lease
+// that ended long ago.
+func TestHeartbeatsCarryClaims(t *testing.T) {
 	want := Claim{Subject: "svc", Offset: 7, AgeMs: 4000}
-	data, err := encode(&heartbeat{Member: Member{VM: "a", PeerAddr: "10.0.0.1:1"}, Seq: 1, Claims: []Claim{want}})
+	data, err := encodeHeartbeat(&heartbeat{Member: Member{VM: "a", PeerAddr: "10.0.0.1:1"}, Seq: 1, Claims: []Claim{want}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	book := &claimBook{}
+	book := &fakeClaims{}
 	r := &Roster{
 		o:     Options{Book: engines.New(time.Now, func(engines.Work) {}), Claims: book, Speeds: speed.NewBook(), Demand: demand.New(time.Now)},
 		peers: map[string]*peer{}, tokens: map[uint32]string{}, updates: make(chan struct{}, 1),
@@ -349,19 +348,17 @@
 		t.Fatal(err)
 	}
 	if len(book.received) != 1 || book.received[0] != want {
-		t.Errorf("heard %+v", book.received)
+		t.Errorf("received %+v", book.received)
 	}
 }
 
-func TestBeatsFitIntoADatagram(t *testing.T) {
+func TestHeartbeatFitsIntoDatagram(t *testing.T) {
 	b := &heartbeat{Member: Member{VM: "a"}}
 	for i := range 60 {
 		b.Reads = append(b.Reads, engines.Read{Target: uint64(i) << 40, Parts: make([]port.PromptPart, 4)})
 	}
-	data, err := encode(b)
-	if err != nil || len(data) > maxDatagram {
+	data, err := encodeHeartbeat(b)
+	if err != nil || len(data) > maxDatagramSize {
 		t.Errorf("%d bytes, %v", len(data), err)
 	}
 }
-
-// count is the number of datagrams sent so far.
--- a/process/roster/tree.go
+++ b/process/roster/tree.go
@@ -8,33 +8,33 @@
 	"github.com/pomelospool/pomelospool/connection/engines"
 )
 
-// Upstream is where a daemon reads what the store says.
+// Upstream is the source from which a daemon reads the store's records.
 type Upstream struct {
-	Peers []string // peer addresses, the one to ask first; none: the store itself
-	Depth int      // most daemons between the store and any daemon of the fleet, 0 in a small one
+	Peers []string // peer addresses in the order of preference; empty: the store itself
+	Depth int      // maximum number of daemons between the store and any daemon of the fleet, 0 in a small one
 }
 
 const (
-	// headsPerZone is the number of daemons of an availability zone that the others
-	// there read from: with one dead the other goes on.
+	// headsPerZone is the number of daemons of an availability zone that the others of the
+	// zone read from, so that the other one continues when one dies.
 	headsPerZone = 2
-	// listingTime is how long a daemon's link may be filled by the listings that
-	// those who read from it take as they start.
-	listingTime = time.Second
-	// listedBytes is what a target takes in a listing, packed.
-	listedBytes = 50
-	// usualTargets is the number of targets per daemon that is assumed.
-	usualTargets = 10
-	// unknownLink is the bandwidth assumed where none is stated, in Mbit/s.
-	unknownLink = 100
-	// leastReaders is the least number of daemons that read from one: a narrow link
-	// makes a start slow, a deep tree makes everything slow.
-	leastReaders = 4
+	// maxListingTime is how long the listings taken by starting readers may saturate a
+	// daemon's link.
+	maxListingTime = time.Second
+	// bytesPerListedTarget is the compressed size of a target in a listing.
+	bytesPerListedTarget = 50
+	// targetsPerDaemon is the assumed number of targets per daemon.
+	targetsPerDaemon = 10
+	// defaultLinkMbps is assumed for links of unknown bandwidth, in Mbit/s.
+	defaultLinkMbps = 100
+	// minReaders is the minimum number of daemons that may read from one. A narrow link
+	// only slows down a start, while a deep tree delays every record.
+	minReaders = 4
 )
 
-// relaysBefore orders the daemons that relay: those that reach the store, then those
-// with the widest links, and from the end by name. The first ones by name
-// aggregate, and what they send fills a narrow link for seconds.
+// relaysBefore orders the daemons that relay records: first those that reach the store,
+// then by descending link bandwidth, then by descending VM name. The order of names is the
+// reverse of that of the aggregators, whose digests saturate a narrow link for seconds.
 func relaysBefore(a, b *Member) int {
 	away := 0
 	if a.StoreAway != b.StoreAway {
@@ -46,30 +46,30 @@
 	return cmp.Or(away, cmp.Compare(b.LinkMbps, a.LinkMbps), cmp.Compare(b.VM, a.VM))
 }
 
-// readersOf is the number of daemons that may read from one, in a fleet of that
-// many.
+// readersOf returns the number of daemons that may read from one daemon in a fleet of the
+// given size.
 func readersOf(m *Member, fleet int) int {
-	bytes := float64(m.link()) * 1e6 / 8 * listingTime.Seconds()
-	return max(int(bytes/float64(fleet*usualTargets*listedBytes)), leastReaders)
+	bytes := float64(m.link()) * 1e6 / 8 * maxListingTime.Seconds()
+	return max(int(bytes/float64(fleet*targetsPerDaemon*bytesPerListedTarget)), minReaders)
 }
 
-// link is the bandwidth of the VM's link in Mbit/s, or what is assumed of it.
+// link returns the bandwidth of the VM's link in Mbit/s, or the default if it is unknown.
 func (m *Member) link() uint32 {
 	if m.LinkMbps == 0 {
-		return unknownLink
+		return defaultLinkMbps
 	}
 	return m.LinkMbps
 }
 
-// upstreamOf finds a daemon's place in the tree of those that relay the store's
-// records. The first two of each availability zone are its heads. In a rooted
-// fleet one daemon reads the store, and the heads read from it; else the heads
-// read the store. The others of a zone read from its heads, or, where these have
-// too narrow links for all, from those that do.
+// upstreamOf computes a daemon's place in the tree that relays the store's records. The
+// first two daemons of each availability zone are its heads. In a rooted fleet one daemon
+// reads the store and the heads read from it; otherwise the heads read the store. The
+// other daemons of a zone read from its heads or, if the heads' links are too narrow for
+// all, from daemons that do.
 //
-// The load that it answers: two heads a zone that all read the store take ten
-// times its bytes, each of which is paid for; and heads behind narrow links send
-// a listing of thousands of targets to a hundred daemons for minutes.
+// Two heads per zone that all read the store transfer ten times the bytes, which are
+// billed. Heads with narrow links take minutes to send a listing of thousands of targets
+// to a hundred daemons.
 func upstreamOf(self *Member, fleet []*Member, rooted bool) Upstream {
 	zones := make(map[string][]*Member)
 	for _, n := range fleet {
@@ -107,8 +107,7 @@
 	return up
 }
 
-// levels cuts a zone's daemons into levels, of which each reads from the one
-// before.
+// levels splits a zone's daemons into levels. Each level reads from the one before.
 func levels(zone []*Member, fleet int) [][]*Member {
 	var out [][]*Member
 	size := headsPerZone
@@ -123,7 +122,7 @@
 	return out
 }
 
-// readFrom returns the daemons of a level that one of the next level reads from.
+// readFrom returns the daemons of a level from which a daemon of the next level reads.
 func readFrom(self *Member, level []*Member, at int) []string {
 	if len(level) == headsPerZone {
 		at = int(engines.Hash(self.VM) % headsPerZone)
@@ -136,6 +135,7 @@
 	return []string{first.PeerAddr, second.PeerAddr}
 }
 
+// peerAddrsOf returns the members' peer addresses.
 func peerAddrsOf(members []*Member) []string {
 	var out []string
 	for _, n := range members {
@@ -144,19 +144,19 @@
 	return out
 }
 
-// upstreamFor is how long a place in the tree is kept before it is computed again.
-const upstreamFor = heartbeatInterval
+// upstreamTTL is how long the place in the tree is cached.
+const upstreamTTL = heartbeatInterval
 
-// Upstream returns where this daemon reads what the store says.
+// Upstream returns the source from which this daemon reads the store's records.
 //
-// Daemons that only start count too, and while this one starts any that is listed
-// in the store. Otherwise, while a fleet starts, each daemon would list and read
-// the store for itself.
+// Starting daemons are part of the tree, and while this daemon starts also those that it
+// knows only from the store. Otherwise each daemon of a starting fleet would list and read
+// the store itself.
 func (r *Roster) Upstream() Upstream {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.upstreamAt.IsZero() && now.Sub(r.upstreamAt) < upstreamFor {
+	if !r.upstreamAt.IsZero() && now.Sub(r.upstreamAt) < upstreamTTL {
 		return r.upstream
 	}
 	fleet := []*Member{&r.self}
@@ -166,26 +166,25 @@
 		}
 	}
 	r.upstream = Upstream{}
-	if len(fleet) > smallFleet+1 {
+	if len(fleet) > maxFullMeshPeers+1 {
 		r.upstream = upstreamOf(&r.self, fleet, r.o.Rooted)
 	}
 	r.upstreamAt = now
 	return r.upstream
 }
 
-// startFor is how long after its first listing a daemon asks others that it has
-// only found there: by then it knows those that live.
-const startFor = 2 * relayedDeadAfter
+// startupPeriod is how long after its first listing a daemon uses peers that it knows only
+// from the store. After that it knows which of them are alive.
+const startupPeriod = 2 * relayedDeadAfter
 
-// mayRelay reports whether a daemon may relay the store's records. Callers hold
-// r.mu.
+// mayRelay reports whether a daemon may relay the store's records. Callers hold r.mu.
 func (r *Roster) mayRelay(p *peer, now time.Time) bool {
 	if p.member.State == Leaving || p.dead || p.member.VM == "" {
 		return false
 	}
-	return p.alive(now, r.patience()) || !p.known && now.Sub(r.listedAt) < startFor
+	return p.alive(now, r.patience()) || !p.known && now.Sub(r.listedAt) < startupPeriod
 }
 
-// Listed is closed once this daemon knows which others the store names, or the
-// store didn't say twice.
+// Listed returns a channel that is closed once the contacts were listed, or two attempts
+// to list them failed.
 func (r *Roster) Listed() <-chan struct{} { return r.listed }
--- a/process/roster/tree_test.go
+++ b/process/roster/tree_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// fleetOf is a fleet of that many daemons in five availability zones. Of each
-// zone the first wide ones have links of 1,000 Mbit/s, the others of 20.
+// fleetOf returns a fleet of the given size in five availability zones. In each zone the
+// first wide daemons have links of 1,000 Mbit/s, the others of 20 Mbit/s.
 func fleetOf(size, wide int) []*Member {
 	var out []*Member
 	for i := range size {
@@ -19,8 +19,8 @@
 	return out
 }
 
-// Guards against store readers, and daemons that read from one, that grow in
-// number with the fleet, and against readers that read from each other in a circle.
+// Guards against numbers of store readers, and of readers per daemon, that grow with the
+// fleet, and against daemons that read from each other in a cycle.
 func TestTreeIsBoundedAtAnySize(t *testing.T) {
 	for _, c := range []struct{ size, wide, depth int }{
 		{100, 2, 2}, {300, 2, 2}, {985, 10, 2}, {2000, 20, 3}, {985, 0, 4}, {2000, 0, 5},
@@ -44,9 +44,9 @@
 				t.Errorf("%d daemons read the store", direct)
 			}
 			for addr, count := range readers {
-				// The heads' readers choose one of two by hash; the root has other heads too.
-				if most := readersOf(byAddr[addr], c.size)*13/10 + headsPerZone*5; count > most {
-					t.Errorf("%d read from %s with a link of %d, want %d", count, addr, byAddr[addr].LinkMbps, most)
+				// Readers choose one of two heads by hash, and the root also serves other heads.
+				if limit := readersOf(byAddr[addr], c.size)*13/10 + headsPerZone*5; count > limit {
+					t.Errorf("%d read from %s with a link of %d, want %d", count, addr, byAddr[addr].LinkMbps, limit)
 				}
 			}
 			for addr, up := range places {
@@ -68,9 +68,9 @@
 	}
 }
 
-// Guards against a fleet that reads nothing while its root alone can't reach the
-// store, and against daemons that all go to the store while it is away for all.
-func TestTreePassesOverADaemonWithoutTheStore(t *testing.T) {
+// Guards against a fleet that reads nothing while only its root can't reach the store, and
+// against daemons that all access the store while none can reach it.
+func TestTreeSkipsDaemonWithoutStore(t *testing.T) {
 	fleet := fleetOf(100, 2)
 	var root *Member
 	for _, n := range fleet {
