--- a/process/membership/membership.go
+++ b/process/membership/membership.go
@@ -1,14 +1,15 @@
-// Package membership tells each daemon which others are alive. The VM list
-// says who should exist, but it lags; heartbeats say who answers.
+// Package membership detects which daemons of the fleet are alive. The VM list states
+// which daemons should exist, but it lags behind; heartbeats show which ones respond.
 //
-// Each round a process probes one of its neighbours: the next members after it
-// on several rings. One that doesn't answer is probed through a few others,
-// so that a single broken path is no death; then it is suspect, and dead
-// after a while unless it refutes that. Changes ride on the heartbeats. The
-// bytes a process sends don't depend on the number of members.
+// In each round a process probes one of its neighbours, which are the next members on
+// several hash rings. A neighbour that doesn't respond is probed through a few other
+// members, so that a single broken path causes no false detection. If that fails too, it
+// is suspect, and after a timeout dead unless it refutes the suspicion. Updates are
+// piggybacked on heartbeats. The traffic of a process doesn't depend on the number of
+// members.
 //
-// One goroutine owns the table. Probes run in goroutines of their own and
-// report back to it; readers load an immutable view.
+// One goroutine owns the table. Probes run in goroutines of their own and post their
+// results to it. Readers load an immutable view.
 package membership
 
 import (
@@ -29,64 +30,64 @@
 	Heartbeat(ctx context.Context, addr string, r *peerpb.HeartbeatRequest) (*peerpb.HeartbeatReply, error)
 }
 
-// Convictions carries quarantine news on heartbeats. Both methods are called
-// from several goroutines.
+// Convictions exchanges quarantine updates with peers on heartbeats. Its methods are
+// called from several goroutines.
 type Convictions interface {
-	// Outgoing returns the news to send now.
+	// Outgoing returns the updates to send now.
 	Outgoing() []*peerpb.Conviction
-	// Incoming takes news that a peer sent.
+	// Incoming merges updates received from a peer.
 	Incoming([]*peerpb.Conviction)
 }
 
-// Options of a Membership. Self, Prober and Period are required.
+// Options configures a Membership. Self, Prober and Period are required.
 type Options struct {
 	Self        *peerpb.Member // id, incarnation, start, addresses, zone
 	Prober      Prober
 	VMs         port.VMs               // may be nil
-	PeerAddr    func(port.VM) string   // where a listed VM takes heartbeats
-	IsTarget    func(host string) bool // a document names the VM as a target; may be nil
-	Applied     func() int64           // control offset in force here
+	PeerAddr    func(port.VM) string   // address at which a listed VM receives heartbeats
+	IsTarget    func(host string) bool // whether a document names the VM as a target; may be nil
+	Applied     func() int64           // control offset applied by this process
 	Convictions Convictions            // may be nil
-	Now         func() time.Duration   // local clock; never steps back
+	Now         func() time.Duration   // monotonic local clock
 	Period      time.Duration          // between probes
-	DeadAfter   time.Duration          // silence until a member is dead
-	ListPeriod  time.Duration          // between reads of the VM list; 1s
+	DeadAfter   time.Duration          // time without a response after which a member is dead
+	ListPeriod  time.Duration          // interval between reads of the VM list; default 1s
 	Seed        uint64                 // of the probe order
 	Log         log.Interface          // may be nil
-	OnChange    func(*peerpb.Member)   // called by the owner goroutine; may be nil
+	OnChange    func(*peerpb.Member)   // called on the loop goroutine; may be nil
 }
 
-// Membership runs the heartbeats of one process.
+// Membership runs failure detection and gossip of one process.
 type Membership struct {
 	o       Options
 	tomb    tomb.Tomb
 	started time.Duration // set once, in New
-	calls   chan func()
+	tasks   chan func()
 	view    atomic.Pointer[View]
-	// leaving holds the VMs that the VM list shows as leaving.
+	// leaving holds the VMs that the VM list marks as leaving.
 	leaving atomic.Pointer[[]port.VM]
 
 	// Owned by the loop goroutine.
 	table    *table
-	schedule *schedule
+	schedule *probeSchedule
 	lastTick time.Duration
-	resumed  time.Duration // first round after the last pause, 0 before one
+	resumed  time.Duration // first round after the last pause, 0 before the first pause
 
-	lastList time.Duration
-	nextFull time.Duration // when all members are asked for
-	fullWait time.Duration // between the last two requests for all
-	listing  bool
-	peers    peerContact
+	lastList         time.Duration
+	nextFullSync     time.Duration // when all members are requested next
+	fullSyncInterval time.Duration // interval before the next request for all members
+	listing          bool
+	contact          contactState
 }
 
-// peerContact remembers when any peer last answered.
-type peerContact struct{ last time.Duration }
+// contactState records the time of the last message from any peer.
+type contactState struct{ last time.Duration }
 
-// checkPeriods is how long the two checks before a death take at most: each
-// asks directly and then through others.
-const checkPeriods = 4
+// maxCheckPeriods is the maximum duration, in periods, of the two checks before a member
+// is marked dead. Each check probes directly and then through relays.
+const maxCheckPeriods = 4
 
-// New returns a Membership that isn't running yet.
+// New returns a Membership that is not yet started.
 func New(o Options) *Membership {
 	if o.ListPeriod == 0 {
 		o.ListPeriod = time.Second
@@ -102,12 +103,12 @@
 	}
 	m := &Membership{
 		o:     o,
-		calls: make(chan func(), 64),
-		table: newTable(o.Self, limits{
-			suspicion: max(o.DeadAfter-checkPeriods*o.Period, o.Period),
+		tasks: make(chan func(), 64),
+		table: newTable(o.Self, timeouts{
+			suspicion: max(o.DeadAfter-maxCheckPeriods*o.Period, o.Period),
 			tombstone: 20 * o.DeadAfter,
 		}),
-		schedule: &schedule{rnd: rand.New(rand.NewPCG(o.Seed, 1))},
+		schedule: &probeSchedule{rnd: rand.New(rand.NewPCG(o.Seed, 1))},
 	}
 	m.started = o.Now()
 	m.lastTick = m.started
@@ -116,7 +117,7 @@
 	return m
 }
 
-// Start runs the loop until Stop.
+// Start runs the loop goroutine until Stop.
 func (m *Membership) Start() { m.tomb.Go(m.loop) }
 
 // Stop ends the loop and waits for it and its probes.
@@ -133,7 +134,7 @@
 		select {
 		case <-m.tomb.Dying():
 			return nil
-		case f := <-m.calls:
+		case f := <-m.tasks:
 			f()
 		case <-tick.C:
 			m.round()
@@ -146,7 +147,7 @@
 func (m *Membership) do(f func()) bool {
 	done := make(chan struct{})
 	select {
-	case m.calls <- func() { f(); close(done) }:
+	case m.tasks <- func() { f(); close(done) }:
 	case <-m.tomb.Dying():
 		return false
 	}
@@ -161,7 +162,7 @@
 // post runs f on the loop goroutine without waiting.
 func (m *Membership) post(f func()) {
 	select {
-	case m.calls <- f:
+	case m.tasks <- f:
 	case <-m.tomb.Dying():
 	}
 }
@@ -171,21 +172,21 @@
 	now := m.o.Now()
 	if m.pausedBetween(m.lastTick, now) {
 		m.resumed = now
-		m.o.Log.WithField("ms", (now - m.lastTick).Milliseconds()).Warn("membership: paused")
+		m.o.Log.WithField("ms", (now - m.lastTick).Milliseconds()).Warn("membership: process was paused")
 	}
 	m.lastTick = now
 	for _, e := range m.table.tick(now) {
-		m.confirm(e)
+		m.confirmDead(e)
 	}
 	m.readList(now)
 	e := m.schedule.next(m.table)
 	if e == nil {
 		return
 	}
-	m.probe(e)
+	m.probeMember(e)
 }
 
-// Leave tells everyone that this process is leaving.
+// Leave announces to the peers that this process is leaving.
 func (m *Membership) Leave() {
 	m.do(m.table.leave)
 }
--- a/process/membership/news.go
+++ b/process/membership/news.go
@@ -7,64 +7,63 @@
 	"github.com/pomelospool/pomelospool/peer/peerpb"
 )
 
-// newsPerMessage bounds the members that ride on one heartbeat. At about 60
+// maxUpdatesPerMessage bounds the member updates piggybacked on one heartbeat. At about 60
 // bytes each it keeps a message under 500 bytes.
-const newsPerMessage = 6
+const maxUpdatesPerMessage = 6
 
-// newsQueue spreads each change a limited number of times, so that the bytes
-// of a heartbeat don't grow with the number of members.
+// updateQueue sends each update a limited number of times, so that the size of a heartbeat
+// doesn't grow with the number of members.
 //
-// What has not been spread by then leaves after a number of messages too. When
-// hundreds of daemons start at once each has hundreds of changes to tell, and
-// would fill its messages with them for many minutes; requests for all members
-// have long told them.
-type newsQueue struct {
-	items map[string]*newsItem
-	taken int // messages filled so far
+// Updates also expire after a number of messages. When hundreds of daemons start at once,
+// each has hundreds of updates to send and would fill its messages with them for many
+// minutes, although requests for all members have long delivered them.
+type updateQueue struct {
+	items    map[string]*queuedUpdate
+	messages int // messages filled so far
 }
 
-type newsItem struct {
-	m     *peerpb.Member
-	sent  int
-	since int // taken when the change was queued
+type queuedUpdate struct {
+	member        *peerpb.Member
+	transmissions int
+	queuedAt      int // value of messages when the update was queued
 }
 
-func newNewsQueue() *newsQueue { return &newsQueue{items: make(map[string]*newsItem)} }
+func newUpdateQueue() *updateQueue { return &updateQueue{items: make(map[string]*queuedUpdate)} }
 
-// add queues a change; an older one about the same member is replaced.
-func (q *newsQueue) add(m *peerpb.Member) {
-	q.items[m.Id] = &newsItem{m: cloneMember(m), since: q.taken}
+// add queues an update and replaces an older one about the same member.
+func (q *updateQueue) add(m *peerpb.Member) {
+	q.items[m.Id] = &queuedUpdate{member: cloneMember(m), queuedAt: q.messages}
 }
 
-// take returns the changes for the next message to a fleet of n members,
-// the least spread first. A change leaves after 4*log2(n) messages, with
-// which gossip reaches all members with high probability.
-func (q *newsQueue) take(n int) []*peerpb.Member {
-	q.taken++
+// next returns the updates for the next message to a fleet of n members, the least
+// transmitted first. An update is removed after about 4*log2(n) transmissions, with which
+// gossip reaches all members with high probability.
+func (q *updateQueue) next(n int) []*peerpb.Member {
+	q.messages++
 	limit := 4 * (bits.Len(uint(n)) + 1)
-	list := make([]*newsItem, 0, len(q.items))
+	list := make([]*queuedUpdate, 0, len(q.items))
 	for id, it := range q.items {
-		if q.taken-it.since > 2*limit {
+		if q.messages-it.queuedAt > 2*limit {
 			delete(q.items, id)
 			continue
 		}
 		list = append(list, it)
 	}
 	sort.Slice(list, func(i, j int) bool {
-		if list[i].sent != list[j].sent {
-			return list[i].sent < list[j].sent
+		if list[i].transmissions != list[j].transmissions {
+			return list[i].transmissions < list[j].transmissions
 		}
-		return list[i].m.Id < list[j].m.Id
+		return list[i].member.Id < list[j].member.Id
 	})
-	if len(list) > newsPerMessage {
-		list = list[:newsPerMessage]
+	if len(list) > maxUpdatesPerMessage {
+		list = list[:maxUpdatesPerMessage]
 	}
 	out := make([]*peerpb.Member, 0, len(list))
 	for _, it := range list {
-		out = append(out, it.m)
-		it.sent++
-		if it.sent >= limit {
-			delete(q.items, it.m.Id)
+		out = append(out, it.member)
+		it.transmissions++
+		if it.transmissions >= limit {
+			delete(q.items, it.member.Id)
 		}
 	}
 	return out
--- a/process/membership/probe.go
+++ b/process/membership/probe.go
@@ -12,30 +12,29 @@
 	"github.com/pomelospool/pomelospool/peer/peerpb"
 )
 
-// relays is how many members are asked to probe one that didn't answer.
-const relays = 3
+// relaysPerProbe is the number of members that are asked to probe one that didn't respond.
+const relaysPerProbe = 3
 
-// deadEvery is the number of rounds between probes of silent members that the
-// VM list still names. Without them the two sides of a healed partition would
-// never talk again.
-const deadEvery = 6
+// roundsPerDeadProbe is the number of rounds between probes of unresponsive members that
+// the VM list still contains. Without these probes the two sides of a healed partition
+// would never exchange messages again.
+const roundsPerDeadProbe = 6
 
-// schedule picks whom to probe. It goes through a random order of its
-// neighbours before it starts anew, so that each one is probed within a
-// bounded time.
-type schedule struct {
+// probeSchedule selects the members to probe. It visits all neighbours in a random order
+// before it starts again, so that each one is probed within a bounded time.
+type probeSchedule struct {
 	rnd   *rand.Rand
 	order []string
 	round int
 }
 
-// next returns the member to probe in this round, or nil. Members that were
-// never heard of are probed rarely, since the VM list names VMs of all kinds;
-// only a process that knows nobody alive asks them in every round.
-func (s *schedule) next(t *table) *entry {
+// next returns the member to probe in this round, or nil. Members that have never
+// responded are probed rarely, since the VM list contains VMs of all kinds. Only a process
+// that knows no live member probes them in every round.
+func (s *probeSchedule) next(t *table) *tableEntry {
 	s.round++
-	if s.round%deadEvery == 0 {
-		if e := s.silent(t); e != nil {
+	if s.round%roundsPerDeadProbe == 0 {
+		if e := s.randomDead(t); e != nil {
 			return e
 		}
 	}
@@ -43,27 +42,27 @@
 		for len(s.order) > 0 {
 			id := s.order[0]
 			s.order = s.order[1:]
-			if e := t.members[id]; e != nil && e.talks() {
+			if e := t.members[id]; e != nil && e.isResponsive() {
 				return e
 			}
 		}
 		s.shuffle(t)
 	}
-	return s.silent(t)
+	return s.randomDead(t)
 }
 
-// neighbours is how many members a process probes in turn. With as many rings
-// as neighbours each member is probed by that many others too, and no process
-// needs connections to the whole fleet.
-const neighbours = 8
+// ringCount is the number of rings and thus of neighbours that a process probes in turn.
+// Each member is probed by about as many others, and no process needs connections to the
+// whole fleet.
+const ringCount = 8
 
-// shuffle takes the process's neighbours in a new random order. On each of
-// several rings, ordered by a hash of ring and id, the neighbour is the next
-// member after this process. The rings are random to each other, so news
-// crosses the fleet in few steps, and one failure changes few neighbours.
-func (s *schedule) shuffle(t *table) {
+// shuffle puts the process's neighbours into a new random order. On each ring, which is
+// ordered by a hash of ring and id, the neighbour is the next member after this process.
+// The rings are independent of each other, so updates reach the fleet in few hops, and one
+// failure changes few neighbours.
+func (s *probeSchedule) shuffle(t *table) {
 	s.order = s.order[:0]
-	for ring := range neighbours {
+	for ring := range ringCount {
 		id := t.successor(ring)
 		if id != "" && !slices.Contains(s.order, id) {
 			s.order = append(s.order, id)
@@ -72,15 +71,16 @@
 	s.rnd.Shuffle(len(s.order), func(i, j int) { s.order[i], s.order[j] = s.order[j], s.order[i] })
 }
 
-// successor returns the member after self on a ring, or "" when alone.
+// successor returns the member that follows this process on a ring, or "" if there is
+// none.
 func (t *table) successor(ring int) string {
 	self := ringHash(ring, t.self.Id)
 	best, found := "", uint64(math.MaxUint64)
 	for id, e := range t.members {
-		if !e.talks() {
+		if !e.isResponsive() {
 			continue
 		}
-		// Distance along the ring, which wraps around with the integers.
+		// Unsigned subtraction gives the distance along the ring, with wrap-around.
 		if d := ringHash(ring, id) - self; d < found || best == "" {
 			best, found = id, d
 		}
@@ -88,15 +88,16 @@
 	return best
 }
 
+// ringHash returns the position of a member on a ring.
 func ringHash(ring int, id string) uint64 {
 	return xxhash.Sum64String(strconv.Itoa(ring) + "/" + id)
 }
 
-// silent returns a listed member that is dead or was never heard of, or nil.
-func (s *schedule) silent(t *table) *entry {
+// randomDead returns a random listed member that is dead or has never responded, or nil.
+func (s *probeSchedule) randomDead(t *table) *tableEntry {
 	var ids []string
 	for id, e := range t.members {
-		if e.listed && !e.talks() {
+		if e.listed && !e.isResponsive() {
 			ids = append(ids, id)
 		}
 	}
@@ -107,18 +108,18 @@
 	return t.members[ids[s.rnd.IntN(len(ids))]]
 }
 
-// relaysFor returns up to relays live members other than id.
-func (s *schedule) relaysFor(t *table, id string) []*peerpb.Member {
+// chooseRelays returns up to relaysPerProbe random live members other than id.
+func (s *probeSchedule) chooseRelays(t *table, id string) []*peerpb.Member {
 	var list []*peerpb.Member
 	for other, e := range t.members {
-		if other != id && e.m.State == peerpb.Member_LIVE {
-			list = append(list, e.m)
+		if other != id && e.member.State == peerpb.Member_LIVE {
+			list = append(list, e.member)
 		}
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Id < list[j].Id })
 	s.rnd.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	if len(list) > relays {
-		list = list[:relays]
+	if len(list) > relaysPerProbe {
+		list = list[:relaysPerProbe]
 	}
 	return list
 }
--- a/process/membership/table.go
+++ b/process/membership/table.go
@@ -9,45 +9,45 @@
 	"github.com/pomelospool/pomelospool/peer/peerpb"
 )
 
-// entry is what the table knows of one member.
-type entry struct {
-	m       *peerpb.Member
-	since   time.Duration // when the present state began, on the local clock
-	listed  bool          // stands in the VM list
-	leaving bool          // the VM list says that it leaves
+// tableEntry is the state of one member.
+type tableEntry struct {
+	member  *peerpb.Member
+	since   time.Duration // start of the current state, on the local clock
+	listed  bool          // contained in the VM list
+	leaving bool          // marked as leaving in the VM list
 
-	confirming bool // a last check before death is under way
+	confirming bool // whether the last check before it is marked dead is running
 }
 
-// known reports whether the member was ever heard of.
-func (e *entry) known() bool { return e.m.StartedMs != 0 }
+// known reports whether anything was ever received about the member.
+func (e *tableEntry) known() bool { return e.member.StartedMs != 0 }
 
-// talks reports whether the member is expected to answer.
-func (e *entry) talks() bool { return e.known() && e.m.State != peerpb.Member_DEAD }
+// isResponsive reports whether the member is expected to respond.
+func (e *tableEntry) isResponsive() bool { return e.known() && e.member.State != peerpb.Member_DEAD }
 
-// table holds the members by VM id. It is owned by one goroutine; every
-// method takes the time, so that tests drive it with a virtual clock. A
-// *peerpb.Member in it is never changed in place, since messages that are
-// being sent share it; self is, and so is copied wherever it leaves.
+// table holds the members by VM id. It is owned by one goroutine. Its methods take the
+// time as a parameter, so that tests can use a virtual clock. A *peerpb.Member in members
+// is never modified, because messages in transmission share it. self is modified and
+// therefore copied wherever it is passed on.
 type table struct {
-	self    *peerpb.Member
-	members map[string]*entry // without self
-	news    *newsQueue
-	limits  limits
+	self     *peerpb.Member
+	members  map[string]*tableEntry // excludes self
+	updates  *updateQueue
+	timeouts timeouts
 }
 
-// limits are the times of failure detection.
-type limits struct {
-	suspicion time.Duration // from suspect until dead
-	tombstone time.Duration // how long a dead member is remembered
+// timeouts are the timeouts of failure detection.
+type timeouts struct {
+	suspicion time.Duration // from suspect to dead
+	tombstone time.Duration // how long a dead member is kept
 }
 
-func newTable(self *peerpb.Member, l limits) *table {
-	return &table{self: self, members: make(map[string]*entry), news: newNewsQueue(), limits: l}
+func newTable(self *peerpb.Member, l timeouts) *table {
+	return &table{self: self, members: make(map[string]*tableEntry), updates: newUpdateQueue(), timeouts: l}
 }
 
-// supersedes reports whether update a replaces b about the same VM: a later start
-// first, then a higher beat, then the worse state.
+// supersedes reports whether update a replaces b about the same VM. A later start wins,
+// then a higher beat, then the more severe state.
 func supersedes(a, b *peerpb.Member) bool {
 	if a.StartedMs != b.StartedMs {
 		return a.StartedMs > b.StartedMs
@@ -58,7 +58,7 @@
 	return severity(a.State) > severity(b.State)
 }
 
-// severity orders the states that one beat may have.
+// severity orders the states that a member may have at the same beat.
 func severity(s peerpb.Member_State) int {
 	switch s {
 	case peerpb.Member_LIVE:
@@ -72,7 +72,7 @@
 	}
 }
 
-// merge takes one update in and reports whether it was new.
+// merge merges one update and reports whether it was new.
 func (t *table) merge(now time.Duration, m *peerpb.Member) bool {
 	if m.GetId() == "" {
 		return false
@@ -80,57 +80,57 @@
 	if m.Id == t.self.Id {
 		return t.refute(m)
 	}
-	if !t.take(now, m) {
+	if !t.replaceIfNewer(now, m) {
 		return false
 	}
-	t.news.add(m)
+	t.updates.add(m)
 	return true
 }
 
-// take replaces what is held of a member if m is newer.
-func (t *table) take(now time.Duration, m *peerpb.Member) bool {
+// replaceIfNewer replaces the state of a member if m is newer.
+func (t *table) replaceIfNewer(now time.Duration, m *peerpb.Member) bool {
 	e, ok := t.members[m.Id]
 	if !ok {
-		t.members[m.Id] = &entry{m: m, since: now}
+		t.members[m.Id] = &tableEntry{member: m, since: now}
 		return true
 	}
-	if !supersedes(m, e.m) {
-		t.noteApplied(e, m)
+	if !supersedes(m, e.member) {
+		t.updateApplied(e, m)
 		return false
 	}
-	e.m = m
+	e.member = m
 	e.since = now
 	return true
 }
 
-// takeFull takes a peer's answer with all members in and reports whether it
-// brought anything new. It isn't spread further as news: everyone asks for
-// such answers, and hundreds of old news would hold up the few that matter.
-func (t *table) takeFull(now time.Duration, all []*peerpb.Member) bool {
-	grew := false
+// mergeFull merges a peer's answer with all members and reports whether it contained
+// anything new. The members are not queued as updates: all processes request such answers,
+// and hundreds of old updates would delay the few that matter.
+func (t *table) mergeFull(now time.Duration, all []*peerpb.Member) bool {
+	changed := false
 	for _, m := range all {
 		if m.GetId() == t.self.Id {
 			t.refute(m)
 			continue
 		}
-		grew = t.take(now, m) || grew
+		changed = t.replaceIfNewer(now, m) || changed
 	}
-	return grew
+	return changed
 }
 
-// noteApplied keeps the newest offset that the same incarnation reported.
-func (t *table) noteApplied(e *entry, m *peerpb.Member) {
-	if m.Incarnation != e.m.Incarnation || m.Applied <= e.m.Applied {
+// updateApplied keeps the highest offset that the same incarnation has reported.
+func (t *table) updateApplied(e *tableEntry, m *peerpb.Member) {
+	if m.Incarnation != e.member.Incarnation || m.Applied <= e.member.Applied {
 		return
 	}
-	next := cloneMember(e.m)
+	next := cloneMember(e.member)
 	next.Applied = m.Applied
-	e.m = next
+	e.member = next
 }
 
-// refute answers news that call this process suspect or dead. Without it a
-// process that was paused or cut off for a moment would stay dead in the
-// others' tables for good; the higher beat overrides every older statement.
+// refute overrides updates that report this process as suspect or dead by raising its
+// beat. Otherwise a process that was briefly paused or isolated would stay dead in the
+// others' tables forever.
 func (t *table) refute(m *peerpb.Member) bool {
 	if m.Incarnation != t.self.Incarnation || severity(m.State) < severity(peerpb.Member_SUSPECT) {
 		return false
@@ -139,55 +139,56 @@
 		return false
 	}
 	t.self.Beat = m.Beat + 1
-	t.news.add(t.self)
+	t.updates.add(t.self)
 	return true
 }
 
-// heard notes a direct answer or probe from a member. The member speaks for
-// itself, so a suspicion held here ends; what others hold they check themselves
-// before they call it dead.
-func (t *table) heard(now time.Duration, m *peerpb.Member) {
+// recordContact merges what a member reports directly about itself. Direct contact ends a
+// suspicion in this table. Other processes check the member themselves before they mark it
+// dead.
+func (t *table) recordContact(now time.Duration, m *peerpb.Member) {
 	t.merge(now, m)
 	e := t.members[m.Id]
-	if e == nil || e.m.Incarnation != m.Incarnation {
+	if e == nil || e.member.Incarnation != m.Incarnation {
 		return
 	}
-	t.noteApplied(e, m)
-	t.acquit(now, e, m.Beat)
+	t.updateApplied(e, m)
+	t.clearSuspicion(now, e, m.Beat)
 }
 
-// acquit ends a suspicion of the given beat, in this table only.
-func (t *table) acquit(now time.Duration, e *entry, beat uint64) {
-	if e.m.State != peerpb.Member_SUSPECT || e.m.Beat != beat {
+// clearSuspicion ends a suspicion of the given beat, in this table only.
+func (t *table) clearSuspicion(now time.Duration, e *tableEntry, beat uint64) {
+	if e.member.State != peerpb.Member_SUSPECT || e.member.Beat != beat {
 		return
 	}
-	m := cloneMember(e.m)
+	m := cloneMember(e.member)
 	m.State = peerpb.Member_LIVE
-	e.m = m
+	e.member = m
 	e.since = now
 }
 
-// suspect marks a member that answered neither directly nor through others.
-func (t *table) suspect(now time.Duration, id string) {
+// markSuspect marks a member that could be reached neither directly nor through relays.
+func (t *table) markSuspect(now time.Duration, id string) {
 	e := t.members[id]
-	if e == nil || severity(e.m.State) >= severity(peerpb.Member_SUSPECT) {
+	if e == nil || severity(e.member.State) >= severity(peerpb.Member_SUSPECT) {
 		return
 	}
 	t.setState(now, e, peerpb.Member_SUSPECT)
 }
 
-func (t *table) setState(now time.Duration, e *entry, s peerpb.Member_State) {
-	m := cloneMember(e.m)
+// setState sets the state of a member and queues the update.
+func (t *table) setState(now time.Duration, e *tableEntry, s peerpb.Member_State) {
+	m := cloneMember(e.member)
 	m.State = s
-	e.m = m
+	e.member = m
 	e.since = now
-	t.news.add(m)
+	t.updates.add(m)
 }
 
-// tick returns the members whose suspicion is old enough for a last check,
-// and forgets old tombstones.
-func (t *table) tick(now time.Duration) []*entry {
-	var due []*entry
+// tick returns the members whose suspicion has timed out and needs a last check, and
+// removes expired tombstones.
+func (t *table) tick(now time.Duration) []*tableEntry {
+	var due []*tableEntry
 	for id, e := range t.members {
 		age := now - e.since
 		switch {
@@ -195,40 +196,40 @@
 			if !e.listed {
 				delete(t.members, id)
 			}
-		case e.m.State == peerpb.Member_SUSPECT && age >= t.limits.suspicion:
+		case e.member.State == peerpb.Member_SUSPECT && age >= t.timeouts.suspicion:
 			if !e.confirming {
 				due = append(due, e)
 			}
-		case e.m.State == peerpb.Member_DEAD && !e.listed && age >= t.limits.tombstone:
+		case e.member.State == peerpb.Member_DEAD && !e.listed && age >= t.timeouts.tombstone:
 			delete(t.members, id)
 		}
 	}
 	return due
 }
 
-// digest sums up what is known of all members, self included. Two tables with
-// the same digest hold the same, so a full answer would bring nothing.
+// digest returns a hash over the known state of all members, self included. Tables with
+// the same digest have the same content, so a full answer would add nothing.
 func (t *table) digest() uint64 {
 	sum := memberHash(t.self)
 	for _, e := range t.members {
 		if e.known() {
-			sum ^= memberHash(e.m)
+			sum ^= memberHash(e.member)
 		}
 	}
 	return sum
 }
 
-// memberHash covers what decides which of two statements is newer.
+// memberHash covers the fields that decide which of two updates is newer.
 func memberHash(m *peerpb.Member) uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%s/%d/%d/%d", m.Id, m.StartedMs, m.Beat, m.State))
 }
 
-// all returns every member that has been heard of.
+// all returns every other known member.
 func (t *table) all() []*peerpb.Member {
 	out := make([]*peerpb.Member, 0, len(t.members))
 	for _, e := range t.members {
 		if e.known() {
-			out = append(out, e.m)
+			out = append(out, e.member)
 		}
 	}
 	return out
@@ -238,7 +239,7 @@
 func (t *table) leave() {
 	t.self.State = peerpb.Member_LEAVING
 	t.self.Beat++
-	t.news.add(t.self)
+	t.updates.add(t.self)
 }
 
 func cloneMember(m *peerpb.Member) *peerpb.Member {
--- a/process/membership/view.go
+++ b/process/membership/view.go
@@ -8,34 +8,35 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// View is an immutable picture of the members, self first, then by id.
+// View is an immutable snapshot of the members, ordered by id.
 type View struct {
 	Self        *peerpb.Member
 	Members     []Seen
 	PeerContact time.Duration // local time of the last message from any peer
 	Round       time.Duration // local time of the last round
-	Resumed     time.Duration // local time of the first round after a pause of this process, 0 before one
+	Resumed     time.Duration // local time of the first round after the last pause of this process, 0 before the first pause
 }
 
-// Seen is one other member.
+// Seen is the state of one other member.
 type Seen struct {
 	Member  *peerpb.Member
-	Leaving bool // by its own word or by the VM list
-	Listed  bool // stands in the VM list
+	Leaving bool // according to its own report or the VM list
+	Listed  bool // contained in the VM list
 }
 
-// Usable reports whether the member is there to work with.
+// Usable reports whether the member is live and not leaving.
 func (s Seen) Usable() bool { return s.Member.State == peerpb.Member_LIVE && !s.Leaving }
 
-// View returns the newest picture.
+// View returns the current snapshot.
 func (m *Membership) View() *View { return m.view.Load() }
 
+// publish stores a new snapshot.
 func (m *Membership) publish() {
-	v := &View{Self: cloneMember(m.table.self), PeerContact: m.peers.last, Round: m.lastTick, Resumed: m.resumed}
+	v := &View{Self: cloneMember(m.table.self), PeerContact: m.contact.last, Round: m.lastTick, Resumed: m.resumed}
 	for _, e := range m.table.members {
 		v.Members = append(v.Members, Seen{
-			Member:  cloneMember(e.m),
-			Leaving: e.leaving || e.m.State == peerpb.Member_LEAVING,
+			Member:  cloneMember(e.member),
+			Leaving: e.leaving || e.member.State == peerpb.Member_LEAVING,
 			Listed:  e.listed,
 		})
 	}
@@ -43,18 +44,16 @@
 	m.view.Store(v)
 }
 
-// Standing is what is known of one incarnation.
+// Standing states whether an incarnation may still act.
 type Standing int
 
-// The standings of an incarnation.
 const (
-	Unheard Standing = iota // no word about it
+	Unheard Standing = iota // nothing is known about it
 	Alive                   // live, suspect or leaving: it may still act
 	Gone                    // dead, or its VM runs a later incarnation
 )
 
-// Standing reports whether the incarnation, of the VM with the given id, may
-// still act.
+// Standing returns whether an incarnation of the VM with the given id may still act.
 func (v *View) Standing(vm, incarnation string) Standing {
 	if v.Self.Id == vm {
 		if v.Self.Incarnation == incarnation {
@@ -74,8 +73,8 @@
 	return Unheard
 }
 
-// Rank returns this process's place among the usable members, by id, and
-// their number. A process that is leaving ranks behind all.
+// Rank returns the rank of this process among the usable members, by id, and their number.
+// A process that is leaving ranks last.
 func (v *View) Rank() (rank, of int) {
 	of = 1
 	for _, s := range v.Members {
@@ -93,7 +92,7 @@
 	return rank, of
 }
 
-// Reachable counts the known members and those that are live, without self.
+// Reachable returns the numbers of live and of known members, without self.
 func (v *View) Reachable() (live, known int) {
 	for _, s := range v.Members {
 		if s.Member.StartedMs == 0 || !s.Listed && s.Member.State == peerpb.Member_DEAD {
@@ -107,8 +106,8 @@
 	return live, known
 }
 
-// LeavingVMs returns the VMs of any kind that the newest VM list shows as
-// leaving, the VMs of targets included.
+// LeavingVMs returns the VMs of any kind that the current VM list marks as leaving,
+// including the VMs of targets.
 func (m *Membership) LeavingVMs() []port.VM {
 	if p := m.leaving.Load(); p != nil {
 		return *p
@@ -116,5 +115,5 @@
 	return nil
 }
 
-// Uptime is how long this process has been listening.
+// Uptime returns the time since this Membership was created.
 func (m *Membership) Uptime() time.Duration { return m.o.Now() - m.started }
--- a/process/membership/vmlist.go
+++ b/process/membership/vmlist.go
@@ -9,7 +9,7 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// readList asks for the VM list off the loop, at most once a ListPeriod.
+// readList reads the VM list outside of the loop goroutine, at most once per ListPeriod.
 func (m *Membership) readList(now time.Duration) {
 	if m.o.VMs == nil || m.listing || now-m.lastList < m.o.ListPeriod {
 		return
@@ -25,7 +25,7 @@
 			if err != nil {
 				return
 			}
-			m.table.applyList(m.o.Now(), m.daemons(vms), m.o.PeerAddr)
+			m.table.applyList(m.o.Now(), m.withoutTargets(vms), m.o.PeerAddr)
 			leaving := slices.DeleteFunc(slices.Clone(vms), func(v port.VM) bool { return !v.Leaving })
 			m.leaving.Store(&leaving)
 		})
@@ -33,16 +33,15 @@
 	})
 }
 
-// daemons leaves out the VMs of targets. They never answer heartbeats: among
-// hundreds of them, daemons that all start at once would take minutes to find
-// each other.
-func (m *Membership) daemons(vms []port.VM) []port.VM {
+// withoutTargets removes the VMs of targets. They never answer heartbeats, and with
+// hundreds of them, daemons that all start at once would take minutes to find each other.
+func (m *Membership) withoutTargets(vms []port.VM) []port.VM {
 	return slices.DeleteFunc(slices.Clone(vms), func(v port.VM) bool { return m.o.IsTarget(v.Addr) })
 }
 
-// applyList takes the VM list in. A VM that is new here becomes a member that
-// still has to answer; one that left the list is forgotten once it is dead.
-// The list lags, so it never ends a member that answers.
+// applyList merges the VM list. A new VM becomes a member that has yet to respond. A
+// member that is no longer listed is removed once it is dead. The list lags behind, so it
+// never removes a member that responds.
 func (t *table) applyList(now time.Duration, vms []port.VM, addr func(port.VM) string) {
 	listed := make(map[string]port.VM, len(vms))
 	for _, v := range vms {
@@ -51,7 +50,7 @@
 			continue
 		}
 		if _, ok := t.members[v.ID]; !ok {
-			t.members[v.ID] = &entry{since: now, m: &peerpb.Member{
+			t.members[v.ID] = &tableEntry{since: now, member: &peerpb.Member{
 				Id: v.ID, PeerAddr: addr(v), Zone: v.Zone, State: peerpb.Member_SUSPECT,
 			}}
 		}
