--- a/process/daemon/control.go
+++ b/process/daemon/control.go
@@ -195,7 +195,7 @@
 	}
 	live, known := d.members.View().Reachable()
 	if live+1 > known-live {
-		return d.members.PeerAge() > d.s.Control.Isolation && known > 0
+		return d.members.TimeSinceContact() > d.s.Control.Isolation && known > 0
 	}
 	return true
 }
--- a/process/daemon/operators.go
+++ b/process/daemon/operators.go
@@ -97,7 +97,7 @@
 	return "serving"
 }
 
-func memberStatus(m membership.Seen) status.Member {
+func memberStatus(m membership.MemberView) status.Member {
 	state := strings.ToLower(m.Member.State.String())
 	if m.Leaving && state == status.StateLive {
 		state = "leaving"
--- a/process/daemon/peers.go
+++ b/process/daemon/peers.go
@@ -43,7 +43,7 @@
 
 // Fetch asks one live peer, at random, so that a bad one isn't asked for ever.
 func (p *peerRecords) Fetch(ctx context.Context, from int64) (follow.Batch, error) {
-	var live []membership.Seen
+	var live []membership.MemberView
 	for _, s := range p.d.members.View().Members {
 		if s.Member.State == peerpb.Member_LIVE {
 			live = append(live, s)
@@ -77,7 +77,7 @@
 // ever hears of the old holders.
 func (v *leaseView) Gone(incarnation string) bool {
 	vm, _, _ := strings.Cut(incarnation, "/")
-	switch v.d.members.View().Standing(vm, incarnation) {
+	switch v.d.members.View().Liveness(vm, incarnation) {
 	case membership.Alive:
 		return false
 	case membership.Gone:
--- a/process/front/front.go
+++ b/process/front/front.go
@@ -118,7 +118,7 @@
 	d.registry = discovery.New(discovery.Options{Decode: platform.DecodeTarget})
 	d.engines = engines.New(time.Now, func(w engines.Work) {
 		if d.roster != nil {
-			d.roster.Changed(w)
+			d.roster.WorkChanged(w)
 		}
 	})
 	d.health = health.New(time.Now, d.engines.Down)
@@ -131,7 +131,7 @@
 	if err := d.wireRoster(); err != nil {
 		return nil, err
 	}
-	d.store.Listed = d.roster.Listed()
+	d.store.Listed = d.roster.ContactsListed()
 	d.wireDuties()
 	d.wireRequests()
 	d.wireStore()
@@ -189,9 +189,9 @@
 		Speeds:     d.speed,
 		Demand:     d.demand,
 		TTL:        min(addressTTL, d.s.Bounds.AddressTTL),
-		StoreAway:  d.withoutStore,
+		StoreUnavailable:  d.withoutStore,
 		StoreFails: d.storeFails,
-		Rooted:     rooted(min(d.s.Bounds.Drain, d.s.Bounds.ApplyConfig)),
+		SingleReader:     rooted(min(d.s.Bounds.Drain, d.s.Bounds.ApplyConfig)),
 		Clock:      d.clock,
 		Usage:      d.receiveUsage,
 		Rate:       d.rate.perSecond,
@@ -212,7 +212,7 @@
 		Ratio:   d.s.Bounds.RetryRatio,
 		Slack:   d.s.Bounds.RetrySlack,
 		Window:  d.s.Bounds.RetryWindow,
-		Daemons: d.roster.Known,
+		Daemons: d.roster.KnownDaemons,
 		Now:     time.Now,
 	})
 	runner := dispatch.New(dispatch.Options{
--- a/process/front/store.go
+++ b/process/front/store.go
@@ -114,7 +114,7 @@
 // fleetPace is the time between two calls of a daemon at which all daemons together
 // make no more of them than pacedDaemons do.
 func (d *Daemon) fleetPace() time.Duration {
-	return targetsPace * time.Duration(max(d.roster.Known(), pacedDaemons)) / pacedDaemons
+	return targetsPace * time.Duration(max(d.roster.KnownDaemons(), pacedDaemons)) / pacedDaemons
 }
 
 // withoutStore reports whether this daemon doesn't know what the store says now.
--- a/process/membership/contact.go
+++ b/process/membership/contact.go
@@ -15,14 +15,14 @@
 	contactChecksPerPeriod = 20
 )
 
-// PeerAge returns the time since the last answer or request of any peer, pauses of this
+// TimeSinceContact returns the time since the last answer or request of any peer, pauses of this
 // process included.
-func (m *Membership) PeerAge() time.Duration { return m.o.Now() - m.view.Load().PeerContact }
+func (m *Membership) TimeSinceContact() time.Duration { return m.o.Now() - m.view.Load().LastContact }
 
 // AwaitContact returns once a peer answered or sent a request after the last pause of this
 // process, or had enough time to do so. Without a recent pause it returns at once.
 //
-// After a pause PeerAge is large even if all peers are reachable, because messages sent
+// After a pause TimeSinceContact is large even if all peers are reachable, because messages sent
 // during the pause are unread and no probe has been sent yet.
 func (m *Membership) AwaitContact(ctx context.Context) {
 	for range maxContactWaitPeriods * contactChecksPerPeriod {
@@ -36,10 +36,10 @@
 // contact since.
 func (m *Membership) resuming() bool {
 	v, now := m.view.Load(), m.o.Now()
-	if m.pausedBetween(v.Round, now) {
+	if m.pausedBetween(v.LastRound, now) {
 		return true
 	}
-	return v.Resumed > v.PeerContact && now-v.Resumed < maxContactWaitPeriods*m.o.Period
+	return v.ResumedAt > v.LastContact && now-v.ResumedAt < maxContactWaitPeriods*m.o.Period
 }
 
 // pausedBetween reports whether this process was paused between the last round and now.
--- a/process/membership/contact_test.go
+++ b/process/membership/contact_test.go
@@ -33,7 +33,7 @@
 				if took := time.Since(began); took > 2*maxContactWaitPeriods*period {
 					t.Errorf("waited for %v", took)
 				}
-				if age := m.PeerAge(); (age < period) != reachable {
+				if age := m.TimeSinceContact(); (age < period) != reachable {
 					t.Errorf("last contact %v ago", age)
 				}
 			})
--- a/process/membership/membership_test.go
+++ b/process/membership/membership_test.go
@@ -308,7 +308,7 @@
 		fresh := f.start("vm-002")
 		_, ok := waitUntil(30*time.Second, func() bool {
 			for _, n := range f.daemons {
-				if n.id != "vm-002" && n.membership.View().Standing("vm-002", old) != Gone {
+				if n.id != "vm-002" && n.membership.View().Liveness("vm-002", old) != Gone {
 					return false
 				}
 			}
@@ -353,7 +353,7 @@
 			if id == "vm-new" {
 				continue
 			}
-			if got := fresh.membership.View().Standing(id, n.membership.View().Self.Incarnation); got != Alive {
+			if got := fresh.membership.View().Liveness(id, n.membership.View().Self.Incarnation); got != Alive {
 				t.Errorf("%s: standing %d", id, got)
 			}
 		}
--- a/process/membership/view.go
+++ b/process/membership/view.go
@@ -11,30 +11,30 @@
 // View is an immutable snapshot of the members, ordered by id.
 type View struct {
 	Self        *peerpb.Member
-	Members     []Seen
-	PeerContact time.Duration // local time of the last message from any peer
-	Round       time.Duration // local time of the last round
-	Resumed     time.Duration // local time of the first round after the last pause of this process, 0 before the first pause
+	Members     []MemberView
+	LastContact time.Duration // local time of the last message from any peer
+	LastRound       time.Duration // local time of the last round
+	ResumedAt     time.Duration // local time of the first round after the last pause of this process, 0 before the first pause
 }
 
-// Seen is the state of one other member.
-type Seen struct {
+// MemberView is the state of one other member.
+type MemberView struct {
 	Member  *peerpb.Member
 	Leaving bool // according to its own report or the VM list
 	Listed  bool // contained in the VM list
 }
 
 // Usable reports whether the member is live and not leaving.
-func (s Seen) Usable() bool { return s.Member.State == peerpb.Member_LIVE && !s.Leaving }
+func (s MemberView) Usable() bool { return s.Member.State == peerpb.Member_LIVE && !s.Leaving }
 
 // View returns the current snapshot.
 func (m *Membership) View() *View { return m.view.Load() }
 
 // publish stores a new snapshot.
 func (m *Membership) publish() {
-	v := &View{Self: cloneMember(m.table.self), PeerContact: m.contact.last, Round: m.lastTick, Resumed: m.resumed}
+	v := &View{Self: cloneMember(m.table.self), LastContact: m.contact.last, LastRound: m.lastTick, ResumedAt: m.resumed}
 	for _, e := range m.table.members {
-		v.Members = append(v.Members, Seen{
+		v.Members = append(v.Members, MemberView{
 			Member:  cloneMember(e.member),
 			Leaving: e.leaving || e.member.State == peerpb.Member_LEAVING,
 			Listed:  e.listed,
@@ -44,17 +44,17 @@
 	m.view.Store(v)
 }
 
-// Standing states whether an incarnation may still act.
-type Standing int
+// Liveness states whether an incarnation may still act.
+type Liveness int
 
 const (
-	Unheard Standing = iota // nothing is known about it
+	Unknown Liveness = iota // nothing is known about it
 	Alive                   // live, suspect or leaving: it may still act
 	Gone                    // dead, or its VM runs a later incarnation
 )
 
-// Standing returns whether an incarnation of the VM with the given id may still act.
-func (v *View) Standing(vm, incarnation string) Standing {
+// Liveness returns whether an incarnation of the VM with the given id may still act.
+func (v *View) Liveness(vm, incarnation string) Liveness {
 	if v.Self.Id == vm {
 		if v.Self.Incarnation == incarnation {
 			return Alive
@@ -70,7 +70,7 @@
 		}
 		return Gone
 	}
-	return Unheard
+	return Unknown
 }
 
 // Rank returns the rank of this process among the usable members, by id, and their number.
--- a/process/relay/fleet_test.go
+++ b/process/relay/fleet_test.go
@@ -266,19 +266,19 @@
 		},
 		Claims: noClaims{}, Speeds: speed.NewBook(), Demand: demand.New(time.Now),
 		Book:  engines.New(time.Now, func(engines.Work) {}),
-		Store: f.store, TTL: time.Second, Conn: d.end, Rooted: true,
-		StoreAway:  func() bool { return d.lost() || reach.Away() },
+		Store: f.store, TTL: time.Second, Conn: d.end, SingleReader: true,
+		StoreUnavailable:  func() bool { return d.lost() || reach.Away() },
 		StoreFails: func() bool { return d.lost() && s.ReadsItself() || s.Cut() || reach.Away() },
 	})
 	if err != nil {
 		panic(err)
 	}
 	d.roster = r
-	s.Listed, s.Suspect, s.Sources = r.Listed(), reach.Suspect, r.PeersWithStore
+	s.Listed, s.Suspect, s.Sources = r.ContactsListed(), reach.Suspect, r.PeersWithStore
 	s.Depth = func() int { return r.Upstream().Depth }
 	s.Retry = func(answer bool) time.Duration {
 		if answer {
-			return fleetPace * time.Duration(r.Known()) / 16
+			return fleetPace * time.Duration(r.KnownDaemons()) / 16
 		}
 		return 2 * time.Second
 	}
--- a/process/roster/aggregate_test.go
+++ b/process/roster/aggregate_test.go
@@ -336,7 +336,7 @@
 		}
 		r := d.add(1, 1)
 		defer d.stop()
-		<-r.Listed()
+		<-r.ContactsListed()
 		if got := r.Upstream().Peers; len(got) != 2 {
 			t.Errorf("reads from %v", got)
 		}
--- a/process/roster/duties.go
+++ b/process/roster/duties.go
@@ -13,7 +13,7 @@
 // is in charge, that is, whether it is the first of Leaders. Two daemons may be leaders
 // for a while; claims prevent that they conflict.
 func (r *Roster) MayLead() bool {
-	if !r.Ready() || r.o.StoreAway() {
+	if !r.Ready() || r.o.StoreUnavailable() {
 		return false
 	}
 	r.mu.Lock()
--- a/process/roster/heartbeat.go
+++ b/process/roster/heartbeat.go
@@ -152,7 +152,7 @@
 // storeFails reports whether this daemon's own calls to the store fail.
 func (r *Roster) storeFails() bool {
 	if r.o.StoreFails == nil {
-		return r.o.StoreAway()
+		return r.o.StoreUnavailable()
 	}
 	return r.o.StoreFails()
 }
--- a/process/roster/owner.go
+++ b/process/roster/owner.go
@@ -100,9 +100,9 @@
 	}
 }
 
-// Changed records that this daemon's work at an engine changed. In a small fleet it
+// WorkChanged records that this daemon's work at an engine changed. In a small fleet it
 // requests a heartbeat, in a large one it reports the work to the engine's owner.
-func (r *Roster) Changed(w engines.Work) {
+func (r *Roster) WorkChanged(w engines.Work) {
 	r.mu.Lock()
 	small := r.small()
 	r.mu.Unlock()
--- a/process/roster/roster.go
+++ b/process/roster/roster.go
@@ -90,14 +90,14 @@
 	Speeds Speeds        // measured speeds of engines
 	Demand Demand        // demand of callers
 	TTL    time.Duration // how long callers may cache addresses
-	// StoreAway reports whether this daemon has no current data of the store.
-	StoreAway func() bool
+	// StoreUnavailable reports whether this daemon has no current data of the store.
+	StoreUnavailable func() bool
 	// StoreFails reports whether this daemon's own calls to the store fail. If nil,
 	// StoreAway is used.
 	StoreFails func() bool
-	// Rooted lets a single daemon read the store for the whole fleet. It is set when the
+	// SingleReader lets a single daemon read the store for the whole fleet. It is set when the
 	// configured time bounds leave time for one more hop.
-	Rooted bool
+	SingleReader bool
 	// Clock receives the other daemons' clock readings. It may be nil.
 	Clock FleetClock
 	// Usage handles usage reports of other daemons. If nil, they are dropped.
@@ -234,9 +234,9 @@
 	return out
 }
 
-// Known returns the number of daemons known, including dead ones that haven't expired and
+// KnownDaemons returns the number of daemons known, including dead ones that haven't expired and
 // this one.
-func (r *Roster) Known() int {
+func (r *Roster) KnownDaemons() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return 1 + len(r.peers)
@@ -258,7 +258,7 @@
 // Addresses therefore still includes the daemons seen recently.
 func (r *Roster) Addresses(zone, caller string) ([]string, time.Duration) {
 	serving := r.serving
-	if len(r.Members()) == 1 && r.o.StoreAway() {
+	if len(r.Members()) == 1 && r.o.StoreUnavailable() {
 		serving = r.recentlySeen
 	}
 	all := serving()
--- a/process/roster/roster_test.go
+++ b/process/roster/roster_test.go
@@ -88,7 +88,7 @@
 	var r *Roster
 	book := engines.New(time.Now, func(w engines.Work) {
 		if r != nil {
-			r.Changed(w)
+			r.WorkChanged(w)
 		}
 	})
 	claims := &fakeClaims{}
@@ -105,7 +105,7 @@
 			CallerAddr: fmt.Sprintf("10.0.%d.%d:80", vm/250, vm%250), PeerAddr: addr, LinkMbps: linkMbps,
 		},
 		Claims: claims, Speeds: speed.NewBook(), Demand: demand.New(time.Now),
-		Store: d.store, Book: book, TTL: time.Second, StoreAway: d.away.Load, Conn: end,
+		Store: d.store, Book: book, TTL: time.Second, StoreUnavailable: d.away.Load, Conn: end,
 	})
 	if err != nil {
 		panic(err)
--- a/process/roster/tree.go
+++ b/process/roster/tree.go
@@ -167,7 +167,7 @@
 	}
 	r.upstream = Upstream{}
 	if len(fleet) > maxFullMeshPeers+1 {
-		r.upstream = upstreamOf(&r.self, fleet, r.o.Rooted)
+		r.upstream = upstreamOf(&r.self, fleet, r.o.SingleReader)
 	}
 	r.upstreamAt = now
 	return r.upstream
@@ -185,6 +185,6 @@
 	return p.alive(now, r.patience()) || !p.known && now.Sub(r.listedAt) < startupPeriod
 }
 
-// Listed returns a channel that is closed once the contacts were listed, or two attempts
+// ContactsListed returns a channel that is closed once the contacts were listed, or two attempts
 // to list them failed.
-func (r *Roster) Listed() <-chan struct{} { return r.listed }
+func (r *Roster) ContactsListed() <-chan struct{} { return r.listed }
