--- a/process/membership/membership_test.go
+++ b/process/membership/membership_test.go
@@ -354,7 +354,7 @@
 				continue
 			}
 			if got := fresh.membership.View().Liveness(id, n.membership.View().Self.Incarnation); got != Alive {
-				t.Errorf("%s: standing %d", id, got)
+				t.Errorf("%s: liveness %d", id, got)
 			}
 		}
 	})
--- a/process/membership/view.go
+++ b/process/membership/view.go
@@ -13,8 +13,8 @@
 	Self        *peerpb.Member
 	Members     []MemberView
 	LastContact time.Duration // local time of the last message from any peer
-	LastRound       time.Duration // local time of the last round
-	ResumedAt     time.Duration // local time of the first round after the last pause of this process, 0 before the first pause
+	LastRound   time.Duration // local time of the last round
+	ResumedAt   time.Duration // local time of the first round after the last pause of this process, 0 before the first pause
 }
 
 // MemberView is the state of one other member.
--- a/process/roster/aggregate.go
+++ b/process/roster/aggregate.go
@@ -74,7 +74,7 @@
 type aggregation struct {
 	on           bool
 	index, count int               // index of this daemon among its zone's aggregators, and their number
-	since        time.Time         // time of the last change of on
+	since        time.Time         // time of the last change of on, or of the end of an isolation
 	lastDigest   time.Time         // time of the last digest of the whole fleet
 	lastContact  time.Time         // time of the last datagram of any daemon
 	digestCount  int               // number of digests sent
@@ -201,7 +201,7 @@
 	}
 	r.o.Book.Forget()
 	r.o.Demand.Forget()
-	log.WithFields(log.Fields{"zone": r.self.Zone, "on": on, "daemons": 1 + len(r.peers)}).Info("roster: aggregates its zone")
+	log.WithFields(log.Fields{"zone": r.self.Zone, "on": on, "daemons": 1 + len(r.peers)}).Info("roster: zone aggregation switched on or off")
 }
 
 // unanswered reports whether an expected aggregator hasn't replied and nobody reports it
@@ -211,7 +211,7 @@
 }
 
 // maxUnresponsiveRatio is the maximum ratio of newly unresponsive daemons to responsive
-// ones. Above it the aggregator assumes a fault on its own side.
+// ones. Above it an aggregator marks none of them.
 const maxUnresponsiveRatio = 3
 
 // detectUnresponsive marks the daemons of the zone that used to send heartbeats to this
--- a/process/roster/aggregate_test.go
+++ b/process/roster/aggregate_test.go
@@ -300,14 +300,14 @@
 	withLarge(t, 60, 3, func(t *testing.T, d *testFleet) {
 		direct, from := 0, map[string]int{}
 		for _, r := range d.all {
-			readers := r.Upstream().Peers
-			if len(readers) == 0 {
+			sources := r.Upstream().Peers
+			if len(sources) == 0 {
 				direct++
 				continue
 			}
-			from[readers[0]]++
-			if len(readers) != 2 || readers[0] == readers[1] {
-				t.Errorf("reads from %v", readers)
+			from[sources[0]]++
+			if len(sources) != 2 || sources[0] == sources[1] {
+				t.Errorf("reads from %v", sources)
 			}
 		}
 		if direct != 6 || len(from) != 6 {
--- a/process/roster/duties.go
+++ b/process/roster/duties.go
@@ -40,7 +40,7 @@
 }
 
 // canLead reports whether a daemon takes requests and can read the store.
-func canLead(m *Member) bool { return m.State == Ready && !m.StoreAway }
+func canLead(m *Member) bool { return m.State == Ready && !m.StoreFails }
 
 // widestFirst orders daemons by descending link bandwidth, then by VM name. The first ones
 // of a zone aggregate, and the first one of the fleet leads.
--- a/process/roster/heartbeat.go
+++ b/process/roster/heartbeat.go
@@ -117,7 +117,7 @@
 	r.mu.Lock()
 	r.paused.recordActivity(now)
 	r.seq++
-	r.self.StoreAway = r.storeFails()
+	r.self.StoreFails = r.storeFails()
 	r.self.RateLevel = r.ownRate()
 	hb.Member, hb.Seq = r.self, r.seq
 	r.sent = append(r.sent, sentHeartbeat{seq: r.seq, work: hb.Work, demand: hb.Demand})
--- a/process/roster/peer.go
+++ b/process/roster/peer.go
@@ -28,8 +28,8 @@
 	addr              net.Addr
 }
 
-// newPeerAge is the age of a daemon, since it was first known, up to which its first
-// heartbeat is answered with all members: it has just started.
+// newPeerAge is the maximum time since a daemon was first known for its first heartbeat to
+// be answered with all members. Such a daemon has just started.
 const newPeerAge = 5 * time.Second
 
 // alive reports whether a daemon was seen within the given time and isn't marked dead.
@@ -62,7 +62,7 @@
 // update stores a daemon's state as of a heartbeat. It returns whether the state changed,
 // apart from the daemon being alive. Callers hold r.mu.
 func (r *Roster) update(p *peer, m *Member, seq uint64, at time.Time) bool {
-	changed := !p.known || p.dead || p.member.Incarnation != m.Incarnation || p.member.State != m.State || p.member.StoreAway != m.StoreAway
+	changed := !p.known || p.dead || p.member.Incarnation != m.Incarnation || p.member.State != m.State || p.member.StoreFails != m.StoreFails
 	if p.member.RateLevel != m.RateLevel {
 		p.repeatsLeft = changeRepeats
 	}
--- a/process/roster/roster.go
+++ b/process/roster/roster.go
@@ -75,7 +75,7 @@
 	PeerAddr    string
 	Zone        string
 	State       State
-	StoreAway   bool   // its own calls to the store fail
+	StoreFails  bool   `cbor:"StoreAway"` // its own calls to the store fail
 	LinkMbps    uint32 // bandwidth of its VM's link in Mbit/s, 0 if unknown
 	Millicores  uint32 // CPU of its VM in thousandths of a core, 0 if unknown
 	RateLevel   uint8  // requests from callers per second, see rateLevel
@@ -93,10 +93,10 @@
 	// StoreUnavailable reports whether this daemon has no current data of the store.
 	StoreUnavailable func() bool
 	// StoreFails reports whether this daemon's own calls to the store fail. If nil,
-	// StoreAway is used.
+	// StoreUnavailable is used.
 	StoreFails func() bool
-	// SingleReader lets a single daemon read the store for the whole fleet. It is set when the
-	// configured time bounds leave time for one more hop.
+	// SingleReader lets a single daemon read the store for the whole fleet. It is set when
+	// the configured time bounds leave time for one more hop.
 	SingleReader bool
 	// Clock receives the other daemons' clock readings. It may be nil.
 	Clock FleetClock
@@ -220,7 +220,7 @@
 // PeersWithStore returns the peer addresses of the other daemons that take
 // requests and can read the store.
 func (r *Roster) PeersWithStore() []string {
-	return r.peerAddrs(func(m *Member) bool { return m.State == Ready && !m.StoreAway })
+	return r.peerAddrs(func(m *Member) bool { return m.State == Ready && !m.StoreFails })
 }
 
 // peerAddrs returns the peer addresses of the other daemons that match.
--- a/process/roster/roster_test.go
+++ b/process/roster/roster_test.go
@@ -63,15 +63,15 @@
 
 // testFleet is a fleet of rosters on a simulated network.
 type testFleet struct {
-	net    *packetnet.Net
-	store  *fakeStore
-	away   atomic.Bool
-	zones  int                  // number of availability zones, 0: one
-	rate   func(vm int) float64 // requests per second of each daemon, nil: not counted
-	all    []*Roster
-	books  []*engines.Book
-	ends   []*packetnet.End
-	claims []*fakeClaims
+	net       *packetnet.Net
+	store     *fakeStore
+	storeAway atomic.Bool
+	zones     int                  // number of availability zones, 0: one
+	rate      func(vm int) float64 // requests per second of each daemon, nil: not counted
+	all       []*Roster
+	books     []*engines.Book
+	ends      []*packetnet.End
+	claims    []*fakeClaims
 }
 
 func peerAddr(vm int) string { return fmt.Sprintf("10.0.%d.%d:7000", vm/250, vm%250) }
@@ -105,7 +105,7 @@
 			CallerAddr: fmt.Sprintf("10.0.%d.%d:80", vm/250, vm%250), PeerAddr: addr, LinkMbps: linkMbps,
 		},
 		Claims: claims, Speeds: speed.NewBook(), Demand: demand.New(time.Now),
-		Store: d.store, Book: book, TTL: time.Second, StoreUnavailable: d.away.Load, Conn: end,
+		Store: d.store, Book: book, TTL: time.Second, StoreUnavailable: d.storeAway.Load, Conn: end,
 	})
 	if err != nil {
 		panic(err)
@@ -184,12 +184,12 @@
 func TestIsolatedDaemonStillNamesOthers(t *testing.T) {
 	withFleet(t, 3, func(t *testing.T, d *testFleet) {
 		d.net.SetCut("10.0.0.1:7000", true)
-		d.away.Store(true)
+		d.storeAway.Store(true)
 		_ = pause.For(context.Background(), 5*time.Second)
 		if addrs(d.all[0]) != 3 {
 			t.Errorf("%d addresses, want 3", addrs(d.all[0]))
 		}
-		d.away.Store(false)
+		d.storeAway.Store(false)
 		if addrs(d.all[0]) != 1 {
 			t.Errorf("%d addresses though the store is reachable and the others are gone", addrs(d.all[0]))
 		}
--- a/process/roster/tree.go
+++ b/process/roster/tree.go
@@ -37,9 +37,9 @@
 // reverse of that of the aggregators, whose digests saturate a narrow link for seconds.
 func relaysBefore(a, b *Member) int {
 	away := 0
-	if a.StoreAway != b.StoreAway {
+	if a.StoreFails != b.StoreFails {
 		away = -1
-		if a.StoreAway {
+		if a.StoreFails {
 			away = 1
 		}
 	}
@@ -62,18 +62,18 @@
 }
 
 // upstreamOf computes a daemon's place in the tree that relays the store's records. The
-// first two daemons of each availability zone are its heads. In a rooted fleet one daemon
-// reads the store and the heads read from it; otherwise the heads read the store. The
-// other daemons of a zone read from its heads or, if the heads' links are too narrow for
-// all, from daemons that do.
+// first two daemons of each availability zone are its heads. In a fleet with a single
+// reader one daemon reads the store and the heads read from it; otherwise the heads read
+// the store. The other daemons of a zone read from its heads or, if the heads' links are
+// too narrow for all, from daemons that do.
 //
 // Two heads per zone that all read the store transfer ten times the bytes, which are
 // billed. Heads with narrow links take minutes to send a listing of thousands of targets
 // to a hundred daemons.
-func upstreamOf(self *Member, fleet []*Member, rooted bool) Upstream {
+func upstreamOf(self *Member, fleet []*Member, singleReader bool) Upstream {
 	zones := make(map[string][]*Member)
-	for _, n := range fleet {
-		zones[n.Zone] = append(zones[n.Zone], n)
+	for _, m := range fleet {
+		zones[m.Zone] = append(zones[m.Zone], m)
 	}
 	depth := 0
 	var heads []*Member
@@ -85,7 +85,7 @@
 	slices.SortFunc(heads, relaysBefore)
 	root := heads[0]
 	up := Upstream{Depth: max(depth, 1)}
-	if rooted {
+	if singleReader {
 		up.Depth = depth + 1
 	}
 	zone := zones[self.Zone]
@@ -96,12 +96,12 @@
 		case at < 0:
 		case i > 0:
 			up.Peers = readFrom(self, tree[i-1], at)
-		case rooted:
+		case singleReader:
 			at = slices.Index(heads, self)
 			up.Peers = peerAddrsOf(heads[:min(at, headsPerZone)])
 		}
 	}
-	if rooted && len(up.Peers) > 0 && !slices.Contains(up.Peers, root.PeerAddr) {
+	if singleReader && len(up.Peers) > 0 && !slices.Contains(up.Peers, root.PeerAddr) {
 		up.Peers = append(up.Peers, root.PeerAddr)
 	}
 	return up
@@ -115,8 +115,8 @@
 		level := zone[:min(size, len(zone))]
 		out, zone = append(out, level), zone[len(level):]
 		size = 0
-		for _, n := range level {
-			size += readersOf(n, fleet)
+		for _, m := range level {
+			size += readersOf(m, fleet)
 		}
 	}
 	return out
@@ -138,8 +138,8 @@
 // peerAddrsOf returns the members' peer addresses.
 func peerAddrsOf(members []*Member) []string {
 	var out []string
-	for _, n := range members {
-		out = append(out, n.PeerAddr)
+	for _, m := range members {
+		out = append(out, m.PeerAddr)
 	}
 	return out
 }
--- a/process/roster/tree_test.go
+++ b/process/roster/tree_test.go
@@ -78,14 +78,14 @@
 			root = n
 		}
 	}
-	root.StoreAway = true
+	root.StoreFails = true
 	if up := upstreamOf(root, fleet, true); len(up.Peers) == 0 {
 		t.Error("it still reads the store")
 	}
 	for _, all := range []bool{false, true} {
 		direct := 0
 		for _, n := range fleet {
-			n.StoreAway = n.StoreAway || all
+			n.StoreFails = n.StoreFails || all
 		}
 		for _, n := range fleet {
 			if len(upstreamOf(n, fleet, true).Peers) == 0 {
