--- a/request/admission/admission.go
+++ b/request/admission/admission.go
@@ -13,13 +13,13 @@
 )
 
 // Fullness, as a share of the room at the targets, from which requests are
-// refused. The room above normalFull are the reserve of high priority.
+// refused. The room above normalPriorityFull are the reserve of high priority.
 const (
-	lowFull    = 0.70 // requests of low priority
-	normalFull = 0.95 // requests of normal priority
-	highFull   = 1.00 // requests of high priority
+	lowPriorityFull    = 0.70 // requests of low priority
+	normalPriorityFull = 0.95 // requests of normal priority
+	highPriorityFull   = 1.00 // requests of high priority
 
-	cautiousFull = 0.90 // requests of normal priority, by the cautious estimate
+	normalPriorityCautiousFull = 0.90 // requests of normal priority, by the cautious estimate
 )
 
 const (
@@ -60,35 +60,35 @@
 func (c *Controller) Admit(a Ask) (func(), error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.get(a.Doc.Service)
+	s := c.service(a.Doc.Service)
 	if a.Decision.Finish > a.Left {
-		return nil, late(a)
+		return nil, deadlineError(a)
 	}
-	if wait, late := startsLate(a); late {
+	if wait, late := missesFirstToken(a); late {
 		return nil, code.New(code.Overloaded, "the first token would take about %v", a.Decision.First.Round(time.Millisecond)).After(wait)
 	}
 	full := s.fullness(a)
-	if over := full.over(a.Priority); over >= 0 {
+	if over := full.excessOver(a.Priority); over >= 0 {
 		return nil, code.New(code.Overloaded, "%.0f%% of the room is taken", full.share*100).
-			After(s.retryAfter(over, room(a.Targets)))
+			After(s.retryAfter(over, slotCount(a.Targets)))
 	}
 	if over := full.excess - 1; over >= 0 && a.Priority <= 0 && s.overShare(a, 1/full.excess, c.now()) {
 		return nil, code.New(code.OrgOverShare, "organisation %.80q", a.Org).
-			After(s.retryAfter(over, room(a.Targets)))
+			After(s.retryAfter(over, slotCount(a.Targets)))
 	}
-	return c.enter(s, a), nil
+	return c.track(s, a), nil
 }
 
 // Full returns the refusal for a request that routing found no place for.
 func (c *Controller) Full(doc *document.Document, targets []routing.Target) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.get(doc.Service)
+	s := c.service(doc.Service)
 	return code.New(code.Overloaded, "every target is full").
-		After(s.retryAfter(0, room(targets)))
+		After(s.retryAfter(0, slotCount(targets)))
 }
 
-func (c *Controller) enter(s *service, a Ask) func() {
+func (c *Controller) track(s *service, a Ask) func() {
 	s.begin(a, c.now())
 	return func() {
 		c.mu.Lock()
@@ -97,8 +97,8 @@
 	}
 }
 
-// get returns the state of a service. Names come from documents in force.
-func (c *Controller) get(name string) *service {
+// service returns the state of a service. Names come from documents in force.
+func (c *Controller) service(name string) *service {
 	s, ok := c.services[name]
 	if !ok {
 		s = &service{orgs: make(map[string]*usage)}
@@ -107,23 +107,23 @@
 	return s
 }
 
-// over tells by how much the room for a priority is exceeded; negative when
+// excessOver tells by how much the room for a priority is exceeded; negative when
 // there is some. Those who leave a reserve to others keep to the cautious
 // estimate too: four processes that each fill the same gap would fill the
 // reserve as well.
-func (f fullness) over(priority int) float64 {
+func (f fullness) excessOver(priority int) float64 {
 	switch {
 	case priority > 0:
-		return f.share - highFull
+		return f.share - highPriorityFull
 	case priority < 0:
-		return max(f.share, f.cautious) - lowFull
+		return max(f.share, f.cautious) - lowPriorityFull
 	}
-	return max(f.share-normalFull, f.cautious-cautiousFull)
+	return max(f.share-normalPriorityFull, f.cautious-normalPriorityCautiousFull)
 }
 
-// late tells a deadline that is too short for any target from one that the
+// deadlineError tells a deadline that is too short for any target from one that the
 // backlog makes too short.
-func late(a Ask) error {
+func deadlineError(a Ask) error {
 	if idle, ok := a.Idle(); ok && idle > a.Left {
 		return code.New(code.DeadlineTooShort, "an idle target needs about %v", idle.Round(time.Millisecond))
 	}
@@ -131,17 +131,17 @@
 	return code.New(code.Overloaded, "the answer would take about %v", a.Decision.Finish.Round(time.Millisecond)).After(wait)
 }
 
-// firstMargin is the share of the first-token objective that the estimate may
+// firstTokenMargin is the share of the first-token objective that the estimate may
 // take, since it is some way too low on the whole.
-const firstMargin = 0.9
+const firstTokenMargin = 0.9
 
-// startsLate reports whether the backlog alone makes the first token miss the
+// missesFirstToken reports whether the backlog alone makes the first token miss the
 // objective, and how long until it wouldn't. Without it a queue grows at every
 // target until deadlines refuse: the same number of requests is answered, but
 // each of them late. High priority goes by its deadline, and so does a prompt
 // that even an idle target couldn't begin to answer in time.
-func startsLate(a Ask) (time.Duration, bool) {
-	goal := time.Duration(firstMargin * float64(a.Doc.Objectives.FirstToken))
+func missesFirstToken(a Ask) (time.Duration, bool) {
+	goal := time.Duration(firstTokenMargin * float64(a.Doc.Objectives.FirstToken))
 	over := a.Decision.First - goal
 	if goal <= 0 || over <= 0 || a.Priority > 0 {
 		return 0, false
--- a/request/admission/admission_test.go
+++ b/request/admission/admission_test.go
@@ -11,9 +11,9 @@
 	"github.com/pomelospool/pomelospool/version/document"
 )
 
-// rooms are the two ways in which a service runs out of room: places at the
+// limitKinds are the two ways in which a service runs out of room: places at the
 // targets, and time.
-var rooms = []struct {
+var limitKinds = []struct {
 	name  string
 	limit int
 }{{"places", simServers + 5}, {"time", 0}}
@@ -24,7 +24,7 @@
 // high priority keeps 95% of its own.
 func TestOverload(t *testing.T) {
 	const orgs = 50 // alike, so that fair shares alone bound nothing
-	for _, room := range rooms {
+	for _, room := range limitKinds {
 		base, high := 0.0, 0.0
 		for _, factor := range []float64{1, 2, 5, 10} {
 			sources := []source{{"high", 1, capacity * 0.1}}
@@ -33,23 +33,23 @@
 			}
 			s := run(1, room.limit, sources)
 			if factor == 1 {
-				base, high = s.total(), s.good["high"]
+				base, high = s.total(), s.onTime["high"]
 			}
 			t.Logf("%s %gx: goodput %.3f of 1x (%.3f of capacity), high %.3f of 1x, refused %v", room.name, factor,
-				s.total()/base, s.total()/(capacity*simLength.Seconds()), s.good["high"]/high, s.refused)
-			if s.total() < 0.95*base || s.good["high"] < 0.95*high {
-				t.Errorf("%s %gx: goodput %.3f, high %.3f of 1x", room.name, factor, s.total()/base, s.good["high"]/high)
+				s.total()/base, s.total()/(capacity*simLength.Seconds()), s.onTime["high"]/high, s.refused)
+			if s.total() < 0.95*base || s.onTime["high"] < 0.95*high {
+				t.Errorf("%s %gx: goodput %.3f, high %.3f of 1x", room.name, factor, s.total()/base, s.onTime["high"]/high)
 			}
 		}
 	}
 }
 
-// TestFlood: nineteen organisations use 80% of the fleet; then another one
+// TestFloodOfOneOrganisation: nineteen organisations use 80% of the fleet; then another one
 // sends ten times what the fleet can do. The others lose at most 5%, as a mean
 // over seeds.
-func TestFlood(t *testing.T) {
+func TestFloodOfOneOrganisation(t *testing.T) {
 	const seeds = 4
-	for _, room := range rooms {
+	for _, room := range limitKinds {
 		var calm []source
 		for i := range 19 {
 			calm = append(calm, source{fmt.Sprint("org", i), 0, capacity * 0.8 / 19})
@@ -58,12 +58,12 @@
 		sum, worst, taken := 0.0, 1.0, 0.0
 		for seed := range uint64(seeds) {
 			before, after := run(seed, room.limit, calm), run(seed, room.limit, flood)
-			kept := (after.total() - after.good["flood"]) / before.total()
+			kept := (after.total() - after.onTime["flood"]) / before.total()
 			sum += kept
 			worst = min(worst, kept)
-			taken += after.good["flood"] / (capacity * simLength.Seconds())
+			taken += after.onTime["flood"] / (capacity * simLength.Seconds())
 			for _, d := range after.daemons {
-				if c := d.ctl.services["s"].cost; c != 0 {
+				if c := d.ctl.services["s"].inFlightCost; c != 0 {
 					t.Errorf("cost %g in flight after the end", c)
 				}
 			}
@@ -129,10 +129,10 @@
 	}
 }
 
-// TestStartsLate: the backlog alone would make the first token come after its
+// TestBacklogMissesFirstTokenObjective: the backlog alone would make the first token come after its
 // objective, though the deadline is far. Accepted, every answer would come
 // late while the queue stays as long as deadlines allow.
-func TestStartsLate(t *testing.T) {
+func TestBacklogMissesFirstTokenObjective(t *testing.T) {
 	const goal = time.Second
 	for _, c := range []struct {
 		name                string
--- a/request/admission/fullness.go
+++ b/request/admission/fullness.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// slackUsed is the part of a request's time to spare that waiting may use.
+	// usableSlack is the part of a request's time to spare that waiting may use.
 	// Estimates are means: planning with all of it, half the answers are late.
-	slackUsed = 0.5
-	// maxOthers bounds how much more than this process others are taken to send.
-	maxOthers = 16
+	usableSlack = 0.5
+	// maxOthersRatio bounds how much more than this process others are taken to send.
+	maxOthersRatio = 16
 )
 
 // Where fair shares begin to be enforced. It leaves room for the fluctuation
 // of those who stay below their share, and costs no throughput: the targets
 // are busy at this point.
 const (
-	placesContention = 0.75 // of the places
-	waitContention   = 0.20 // of the time that waiting may use
+	slotContention = 0.75 // of the places
+	waitContention = 0.20 // of the time that waiting may use
 )
 
 // fullness is how full the targets are.
@@ -38,11 +38,11 @@
 // fullness weighs places and time. Engines serve high priority first, so the
 // queue's length says little about its wait: places only.
 func (s *service) fullness(a Ask) fullness {
-	f := s.placesTaken(a.Targets)
+	f := s.slotFullness(a.Targets)
 	if a.Priority > 0 {
 		return f
 	}
-	wait := waiting(a)
+	wait := waitFullness(a)
 	return fullness{
 		share:    max(f.share, wait.share),
 		cautious: max(f.cautious, wait.share),
@@ -52,14 +52,14 @@
 
 // occupancy sums what is known of the live targets.
 type occupancy struct {
-	places   int
+	slots    int
 	reported int // requests there by the newest reports, of all processes
 	inFlight int // of this process
 	sent     int // by this process since the reports, still in flight
 	age      time.Duration
 }
 
-func occupied(targets []routing.Target) occupancy {
+func sumOccupancy(targets []routing.Target) occupancy {
 	var o occupancy
 	live := 0
 	for _, t := range targets {
@@ -67,7 +67,7 @@
 			continue
 		}
 		live++
-		o.places += t.Limit
+		o.slots += t.Limit
 		o.reported += t.Load.Running + t.Load.Waiting
 		o.inFlight += t.InFlight
 		o.sent += min(t.SentCount, t.InFlight)
@@ -79,7 +79,7 @@
 	return o
 }
 
-// placesTaken is the share of places that are taken now.
+// slotFullness is the share of places that are taken now.
 //
 // Reports lag, and all processes see the same free places at the same moment:
 // each fills them for itself, and the targets get several times as many. So
@@ -88,42 +88,42 @@
 // their part in what the reports show, to have sent as much more; it is noisy
 // and decides only who has to stand back for others. Where all traffic comes
 // through this process both are the same.
-func (s *service) placesTaken(targets []routing.Target) fullness {
-	o := occupied(targets)
-	if o.places == 0 {
+func (s *service) slotFullness(targets []routing.Target) fullness {
+	o := sumOccupancy(targets)
+	if o.slots == 0 {
 		return fullness{}
 	}
 	before := max(o.inFlight-o.sent, 0)
-	others := min(float64(o.reported+1)/float64(before+1), maxOthers)
-	change := float64(o.sent) - s.rate*o.age.Seconds()
+	others := min(float64(o.reported+1)/float64(before+1), maxOthersRatio)
+	change := float64(o.sent) - s.completionRate*o.age.Seconds()
 	share := func(factor float64) float64 {
 		taken := float64(o.reported) + change*factor
-		return max(taken, float64(o.inFlight)) / float64(o.places)
+		return max(taken, float64(o.inFlight)) / float64(o.slots)
 	}
 	likely := share(1)
 	return fullness{
 		share:    likely,
 		cautious: max(likely, share((1+others)/2)),
-		excess:   max(likely, share(others)) / placesContention,
+		excess:   max(likely, share(others)) / slotContention,
 	}
 }
 
-// waiting is the fullness in time. A request whose work alone takes most of
+// waitFullness is the fullness in time. A request whose work alone takes most of
 // its time says nothing about others, so the time on an idle target is taken
 // off; where the result can't reach contention the second estimate is saved.
-func waiting(a Ask) fullness {
-	if a.Decision.Finish < time.Duration(waitContention*slackUsed*float64(a.Left)) {
+func waitFullness(a Ask) fullness {
+	if a.Decision.Finish < time.Duration(waitContention*usableSlack*float64(a.Left)) {
 		return fullness{}
 	}
 	idle, ok := a.Idle()
 	if !ok || idle >= a.Left {
 		return fullness{}
 	}
-	longest := float64(a.Left-idle) * slackUsed
+	longest := float64(a.Left-idle) * usableSlack
 	wait := float64(a.Decision.Finish - idle)
 	calm := float64(idle) + waitContention*longest
 	return fullness{share: wait / longest, excess: float64(a.Decision.Finish) / calm}
 }
 
-// room counts the places of the live targets.
-func room(targets []routing.Target) int { return occupied(targets).places }
+// slotCount counts the places of the live targets.
+func slotCount(targets []routing.Target) int { return sumOccupancy(targets).slots }
--- a/request/admission/share.go
+++ b/request/admission/share.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	rateWindow  = 10 * time.Second       // over which completions are averaged
-	usageWindow = 8 * time.Second        // over which usage is averaged
-	levelEvery  = 100 * time.Millisecond // between searches for the fair level
-	levelPasses = 20                     // of one search, at most
-	maxOrgs     = 4096                   // organisations whose usage is kept
-	idleUsage   = 0.02                   // of the mean usage: less is forgotten
+	rateWindow    = 10 * time.Second       // over which completions are averaged
+	usageWindow   = 8 * time.Second        // over which usage is averaged
+	levelInterval = 100 * time.Millisecond // between searches for the fair level
+	levelPasses   = 20                     // of one search, at most
+	maxOrgs       = 4096                   // organisations whose usage is kept
+	idleUsage     = 0.02                   // of the mean usage: less is forgotten
 )
 
 // service is the state of one service at this process.
 type service struct {
-	orgs    map[string]*usage // organisations with usage of late
-	cost    float64           // in flight
-	rate    float64           // completions a second, averaged
-	lastEnd time.Time
-	level   float64   // fair level: mean cost in flight for a weight of 1
-	levelAt time.Time // when it was found
+	orgs           map[string]*usage // organisations with usage of late
+	inFlightCost   float64           // in flight
+	completionRate float64           // completions a second, averaged
+	lastCompletion time.Time
+	level          float64   // fair level: mean cost in flight for a weight of 1
+	levelAt        time.Time // when it was found
 }
 
 // usage is what one organisation has in flight.
@@ -49,12 +49,12 @@
 	u.update(now)
 	u.requests++
 	u.cost += a.Cost
-	s.cost += a.Cost
-	if s.lastEnd.IsZero() {
-		s.lastEnd = now
+	s.inFlightCost += a.Cost
+	if s.lastCompletion.IsZero() {
+		s.lastCompletion = now
 	}
 	if len(s.orgs) > maxOrgs {
-		s.forget(now)
+		s.evict(now)
 	}
 }
 
@@ -63,17 +63,17 @@
 	u.update(now)
 	u.requests--
 	u.cost -= a.Cost
-	s.cost -= a.Cost
+	s.inFlightCost -= a.Cost
 	if u.requests == 0 {
 		u.cost = 0 // rounding errors don't add up
 	}
-	s.count(now)
+	s.recordCompletion(now)
 }
 
-// forget drops the organisations that have nothing in flight and whose usage
+// evict drops the organisations that have nothing in flight and whose usage
 // of late is small; if that leaves too many, all that have nothing in flight.
-func (s *service) forget(now time.Time) {
-	small := idleUsage * s.cost / float64(len(s.orgs))
+func (s *service) evict(now time.Time) {
+	small := idleUsage * s.inFlightCost / float64(len(s.orgs))
 	for range 2 {
 		for org, u := range s.orgs {
 			u.update(now)
@@ -88,13 +88,13 @@
 	}
 }
 
-// count takes one completion into the average rate.
-func (s *service) count(now time.Time) {
-	gap := now.Sub(s.lastEnd).Seconds()
-	s.lastEnd = now
+// recordCompletion takes one completion into the average rate.
+func (s *service) recordCompletion(now time.Time) {
+	gap := now.Sub(s.lastCompletion).Seconds()
+	s.lastCompletion = now
 	window := rateWindow.Seconds()
 	keep := max(0, 1-gap/window)
-	s.rate = s.rate*keep + 1/window
+	s.completionRate = s.completionRate*keep + 1/window
 }
 
 // overShare reports whether the organisation uses more than its fair share of
@@ -113,17 +113,17 @@
 	if u == nil {
 		return false
 	}
-	s.findLevel(part, now)
+	s.updateLevel(part, now)
 	u.update(now)
 	return u.mean > s.level*u.weight
 }
 
-// findLevel searches for the level now and then, and averages what it finds:
+// updateLevel searches for the level now and then, and averages what it finds:
 // part comes from lagging reports, and a single low one would have those
 // refused who are well below their share.
-func (s *service) findLevel(part float64, now time.Time) {
+func (s *service) updateLevel(part float64, now time.Time) {
 	since := now.Sub(s.levelAt)
-	if since < levelEvery {
+	if since < levelInterval {
 		return
 	}
 	keep := math.Exp(-since.Seconds() / usageWindow.Seconds())
@@ -135,7 +135,7 @@
 // times weight, adds up to part of what it is. It raises the level in
 // passes: what those below it leave is shared among those above.
 func (s *service) fairLevel(part float64, now time.Time) float64 {
-	s.forget(now)
+	s.evict(now)
 	sum, weights := 0.0, 0.0
 	for _, u := range s.orgs {
 		sum += u.mean
@@ -170,9 +170,9 @@
 // retryAfter is the time in which the present rate of completions frees the
 // share of places by which the service is too full, and one more.
 func (s *service) retryAfter(over float64, places int) time.Duration {
-	if s.rate <= 0 {
+	if s.completionRate <= 0 {
 		return minRetryAfter
 	}
 	need := max(over, 0)*float64(places) + 1
-	return clamp(time.Duration(need / s.rate * float64(time.Second)))
+	return clamp(time.Duration(need / s.completionRate * float64(time.Second)))
 }
--- a/request/admission/sim_test.go
+++ b/request/admission/sim_test.go
@@ -14,14 +14,14 @@
 
 // The fleet of the simulated load: servers that queue whatever they are sent.
 const (
-	simTargets = 4
-	simServers = 20 // requests that a target runs at once
-	simDaemons = 4
-	simWork    = time.Second // mean time of a request at a server
-	simReport  = 250 * time.Millisecond
-	simLength  = 40 * time.Second
-	simLeft    = 4 * time.Second
-	capacity   = simTargets * simServers // requests a second
+	simTargets        = 4
+	simServers        = 20 // requests that a target runs at once
+	simDaemons        = 4
+	simWorkMean       = time.Second // mean time of a request at a server
+	simReportInterval = 250 * time.Millisecond
+	simLength         = 40 * time.Second
+	simDeadline       = 4 * time.Second
+	capacity          = simTargets * simServers // requests a second
 )
 
 // source is one organisation's load.
@@ -46,13 +46,13 @@
 	events  []event // in the order of time
 	targets [simTargets]simTarget
 	daemons [simDaemons]*simDaemon
-	good    map[string]float64 // requests answered in time, by organisation
+	onTime  map[string]float64 // requests answered in time, by organisation
 	refused map[code.Code]int
 }
 
 type simTarget struct {
 	running, reported int
-	at                time.Time // of the report
+	reportedAt        time.Time // of the report
 	queue             []*simRequest
 }
 
@@ -64,11 +64,11 @@
 
 type simRequest struct {
 	source
-	work    time.Duration
-	daemon  *simDaemon
-	target  int
-	until   time.Time
-	release func()
+	work     time.Duration
+	daemon   *simDaemon
+	target   int
+	deadline time.Time
+	release  func()
 }
 
 type event struct {
@@ -81,13 +81,13 @@
 	s := &sim{limit: limit}
 	s.now = time.Unix(0, 0)
 	s.end = s.now.Add(simLength)
-	s.good = make(map[string]float64)
+	s.onTime = make(map[string]float64)
 	s.refused = make(map[code.Code]int)
 	for i := range s.daemons {
 		s.daemons[i] = &simDaemon{ctl: New(func() time.Time { return s.now })}
 	}
 	for i, src := range sources {
-		s.next(traffic{src, rand.New(rand.NewPCG(seed, uint64(i)))})
+		s.scheduleArrivals(traffic{src, rand.New(rand.NewPCG(seed, uint64(i)))})
 	}
 	s.report()
 	for len(s.events) > 0 {
@@ -99,7 +99,7 @@
 	return s
 }
 
-func (s *sim) in(d time.Duration, do func()) {
+func (s *sim) after(d time.Duration, do func()) {
 	at := s.now.Add(d)
 	i, _ := slices.BinarySearchFunc(s.events, at, func(e event, at time.Time) int {
 		if e.at.After(at) {
@@ -110,18 +110,18 @@
 	s.events = slices.Insert(s.events, i, event{at, do})
 }
 
-func (t traffic) exp(mean float64) time.Duration {
+func (t traffic) expDuration(mean float64) time.Duration {
 	return time.Duration(t.rnd.ExpFloat64() * mean * float64(time.Second))
 }
 
-// next lets src send requests at random times until the end.
-func (s *sim) next(src traffic) {
-	s.in(src.exp(1/src.rate), func() {
+// scheduleArrivals lets src send requests at random times until the end.
+func (s *sim) scheduleArrivals(src traffic) {
+	s.after(src.expDuration(1/src.rate), func() {
 		if s.now.After(s.end) {
 			return
 		}
 		s.arrive(src)
-		s.next(src)
+		s.scheduleArrivals(src)
 	})
 }
 
@@ -129,13 +129,13 @@
 func (s *sim) report() {
 	for i := range s.targets {
 		s.targets[i].reported = s.targets[i].running + len(s.targets[i].queue)
-		s.targets[i].at = s.now
+		s.targets[i].reportedAt = s.now
 	}
 	for _, d := range s.daemons {
 		d.sent = [simTargets]int{}
 	}
 	if s.now.Before(s.end) {
-		s.in(simReport, s.report)
+		s.after(simReportInterval, s.report)
 	}
 }
 
@@ -148,7 +148,7 @@
 			Limit:     s.limit,
 			InFlight:  d.inFlight[i],
 			SentCount: d.sent[i],
-			LoadAge:   s.now.Sub(s.targets[i].at),
+			LoadAge:   s.now.Sub(s.targets[i].reportedAt),
 			Load:      port.Load{Running: s.targets[i].reported},
 		}
 	}
@@ -168,14 +168,14 @@
 		}
 	}
 	others := float64(sent) / simTargets * (simDaemons - 1)
-	done := simServers * targets[best].LoadAge.Seconds() / simWork.Seconds()
+	done := simServers * targets[best].LoadAge.Seconds() / simWorkMean.Seconds()
 	wait := max(0, float64(least-simServers+1)+others-done)
-	return best, simWork + time.Duration(wait/simServers*float64(simWork))
+	return best, simWorkMean + time.Duration(wait/simServers*float64(simWorkMean))
 }
 
 func (s *sim) arrive(src traffic) {
 	d := s.daemons[src.rnd.IntN(simDaemons)]
-	work := src.exp(simWork.Seconds())
+	work := src.expDuration(simWorkMean.Seconds())
 	view := s.view(d)
 	i, finish := route(view)
 	release, err := d.ctl.Admit(Ask{
@@ -183,10 +183,10 @@
 		Org:      src.org,
 		Priority: src.priority,
 		Cost:     1,
-		Left:     simLeft,
+		Left:     simDeadline,
 		Decision: routing.Decision{Finish: finish},
 		Targets:  view,
-		Idle:     func() (time.Duration, bool) { return simWork, true },
+		Idle:     func() (time.Duration, bool) { return simWorkMean, true },
 	})
 	if err != nil {
 		s.refused[code.Of(err)]++
@@ -194,7 +194,7 @@
 	}
 	d.inFlight[i]++
 	d.sent[i]++
-	s.start(&simRequest{source: src.source, work: work, daemon: d, target: i, until: s.now.Add(simLeft), release: release})
+	s.start(&simRequest{source: src.source, work: work, daemon: d, target: i, deadline: s.now.Add(simDeadline), release: release})
 }
 
 func (s *sim) start(r *simRequest) {
@@ -204,7 +204,7 @@
 		return
 	}
 	t.running++
-	s.in(r.work, func() { s.finish(r) })
+	s.after(r.work, func() { s.finish(r) })
 }
 
 // enqueue lets high priority go first, as engines do.
@@ -221,8 +221,8 @@
 	t.running--
 	r.daemon.inFlight[r.target]--
 	r.release()
-	if !s.now.After(r.until) && s.now.Before(s.end) {
-		s.good[r.org]++
+	if !s.now.After(r.deadline) && s.now.Before(s.end) {
+		s.onTime[r.org]++
 	}
 	if len(t.queue) > 0 {
 		first := t.queue[0]
@@ -233,7 +233,7 @@
 
 func (s *sim) total() float64 {
 	sum := 0.0
-	for _, n := range s.good {
+	for _, n := range s.onTime {
 		sum += n
 	}
 	return sum
--- a/request/budget/budget_test.go
+++ b/request/budget/budget_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestShares: retries stay within the greater of the reserve and the share,
+// TestSharesBoundRetries: retries stay within the greater of the reserve and the share,
 // and the past is forgotten.
-func TestShares(t *testing.T) {
+func TestSharesBoundRetries(t *testing.T) {
 	now := time.Unix(0, 0)
 	b := NewShares(func() time.Time { return now })
 	taken := func(requests int) int {
--- a/request/budget/window.go
+++ b/request/budget/window.go
@@ -28,9 +28,9 @@
 const windowSlots = 10
 
 type slot struct {
-	number   int64
-	requests float64
-	extras   float64
+	number     int64
+	requests   float64
+	extraSends float64
 }
 
 func newWindows(span time.Duration, now func() time.Time) *windows {
@@ -48,7 +48,7 @@
 func (w *windows) count(service string, n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.slot(service).extras += float64(n)
+	w.slot(service).extraSends += float64(n)
 }
 
 // take counts n sends beyond the first if they stay within what allowed gives
@@ -61,7 +61,7 @@
 	if extras+float64(n) > allowed(requests) {
 		return false
 	}
-	s.extras += float64(n)
+	s.extraSends += float64(n)
 	return true
 }
 
@@ -69,7 +69,7 @@
 	for _, s := range w {
 		if s.number > now-windowSlots {
 			requests += s.requests
-			extras += s.extras
+			extras += s.extraSends
 		}
 	}
 	return requests, extras
--- a/request/dispatch/answer_length.go
+++ b/request/dispatch/answer_length.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// longestDecay is the part of the longest stream's length that is given up
+	// maxDecay is the part of the longest stream's length that is given up
 	// with each shorter one: half of it after some 350 streams. Streams that are
 	// rejected or cut don't show their length, so it fades slowly.
-	longestDecay = 0.002
-	// hintsKept and ratiosKept are the numbers of the newest callers' hints, and
+	maxDecay = 0.002
+	// maxHints and maxRatios are the numbers of the newest callers' hints, and
 	// of their ratios to what streams had, that count.
-	hintsKept  = 64
-	ratiosKept = 64
-	// ratiosKnown is the number of ratios from which on hints are used.
-	ratiosKnown = 8
-	// longHint is the share of hints that are shorter than what counts as the
+	maxHints  = 64
+	maxRatios = 64
+	// minRatios is the number of ratios from which on hints are used.
+	minRatios = 8
+	// hintQuantile is the share of hints that are shorter than what counts as the
 	// longest answer.
-	longHint = 0.9
-	median   = 0.5
+	hintQuantile  = 0.9
+	ratioQuantile = 0.5
 	// paceMargin is the part of a stream's time in which it is planned to end.
 	paceMargin = 0.95
 )
@@ -32,100 +32,100 @@
 // to end. Until then it comes from the callers' hints, in tokens, and from the
 // number of tokens that an event of the ended streams stands for.
 type answerLength struct {
-	mu     sync.Mutex
-	since  time.Time     // of the first call
-	left   time.Duration // the most time that a call has
-	events float64       // of the longest streams lately
-	output int           // tokens, the most that the last call allows
-	hints  ring          // longHint of these are shorter
-	ratios ring          // hinted tokens for each event; the median
+	mu        sync.Mutex
+	firstCall time.Time     // of the first call
+	maxTime   time.Duration // the most time that a call has
+	maxEvents float64       // of the longest streams lately
+	maxOutput int           // tokens, the most that the last call allows
+	hints     quantileRing  // longHint of these are shorter
+	ratios    quantileRing  // hinted tokens for each event; the median
 }
 
-// fading is the largest value lately, which fades with each smaller one.
-func fading[T time.Duration | float64](old, seen T) T {
-	return max(seen, old-T(longestDecay*float64(old-seen)))
+// decayingMax is the largest value lately, which fades with each smaller one.
+func decayingMax[T time.Duration | float64](old, seen T) T {
+	return max(seen, old-T(maxDecay*float64(old-seen)))
 }
 
-// arrived notes a call: its hint and the most output that it allows, in tokens,
+// addCall notes a call: its hint and the most output that it allows, in tokens,
 // 0 for none, and the time it has.
-func (l *answerLength) arrived(hint, output int, left time.Duration) {
+func (l *answerLength) addCall(hint, output int, left time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.since.IsZero() {
-		l.since = time.Now()
+	if l.firstCall.IsZero() {
+		l.firstCall = time.Now()
 	}
-	l.left = fading(l.left, left)
-	l.output = output
+	l.maxTime = decayingMax(l.maxTime, left)
+	l.maxOutput = output
 	if hint > 0 {
-		l.hints.add(float64(hint), hintsKept, longHint)
+		l.hints.add(float64(hint), maxHints, hintQuantile)
 	}
 }
 
-// ended notes the events of a stream; whole means that it was not cut.
-func (l *answerLength) ended(hint, events int, whole bool) {
+// addStream notes the events of a stream; whole means that it was not cut.
+func (l *answerLength) addStream(hint, events int, whole bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := float64(events)
-	l.events = fading(l.events, n)
+	l.maxEvents = decayingMax(l.maxEvents, n)
 	if whole && hint > 0 && events > 0 {
-		l.ratios.add(float64(hint)/n, ratiosKept, median)
+		l.ratios.add(float64(hint)/n, maxRatios, ratioQuantile)
 	}
 }
 
-// length is the number of events of the longest answers, 0 while it isn't
+// longest is the number of events of the longest answers, 0 while it isn't
 // known.
-func (l *answerLength) length() float64 {
-	if !l.since.IsZero() && time.Since(l.since) > 2*l.left {
-		return l.events
+func (l *answerLength) longest() float64 {
+	if !l.firstCall.IsZero() && time.Since(l.firstCall) > 2*l.maxTime {
+		return l.maxEvents
 	}
 	hint := l.hints.quantile
-	if l.output > 0 {
-		hint = min(hint, float64(l.output))
+	if l.maxOutput > 0 {
+		hint = min(hint, float64(l.maxOutput))
 	}
-	return max(l.events, l.predicted(hint))
+	return max(l.maxEvents, l.eventsForHint(hint))
 }
 
-// predicted is the number of events that a hint stands for, 0 while that isn't
+// eventsForHint is the number of events that a hint stands for, 0 while that isn't
 // known.
-func (l *answerLength) predicted(hint float64) float64 {
-	if l.ratios.len() < ratiosKnown {
+func (l *answerLength) eventsForHint(hint float64) float64 {
+	if l.ratios.len() < minRatios {
 		return 0
 	}
 	return hint / l.ratios.quantile
 }
 
-// gap is the time between events at which the longest answers end in time, 0
+// maxGap is the time between events at which the longest answers end in time, 0
 // while it isn't known.
-func (l *answerLength) gap() time.Duration {
+func (l *answerLength) maxGap() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	n := l.length()
+	n := l.longest()
 	if n < 1 {
 		return 0
 	}
-	return time.Duration(paceMargin * float64(l.left) / n)
+	return time.Duration(paceMargin * float64(l.maxTime) / n)
 }
 
-// lasts is how long a stream with that hint takes with events that far apart, 0
+// duration is how long a stream with that hint takes with events that far apart, 0
 // while it isn't known.
-func (l *answerLength) lasts(hint int, gap time.Duration) time.Duration {
+func (l *answerLength) duration(hint int, gap time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return time.Duration(min(l.predicted(float64(hint)), l.length()) * float64(gap))
+	return time.Duration(min(l.eventsForHint(float64(hint)), l.longest()) * float64(gap))
 }
 
-// ring is the newest values of something, and a quantile of them.
-type ring struct {
+// quantileRing is the newest values of something, and a quantile of them.
+type quantileRing struct {
 	values   []float64
 	next     int
 	quantile float64
 }
 
-func (r *ring) len() int { return len(r.values) }
+func (r *quantileRing) len() int { return len(r.values) }
 
 // add takes in a value in place of the oldest of that many, and looks for the
 // quantile q anew: it is read more often than values come.
-func (r *ring) add(v float64, most int, q float64) {
+func (r *quantileRing) add(v float64, most int, q float64) {
 	if len(r.values) < most {
 		r.values = append(r.values, v)
 	} else {
--- a/request/dispatch/answer_length_test.go
+++ b/request/dispatch/answer_length_test.go
@@ -9,32 +9,32 @@
 	"github.com/pomelospool/pomelospool/version/route"
 )
 
-// hinted feeds calls of 10 to 200 events of 50 tokens whose hints are right.
-func hinted(l *answerLength, left time.Duration) {
+// addHintedCalls feeds calls of 10 to 200 events of 50 tokens whose hints are right.
+func addHintedCalls(l *answerLength, left time.Duration) {
 	for n := 10; n <= 200; n += 10 {
-		l.arrived(50*n, 10_000, left)
+		l.addCall(50*n, 10_000, left)
 	}
 }
 
 // Guards against a bound that is too loose until the first of the longest
 // answers had time to end.
-func TestLongestIsPredictedFromHints(t *testing.T) {
+func TestLongestAnswerIsPredictedFromHints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const left = 15 * time.Second
 		var l answerLength
-		hinted(&l, left)
-		if g := l.gap(); g != 0 {
+		addHintedCalls(&l, left)
+		if g := l.maxGap(); g != 0 {
 			t.Errorf("a gap of %v before any stream ended", g)
 		}
-		for n := 1; n <= ratiosKnown; n++ {
-			l.ended(50*n, n, true)
+		for n := 1; n <= minRatios; n++ {
+			l.addStream(50*n, n, true)
 		}
 		fit := paceMargin * left.Seconds() / 180
 		want := time.Duration(fit * float64(time.Second))
-		if g := l.gap(); g < want || g > want*11/10 {
+		if g := l.maxGap(); g < want || g > want*11/10 {
 			t.Errorf("a gap of %v, want %v for nine in ten hints", g, want)
 		}
-		if d := l.lasts(50*100, 60*time.Millisecond); d != 6*time.Second {
+		if d := l.duration(50*100, 60*time.Millisecond); d != 6*time.Second {
 			t.Errorf("100 events at 60 ms are predicted to last %v", d)
 		}
 	})
@@ -42,16 +42,16 @@
 
 // Guards against a bound that loosens since the longest answers, which it
 // protects, are rejected or cut and so don't show their length.
-func TestLongestFadesSlowly(t *testing.T) {
+func TestLongestAnswerDecaysSlowly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var l answerLength
-		l.arrived(0, 0, time.Second)
-		l.ended(0, 200, true)
+		l.addCall(0, 0, time.Second)
+		l.addStream(0, 200, true)
 		_ = pause.For(t.Context(), 3*time.Second)
 		for range 100 {
-			l.ended(0, 20, true)
+			l.addStream(0, 20, true)
 		}
-		if n := l.length(); n < 150 {
+		if n := l.longest(); n < 150 {
 			t.Errorf("the longest answers have %.0f events after 100 short ones, want 150 or more of 200", n)
 		}
 	})
@@ -59,15 +59,15 @@
 
 // Guards against the rest of a resumed stream that is taken for a whole short
 // answer.
-func TestResumedStreamIsNoShortAnswer(t *testing.T) {
+func TestResumedStreamIsNotRecordedAsShortAnswer(t *testing.T) {
 	r := New(Options{})
-	u := &run{Runner: r, c: &Call{Route: &route.Route{Name: "r"}}}
-	u.c.Ask.Hint = 5000
-	m := &paceMeter{run: u, events: 100}
-	m.ended(true)
-	m = &paceMeter{run: u, events: 1, resumed: true}
-	m.ended(true)
-	if l := r.answerLength("r"); l.events != 100 || l.ratios.len() != 1 {
-		t.Errorf("%.0f events, %d ratios of hints, want 100 and 1", l.events, l.ratios.len())
+	x := &execution{Runner: r, call: &Call{Route: &route.Route{Name: "r"}}}
+	x.call.Ask.Hint = 5000
+	m := &paceMeter{exec: x, events: 100}
+	m.finish(true)
+	m = &paceMeter{exec: x, events: 1, resumed: true}
+	m.finish(true)
+	if l := r.answerLength("r"); l.maxEvents != 100 || l.ratios.len() != 1 {
+		t.Errorf("%.0f events, %d ratios of hints, want 100 and 1", l.maxEvents, l.ratios.len())
 	}
 }
--- a/request/dispatch/call.go
+++ b/request/dispatch/call.go
@@ -94,24 +94,24 @@
 type Runner struct {
 	opts Options
 
-	mu      sync.Mutex
-	usuals  map[string]*placement.Usual // by service
-	lengths map[string]*answerLength    // by route
+	mu                   sync.Mutex
+	promptStatsByService map[string]*placement.Usual // by service
+	answerLengths        map[string]*answerLength    // by route
 }
 
 // New returns a Runner.
 func New(o Options) *Runner {
-	return &Runner{opts: o, usuals: make(map[string]*placement.Usual), lengths: make(map[string]*answerLength)}
+	return &Runner{opts: o, promptStatsByService: make(map[string]*placement.Usual), answerLengths: make(map[string]*answerLength)}
 }
 
-// usual returns what is usual for a service's prompts.
-func (r *Runner) usual(service string) *placement.Usual {
-	return learnt(&r.mu, r.usuals, service)
+// promptStats returns what is usual for a service's prompts.
+func (r *Runner) promptStats(service string) *placement.Usual {
+	return getOrCreate(&r.mu, r.promptStatsByService, service)
 }
 
-// learnt returns what is kept under a name, an empty one at first. Names come
+// getOrCreate returns what is kept under a name, an empty one at first. Names come
 // from the configuration, so the map stays as small as their number.
-func learnt[T any](mu *sync.Mutex, kept map[string]*T, name string) *T {
+func getOrCreate[T any](mu *sync.Mutex, kept map[string]*T, name string) *T {
 	mu.Lock()
 	defer mu.Unlock()
 	one := kept[name]
@@ -127,19 +127,19 @@
 func (r *Runner) Plain(ctx context.Context, c *Call) (*Answer, Trace, error) {
 	ctx, cancel := context.WithDeadline(ctx, c.GiveUp)
 	defer cancel()
-	u := r.begin(c)
-	a, err := u.plain(ctx)
-	return a, u.trace, err
+	x := r.newExecution(c)
+	a, err := x.runPlain(ctx)
+	return a, x.trace, err
 }
 
 // Streamed runs a call that is answered by events.
 func (r *Runner) Streamed(ctx context.Context, c *Call, out Stream) (Trace, error) {
 	ctx, cancel := context.WithDeadline(ctx, c.GiveUp)
 	defer cancel()
-	u := r.begin(c)
-	err := u.streamed(ctx, out)
-	u.trace.LastEvent = u.lastID
-	return u.trace, err
+	x := r.newExecution(c)
+	err := x.runStream(ctx, out)
+	x.trace.LastEvent = x.lastID
+	return x.trace, err
 }
 
 // Trace says how a call went, for its log line.
@@ -168,40 +168,40 @@
 	Took    time.Duration // in all
 }
 
-func (r *Runner) begin(c *Call) *run {
+func (r *Runner) newExecution(c *Call) *execution {
 	r.opts.Budget.Request(c.Service.Name)
-	return &run{Runner: r, c: c}
+	return &execution{Runner: r, call: c}
 }
 
-// run is the state of one call over its sends. It belongs to one goroutine.
-type run struct {
+// execution is the state of one call over its sends. It belongs to one goroutine.
+type execution struct {
 	*Runner
-	c      *Call
-	trace  Trace
-	ran    int      // targets that may have run it
-	avoid  []string // targets that failed it
-	first  *reading // the choice at admission, until it is used
-	last   *failed
-	lastID string // id of the last event that the caller got
+	call          *Call
+	trace         Trace
+	possibleRuns  int            // targets that may have run it
+	failedTargets []string       // targets that failed it
+	admitted      *prefillChoice // the choice at admission, until it is used
+	lastFailure   *sendFailure
+	lastID        string // id of the last event that the caller got
 
 	started bool // Call.OnStart was called
 }
 
-// start notes that a target runs the call, since that long ago.
-func (u *run) start(ago time.Duration) {
-	if u.started {
+// markStarted notes that a target runs the call, since that long ago.
+func (x *execution) markStarted(ago time.Duration) {
+	if x.started {
 		return
 	}
-	u.started = true
-	if u.c.OnStart != nil {
-		u.c.OnStart(ago)
+	x.started = true
+	if x.call.OnStart != nil {
+		x.call.OnStart(ago)
 	}
 }
 
-// startedBy reports whether a send that failed shows that the target ran the
+// provesStart reports whether a send that failed shows that the target ran the
 // call. A caller that left, or a target that is silent, shows nothing: the call
 // may still have waited.
-func startedBy(f *failed) bool {
+func provesStart(f *sendFailure) bool {
 	switch f.Class {
 	case failure.NoAnswer, failure.Cut, failure.Mismatch, failure.Failed:
 		return true
--- a/request/dispatch/consider.go
+++ b/request/dispatch/consider.go
@@ -9,71 +9,71 @@
 )
 
 const (
-	// lookAtAll is the number of a role's targets up to which a call looks at all.
-	lookAtAll = 256
-	// meetingPlaces is the number of targets at which calls of equal seed meet,
+	// sampleThreshold is the number of a role's targets up to which a call looks at all.
+	sampleThreshold = 256
+	// affinityTargets is the number of targets at which calls of equal seed meet,
 	// whatever daemon they come to.
-	meetingPlaces = 8
-	// regulars is the number of targets that a daemon prefers to others in an
+	affinityTargets = 8
+	// preferredTargets is the number of targets that a daemon prefers to others in an
 	// availability zone, so that its connections are used again.
-	regulars = 4
-	// drawnNear and drawnFar are how many targets are drawn at random, in the
+	preferredTargets = 4
+	// randomInZone and randomAnywhere are how many targets are drawn at random, in the
 	// daemon's availability zone and in any.
-	drawnNear = 12
-	drawnFar  = 4
+	randomInZone   = 12
+	randomAnywhere = 4
 	// maxConnected bounds the connected targets that are looked at.
 	maxConnected = 24
 )
 
-// considered is the targets that a call looks at.
-type considered struct {
+// targetSample is the targets that a call looks at.
+type targetSample struct {
 	entries []*port.TargetEntry
 	seen    map[*port.TargetEntry]bool
 	shared  int // the first so many are considered by all daemons alike
 }
 
-// consider returns the targets of a role that a call looks at: all, or of many
+// sampleTargets returns the targets of a role that a call looks at: all, or of many
 // those where its prompt's parts are kept or meet, those that the daemon is
 // connected to or prefers, there or in another zone, and some drawn at random. What
 // a call costs doesn't grow with the number of targets.
-func (u *run) consider(role port.Role, p *prompt, zone string) *considered {
-	set := u.opts.Targets.Targets(u.c.Service.Name)
+func (x *execution) sampleTargets(role port.Role, p *prompt, zone string) *targetSample {
+	set := x.opts.Targets.Targets(x.call.Service.Name)
 	all := set.Of(role, "")
-	if all.Len() <= lookAtAll {
-		return &considered{entries: all.All(), shared: all.Len()}
+	if all.Len() <= sampleThreshold {
+		return &targetSample{entries: all.All(), shared: all.Len()}
 	}
-	c := &considered{seen: make(map[*port.TargetEntry]bool)}
+	c := &targetSample{seen: make(map[*port.TargetEntry]bool)}
 	if p != nil {
-		c.add(all.After(p.Seed, meetingPlaces)...)
+		c.add(all.After(p.Seed, affinityTargets)...)
 	}
 	c.shared = len(c.entries)
 	if p != nil {
-		for _, hash := range u.opts.Engines.Holders(p.parts) {
+		for _, hash := range x.opts.Engines.Holders(p.parts) {
 			c.add(all.Lookup(hash))
 		}
 	}
-	own := engines.Hash(u.opts.Self)
-	near := set.Of(role, u.opts.Zone)
-	c.add(near.After(own, regulars)...)
-	if zone != u.opts.Zone {
-		c.add(set.Of(role, zone).After(own, regulars)...)
+	own := engines.Hash(x.opts.Self)
+	near := set.Of(role, x.opts.Zone)
+	c.add(near.After(own, preferredTargets)...)
+	if zone != x.opts.Zone {
+		c.add(set.Of(role, zone).After(own, preferredTargets)...)
 	}
-	connected := u.opts.Pool.IdleKeys()
+	connected := x.opts.Pool.IdleKeys()
 	for _, key := range connected[:min(len(connected), maxConnected)] {
 		_, id := h1.SplitKey(key)
 		c.add(all.Lookup(engines.Hash(id)))
 	}
-	for range drawnNear {
+	for range randomInZone {
 		c.add(near.After(rand.Uint64(), 1)...)
 	}
-	for range drawnFar {
+	for range randomAnywhere {
 		c.add(all.After(rand.Uint64(), 1)...)
 	}
 	return c
 }
 
 // add adds targets that aren't there yet; nil is none.
-func (c *considered) add(entries ...*port.TargetEntry) {
+func (c *targetSample) add(entries ...*port.TargetEntry) {
 	for _, e := range entries {
 		if e != nil && !c.seen[e] {
 			c.seen[e] = true
--- a/request/dispatch/decode.go
+++ b/request/dispatch/decode.go
@@ -19,89 +19,89 @@
 
 // decode has the answer made from the KV cache. If the engine refuses, another
 // one is asked with the same cache: a full engine leaves it where it is.
-func (u *run) decode(ctx context.Context, p prompt, from prefilled, out Stream) *failed {
+func (x *execution) decode(ctx context.Context, p prompt, from prefilled, out Stream) *sendFailure {
 	taken := false
 	defer func() {
 		if from.kv != nil && !taken {
-			u.release(*from.kv)
+			x.releaseKV(*from.kv)
 		}
 	}()
 	for tries := 1; ; tries++ {
-		cands := u.decoders(p, from.zone)
-		at := placement.Decode(p.Prompt, cands, u.c.Service.Engine, from.zone)
+		cands := x.decoders(p, from.zone)
+		at := placement.Decode(p.Prompt, cands, x.call.Service.Engine, from.zone)
 		if at < 0 {
-			return fail(failure.NotRun, from.at, errNoDecoder)
+			return newFailure(failure.NotRun, from.engineID, errNoDecoder)
 		}
 		to := cands[at].Entry
-		f := u.events(ctx, &cands[at], p, from, out)
+		f := x.streamFrom(ctx, &cands[at], p, from, out)
 		if f == nil || f.MayHaveRun() {
 			taken = true
 			if f == nil && from.kv != nil {
-				u.opts.Health.Note(kvOf(from.at), health.OK)
+				x.opts.Health.Note(kvHealthKey(from.engineID), health.OK)
 			}
 			return f
 		}
 		if from.kv != nil && f.Class == failure.NotRun {
-			u.opts.Health.Note(kvOf(from.at), health.Refused)
+			x.opts.Health.Note(kvHealthKey(from.engineID), health.Refused)
 		}
-		if tries > 1 || from.kv == nil || !u.others(cands, to.ID) || !u.again(ctx, f, 1) {
+		if tries > 1 || from.kv == nil || !x.hasAlternative(cands, to.ID) || !x.mayRetry(ctx, f, 1) {
 			return f
 		}
-		u.note(f)
+		x.recordFailure(f)
 	}
 }
 
-// kvOf names an engine's KV cache where health is kept: whether what the engine
+// kvHealthKey names an engine's KV cache where health is kept: whether what the engine
 // read can be fetched from it says nothing of its reading.
-func kvOf(id string) string { return id + KVSuffix }
+func kvHealthKey(id string) string { return id + KVSuffix }
 
 // KVSuffix ends the names of engines' KV caches where health is kept.
 const KVSuffix = "/kv"
 
-// others reports whether a candidate is left that hasn't failed this call.
-func (u *run) others(cands []placement.Candidate, but string) bool {
+// hasAlternative reports whether a candidate is left that hasn't failed this call.
+func (x *execution) hasAlternative(cands []placement.Candidate, but string) bool {
 	for _, c := range cands {
-		if c.Entry.ID != but && !u.avoids(c.Entry.ID) {
+		if c.Entry.ID != but && !x.hasFailed(c.Entry.ID) {
 			return true
 		}
 	}
 	return false
 }
 
-// release frees KV cache that nobody will read, beside the call.
-func (u *run) release(kv port.KVSource) {
+// releaseKV frees KV cache that nobody will read, beside the call.
+func (x *execution) releaseKV(kv port.KVSource) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), releaseLimit)
 		defer cancel()
-		if err := u.opts.Control.Release(ctx, kv); err != nil {
+		if err := x.opts.Control.Release(ctx, kv); err != nil {
 			// The engine frees it by itself some seconds later.
 			log.WithError(err).WithField("addr", kv.Addr).Debug("dispatch: KV cache not released")
 		}
 	}()
 }
 
-// events sends the call to a decoding engine and relays the answer.
-func (u *run) events(ctx context.Context, cand *placement.Candidate, p prompt, from prefilled, out Stream) *failed {
+// streamFrom sends the call to a decoding engine and relays the answer.
+func (x *execution) streamFrom(ctx context.Context, cand *placement.Candidate, p prompt, from prefilled, out Stream) *sendFailure {
 	to := cand.Entry
-	usual := u.opts.Speed.Figures(u.c.Service.Name).First
+	usual := x.opts.Speed.Figures(x.call.Service.Name).First
 	predicted := usual
 	if from.kv != nil {
-		predicted += placement.Move(u.c.Service.Engine, p.Tokens, from.zone == to.Zone)
+		predicted += placement.Move(x.call.Service.Engine, p.Tokens, from.zone == to.Zone)
 	}
-	done := u.opts.Engines.Decode(to.ID, u.c.Service.Engine.KVTokens, p.parts, predicted)
+	done := x.opts.Engines.Decode(to.ID, x.call.Service.Engine.KVTokens, p.parts, predicted)
 	defer done()
 	begun := time.Now()
-	s := sending{to: to, state: port.Send{Priority: p.priority, KV: from.kv, LastEvent: u.lastID}}
-	resp, v, f := u.send(ctx, s)
+	s := outgoing{target: to, state: port.Send{Priority: p.priority, KV: from.kv, LastEvent: x.lastID}}
+	resp, v, f := x.send(ctx, s)
 	if f != nil {
 		return f
 	}
 	if resp.Status != http.StatusOK || v.NotRun {
-		return u.noStream(ctx, to.ID, resp, v, out)
+		return x.relayNonStream(ctx, to.ID, resp, v, out)
 	}
 	if !v.Signed {
 		resp.Close(0)
-		return fail(failure.Mismatch, to.ID, errUnsigned)
+		return newFailure(failure.Mismatch, to.ID, errUnsigned)
 	}
 	firstAt := begun
 	first := func() {
@@ -109,56 +109,56 @@
 		seen := firstAt.Sub(begun)
 		if cand.Load.Streams < to.Slots {
 			// Beyond its places it would be the wait for one that is learnt.
-			u.opts.Speed.First(u.c.Service.Name, usual+seen-predicted)
+			x.opts.Speed.First(x.call.Service.Name, usual+seen-predicted)
 		}
 		if usual > 0 {
-			u.opts.Health.NotePace(to.ID, u.pace(predicted, seen))
+			x.opts.Health.NotePace(to.ID, x.slowdown(predicted, seen))
 		}
 	}
-	m := &paceMeter{run: u, target: to.ID, resumed: u.lastID != ""}
-	f = u.relay(ctx, to.ID, resp, v, out, watch{first: first, batch: m.passed})
-	m.ended(f == nil)
-	if f == nil && u.c.Ask.Output > 0 {
-		u.opts.Speed.Stream(u.c.Service.Name, u.c.Ask.Output, time.Since(firstAt), time.Since(begun), u.mostUrgent())
+	m := &paceMeter{exec: x, target: to.ID, resumed: x.lastID != ""}
+	f = x.relay(ctx, to.ID, resp, v, out, streamHooks{first: first, batch: m.addEvents})
+	m.finish(f == nil)
+	if f == nil && x.call.Ask.Output > 0 {
+		x.opts.Speed.Stream(x.call.Service.Name, x.call.Ask.Output, time.Since(firstAt), time.Since(begun), x.mostUrgent())
 	}
 	return f
 }
 
-// noStream takes an answer that is no stream: a refusal, a failure, or the
+// relayNonStream takes an answer that is no stream: a refusal, a failure, or the
 // target's own answer, which is passed on.
-func (u *run) noStream(ctx context.Context, target string, resp *h1.Response, v port.Verdict, out Stream) *failed {
-	a, f := u.whole(ctx, target, resp, v)
+func (x *execution) relayNonStream(ctx context.Context, target string, resp *h1.Response, v port.Verdict, out Stream) *sendFailure {
+	a, f := x.readAnswer(ctx, target, resp, v)
 	if f != nil {
 		return f
 	}
-	if f := u.judge(target, a, v); f != nil {
+	if f := x.answerFailure(target, a, v); f != nil {
 		return f
 	}
-	u.start(0)
-	if u.trace.Begun {
-		return ownFailure(target, a)
+	x.markStarted(0)
+	if x.trace.Begun {
+		return targetError(target, a)
 	}
-	u.trace.Begun = true
+	x.trace.Begun = true
 	out.Begin(a.Status, a.Header)
 	if err := out.Write(a.Body); err != nil {
-		return fail(failure.CallerGone, target, err)
+		return newFailure(failure.CallerGone, target, err)
 	}
 	return nil
 }
 
-// pace is how many times longer than predicted something took. Short times are
+// slowdown is how many times longer than predicted something took. Short times are
 // off by some tens of milliseconds for reasons that aren't the engine's.
-func (u *run) pace(predicted, seen time.Duration) float64 {
-	slack := paceSlack
-	if o := u.c.Route.Objective; o > 0 {
-		slack = time.Duration(paceShare * float64(o))
+func (x *execution) slowdown(predicted, seen time.Duration) float64 {
+	slack := defaultSlack
+	if o := x.call.Route.Objective; o > 0 {
+		slack = time.Duration(slackShare * float64(o))
 	}
 	return float64(seen+slack) / float64(predicted+slack)
 }
 
-// What is added to both times of a pace: a share of the objective, or paceSlack
+// What is added to both times of a pace: a share of the objective, or defaultSlack
 // without one.
 const (
-	paceShare = 0.2
-	paceSlack = 100 * time.Millisecond
+	slackShare   = 0.2
+	defaultSlack = 100 * time.Millisecond
 )
--- a/request/dispatch/failure.go
+++ b/request/dispatch/failure.go
@@ -9,22 +9,22 @@
 	"github.com/pomelospool/pomelospool/request/failure"
 )
 
-// failed is a send that failed.
-type failed struct {
+// sendFailure is a send that failed.
+type sendFailure struct {
 	*failure.Failure
-	answer *Answer       // the target's own, if it gave one
-	after  time.Duration // the target said when to come back
-	noted  bool          // the target was judged already
+	answer         *Answer       // the target's own, if it gave one
+	retryAfter     time.Duration // the target said when to come back
+	healthRecorded bool          // the target was judged already
 }
 
-// fail makes a failed send.
-func fail(class failure.Class, target string, err error) *failed {
-	return &failed{Failure: &failure.Failure{Class: class, Target: target, Err: err}}
+// newFailure makes a failed send.
+func newFailure(class failure.Class, target string, err error) *sendFailure {
+	return &sendFailure{Failure: &failure.Failure{Class: class, Target: target, Err: err}}
 }
 
-// outcome is what the failure says of the target. It reports false if the call
+// healthOutcome is what the failure says of the target. It reports false if the call
 // ended on the caller's side: by its leaving or by its deadline.
-func (f *failed) outcome() (health.Outcome, bool) {
+func (f *sendFailure) healthOutcome() (health.Outcome, bool) {
 	switch {
 	case f.Final():
 		return health.OK, false
@@ -38,43 +38,43 @@
 
 // Causes in words of this code's own.
 const (
-	errUnsigned  = failure.Detail("the answer isn't the target's own")
-	errTooLarge  = failure.Detail("the answer is too large")
-	errWrongOne  = failure.Detail("another target has the address")
-	errSaysNoRun = failure.Detail("the target says that it ran nothing")
-	errNoDecoder = failure.Detail("no engine decodes")
+	errUnsigned    = failure.Detail("the answer isn't the target's own")
+	errTooLarge    = failure.Detail("the answer is too large")
+	errWrongTarget = failure.Detail("another target has the address")
+	errNotRun      = failure.Detail("the target says that it ran nothing")
+	errNoDecoder   = failure.Detail("no engine decodes")
 )
 
 // finalError turns the end of a call into its code. "Not run" must be true: it
 // is said only when every send was refused or never written.
-func (u *run) finalError(f *failed) error {
+func (x *execution) finalError(f *sendFailure) error {
 	switch {
 	case f.Class == failure.CallerGone:
 		return code.Wrap(code.CallerGone, f, "")
-	case u.ran > 0 && f.Class == failure.Late:
-		return code.Wrap(code.DeadlinePassed, f, "after %d sends", u.trace.Sends)
-	case u.ran > 0:
-		return code.Wrap(code.TargetFailed, f, "after %d sends", u.trace.Sends)
+	case x.possibleRuns > 0 && f.Class == failure.Late:
+		return code.Wrap(code.DeadlinePassed, f, "after %d sends", x.trace.Sends)
+	case x.possibleRuns > 0:
+		return code.Wrap(code.TargetFailed, f, "after %d sends", x.trace.Sends)
 	}
-	return code.Wrap(code.NoTarget, f, "after %d sends", u.trace.Sends).After(u.comeBack(f))
+	return code.Wrap(code.NoTarget, f, "after %d sends", x.trace.Sends).After(x.retryDelay(f))
 }
 
 // The least and the most that a caller is asked to wait.
 const (
-	minComeBack = 100 * time.Millisecond
-	maxComeBack = 2 * time.Second
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 2 * time.Second
 )
 
-func (u *run) comeBack(f *failed) time.Duration {
-	d := u.c.Route.Objective / 2
-	if f != nil && f.after > 0 {
-		d = f.after
+func (x *execution) retryDelay(f *sendFailure) time.Duration {
+	d := x.call.Route.Objective / 2
+	if f != nil && f.retryAfter > 0 {
+		d = f.retryAfter
 	}
-	return min(max(d, minComeBack), maxComeBack)
+	return min(max(d, minRetryDelay), maxRetryDelay)
 }
 
-// promises reports whether a status says that the request didn't run.
-func promises(status int) bool {
+// impliesNotRun reports whether a status says that the request didn't run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable,
 		http.StatusRequestTimeout, http.StatusMisdirectedRequest:
--- a/request/dispatch/pace_test.go
+++ b/request/dispatch/pace_test.go
@@ -33,11 +33,11 @@
 	paceTimeout    = 13400 * time.Millisecond
 	paceSlots      = 64
 	paceArrivals   = 40 * time.Millisecond // between two
-	paceLasts      = 40 * time.Second
+	paceDuration   = 40 * time.Second
 )
 
-// paced is one caller's request and how it ended.
-type paced struct {
+// pacedRequest is one caller's request and how it ended.
+type pacedRequest struct {
 	id     string
 	events int
 	hint   int // tokens, right at the median only
@@ -45,24 +45,24 @@
 	cut    bool
 }
 
-// play runs the load with callers that come back once after a rejection.
-func (r *rig) play(ctx context.Context, seed uint64) []*paced {
+// runLoad runs the load with callers that come back once after a rejection.
+func (h *harness) runLoad(ctx context.Context, seed uint64) []*pacedRequest {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	lengths := make(map[string]int)
-	reader := r.add("llm", port.RolePrefill)
+	reader := h.addTarget("llm", port.RolePrefill)
 	reader.Set(func(b *standin.Behaviour) { b.Gap = time.Millisecond })
 	for range 2 {
-		r.add("llm", port.RoleDecode).Set(func(b *standin.Behaviour) {
+		h.addTarget("llm", port.RoleDecode).Set(func(b *standin.Behaviour) {
 			b.Gap, b.Slowing = paceGap, paceSlowing
 			b.Length = func(id string) int { return lengths[id] }
 		})
 	}
-	for i := range r.entries["llm"] {
-		r.entries["llm"][i].Slots = paceSlots
+	for i := range h.entries["llm"] {
+		h.entries["llm"][i].Slots = paceSlots
 	}
-	var all []*paced
-	for at := time.Duration(0); at < paceLasts; at += paceArrivals {
-		one := &paced{id: fmt.Sprint("p", len(all))}
+	var all []*pacedRequest
+	for at := time.Duration(0); at < paceDuration; at += paceArrivals {
+		one := &pacedRequest{id: fmt.Sprint("p", len(all))}
 		length := paceMean * math.Exp(paceSpread*rnd.NormFloat64()-paceSpread*paceSpread/2)
 		one.events = min(max(int(length), 1), paceLongest)
 		one.hint = int(paceTokens * float64(one.events) * math.Exp(paceHintSpread*rnd.NormFloat64()))
@@ -71,18 +71,18 @@
 	}
 	var callers sync.WaitGroup
 	for _, one := range all {
-		callers.Go(func() { r.caller(ctx, one) })
+		callers.Go(func() { h.runCaller(ctx, one) })
 		_ = pause.For(ctx, paceArrivals)
 	}
 	callers.Wait()
 	return all
 }
 
-// caller sends a request, and once more after a rejection.
-func (r *rig) caller(ctx context.Context, one *paced) {
+// runCaller sends a request, and once more after a rejection.
+func (h *harness) runCaller(ctx context.Context, one *pacedRequest) {
 	end := time.Now().Add(paceTimeout)
 	for range 2 {
-		_, err := r.runner.Streamed(ctx, r.pacedCall(one, end), &sheet{})
+		_, err := h.runner.Streamed(ctx, h.pacedCall(one, end), &recorder{})
 		var e *code.Error
 		if !errors.As(err, &e) {
 			one.served = err == nil
@@ -96,21 +96,21 @@
 	}
 }
 
-func (r *rig) pacedCall(one *paced, end time.Time) *Call {
-	c := r.call(route.Stream, 1, time.Until(end))
-	h := standin.CallerHeaders(one.id, time.Until(end), "cc:50,dd:40")
-	ask, err := platform.Wire{}.Ask(h)
+func (h *harness) pacedCall(one *pacedRequest, end time.Time) *Call {
+	c := h.newCall(route.Stream, 1, time.Until(end))
+	header := standin.CallerHeaders(one.id, time.Until(end), "cc:50,dd:40")
+	ask, err := platform.Wire{}.Ask(header)
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	ask.Prompt, ask.Output, ask.Hint = 90, paceLongest*paceTokens, one.hint
-	c.Ask, c.Header, c.GiveUp = ask, platform.Wire{}.Forward(h, false), end
+	c.Ask, c.Header, c.GiveUp = ask, platform.Wire{}.Forward(header, false), end
 	c.Service.Engine.Slots = paceSlots
 	c.Priority = 1
 	return c
 }
 
-func share(of []*paced, is func(*paced) bool) float64 {
+func fractionOf(of []*pacedRequest, is func(*pacedRequest) bool) float64 {
 	n := 0
 	for _, one := range of {
 		if is(one) {
@@ -125,12 +125,12 @@
 func TestLongAnswersEndInTime(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			withRig(t, 1000, func(t *testing.T, r *rig) {
-				all := r.play(t.Context(), seed)
-				slices.SortFunc(all, func(a, b *paced) int { return cmp.Compare(b.events, a.events) })
-				served := func(p *paced) bool { return p.served }
-				largest, whole := share(all[:len(all)/10], served), share(all, served)
-				cut := share(all, func(p *paced) bool { return p.cut })
+			withHarness(t, 1000, func(t *testing.T, h *harness) {
+				all := h.runLoad(t.Context(), seed)
+				slices.SortFunc(all, func(a, b *pacedRequest) int { return cmp.Compare(b.events, a.events) })
+				served := func(p *pacedRequest) bool { return p.served }
+				largest, whole := fractionOf(all[:len(all)/10], served), fractionOf(all, served)
+				cut := fractionOf(all, func(p *pacedRequest) bool { return p.cut })
 				t.Logf("served %.2f of the largest tenth, %.2f of all; %.3f were cut", largest, whole, cut)
 				if largest < whole/2 {
 					t.Errorf("served %.2f of the largest tenth, %.2f of all", largest, whole)
--- a/request/dispatch/plain.go
+++ b/request/dispatch/plain.go
@@ -13,73 +13,73 @@
 )
 
 const (
-	// patience is how many objectives an idempotent call waits for one target
+	// silenceFactor is how many objectives an idempotent call waits for one target
 	// before it asks another: targets that hang would hold it for its deadline.
-	patience = 2
-	// minPatience is the least of these waits.
-	minPatience = 150 * time.Millisecond
+	silenceFactor = 2
+	// minSilence is the least of these waits.
+	minSilence = 150 * time.Millisecond
 )
 
-// plain sends the call until it has an answer to pass on.
-func (u *run) plain(ctx context.Context) (*Answer, error) {
+// runPlain sends the call until it has an answer to pass on.
+func (x *execution) runPlain(ctx context.Context) (*Answer, error) {
 	for {
-		to, ok := u.pickPlain()
+		to, ok := x.pickPlain()
 		if !ok {
-			return nil, u.noTarget()
+			return nil, x.noTargetError()
 		}
-		a, f := u.plainAt(ctx, to)
+		a, f := x.sendPlain(ctx, to)
 		if f == nil {
-			u.ok(to.ID)
+			x.recordSuccess(to.ID)
 			return a, nil
 		}
-		u.note(f)
-		if !u.again(ctx, f, 1) {
-			return u.lastWord(f)
+		x.recordFailure(f)
+		if !x.mayRetry(ctx, f, 1) {
+			return x.finalAnswer(f)
 		}
 	}
 }
 
-func (u *run) plainAt(ctx context.Context, to port.TargetEntry) (*Answer, *failed) {
-	done := u.opts.Engines.Decode(to.ID, 0, nil, 0)
+func (x *execution) sendPlain(ctx context.Context, to port.TargetEntry) (*Answer, *sendFailure) {
+	done := x.opts.Engines.Decode(to.ID, 0, nil, 0)
 	defer done()
-	s := sending{to: to, state: port.Send{Priority: -1}}
-	if u.c.Route.Idempotent() && u.ran+1 < u.c.Route.Attempts {
-		s.silence = max(patience*u.c.Route.Objective, minPatience)
+	s := outgoing{target: to, state: port.Send{Priority: -1}}
+	if x.call.Route.Idempotent() && x.possibleRuns+1 < x.call.Route.Attempts {
+		s.headerTimeout = max(silenceFactor*x.call.Route.Objective, minSilence)
 	}
 	sent := time.Now()
-	resp, v, f := u.send(ctx, s)
+	resp, v, f := x.send(ctx, s)
 	if f != nil {
 		return nil, f
 	}
 	if !v.NotRun {
-		u.start(time.Since(sent))
+		x.markStarted(time.Since(sent))
 	}
-	a, f := u.whole(ctx, to.ID, resp, v)
+	a, f := x.readAnswer(ctx, to.ID, resp, v)
 	if f != nil {
 		return nil, f
 	}
-	return a, u.judge(to.ID, a, v)
+	return a, x.answerFailure(to.ID, a, v)
 }
 
-// lastWord answers with the target's own failure where that is allowed.
+// finalAnswer answers with the target's own failure where that is allowed.
 //
 // A status that promises "not run" isn't passed on from a target that ran the
 // request: the caller would send it again.
-func (u *run) lastWord(f *failed) (*Answer, error) {
-	if f.Class == failure.Failed && !promises(f.answer.Status) {
+func (x *execution) finalAnswer(f *sendFailure) (*Answer, error) {
+	if f.Class == failure.Failed && !impliesNotRun(f.answer.Status) {
 		return f.answer, nil
 	}
-	if f.Class == failure.NotRun && f.answer != nil && f.answer.Status == http.StatusBadRequest && u.ran == 0 {
+	if f.Class == failure.NotRun && f.answer != nil && f.answer.Status == http.StatusBadRequest && x.possibleRuns == 0 {
 		return f.answer, nil
 	}
-	return nil, u.finalError(f)
+	return nil, x.finalError(f)
 }
 
-func (u *run) noTarget() error {
-	if u.last != nil {
-		return u.finalError(u.last)
+func (x *execution) noTargetError() error {
+	if x.lastFailure != nil {
+		return x.finalError(x.lastFailure)
 	}
-	return code.New(code.NoTarget, "service %q has no target", u.c.Service.Name).After(u.comeBack(nil))
+	return code.New(code.NoTarget, "service %q has no target", x.call.Service.Name).After(x.retryDelay(nil))
 }
 
 // The weights of what speaks against a target, in shares of its places.
@@ -90,20 +90,20 @@
 )
 
 // pickPlain chooses the target with the most free places.
-func (u *run) pickPlain() (port.TargetEntry, bool) {
+func (x *execution) pickPlain() (port.TargetEntry, bool) {
 	var best port.TargetEntry
 	bestCost := -1.0
-	reuse := u.reuse(sending{})
-	for _, e := range u.usable(u.consider("", nil, u.opts.Zone), nil) {
+	reuse := x.connReuse(outgoing{})
+	for _, e := range x.usable(x.sampleTargets("", nil, x.opts.Zone), nil) {
 		cost := float64(e.load.Streams) / float64(max(e.Slots, 1))
-		cost += failWeight * u.opts.Health.Rate(e.ID)
-		if e.Zone != u.opts.Zone {
+		cost += failWeight * x.opts.Health.Rate(e.ID)
+		if e.Zone != x.opts.Zone {
 			cost += zoneWeight
 		}
-		if !u.opts.Pool.Warm(e.Addr, e.ID, reuse) {
+		if !x.opts.Pool.Warm(e.Addr, e.ID, reuse) {
 			cost += dialWeight
 		}
-		cost += zoneWeight / 2 * spread(u.c.Ask.ID, e.ID)
+		cost += zoneWeight / 2 * hashFraction(x.call.Ask.ID, e.ID)
 		if bestCost < 0 || cost < bestCost {
 			best, bestCost = *e.TargetEntry, cost
 		}
@@ -111,40 +111,40 @@
 	return best, bestCost >= 0
 }
 
-// spread is a number in [0,1) for a call and a target, so that targets that
+// hashFraction is a number in [0,1) for a call and a target, so that targets that
 // are alike share the calls.
-func spread(id, target string) float64 {
+func hashFraction(id, target string) float64 {
 	return fraction.Of(engines.Hash(id) ^ engines.Hash(target))
 }
 
-// plainStream runs a streamed call at plain targets.
-func (u *run) plainStream(ctx context.Context, out Stream) error {
+// runPlainStream runs a streamed call at plain targets.
+func (x *execution) runPlainStream(ctx context.Context, out Stream) error {
 	for {
-		to, ok := u.pickPlain()
+		to, ok := x.pickPlain()
 		if !ok {
-			return u.noTarget()
+			return x.noTargetError()
 		}
-		f := u.plainEvents(ctx, to, out)
+		f := x.streamPlain(ctx, to, out)
 		if f == nil {
-			u.ok(to.ID)
+			x.recordSuccess(to.ID)
 			return nil
 		}
-		u.note(f)
-		if !u.again(ctx, f, 1) {
-			return u.finalError(f)
+		x.recordFailure(f)
+		if !x.mayRetry(ctx, f, 1) {
+			return x.finalError(f)
 		}
 	}
 }
 
-func (u *run) plainEvents(ctx context.Context, to port.TargetEntry, out Stream) *failed {
-	done := u.opts.Engines.Decode(to.ID, 0, nil, 0)
+func (x *execution) streamPlain(ctx context.Context, to port.TargetEntry, out Stream) *sendFailure {
+	done := x.opts.Engines.Decode(to.ID, 0, nil, 0)
 	defer done()
-	resp, v, f := u.send(ctx, sending{to: to, state: port.Send{Priority: -1, LastEvent: u.lastID}})
+	resp, v, f := x.send(ctx, outgoing{target: to, state: port.Send{Priority: -1, LastEvent: x.lastID}})
 	if f != nil {
 		return f
 	}
 	if resp.Status != http.StatusOK || v.NotRun || !v.Signed {
-		return u.noStream(ctx, to.ID, resp, v, out)
+		return x.relayNonStream(ctx, to.ID, resp, v, out)
 	}
-	return u.relay(ctx, to.ID, resp, v, out, watch{first: func() {}, batch: func(int) {}})
+	return x.relay(ctx, to.ID, resp, v, out, streamHooks{first: func() {}, batch: func(int) {}})
 }
--- a/request/dispatch/plain_test.go
+++ b/request/dispatch/plain_test.go
@@ -13,8 +13,8 @@
 	"github.com/pomelospool/pomelospool/version/route"
 )
 
-// ran is how often the targets ran anything.
-func ran(targets ...*standin.Target) int {
+// runCount is how often the targets ran anything.
+func runCount(targets ...*standin.Target) int {
 	n := 0
 	for _, t := range targets {
 		n += len(t.Ran())
@@ -22,8 +22,8 @@
 	return n
 }
 
-// faults are ways in which a target fails a request, and whether it ran it.
-var faults = map[string]struct {
+// targetFaults are ways in which a target fails a request, and whether it ran it.
+var targetFaults = map[string]struct {
 	set func(b *standin.Behaviour)
 	ran bool
 }{
@@ -36,18 +36,18 @@
 // A passenger's board shows two departures. A request that may run once ran at
 // a second target, after the first had run it and failed to say so.
 func TestUnsafeCallsRunOnce(t *testing.T) {
-	for name, fault := range faults {
+	for name, fault := range targetFaults {
 		t.Run(name, func(t *testing.T) {
-			withRig(t, 100, func(t *testing.T, r *rig) {
-				a, b := r.add("app", ""), r.add("app", "")
+			withHarness(t, 100, func(t *testing.T, h *harness) {
+				a, b := h.addTarget("app", ""), h.addTarget("app", "")
 				a.Set(fault.set)
 				b.Set(fault.set)
-				_, _, err := r.runner.Plain(t.Context(), r.call(route.Unsafe, 3, time.Second))
+				_, _, err := h.runner.Plain(t.Context(), h.newCall(route.Unsafe, 3, time.Second))
 				want := 0
 				if fault.ran {
 					want = 1
 				}
-				if n := ran(a, b); n != want {
+				if n := runCount(a, b); n != want {
 					t.Errorf("ran %d times, want %d", n, want)
 				}
 				if notRun := code.Of(err).Info().NotRun && err != nil; notRun && fault.ran {
@@ -59,10 +59,10 @@
 }
 
 // "Not run" is the one promise after which callers send the request again.
-func TestRefusedCallsSayWhenToComeBack(t *testing.T) {
-	withRig(t, 100, func(t *testing.T, r *rig) {
-		r.add("app", "").Set(func(b *standin.Behaviour) { b.Refuse = true })
-		_, _, err := r.runner.Plain(t.Context(), r.call(route.Unsafe, 1, time.Second))
+func TestRefusedCallsCarryRetryAfter(t *testing.T) {
+	withHarness(t, 100, func(t *testing.T, h *harness) {
+		h.addTarget("app", "").Set(func(b *standin.Behaviour) { b.Refuse = true })
+		_, _, err := h.runner.Plain(t.Context(), h.newCall(route.Unsafe, 1, time.Second))
 		e, ok := err.(*code.Error)
 		if !ok || e.Code != code.NoTarget || e.RetryAfter <= 0 {
 			t.Errorf("error %v", err)
@@ -70,14 +70,14 @@
 	})
 }
 
-func TestSafeCallsGoOnElsewhere(t *testing.T) {
-	for name, fault := range faults {
+func TestSafeCallsAreRetriedOnAnotherTarget(t *testing.T) {
+	for name, fault := range targetFaults {
 		t.Run(name, func(t *testing.T) {
-			withRig(t, 100, func(t *testing.T, r *rig) {
-				a, b := r.add("app", ""), r.add("app", "")
+			withHarness(t, 100, func(t *testing.T, h *harness) {
+				a, b := h.addTarget("app", ""), h.addTarget("app", "")
 				a.Set(fault.set)
 				for range 5 {
-					got, _, err := r.runner.Plain(t.Context(), r.call(route.Safe, 2, 3*time.Second))
+					got, _, err := h.runner.Plain(t.Context(), h.newCall(route.Safe, 2, 3*time.Second))
 					if err != nil || got.Status != 200 || string(got.Body) != "answer to req-1" {
 						t.Fatalf("answer %+v, %v", got, err)
 					}
@@ -92,37 +92,37 @@
 
 // A request must not run at more targets than its route allows.
 func TestAttemptsAreBounded(t *testing.T) {
-	withRig(t, 100, func(t *testing.T, r *rig) {
+	withHarness(t, 100, func(t *testing.T, h *harness) {
 		var all []*standin.Target
 		for range 5 {
-			one := r.add("app", "")
+			one := h.addTarget("app", "")
 			one.Set(func(b *standin.Behaviour) { b.Fail = true })
 			all = append(all, one)
 		}
-		got, _, err := r.runner.Plain(t.Context(), r.call(route.Safe, 2, time.Second))
-		if err != nil || got.Status != 500 || ran(all...) != 2 {
-			t.Errorf("%d runs, answer %+v, %v", ran(all...), got, err)
+		got, _, err := h.runner.Plain(t.Context(), h.newCall(route.Safe, 2, time.Second))
+		if err != nil || got.Status != 500 || runCount(all...) != 2 {
+			t.Errorf("%d runs, answer %+v, %v", runCount(all...), got, err)
 		}
 	})
 }
 
 // A target that ran a request and answers 503 would have the caller send it
 // again.
-func TestPromiseOfATargetThatRanItIsNotPassedOn(t *testing.T) {
-	u := &run{ran: 1, c: &Call{Route: &route.Route{}}}
-	a, err := u.lastWord(ownFailure("t", &Answer{Status: 503}))
+func TestRetryableStatusAfterARunIsNotRelayed(t *testing.T) {
+	x := &execution{possibleRuns: 1, call: &Call{Route: &route.Route{}}}
+	a, err := x.finalAnswer(targetError("t", &Answer{Status: 503}))
 	if a != nil || code.Of(err).Info().NotRun {
 		t.Errorf("answer %+v, %v", a, err)
 	}
 }
 
-func TestTargetsThatRefuseConnectionsAreNoAttempt(t *testing.T) {
-	withRig(t, 0, func(t *testing.T, r *rig) {
-		r.add("app", "")
-		r.net.Stop("app0")
-		b := r.add("app", "")
+func TestRefusedConnectionsAreNotAttempts(t *testing.T) {
+	withHarness(t, 0, func(t *testing.T, h *harness) {
+		h.addTarget("app", "")
+		h.net.Stop("app0")
+		b := h.addTarget("app", "")
 		for range 3 {
-			if _, _, err := r.runner.Plain(t.Context(), r.call(route.Unsafe, 1, time.Second)); err != nil {
+			if _, _, err := h.runner.Plain(t.Context(), h.newCall(route.Unsafe, 1, time.Second)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -134,20 +134,20 @@
 
 // With all targets failing, each retry adds load to what is failing already.
 func TestBudgetBoundsRetries(t *testing.T) {
-	withRig(t, 3, func(t *testing.T, r *rig) {
-		a, b := r.add("app", ""), r.add("app", "")
+	withHarness(t, 3, func(t *testing.T, h *harness) {
+		a, b := h.addTarget("app", ""), h.addTarget("app", "")
 		for _, one := range []*standin.Target{a, b} {
 			one.Set(func(b *standin.Behaviour) { b.Fail = true })
 		}
 		for range 20 {
-			_, _, _ = r.runner.Plain(t.Context(), r.call(route.Safe, 2, time.Second))
+			_, _, _ = h.runner.Plain(t.Context(), h.newCall(route.Safe, 2, time.Second))
 		}
-		if n := ran(a, b); n != 23 {
+		if n := runCount(a, b); n != 23 {
 			t.Errorf("%d runs for 20 calls, want 23", n)
 		}
 		_ = pause.For(context.Background(), 11*time.Second)
-		_, _, _ = r.runner.Plain(t.Context(), r.call(route.Safe, 2, time.Second))
-		if n := ran(a, b); n != 25 {
+		_, _, _ = h.runner.Plain(t.Context(), h.newCall(route.Safe, 2, time.Second))
+		if n := runCount(a, b); n != 25 {
 			t.Errorf("%d runs, want 25: the window has passed", n)
 		}
 	})
@@ -156,11 +156,11 @@
 // The caller is told at once when the route's time is over, and the target
 // stops working for it.
 func TestRouteTimeoutEndsTheCall(t *testing.T) {
-	withRig(t, 100, func(t *testing.T, r *rig) {
-		a := r.add("app", "")
+	withHarness(t, 100, func(t *testing.T, h *harness) {
+		a := h.addTarget("app", "")
 		a.Set(func(b *standin.Behaviour) { b.Mute = true })
 		begun := time.Now()
-		_, _, err := r.runner.Plain(t.Context(), r.call(route.Unsafe, 1, 700*time.Millisecond))
+		_, _, err := h.runner.Plain(t.Context(), h.newCall(route.Unsafe, 1, 700*time.Millisecond))
 		if code.Of(err) != code.DeadlinePassed || time.Since(begun) != 700*time.Millisecond {
 			t.Errorf("%v after %v", err, time.Since(begun))
 		}
@@ -171,14 +171,14 @@
 }
 
 func TestNoTargets(t *testing.T) {
-	withRig(t, 100, func(t *testing.T, r *rig) {
-		_, _, err := r.runner.Plain(t.Context(), r.call(route.Safe, 1, time.Second))
+	withHarness(t, 100, func(t *testing.T, h *harness) {
+		_, _, err := h.runner.Plain(t.Context(), h.newCall(route.Safe, 1, time.Second))
 		if code.Of(err) != code.NoTarget {
 			t.Errorf("error %v", err)
 		}
-		r.add("app", "")
-		r.entries["app"][0].Leaving = true
-		if _, _, err := r.runner.Plain(t.Context(), r.call(route.Safe, 1, time.Second)); code.Of(err) != code.NoTarget {
+		h.addTarget("app", "")
+		h.entries["app"][0].Leaving = true
+		if _, _, err := h.runner.Plain(t.Context(), h.newCall(route.Safe, 1, time.Second)); code.Of(err) != code.NoTarget {
 			t.Errorf("a leaving target got work: %v", err)
 		}
 	})
@@ -186,12 +186,12 @@
 
 // An address is used again by a target of another service, which must not run
 // the request.
-func TestAnotherTargetAtTheAddress(t *testing.T) {
-	withRig(t, 100, func(t *testing.T, r *rig) {
-		a, b := r.add("app", ""), r.add("app", "")
-		r.entries["app"][0].ID = "gone"
+func TestReusedAddressDoesNotRunTheCall(t *testing.T) {
+	withHarness(t, 100, func(t *testing.T, h *harness) {
+		a, b := h.addTarget("app", ""), h.addTarget("app", "")
+		h.entries["app"][0].ID = "gone"
 		for range 4 {
-			if _, _, err := r.runner.Plain(t.Context(), r.call(route.Unsafe, 1, time.Second)); err != nil {
+			if _, _, err := h.runner.Plain(t.Context(), h.newCall(route.Unsafe, 1, time.Second)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -202,12 +202,12 @@
 }
 
 func TestCallerThatLeavesStopsTheTarget(t *testing.T) {
-	withRig(t, 100, func(t *testing.T, r *rig) {
-		r.add("app", "").Set(func(b *standin.Behaviour) { b.Mute = true })
+	withHarness(t, 100, func(t *testing.T, h *harness) {
+		h.addTarget("app", "").Set(func(b *standin.Behaviour) { b.Mute = true })
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(100*time.Millisecond, cancel)
 		begun := time.Now()
-		_, _, err := r.runner.Plain(ctx, r.call(route.Safe, 2, time.Second))
+		_, _, err := h.runner.Plain(ctx, h.newCall(route.Safe, 2, time.Second))
 		if code.Of(err) != code.CallerGone || time.Since(begun) != 100*time.Millisecond {
 			t.Errorf("%v after %v", err, time.Since(begun))
 		}
@@ -225,9 +225,9 @@
 		"deadline": {timeout: 10 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			withRig(t, 100, func(t *testing.T, r *rig) {
-				r.add("app", "")
-				r.runner.opts.Pool = h1.New(h1.Options{Dial: func(ctx context.Context, _ string) (net.Conn, error) {
+			withHarness(t, 100, func(t *testing.T, h *harness) {
+				h.addTarget("app", "")
+				h.runner.opts.Pool = h1.New(h1.Options{Dial: func(ctx context.Context, _ string) (net.Conn, error) {
 					<-ctx.Done()
 					return nil, ctx.Err()
 				}})
@@ -236,10 +236,10 @@
 				if end.leaves > 0 {
 					time.AfterFunc(end.leaves, cancel)
 				}
-				if _, _, err := r.runner.Plain(ctx, r.call(route.Safe, 2, end.timeout)); err == nil {
+				if _, _, err := h.runner.Plain(ctx, h.newCall(route.Safe, 2, end.timeout)); err == nil {
 					t.Fatal("answered")
 				}
-				if r.runner.opts.Health.Ejected("app0") {
+				if h.runner.opts.Health.Ejected("app0") {
 					t.Error("the target is ejected")
 				}
 			})
--- a/request/dispatch/prefill.go
+++ b/request/dispatch/prefill.go
@@ -13,42 +13,42 @@
 )
 
 const (
-	// prefillPatience times the predicted time, and prefillGrace on top, is how
+	// prefillTimeoutFactor times the predicted time, and prefillTimeoutExtra on top, is how
 	// long an engine may take to read a prompt. A dark engine shows in nothing
-	// but silence. While nothing can be predicted it may take unknownPatience of
+	// but silence. While nothing can be predicted it may take unpredictedTimeoutShare of
 	// the time that the call has.
-	prefillPatience = 3
-	prefillGrace    = 700 * time.Millisecond
-	unknownPatience = 0.5
+	prefillTimeoutFactor    = 3
+	prefillTimeoutExtra     = 700 * time.Millisecond
+	unpredictedTimeoutShare = 0.5
 )
 
 // prefilled is a prompt that was read, or the decision to have it read by the
 // engine that decodes.
 type prefilled struct {
-	kv   *port.KVSource // nil: there is none
-	zone string         // of the engine that keeps it
-	at   string         // id of that engine
+	kv       *port.KVSource // nil: there is none
+	zone     string         // of the engine that keeps it
+	engineID string         // id of that engine
 }
 
-// reading is a choice of the engine that reads the prompt.
-type reading struct {
+// prefillChoice is a choice of the engine that reads the prompt.
+type prefillChoice struct {
 	placement.Choice
-	to    port.TargetEntry
-	from  string        // address of the engine to fetch from, empty: none
-	work  time.Duration // that is reported, assumed while nothing can be predicted
-	ahead time.Duration // of it, until the engine begins with it
+	engine       port.TargetEntry
+	fetchAddr    string        // address of the engine to fetch from, empty: none
+	reportedRead time.Duration // that is reported, assumed while nothing can be predicted
+	reportedWait time.Duration // of it, until the engine begins with it
 
 	decoders []placement.Candidate // engines that may make the answer
 }
 
-// reading returns the choice that the call was admitted with, or a new one for
+// prefillChoice returns the choice that the call was admitted with, or a new one for
 // another round.
-func (u *run) reading(ctx context.Context, p prompt, f speed.Figures) reading {
-	if ch := u.first; ch != nil {
-		u.first = nil
+func (x *execution) takePrefillChoice(ctx context.Context, p prompt, f speed.Figures) prefillChoice {
+	if ch := x.admitted; ch != nil {
+		x.admitted = nil
 		return *ch
 	}
-	return u.choosePrefill(ctx, p, f)
+	return x.choosePrefill(ctx, p, f)
 }
 
 // choosePrefill chooses the engine that reads the prompt.
@@ -58,34 +58,34 @@
 // counts as no work at all: in the first seconds of a fleet, and after all of it
 // lost its power, engines look alike whatever waits there, some hold 2.7 s of
 // prompts and others are idle, and nothing is fetched that is kept elsewhere.
-func (u *run) choosePrefill(ctx context.Context, p prompt, f speed.Figures) reading {
-	cands := u.candidates(p, port.RolePrefill, u.opts.Zone)
+func (x *execution) choosePrefill(ctx context.Context, p prompt, f speed.Figures) prefillChoice {
+	cands := x.candidates(p, port.RolePrefill, x.opts.Zone)
 	for i := range cands {
-		cands[i].Rate += u.opts.Health.Rate(kvOf(cands[i].Entry.ID))
+		cands[i].Rate += x.opts.Health.Rate(kvHealthKey(cands[i].Entry.ID))
 	}
-	decoders := u.decoders(p, u.opts.Zone)
+	decoders := x.decoders(p, x.opts.Zone)
 	// Engines that read come first, of those that keep as much: requests that
 	// run fill the memory of those that decode, and push out what they keep.
 	sources := slices.Concat(cands, decoders)
-	ch := reading{decoders: decoders, Choice: u.choose(ctx, p, cands, sources, f.OrAssumed())}
-	ch.work, ch.ahead = ch.Read, ch.Wait
+	ch := prefillChoice{decoders: decoders, Choice: x.choose(ctx, p, cands, sources, f.OrAssumed())}
+	ch.reportedRead, ch.reportedWait = ch.Read, ch.Wait
 	if !f.Known() {
 		ch.Read, ch.Wait = 0, 0
 	}
 	if ch.At >= 0 {
-		ch.to = cands[ch.At].Entry
+		ch.engine = cands[ch.At].Entry
 	}
 	if ch.Fetch >= 0 {
-		ch.from = sources[ch.Fetch].Entry.Addr
+		ch.fetchAddr = sources[ch.Fetch].Entry.Addr
 	}
 	return ch
 }
 
 // choose chooses among the candidates by the books, or by the queues that
 // others know better.
-func (u *run) choose(ctx context.Context, p prompt, cands, sources []placement.Candidate, f speed.Figures) placement.Choice {
-	e := u.c.Service.Engine
-	if !u.opts.Queues.Asks() {
+func (x *execution) choose(ctx context.Context, p prompt, cands, sources []placement.Candidate, f speed.Figures) placement.Choice {
+	e := x.call.Service.Engine
+	if !x.opts.Queues.Asks() {
 		return placement.Prefill(p.Prompt, cands, sources, e, f)
 	}
 	list := placement.Shortlist(p.Prompt, cands, sources, e, f)
@@ -93,7 +93,7 @@
 	for _, ch := range list {
 		ids = append(ids, cands[ch.At].Entry.ID)
 	}
-	waits := u.opts.Queues.Queues(ctx, ids)
+	waits := x.opts.Queues.Queues(ctx, ids)
 	if waits == nil {
 		return placement.Prefill(p.Prompt, cands, sources, e, f)
 	}
@@ -101,29 +101,29 @@
 }
 
 // decoders are the engines that may make the answer, some of the zone among them.
-func (u *run) decoders(p prompt, zone string) []placement.Candidate {
-	out := u.candidates(p, port.RoleDecode, zone)
-	u.bound(out)
+func (x *execution) decoders(p prompt, zone string) []placement.Candidate {
+	out := x.candidates(p, port.RoleDecode, zone)
+	x.setStreamLimits(out)
 	return out
 }
 
 // candidates are the engines of a role that are looked at. They are of any zone,
 // some of the given one among them.
-func (u *run) candidates(p prompt, role port.Role, zone string) []placement.Candidate {
+func (x *execution) candidates(p prompt, role port.Role, zone string) []placement.Candidate {
 	var out []placement.Candidate
-	c := u.consider(role, &p, zone)
-	reuse := u.reuse(sending{state: port.Send{Prefill: role == port.RolePrefill}})
-	for _, t := range u.usable(c, p.parts) {
+	c := x.sampleTargets(role, &p, zone)
+	reuse := x.connReuse(outgoing{state: port.Send{Prefill: role == port.RolePrefill}})
+	for _, t := range x.usable(c, p.parts) {
 		if t.load.Becomes != "" {
 			continue
 		}
 		out = append(out, placement.Candidate{
 			Entry:   *t.TargetEntry,
 			Load:    t.load,
-			Rate:    u.opts.Health.Rate(t.ID),
-			Pace:    u.opts.Health.Pace(t.ID),
-			Warm:    u.opts.Pool.Warm(t.Addr, t.ID, reuse),
-			Private: t.private,
+			Rate:    x.opts.Health.Rate(t.ID),
+			Pace:    x.opts.Health.Pace(t.ID),
+			Warm:    x.opts.Pool.Warm(t.Addr, t.ID, reuse),
+			Private: t.localOnly,
 		})
 	}
 	return out
@@ -131,73 +131,73 @@
 
 // prefill has the prompt read. Without an engine for that the decoding engine
 // reads it itself, at half the speed.
-func (u *run) prefill(ctx context.Context, p prompt) (prefilled, *failed) {
-	figures := u.opts.Speed.Figures(u.c.Service.Name)
-	ch := u.reading(ctx, p, figures)
+func (x *execution) prefill(ctx context.Context, p prompt) (prefilled, *sendFailure) {
+	figures := x.opts.Speed.Figures(x.call.Service.Name)
+	ch := x.takePrefillChoice(ctx, p, figures)
 	if ch.At < 0 {
 		return prefilled{}, nil
 	}
-	to := ch.to
-	done := u.opts.Engines.Prefill(to.ID, u.c.Service.Engine.KVTokens, p.parts, figures.Start+ch.ahead, ch.work)
+	to := ch.engine
+	done := x.opts.Engines.Prefill(to.ID, x.call.Service.Engine.KVTokens, p.parts, figures.Start+ch.reportedWait, ch.reportedRead)
 	defer done()
 	predicted := figures.Start + ch.Wait + ch.Read
-	u.trace.Prefill = Prefill{Prompt: p.Tokens, Shared: p.Shared, Missing: ch.Missing, Fetched: ch.Fetched, Guessed: ch.Guessed, Wait: ch.Wait, Read: ch.Read}
+	x.trace.Prefill = Prefill{Prompt: p.Tokens, Shared: p.Shared, Missing: ch.Missing, Fetched: ch.Fetched, Guessed: ch.Guessed, Wait: ch.Wait, Read: ch.Read}
 	begun := time.Now()
-	resp, v, f := u.send(ctx, sending{
-		to:      to,
-		state:   port.Send{Priority: p.priority, Prefill: true, FetchFrom: ch.from},
-		silence: u.prefillSilence(figures, predicted),
+	resp, v, f := x.send(ctx, outgoing{
+		target:        to,
+		state:         port.Send{Priority: p.priority, Prefill: true, FetchFrom: ch.fetchAddr},
+		headerTimeout: x.prefillTimeout(figures, predicted),
 	})
 	if f != nil {
-		return prefilled{}, u.nothingRan(f)
+		return prefilled{}, x.asNotRun(f)
 	}
-	a, f := u.whole(ctx, to.ID, resp, v)
+	a, f := x.readAnswer(ctx, to.ID, resp, v)
 	if f != nil {
-		return prefilled{}, u.nothingRan(f)
+		return prefilled{}, x.asNotRun(f)
 	}
 	if v.NotRun || a.Status != http.StatusOK {
-		f := fail(failure.NotRun, to.ID, errSaysNoRun)
-		f.after = v.RetryAfter
+		f := newFailure(failure.NotRun, to.ID, errNotRun)
+		f.retryAfter = v.RetryAfter
 		return prefilled{}, f
 	}
-	handle, err := u.opts.Wire.KVHandle(a.Body)
+	handle, err := x.opts.Wire.KVHandle(a.Body)
 	if err != nil {
-		return prefilled{}, fail(failure.NotRun, to.ID, err)
+		return prefilled{}, newFailure(failure.NotRun, to.ID, err)
 	}
 	took := time.Since(begun)
-	u.trace.Prefill.Took = took
+	x.trace.Prefill.Took = took
 	if !ch.Guessed {
 		// What a guess fetched was predicted as read: it would teach a wrong pace.
-		u.opts.Speed.Read(u.c.Service.Name, speed.Sample{
+		x.opts.Speed.Read(x.call.Service.Name, speed.Sample{
 			Prompt: p.Tokens, Missing: ch.Missing, Before: ch.Wait + ch.Moved, Took: took,
 		})
 		if figures.Known() {
-			u.opts.Health.NotePace(to.ID, u.pace(predicted, took))
+			x.opts.Health.NotePace(to.ID, x.slowdown(predicted, took))
 		}
 	}
-	u.ok(to.ID)
-	return prefilled{kv: &port.KVSource{Addr: to.Addr, Handle: handle}, zone: to.Zone, at: to.ID}, nil
+	x.recordSuccess(to.ID)
+	return prefilled{kv: &port.KVSource{Addr: to.Addr, Handle: handle}, zone: to.Zone, engineID: to.ID}, nil
 }
 
-// prefillSilence is how long an engine may take to read a prompt.
-func (u *run) prefillSilence(f speed.Figures, predicted time.Duration) time.Duration {
+// prefillTimeout is how long an engine may take to read a prompt.
+func (x *execution) prefillTimeout(f speed.Figures, predicted time.Duration) time.Duration {
 	if !f.Known() {
-		return time.Duration(unknownPatience * float64(time.Until(u.c.GiveUp)))
+		return time.Duration(unpredictedTimeoutShare * float64(time.Until(x.call.GiveUp)))
 	}
-	return prefillPatience*predicted + prefillGrace
+	return prefillTimeoutFactor*predicted + prefillTimeoutExtra
 }
 
-// nothingRan says of a failed prefill that the request did not run: reading a
+// asNotRun says of a failed prefill that the request did not run: reading a
 // prompt makes no answer and may be repeated. The target is judged by what it
 // did, the call by "not run".
-func (u *run) nothingRan(f *failed) *failed {
+func (x *execution) asNotRun(f *sendFailure) *sendFailure {
 	if f.Final() {
 		return f
 	}
-	if o, counts := f.outcome(); counts {
-		u.opts.Health.Note(f.Target, o)
+	if o, counts := f.healthOutcome(); counts {
+		x.opts.Health.Note(f.Target, o)
 	}
-	f.noted = true
+	f.healthRecorded = true
 	if f.Class != failure.NotWritten {
 		f.Class = failure.NotRun
 	}
--- a/request/dispatch/relay.go
+++ b/request/dispatch/relay.go
@@ -16,8 +16,8 @@
 // maxEvent bounds one event, in bytes.
 const maxEvent = 1 << 20
 
-// watch is called as a stream's events come.
-type watch struct {
+// streamHooks is called as a stream's events come.
+type streamHooks struct {
 	first func()      // before the first one of the answer
 	batch func(n int) // with the number of events in each batch
 }
@@ -25,33 +25,33 @@
 // relay passes events on as they come, each one whole. A stream that breaks
 // off in the middle of an event ends after the last whole one, so that a
 // resumed run can go on from there.
-func (u *run) relay(ctx context.Context, target string, resp *h1.Response, v port.Verdict, out Stream, w watch) *failed {
+func (x *execution) relay(ctx context.Context, target string, resp *h1.Response, v port.Verdict, out Stream, w streamHooks) *sendFailure {
 	defer resp.Close(v.KeepAlive)
 	r := &eventReader{src: resp.Body}
 	for {
 		events, err := r.next()
 		if len(events) > 0 {
-			if f := u.pass(target, resp, events, out, w); f != nil {
+			if f := x.forward(target, resp, events, out, w); f != nil {
 				return f
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			return u.ended(target, resp, r, out)
+			return x.checkEnd(target, resp, r, out)
 		}
 		if err != nil {
-			return &failed{Failure: failure.Read(ctx, target, err)}
+			return &sendFailure{Failure: failure.Read(ctx, target, err)}
 		}
 	}
 }
 
-// pass hands events to the caller, without those that it has already.
-func (u *run) pass(target string, resp *h1.Response, events []byte, out Stream, w watch) *failed {
-	fresh, last, n := after(events, u.lastID)
+// forward hands events to the caller, without those that it has already.
+func (x *execution) forward(target string, resp *h1.Response, events []byte, out Stream, w streamHooks) *sendFailure {
+	fresh, last, n := eventsAfter(events, x.lastID)
 	w.batch(n)
-	u.start(0)
-	if !u.trace.Begun {
-		u.trace.Begun = true
-		u.trace.First = time.Since(u.c.Arrived)
+	x.markStarted(0)
+	if !x.trace.Begun {
+		x.trace.Begun = true
+		x.trace.First = time.Since(x.call.Arrived)
 		out.Begin(resp.Status, resp.Header)
 		w.first()
 	}
@@ -59,33 +59,33 @@
 		return nil
 	}
 	if err := out.Write(fresh); err != nil {
-		return fail(failure.CallerGone, target, err)
+		return newFailure(failure.CallerGone, target, err)
 	}
 	if last != "" {
-		u.lastID = last
+		x.lastID = last
 	}
 	return nil
 }
 
-// ended reports whether the stream ended whole: at its marked end, or at the
+// checkEnd reports whether the stream ended whole: at its marked end, or at the
 // connection's orderly end, and not within an event.
-func (u *run) ended(target string, resp *h1.Response, r *eventReader, out Stream) *failed {
-	if len(r.rest()) > 0 {
-		return fail(failure.Cut, target, io.ErrUnexpectedEOF)
+func (x *execution) checkEnd(target string, resp *h1.Response, r *eventReader, out Stream) *sendFailure {
+	if len(r.partial()) > 0 {
+		return newFailure(failure.Cut, target, io.ErrUnexpectedEOF)
 	}
-	if !u.trace.Begun {
-		u.trace.Begun = true
+	if !x.trace.Begun {
+		x.trace.Begun = true
 		out.Begin(resp.Status, resp.Header)
 	}
-	u.ok(target)
+	x.recordSuccess(target)
 	return nil
 }
 
 // eventReader cuts a stream of server-sent events into runs of whole events.
 type eventReader struct {
-	src io.Reader
-	buf []byte // what was read and not returned
-	out int    // length of what was returned last, to be dropped
+	src      io.Reader
+	buf      []byte // what was read and not returned
+	returned int    // length of what was returned last, to be dropped
 }
 
 const readSize = 4 << 10
@@ -93,15 +93,15 @@
 // next returns one or more whole events, or an error. The bytes hold until the
 // next call.
 func (r *eventReader) next() ([]byte, error) {
-	r.buf = r.buf[:copy(r.buf, r.buf[r.out:])]
-	r.out = 0
+	r.buf = r.buf[:copy(r.buf, r.buf[r.returned:])]
+	r.returned = 0
 	for {
 		if len(r.buf) > maxEvent {
 			return nil, errTooLarge
 		}
 		n, err := r.fill()
 		if end := lastEventEnd(r.buf); end > 0 && n > 0 {
-			r.out = end
+			r.returned = end
 			return r.buf[:end], err
 		}
 		if err != nil {
@@ -120,8 +120,8 @@
 	return n, err
 }
 
-// rest is what was read of an event without its end.
-func (r *eventReader) rest() []byte { return r.buf[r.out:] }
+// partial is what was read of an event without its end.
+func (r *eventReader) partial() []byte { return r.buf[r.returned:] }
 
 // lastEventEnd is the length up to the last blank line in b, 0 without one.
 func lastEventEnd(b []byte) int {
@@ -135,18 +135,18 @@
 	return end
 }
 
-// after returns the events that come after the one with id last, the id of the
+// eventsAfter returns the events that come after the one with id last, the id of the
 // newest event, and the number of all events. Ids that are numbers rise, by
 // whatever step.
-func after(events []byte, last string) (fresh []byte, newest string, n int) {
+func eventsAfter(events []byte, last string) (fresh []byte, newest string, n int) {
 	newest = last
-	had, known := number(last)
+	had, known := parseNumericID(last)
 	for rest := events; len(rest) > 0; {
 		one := rest[:firstEventEnd(rest)]
 		rest = rest[len(one):]
 		n++
 		id := eventID(one)
-		at, isNumber := number(id)
+		at, isNumber := parseNumericID(id)
 		if isNumber && known && at <= had {
 			continue
 		}
@@ -180,7 +180,7 @@
 	return ""
 }
 
-func number(id string) (int64, bool) {
+func parseNumericID(id string) (int64, bool) {
 	n, err := strconv.ParseInt(id, 10, 64)
 	return n, err == nil
 }
--- a/request/dispatch/rig_test.go
+++ b/request/dispatch/rig_test.go
@@ -29,121 +29,121 @@
 	m.Run()
 }
 
-// rig is a Runner before stand-in targets on a network in memory.
-type rig struct {
-	t       *testing.T
-	net     *pipenet.Net
-	runner  *Runner
-	budget  *budget.Fleet
-	entries map[string][]port.TargetEntry
-	set     *targets.Set // in place of entries, if there are many
-	freed   chan port.KVSource
-	speed   *speed.Book // knows the engines of service llm
+// harness is a Runner before stand-in targets on a network in memory.
+type harness struct {
+	t        *testing.T
+	net      *pipenet.Net
+	runner   *Runner
+	budget   *budget.Fleet
+	entries  map[string][]port.TargetEntry
+	set      *targets.Set // in place of entries, if there are many
+	released chan port.KVSource
+	speed    *speed.Book // knows the engines of service llm
 }
 
 // Targets implements Targets.
-func (r *rig) Targets(service string) *targets.Set {
-	if r.set != nil {
-		return r.set
+func (h *harness) Targets(service string) *targets.Set {
+	if h.set != nil {
+		return h.set
 	}
-	return targets.NewSet(r.entries[service])
+	return targets.NewSet(h.entries[service])
 }
 
-// control notes what is released.
-type control struct{ r *rig }
+// recordingControl notes what is released.
+type recordingControl struct{ h *harness }
 
-func (c control) Report(context.Context, string, string) (port.RoleReport, error) {
+func (c recordingControl) Report(context.Context, string, string) (port.RoleReport, error) {
 	return port.RoleReport{}, nil
 }
-func (c control) Order(context.Context, port.RoleOrder) error { return nil }
-func (control) Kept(context.Context, string, string) ([]port.PromptPart, error) {
+func (c recordingControl) Order(context.Context, port.RoleOrder) error { return nil }
+func (recordingControl) Kept(context.Context, string, string) ([]port.PromptPart, error) {
 	return nil, nil
 }
-func (c control) Release(_ context.Context, s port.KVSource) error {
-	c.r.freed <- s
+func (c recordingControl) Release(_ context.Context, s port.KVSource) error {
+	c.h.released <- s
 	return nil
 }
 
-// withRig runs a test on virtual time. slack is what the budget allows.
-func withRig(t *testing.T, slack float64, test func(t *testing.T, r *rig)) {
+// withHarness runs a test on virtual time. slack is what the budget allows.
+func withHarness(t *testing.T, slack float64, test func(t *testing.T, h *harness)) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(slack)
-		r.t = t
-		test(t, r)
-		r.runner.opts.Pool.Close()
-		r.net.Close()
+		h := newHarness(slack)
+		h.t = t
+		test(t, h)
+		h.runner.opts.Pool.Close()
+		h.net.Close()
 		synctest.Wait()
 	})
 }
 
-func newRig(slack float64) *rig {
-	r := &rig{net: &pipenet.Net{}, entries: map[string][]port.TargetEntry{}, freed: make(chan port.KVSource, 100), speed: speed.NewBook()}
-	r.speed.Merge([]speed.Update{{Service: xxhash.Sum64String("llm"), PerToken: 23e3, PerPair: 257, StartUs: 50_000, FirstUs: 40_000, Reads: 1000}})
-	r.budget = budget.NewFleet(budget.FleetOptions{
+func newHarness(slack float64) *harness {
+	h := &harness{net: &pipenet.Net{}, entries: map[string][]port.TargetEntry{}, released: make(chan port.KVSource, 100), speed: speed.NewBook()}
+	h.speed.Merge([]speed.Update{{Service: xxhash.Sum64String("llm"), PerToken: 23e3, PerPair: 257, StartUs: 50_000, FirstUs: 40_000, Reads: 1000}})
+	h.budget = budget.NewFleet(budget.FleetOptions{
 		Slack: (slack + 0.1) / budget.Spent, Window: 10 * time.Second, Now: time.Now,
 		Daemons: func() int { return 1 },
 	})
-	pool := h1.New(h1.Options{Dial: r.net.Dial})
-	r.runner = New(Options{
-		Wire: platform.Wire{}, Pool: pool, Targets: r,
+	pool := h1.New(h1.Options{Dial: h.net.Dial})
+	h.runner = New(Options{
+		Wire: platform.Wire{}, Pool: pool, Targets: h,
 		Engines: engines.New(time.Now, func(engines.Work) {}), Health: health.New(time.Now, nil),
-		Budget: r.budget, Control: control{r}, Zone: "a", Speed: r.speed, Queues: noQueues{}, Demand: demand.New(time.Now),
+		Budget: h.budget, Control: recordingControl{h}, Zone: "a", Speed: h.speed, Queues: noQueues{}, Demand: demand.New(time.Now),
 	})
-	return r
+	return h
 }
 
-// add serves a target. Its address is its id.
-func (r *rig) add(service string, role port.Role) *standin.Target {
-	id := service + string(rune('0'+len(r.entries[service])))
+// addTarget serves a target. Its address is its id.
+func (h *harness) addTarget(service string, role port.Role) *standin.Target {
+	id := service + string(rune('0'+len(h.entries[service])))
 	stage := map[port.Role]string{port.RolePrefill: "prefill", port.RoleDecode: "decode"}[role]
 	target := standin.NewTarget(id, stage)
-	r.net.Serve(id, target)
-	r.entries[service] = append(r.entries[service], port.TargetEntry{ID: id, Service: service, Addr: id, Zone: "a", Slots: 4, Role: role})
+	h.net.Serve(id, target)
+	h.entries[service] = append(h.entries[service], port.TargetEntry{ID: id, Service: service, Addr: id, Zone: "a", Slots: 4, Role: role})
 	return target
 }
 
-// call makes a call of a route's kind.
-func (r *rig) call(kind route.Kind, attempts int, timeout time.Duration) *Call {
+// newCall makes a call of a route's kind.
+func (h *harness) newCall(kind route.Kind, attempts int, timeout time.Duration) *Call {
 	svc := &route.Service{Name: "app"}
 	prompt := ""
 	if kind == route.Stream {
 		svc = &route.Service{Name: "llm", Engine: &route.Engine{Slots: 4, KVTokens: 100_000, KVTokenBytes: 1, LinkBytes: 1e9}}
 		prompt = "aa:1000,bb:460"
 	}
-	h := standin.CallerHeaders("req-1", 3*time.Second, prompt)
-	ask, err := platform.Wire{}.Ask(h)
+	header := standin.CallerHeaders("req-1", 3*time.Second, prompt)
+	ask, err := platform.Wire{}.Ask(header)
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	now := time.Now()
 	c := &Call{
 		Ask: ask, Service: svc, Arrived: now, GiveUp: now.Add(min(timeout, ask.Left)),
-		Method: "POST", URI: "/p/x?y=1", Host: "a.example", Header: platform.Wire{}.Forward(h, false), Body: []byte("body"),
+		Method: "POST", URI: "/p/x?y=1", Host: "a.example", Header: platform.Wire{}.Forward(header, false), Body: []byte("body"),
 		Route: &route.Route{Name: "r", Kind: kind, Attempts: attempts, Objective: 500 * time.Millisecond, Timeout: timeout},
 	}
 	return c
 }
 
-// sheet is a Stream that keeps what it gets.
-type sheet struct {
-	status int
-	text   string
-	gone   bool
+// recorder is a Stream that keeps what it gets.
+type recorder struct {
+	status     int
+	text       string
+	callerGone bool
 }
 
 // Begin implements Stream.
-func (s *sheet) Begin(status int, _ http.Header) { s.status = status }
+func (s *recorder) Begin(status int, _ http.Header) { s.status = status }
 
 // Write implements Stream.
-func (s *sheet) Write(events []byte) error {
-	if s.gone {
+func (s *recorder) Write(events []byte) error {
+	if s.callerGone {
 		return context.Canceled
 	}
 	s.text += string(events)
 	return nil
 }
 
-func pieces(from, to int) string {
+func eventText(from, to int) string {
 	out := ""
 	for n := from; n <= to; n++ {
 		out += "id: " + string(rune('0'+n)) + "\ndata: piece " + string(rune('0'+n)) + "\n\n"
--- a/request/dispatch/send.go
+++ b/request/dispatch/send.go
@@ -17,158 +17,158 @@
 	"github.com/pomelospool/pomelospool/request/failure"
 )
 
-// sending is one send: to whom, with what, and for how long.
-type sending struct {
-	to      port.TargetEntry
-	state   port.Send     // ID, Target and Left are filled in
-	silence time.Duration // longest wait for the header and the body's first bytes; 0: as long as the call may take
+// outgoing is one send: to whom, with what, and for how long.
+type outgoing struct {
+	target        port.TargetEntry
+	state         port.Send     // ID, Target and Left are filled in
+	headerTimeout time.Duration // longest wait for the header and the body's first bytes; 0: as long as the call may take
 }
 
 // send sends the call and reads the answer's header. With a nil failure the
 // response must be closed.
-func (u *run) send(ctx context.Context, s sending) (*h1.Response, port.Verdict, *failed) {
-	u.trace.Sends++
-	u.trace.Targets = append(u.trace.Targets, s.to.ID)
-	resp, err := u.opts.Pool.Do(ctx, u.request(s))
+func (x *execution) send(ctx context.Context, s outgoing) (*h1.Response, port.Verdict, *sendFailure) {
+	x.trace.Sends++
+	x.trace.Targets = append(x.trace.Targets, s.target.ID)
+	resp, err := x.opts.Pool.Do(ctx, x.request(s))
 	if err != nil {
-		return nil, port.Verdict{}, &failed{Failure: failure.Send(ctx, s.to.ID, err)}
+		return nil, port.Verdict{}, &sendFailure{Failure: failure.Send(ctx, s.target.ID, err)}
 	}
-	return resp, u.opts.Wire.Judge(resp.Status, resp.Header), nil
+	return resp, x.opts.Wire.Judge(resp.Status, resp.Header), nil
 }
 
-func (u *run) request(s sending) *h1.Request {
-	h := maps.Clone(u.c.Header)
-	s.state.ID = u.c.Ask.ID
-	s.state.Target = s.to.ID
-	s.state.Organisation = u.c.Organisation
-	s.state.Left = time.Until(u.c.GiveUp)
-	u.opts.Wire.Stamp(h, s.state)
+func (x *execution) request(s outgoing) *h1.Request {
+	h := maps.Clone(x.call.Header)
+	s.state.ID = x.call.Ask.ID
+	s.state.Target = s.target.ID
+	s.state.Organisation = x.call.Organisation
+	s.state.Left = time.Until(x.call.GiveUp)
+	x.opts.Wire.Stamp(h, s.state)
 	return &h1.Request{
-		Addr:   s.to.Addr,
-		Target: s.to.ID,
-		Method: u.c.Method,
-		URI:    u.c.URI,
-		Host:   u.c.Host,
+		Addr:   s.target.Addr,
+		Target: s.target.ID,
+		Method: x.call.Method,
+		URI:    x.call.URI,
+		Host:   x.call.Host,
 		Header: h,
-		Body:   u.c.Body,
-		Reuse:  u.reuse(s),
-		First:  s.silence,
-		Mine:   u.mine,
+		Body:   x.call.Body,
+		Reuse:  x.connReuse(s),
+		First:  s.headerTimeout,
+		Mine:   x.answersCall,
 	}
 }
 
-// reuse keeps calls that may run once at most off connections that were idle
+// connReuse keeps calls that may run once at most off connections that were idle
 // for long: on one that the target has just closed they would end as "may have
 // run".
-func (u *run) reuse(s sending) h1.Reuse {
-	if u.c.Route.Idempotent() || s.state.Prefill {
+func (x *execution) connReuse(s outgoing) h1.Reuse {
+	if x.call.Route.Idempotent() || s.state.Prefill {
 		return h1.Idle
 	}
 	return h1.Recent
 }
 
-// mine reports whether an answer is to this call. A refusal or an error may lack
+// answersCall reports whether an answer is to this call. A refusal or an error may lack
 // the id; a success must have it.
-func (u *run) mine(status int, h http.Header) bool {
-	id := u.opts.Wire.Judge(status, h).ID
-	return id == u.c.Ask.ID || id == "" && status >= http.StatusMultipleChoices
+func (x *execution) answersCall(status int, h http.Header) bool {
+	id := x.opts.Wire.Judge(status, h).ID
+	return id == x.call.Ask.ID || id == "" && status >= http.StatusMultipleChoices
 }
 
 // maxAnswer bounds an answer that is passed on whole, in bytes.
 const maxAnswer = 8 << 20
 
-// whole reads an answer to its end and closes the response.
-func (u *run) whole(ctx context.Context, target string, resp *h1.Response, v port.Verdict) (*Answer, *failed) {
+// readAnswer reads an answer to its end and closes the response.
+func (x *execution) readAnswer(ctx context.Context, target string, resp *h1.Response, v port.Verdict) (*Answer, *sendFailure) {
 	defer resp.Close(v.KeepAlive)
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
 	if err == nil && len(body) > maxAnswer {
 		err = errTooLarge
 	}
 	if err != nil {
-		return nil, &failed{Failure: failure.Read(ctx, target, err)}
+		return nil, &sendFailure{Failure: failure.Read(ctx, target, err)}
 	}
 	return &Answer{Status: resp.Status, Header: resp.Header, Body: body}, nil
 }
 
-// judge turns a whole answer into a failure, or nil if it may be passed on as
+// answerFailure turns a whole answer into a failure, or nil if it may be passed on as
 // the call's answer.
-func (u *run) judge(target string, a *Answer, v port.Verdict) *failed {
+func (x *execution) answerFailure(target string, a *Answer, v port.Verdict) *sendFailure {
 	switch {
 	case v.WrongOne:
-		return fail(failure.NotRun, target, errWrongOne)
+		return newFailure(failure.NotRun, target, errWrongTarget)
 	case v.NotRun:
-		f := fail(failure.NotRun, target, errSaysNoRun)
-		f.after, f.answer = v.RetryAfter, a
+		f := newFailure(failure.NotRun, target, errNotRun)
+		f.retryAfter, f.answer = v.RetryAfter, a
 		return f
 	case !v.Signed:
-		return fail(failure.Mismatch, target, errUnsigned)
-	case a.Status >= http.StatusInternalServerError || promises(a.Status):
-		return ownFailure(target, a)
+		return newFailure(failure.Mismatch, target, errUnsigned)
+	case a.Status >= http.StatusInternalServerError || impliesNotRun(a.Status):
+		return targetError(target, a)
 	}
 	return nil
 }
 
-// ownFailure is a target's own answer of failure.
-func ownFailure(target string, a *Answer) *failed {
-	f := fail(failure.Failed, target, failure.Status(a.Status))
+// targetError is a target's own answer of failure.
+func targetError(target string, a *Answer) *sendFailure {
+	f := newFailure(failure.Failed, target, failure.Status(a.Status))
 	f.answer = a
 	return f
 }
 
-// note keeps the books about a failed send.
-func (u *run) note(f *failed) {
-	u.last = f
-	u.avoid = append(u.avoid, f.Target)
-	u.trace.Causes = append(u.trace.Causes, f.Class.String()+": "+f.Cause())
+// recordFailure keeps the books about a failed send.
+func (x *execution) recordFailure(f *sendFailure) {
+	x.lastFailure = f
+	x.failedTargets = append(x.failedTargets, f.Target)
+	x.trace.Causes = append(x.trace.Causes, f.Class.String()+": "+f.Cause())
 	if f.MayHaveRun() {
-		u.ran++
+		x.possibleRuns++
 	}
-	if startedBy(f) {
-		u.start(0)
+	if provesStart(f) {
+		x.markStarted(0)
 	}
-	if o, counts := f.outcome(); counts && !f.noted {
-		u.opts.Health.Note(f.Target, o)
+	if o, counts := f.healthOutcome(); counts && !f.healthRecorded {
+		x.opts.Health.Note(f.Target, o)
 	}
 	log.WithFields(log.Fields{
-		"request": u.c.Ask.ID, "target": f.Target, "class": f.Class.String(), "cause": f.Cause(),
-		"send": u.trace.Sends, "left_ms": time.Until(u.c.GiveUp).Milliseconds(),
+		"request": x.call.Ask.ID, "target": f.Target, "class": f.Class.String(), "cause": f.Cause(),
+		"send": x.trace.Sends, "left_ms": time.Until(x.call.GiveUp).Milliseconds(),
 	}).Info("dispatch: send failed")
 }
 
 // maxSends bounds the sends of one call, prefills and refused ones included.
 const maxSends = 6
 
-// again reports whether the call may be sent once more after f, which takes
+// mayRetry reports whether the call may be sent once more after f, which takes
 // that many sends. The first prefill that an engine accepted is no send beyond
 // the first; a second one is, and so is the request that goes on from it.
-func (u *run) again(ctx context.Context, f *failed, sends int) bool {
+func (x *execution) mayRetry(ctx context.Context, f *sendFailure, sends int) bool {
 	switch {
 	case ctx.Err() != nil || f.Final():
 		return false
-	case u.trace.Sends >= maxSends || u.ran >= u.c.Route.Attempts:
+	case x.trace.Sends >= maxSends || x.possibleRuns >= x.call.Route.Attempts:
 		return false
-	case f.MayHaveRun() && !u.c.Route.Idempotent():
+	case f.MayHaveRun() && !x.call.Route.Idempotent():
 		return false
 	case f.Class == failure.NotWritten:
 		return true // no target saw it, so it is no send beyond the first
 	}
-	return u.opts.Budget.Take(u.c.Service.Name, sends)
+	return x.opts.Budget.Take(x.call.Service.Name, sends)
 }
 
-// loaded is a target with its load.
-type loaded struct {
+// loadedTarget is a target with its load.
+type loadedTarget struct {
 	*port.TargetEntry
-	load    engines.Load
-	private bool // only this daemon considers it
+	load      engines.Load
+	localOnly bool // only this daemon considers it
 }
 
 // usable returns the considered targets without those that failed this call or are
 // ejected if others are left. parts are the call's prompt.
-func (u *run) usable(c *considered, parts []port.PromptPart) []loaded {
-	var good, tried []loaded
+func (x *execution) usable(c *targetSample, parts []port.PromptPart) []loadedTarget {
+	var good, tried []loadedTarget
 	for i, e := range c.entries {
-		t := loaded{TargetEntry: e, load: u.opts.Engines.Load(e.ID, parts), private: i >= c.shared}
-		if u.avoids(e.ID) || u.opts.Health.Ejected(e.ID) || t.load.Unreachable() {
+		t := loadedTarget{TargetEntry: e, load: x.opts.Engines.Load(e.ID, parts), localOnly: i >= c.shared}
+		if x.hasFailed(e.ID) || x.opts.Health.Ejected(e.ID) || t.load.Unreachable() {
 			tried = append(tried, t)
 			continue
 		}
@@ -180,8 +180,8 @@
 	return good
 }
 
-func (u *run) avoids(id string) bool {
-	return slices.Contains(u.avoid, id)
+func (x *execution) hasFailed(id string) bool {
+	return slices.Contains(x.failedTargets, id)
 }
 
-func (u *run) ok(target string) { u.opts.Health.Note(target, health.OK) }
+func (x *execution) recordSuccess(target string) { x.opts.Health.Note(target, health.OK) }
--- a/request/limit/limit.go
+++ b/request/limit/limit.go
@@ -59,7 +59,7 @@
 	}
 	// Deadlines fail on writers without a connection only, as in tests.
 	ctl := http.NewResponseController(w)
-	dog := watchdog.New(func() { _ = ctl.SetReadDeadline(past) })
+	dog := watchdog.New(func() { _ = ctl.SetReadDeadline(expiredDeadline) })
 	dog.Arm(wait)
 	body, err := readAll(http.MaxBytesReader(w, req.Body, max), req.ContentLength)
 	expired := dog.Disarm()
@@ -85,8 +85,8 @@
 	return body, err
 }
 
-// refusal is written as it is to a connection over the limit.
-var refusal = func() []byte {
+// rejection is written as it is to a connection over the limit.
+var rejection = func() []byte {
 	i := code.TooManyConns.Info()
 	body := fmt.Sprintf(`{"error":{"code":%d,"type":%q,"message":%q,"not_run":true,"retry_after_ms":1000}}`,
 		int(i.Code), i.Name, i.Meaning)
@@ -96,16 +96,16 @@
 }()
 
 const (
-	refusalWait = 100 * time.Millisecond
-	refusalRead = 64 << 10
-	maxRefusing = 64
+	rejectTimeout  = 100 * time.Millisecond
+	maxRejectDrain = 64 << 10
+	maxRejecting   = 64
 )
 
 // listener takes at most max connections at a time.
 type listener struct {
 	net.Listener
-	max      int
-	refusing chan struct{}
+	max       int
+	rejecting chan struct{}
 
 	mu   sync.Mutex
 	open int
@@ -117,7 +117,7 @@
 	if max <= 0 {
 		return l
 	}
-	return &listener{Listener: l, max: max, refusing: make(chan struct{}, maxRefusing)}
+	return &listener{Listener: l, max: max, rejecting: make(chan struct{}, maxRejecting)}
 }
 
 func (l *listener) Accept() (net.Conn, error) {
@@ -126,36 +126,36 @@
 		if err != nil {
 			return nil, err
 		}
-		if l.enter() {
-			return &counted{Conn: c, leave: sync.OnceFunc(l.leave)}, nil
+		if l.acquire() {
+			return &countedConn{Conn: c, leave: sync.OnceFunc(l.release)}, nil
 		}
-		l.refuse(c)
+		l.reject(c)
 	}
 }
 
-// refuse answers and closes. A close with unread bytes makes the kernel reset
+// reject answers and closes. A close with unread bytes makes the kernel reset
 // the connection, and the caller may lose the answer: so what the caller sends
 // meanwhile is read, for a moment and by a bounded number of goroutines.
-func (l *listener) refuse(c net.Conn) {
-	_ = c.SetDeadline(time.Now().Add(refusalWait))
-	_, _ = c.Write(refusal)
+func (l *listener) reject(c net.Conn) {
+	_ = c.SetDeadline(time.Now().Add(rejectTimeout))
+	_, _ = c.Write(rejection)
 	select {
-	case l.refusing <- struct{}{}:
+	case l.rejecting <- struct{}{}:
 	default:
 		_ = c.Close()
 		return
 	}
 	go func() {
-		defer func() { <-l.refusing }()
+		defer func() { <-l.rejecting }()
 		defer c.Close()
 		if half, ok := c.(interface{ CloseWrite() error }); ok {
 			_ = half.CloseWrite()
 		}
-		_, _ = io.Copy(io.Discard, io.LimitReader(c, refusalRead))
+		_, _ = io.Copy(io.Discard, io.LimitReader(c, maxRejectDrain))
 	}()
 }
 
-func (l *listener) enter() bool {
+func (l *listener) acquire() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.open >= l.max {
@@ -165,18 +165,18 @@
 	return true
 }
 
-func (l *listener) leave() {
+func (l *listener) release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.open--
 }
 
-type counted struct {
+type countedConn struct {
 	net.Conn
 	leave func()
 }
 
-func (c *counted) Close() error {
+func (c *countedConn) Close() error {
 	err := c.Conn.Close()
 	c.leave()
 	return err
--- a/request/limit/write.go
+++ b/request/limit/write.go
@@ -7,19 +7,19 @@
 	"github.com/pomelospool/pomelospool/internal/watchdog"
 )
 
-// past is a deadline that ends what waits for a connection now.
-var past = time.Unix(1, 0)
+// expiredDeadline is a deadline that ends what waits for a connection now.
+var expiredDeadline = time.Unix(1, 0)
 
 // Writer writes to a caller and fails once the caller takes no byte for a while.
 //
 // A deadline set before the write would expire while this process is paused,
 // and net/http would close the connection of a caller that is waiting.
 type Writer struct {
-	dst   http.ResponseWriter
-	ctl   *http.ResponseController
-	stall time.Duration
-	dog   *watchdog.Watchdog
-	err   error
+	dst      http.ResponseWriter
+	ctl      *http.ResponseController
+	stall    time.Duration
+	watchdog *watchdog.Watchdog
+	err      error
 }
 
 // NewWriter returns a Writer to w, which ends a write that takes longer than
@@ -31,35 +31,35 @@
 		ctl:   ctl,
 		stall: stall,
 		// A ResponseWriter without deadlines, as in tests, has no slow caller.
-		dog: watchdog.New(func() { _ = ctl.SetWriteDeadline(past) }),
+		watchdog: watchdog.New(func() { _ = ctl.SetWriteDeadline(expiredDeadline) }),
 	}
 }
 
 // Write writes p to the caller or to the buffer before it.
 func (w *Writer) Write(p []byte) (int, error) {
-	w.dog.Arm(w.stall)
+	w.watchdog.Arm(w.stall)
 	n, err := w.dst.Write(p)
-	w.end(err)
+	w.finish(err)
 	return n, err
 }
 
 // Send writes p and what is buffered.
 func (w *Writer) Send(p []byte) error {
-	w.dog.Arm(w.stall)
+	w.watchdog.Arm(w.stall)
 	_, err := w.dst.Write(p)
 	if err == nil {
 		err = w.ctl.Flush()
 	}
-	w.end(err)
+	w.finish(err)
 	return err
 }
 
 // Err returns the error of the last write.
 func (w *Writer) Err() error { return w.err }
 
-func (w *Writer) end(err error) {
+func (w *Writer) finish(err error) {
 	w.err = err
-	if w.dog.Disarm() && err == nil {
+	if w.watchdog.Disarm() && err == nil {
 		// The limit was reached as the write ended; the next one has its own.
 		_ = w.ctl.SetWriteDeadline(time.Time{})
 	}
--- a/request/limit/write_test.go
+++ b/request/limit/write_test.go
@@ -37,9 +37,9 @@
 	return c.ResponseRecorder.Write(p)
 }
 
-// TestWriteHasNoDeadlineThatAPauseExpires guards against callers cut off
+// TestPausedProcessDoesNotExpireWrites guards against callers cut off
 // because the daemon was paused between a write's deadline and its bytes.
-func TestWriteHasNoDeadlineThatAPauseExpires(t *testing.T) {
+func TestPausedProcessDoesNotExpireWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newConnWriter()
 		w := NewWriter(c, stall)
@@ -52,7 +52,7 @@
 	})
 }
 
-func TestStalledCallerEndsAWrite(t *testing.T) {
+func TestWriteToStalledCallerFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newConnWriter()
 		c.blocked = true
--- a/request/placement/decode.go
+++ b/request/placement/decode.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// zoneFactor is how much longer KV cache takes to another availability
+	// crossZoneFactor is how much longer KV cache takes to another availability
 	// zone, and how much more it costs.
-	zoneFactor = 2
-	// fullCost is what a full engine costs: its steps take longer, and a prompt
+	crossZoneFactor = 2
+	// occupancyCost is what a full engine costs: its steps take longer, and a prompt
 	// that is admitted as its last has no room to be late.
-	fullCost share = 0.16
-	// overCost is what each engine's worth of requests beyond its places costs.
-	overCost share = 2
-	// slowCost is what an engine costs for each time that it is slower.
-	slowCost share = 0.08
-	// mixCost is the most that the prompt's hash adds, so that engines that are
+	occupancyCost objectiveShare = 0.16
+	// overloadCost is what each engine's worth of requests beyond its places costs.
+	overloadCost objectiveShare = 2
+	// slowdownCost is what an engine costs for each time that it is slower.
+	slowdownCost objectiveShare = 0.08
+	// decodeTieCost is the most that the prompt's hash adds, so that engines that are
 	// alike share the prompts.
-	mixCost share = 0.002
-	// moveWeight counts the time of a move again, since moves are paid for.
-	moveWeight = 3
+	decodeTieCost objectiveShare = 0.002
+	// transferWeight counts the time of a move again, since moves are paid for.
+	transferWeight = 3
 )
 
 // Decode chooses the engine that makes the answer: few requests, and little
@@ -34,9 +34,9 @@
 		c := &cands[i]
 		cost := c.decodeCost(&p)
 		if from != "" {
-			cost += moveWeight * Move(e, max(p.Tokens-c.Load.Cached, 0), from == c.Entry.Zone)
+			cost += transferWeight * Move(e, max(p.Tokens-c.Load.Cached, 0), from == c.Entry.Zone)
 		}
-		cost += time.Duration(unit(p.Seed^uint64(i+1)) * float64(mixCost.of(&p)))
+		cost += time.Duration(hashFraction(p.Seed^uint64(i+1)) * float64(decodeTieCost.duration(&p)))
 		if best < 0 || cost < bestCost {
 			best, bestCost = i, cost
 		}
@@ -47,13 +47,13 @@
 // decodeCost is what it costs to have the answer made there, KV cache aside.
 func (c *Candidate) decodeCost(p *Prompt) time.Duration {
 	full := float64(c.Load.Streams) / float64(c.Places())
-	cost := time.Duration(full * full * float64(fullCost.of(p)))
-	cost += time.Duration(c.Rate * float64(failCost.of(p)))
+	cost := time.Duration(full * full * float64(occupancyCost.duration(p)))
+	cost += time.Duration(c.Rate * float64(failureCost.duration(p)))
 	if full >= 1 {
-		cost += time.Duration((full - 1) * float64(overCost.of(p)))
+		cost += time.Duration((full - 1) * float64(overloadCost.duration(p)))
 	}
-	cost += c.slower(slowCost.of(p)) - slowCost.of(p)
-	return cost + c.dial(p)
+	cost += c.adjusted(slowdownCost.duration(p)) - slowdownCost.duration(p)
+	return cost + c.connCost(p)
 }
 
 // Move is the time to move the KV cache of that many tokens.
@@ -63,7 +63,7 @@
 	}
 	s := float64(tokens) * float64(e.KVTokenBytes) / e.LinkBytes
 	if !sameZone {
-		s *= zoneFactor
+		s *= crossZoneFactor
 	}
 	return time.Duration(s * float64(time.Second))
 }
--- a/request/placement/home.go
+++ b/request/placement/home.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// manyEngines is the number of engines from which on the daemons know too
+	// minEnginesForHome is the number of engines from which on the daemons know too
 	// little of each other's prompts: reports take some 0.7 s to all of 90 daemons.
-	manyEngines = 16
-	// awayShare is the part of the time to read what nobody is known to keep
+	minEnginesForHome = 16
+	// awayCostShare is the part of the time to read what nobody is known to keep
 	// that an engine other than the home costs on top.
-	awayShare = 0.5
+	awayCostShare = 0.5
 )
 
 // home is where prompts with equal leading parts meet while nobody is known to
@@ -25,37 +25,37 @@
 // it. Of 85 million prompt tokens read on a day of 90 daemons and 140 engines
 // 24 million were read so again.
 type home struct {
-	p       *Prompt
-	at      int // index of the candidate, -1: none is needed
-	source  int // the same engine's index among the sources
-	unknown int // shared prompt tokens that nobody is known to keep
+	p            *Prompt
+	index        int // index of the candidate, -1: none is needed
+	source       int // the same engine's index among the sources
+	unreadTokens int // shared prompt tokens that nobody is known to keep
 }
 
 func newHome(p Prompt, cands, sources []Candidate, holder int, f speed.Figures) home {
-	h := home{p: &p, at: -1, source: -1, unknown: p.Shared}
+	h := home{p: &p, index: -1, source: -1, unreadTokens: p.Shared}
 	if holder >= 0 {
-		h.unknown -= sources[holder].Load.Ready
+		h.unreadTokens -= sources[holder].Load.Ready
 	}
-	if len(cands) < manyEngines || f.Read(p.Tokens, h.unknown) < leastFetch.of(&p) {
+	if len(cands) < minEnginesForHome || f.Read(p.Tokens, h.unreadTokens) < minFetchSaving.duration(&p) {
 		return h
 	}
 	least := 0.0
 	for i := range cands {
 		c := &cands[i]
-		if c.Private || c.Rate >= soundRate || c.Pace > slowFrom {
+		if c.Private || c.Rate >= maxSourceFailureRate || c.Pace > slowdownThreshold {
 			continue
 		}
-		if u := unit(p.Seed ^ engines.Hash(c.Entry.ID)); h.at < 0 || u < least {
-			h.at, least = i, u
+		if u := hashFraction(p.Seed ^ engines.Hash(c.Entry.ID)); h.index < 0 || u < least {
+			h.index, least = i, u
 		}
 	}
-	if h.at >= 0 {
-		h.source = find(sources, cands[h.at].Entry.ID)
+	if h.index >= 0 {
+		h.source = indexByID(sources, cands[h.index].Entry.ID)
 	}
 	return h
 }
 
-func find(list []Candidate, id string) int {
+func indexByID(list []Candidate, id string) int {
 	for i := range list {
 		if list[i].Entry.ID == id {
 			return i
@@ -66,16 +66,16 @@
 
 // cost is what it costs to have candidate i read the prompt away from home.
 func (h *home) cost(i int, f speed.Figures) time.Duration {
-	if h.at < 0 || i == h.at {
+	if h.index < 0 || i == h.index {
 		return 0
 	}
-	return time.Duration(awayShare * float64(f.Read(h.p.Tokens, h.unknown)))
+	return time.Duration(awayCostShare * float64(f.Read(h.p.Tokens, h.unreadTokens)))
 }
 
-// guess has an engine away from home fetch from there what others may have had
+// addSpeculativeFetch has an engine away from home fetch from there what others may have had
 // read there meanwhile. A fetch of nothing costs nothing.
-func (h *home) guess(ch *Choice) {
-	if h.at >= 0 && ch.At != h.at && ch.Fetch < 0 && h.source >= 0 {
+func (h *home) addSpeculativeFetch(ch *Choice) {
+	if h.index >= 0 && ch.At != h.index && ch.Fetch < 0 && h.source >= 0 {
 		ch.Fetch, ch.Guessed = h.source, true
 	}
 }
--- a/request/placement/home_test.go
+++ b/request/placement/home_test.go
@@ -10,12 +10,12 @@
 	"github.com/pomelospool/pomelospool/version/route"
 )
 
-// fleet returns engines in a random order with little work each, as one of many
+// randomEngines returns engines in a random order with little work each, as one of many
 // daemons sees them.
-func fleet(r *rand.Rand, n int) []Candidate {
+func randomEngines(r *rand.Rand, n int) []Candidate {
 	out := make([]Candidate, n)
 	for i := range out {
-		out[i] = cand(fmt.Sprintf("e%d", i), "a", busy(r.IntN(40)))
+		out[i] = newCandidate(fmt.Sprintf("e%d", i), "a", waitOf(r.IntN(40)))
 	}
 	r.Shuffle(n, func(i, j int) { out[i], out[j] = out[j], out[i] })
 	return out
@@ -23,14 +23,14 @@
 
 // A part that nobody has read before comes to several daemons within the time
 // that news takes. Each sees other loads and has another engine read all of it.
-func TestNewPartsMeet(t *testing.T) {
+func TestEqualNewPromptsGoToOneHome(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	e := &route.Engine{KVTokenBytes: 163_840, LinkBytes: 212e9}
 	for seed := range uint64(20) {
 		p := Prompt{Tokens: 17_000, Shared: 13_300, Seed: seed * 0x9e3779b97f4a7c15}
 		at := make(map[string]int)
 		for range 10 {
-			cands := fleet(r, 50)
+			cands := randomEngines(r, 50)
 			at[cands[Prefill(p, cands, cands, e, figures).At].Entry.ID]++
 		}
 		if len(at) != 1 {
@@ -41,11 +41,11 @@
 
 // The engine that all choose for a new part has a long queue: another one
 // reads the prompt, and fetches what the first has read meanwhile.
-func TestAwayFromABusyHome(t *testing.T) {
+func TestBusyHomeIsAvoided(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	p := Prompt{Tokens: 17_000, Shared: 13_300, Seed: 7}
-	cands := fleet(r, 50)
-	sources := append([]Candidate{cand("decodes", "a", engines.Load{})}, cands...)
+	cands := randomEngines(r, 50)
+	sources := append([]Candidate{newCandidate("decodes", "a", engines.Load{})}, cands...)
 	home := Prefill(p, cands, sources, nil, figures).At
 	cands[home].Load.Wait = 2 * time.Second
 	got := Prefill(p, cands, sources, nil, figures)
@@ -59,10 +59,10 @@
 }
 
 // What is known to be kept is fetched from there, wherever the hash points.
-func TestKnownPartsNeedNoHome(t *testing.T) {
+func TestKnownPartsAreFetchedFromTheirHolder(t *testing.T) {
 	e := &route.Engine{KVTokenBytes: 163_840, LinkBytes: 212e9}
 	p := Prompt{Tokens: 17_000, Shared: 13_300, Seed: 7}
-	cands := fleet(rand.New(rand.NewPCG(1, 1)), 50)
+	cands := randomEngines(rand.New(rand.NewPCG(1, 1)), 50)
 	for i := range cands {
 		cands[i].Load.Wait = time.Second
 	}
@@ -74,10 +74,10 @@
 
 // Ninety daemons open a connection for nearly each request, and each is paid
 // for. Among engines that are alike the one with an idle connection is taken.
-func TestIdleConnectionsAreUsed(t *testing.T) {
+func TestIdleConnectionsArePreferred(t *testing.T) {
 	e := &route.Engine{KVTokenBytes: 163_840, LinkBytes: 212e9}
 	for seed := range uint64(50) {
-		cands := fleet(rand.New(rand.NewPCG(seed, 1)), 20)
+		cands := randomEngines(rand.New(rand.NewPCG(seed, 1)), 20)
 		for i := range cands {
 			cands[i].Load = engines.Load{Streams: 2}
 		}
--- a/request/placement/prefill.go
+++ b/request/placement/prefill.go
@@ -22,17 +22,17 @@
 	Most    int // streams at which the longest answers of the route still end in time; 0: not known
 }
 
-// slower gives the time that the candidate is likely to take for one predicted.
-func (c *Candidate) slower(d time.Duration) time.Duration {
-	if c.Pace <= slowFrom {
+// adjusted gives the time that the candidate is likely to take for one predicted.
+func (c *Candidate) adjusted(d time.Duration) time.Duration {
+	if c.Pace <= slowdownThreshold {
 		return d
 	}
 	return time.Duration(float64(d) * c.Pace)
 }
 
-// slowFrom is the pace up to which a target counts as any other: prediction
+// slowdownThreshold is the pace up to which a target counts as any other: prediction
 // alone is off by that much.
-const slowFrom = 2.5
+const slowdownThreshold = 2.5
 
 // Prompt is what placement knows of a request.
 type Prompt struct {
@@ -59,19 +59,19 @@
 }
 
 const (
-	// readAgain is the weight of the time to read what another engine keeps
+	// rereadWeight is the weight of the time to read what another engine keeps
 	// already, on top of the time itself: it is taken from later requests.
-	readAgain = 0.9
-	// failCost is what a failure rate of one costs.
-	failCost share = 1.6
-	// tieCost is the most that the prompt's hash adds to an engine's cost.
-	tieCost share = 0.008
+	rereadWeight = 0.9
+	// failureCost is what a failure rate of one costs.
+	failureCost objectiveShare = 1.6
+	// prefillTieCost is the most that the prompt's hash adds to an engine's cost.
+	prefillTieCost objectiveShare = 0.008
 )
 
 const (
-	// leastFetch is the least time to read that a fetch is worth: it is a call
+	// minFetchSaving is the least time to read that a fetch is worth: it is a call
 	// between two engines, and paid for.
-	leastFetch share = 0.02
+	minFetchSaving objectiveShare = 0.02
 	// fetchWeight counts the time of a fetch again, since moves are paid for.
 	fetchWeight = 2
 )
@@ -81,52 +81,52 @@
 // another one keeps fetches it: 13,000 tokens take 10 to 20 ms to fetch and
 // 300 ms to read. sources are the engines that can be fetched from.
 func Prefill(p Prompt, cands, sources []Candidate, e *route.Engine, f speed.Figures) Choice {
-	o := newOutlook(p, cands, sources, e, f)
+	o := newEvaluation(p, cands, sources, e, f)
 	best := Choice{At: -1, Fetch: -1}
 	for i := range cands {
 		if ch := o.choice(i); best.At < 0 || ch.Cost < best.Cost {
 			best = ch
 		}
 	}
-	o.home.guess(&best)
+	o.home.addSpeculativeFetch(&best)
 	return best
 }
 
-// outlook is what all choices of a prompt have in common.
-type outlook struct {
+// evaluation is what all choices of a prompt have in common.
+type evaluation struct {
 	p              Prompt
 	cands, sources []Candidate
-	e              *route.Engine
-	f              speed.Figures
+	engine         *route.Engine
+	figures        speed.Figures
 	holder         int // index of the source that keeps most, -1: none
-	near           int // candidates in the daemon's zone
+	inZone         int // candidates in the daemon's zone
 	home           home
 }
 
-func newOutlook(p Prompt, cands, sources []Candidate, e *route.Engine, f speed.Figures) *outlook {
-	o := &outlook{p: p, cands: cands, sources: sources, e: e, f: f, holder: holdsMost(sources), near: inZone(cands, p.Zone)}
+func newEvaluation(p Prompt, cands, sources []Candidate, e *route.Engine, f speed.Figures) *evaluation {
+	o := &evaluation{p: p, cands: cands, sources: sources, engine: e, figures: f, holder: largestHolder(sources), inZone: countInZone(cands, p.Zone)}
 	o.home = newHome(o.p, cands, sources, o.holder, f)
 	return o
 }
 
 // choice is that of candidate i.
-func (o *outlook) choice(i int) Choice {
+func (o *evaluation) choice(i int) Choice {
 	c := &o.cands[i]
-	ch := o.p.read(c, o.sources, o.holder, o.e, o.f)
+	ch := o.p.evaluate(c, o.sources, o.holder, o.engine, o.figures)
 	ch.At = i
-	if o.near >= manyNear && c.Entry.Zone != o.p.Zone {
-		ch.Cost += farCost.of(&o.p)
+	if o.inZone >= minInZone && c.Entry.Zone != o.p.Zone {
+		ch.Cost += otherZoneCost.duration(&o.p)
 	}
-	ch.Cost += time.Duration(c.Rate * float64(failCost.of(&o.p)))
-	ch.Cost += time.Duration(unit(o.p.Seed^engines.Hash(c.Entry.ID)) * float64(tieCost.of(&o.p)))
-	ch.Cost += o.home.cost(i, o.f)
-	ch.Cost += c.dial(&o.p)
+	ch.Cost += time.Duration(c.Rate * float64(failureCost.duration(&o.p)))
+	ch.Cost += time.Duration(hashFraction(o.p.Seed^engines.Hash(c.Entry.ID)) * float64(prefillTieCost.duration(&o.p)))
+	ch.Cost += o.home.cost(i, o.figures)
+	ch.Cost += c.connCost(&o.p)
 	return ch
 }
 
-// read is the choice of an engine, with the cost of its time.
-func (p *Prompt) read(c *Candidate, sources []Candidate, holder int, e *route.Engine, f speed.Figures) Choice {
-	ch := Choice{Fetch: -1, Wait: c.slower(c.Load.Wait)}
+// evaluate is the choice of an engine, with the cost of its time.
+func (p *Prompt) evaluate(c *Candidate, sources []Candidate, holder int, e *route.Engine, f speed.Figures) Choice {
+	ch := Choice{Fetch: -1, Wait: c.adjusted(c.Load.Wait)}
 	kept := c.Load.Cached
 	if holder >= 0 && worthFetch(p, f, kept, sources[holder].Load.Ready) {
 		src := &sources[holder]
@@ -135,34 +135,34 @@
 		ch.Moved = Move(e, ch.Fetched, src.Entry.Zone == c.Entry.Zone)
 	}
 	ch.Missing = max(p.Tokens-kept, 1)
-	read := c.slower(f.Read(p.Tokens, ch.Missing))
+	read := c.adjusted(f.Read(p.Tokens, ch.Missing))
 	ch.Read = read + ch.Moved
-	ch.Cost = ch.Wait + read + time.Duration(readAgain*float64(read)) + fetchWeight*ch.Moved
+	ch.Cost = ch.Wait + read + time.Duration(rereadWeight*float64(read)) + fetchWeight*ch.Moved
 	return ch
 }
 
-// dialCost is what a new connection costs: a round trip and the target's
+// newConnCost is what a new connection costs: a round trip and the target's
 // acceptance take 3 ms, and connections are paid for. With it 90 daemons open
 // 7,508 connections for 44,778 requests, 13,975 without.
-const dialCost share = 0.016
+const newConnCost objectiveShare = 0.016
 
-func (c *Candidate) dial(p *Prompt) time.Duration {
+func (c *Candidate) connCost(p *Prompt) time.Duration {
 	if c.Warm {
 		return 0
 	}
-	return dialCost.of(p)
+	return newConnCost.duration(p)
 }
 
 const (
-	// manyNear is the number of engines in the daemon's availability zone from
+	// minInZone is the number of engines in the daemon's availability zone from
 	// which on it keeps to them: of these it knows the others' work sooner, and
 	// bytes between zones are paid for.
-	manyNear = 8
-	// farCost is what another zone's engine costs then.
-	farCost share = 0.02
+	minInZone = 8
+	// otherZoneCost is what another zone's engine costs then.
+	otherZoneCost objectiveShare = 0.02
 )
 
-func inZone(cands []Candidate, zone string) int {
+func countInZone(cands []Candidate, zone string) int {
 	n := 0
 	for i := range cands {
 		if cands[i].Entry.Zone == zone {
@@ -179,27 +179,27 @@
 		return false
 	}
 	saved := f.Read(p.Tokens, p.Tokens-kept) - f.Read(p.Tokens, p.Tokens-elsewhere)
-	return saved >= leastFetch.of(p)
+	return saved >= minFetchSaving.duration(p)
 }
 
-// holdsMost is the index of the source that can give most of the prompt now.
-func holdsMost(sources []Candidate) int {
+// largestHolder is the index of the source that can give most of the prompt now.
+func largestHolder(sources []Candidate) int {
 	best := -1
 	for i := range sources {
 		s := &sources[i]
-		if s.Load.Ready > 0 && s.Rate < soundRate && (best < 0 || s.Load.Ready > sources[best].Load.Ready) {
+		if s.Load.Ready > 0 && s.Rate < maxSourceFailureRate && (best < 0 || s.Load.Ready > sources[best].Load.Ready) {
 			best = i
 		}
 	}
 	return best
 }
 
-// soundRate is the failure rate from which on nothing is fetched from an
+// maxSourceFailureRate is the failure rate from which on nothing is fetched from an
 // engine.
-const soundRate = 0.3
+const maxSourceFailureRate = 0.3
 
-// unit maps a hash to [0,1).
-func unit(x uint64) float64 {
+// hashFraction maps a hash to [0,1).
+func hashFraction(x uint64) float64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
--- a/request/placement/room.go
+++ b/request/placement/room.go
@@ -12,9 +12,9 @@
 	CanRetry bool          // the request has time to come back if it is rejected
 }
 
-// mostReserved is the largest part of the places that is kept free: less urgent
+// maxReservedShare is the largest part of the places that is kept free: less urgent
 // requests get half at least.
-const mostReserved = 0.5
+const maxReservedShare = 0.5
 
 // Reserve is the number of places of each decoding engine that requests leave
 // free for more urgent ones, which ask for that many streams at a time over all
@@ -29,7 +29,7 @@
 		return 0
 	}
 	each := urgent / float64(engines)
-	return int(min(math.Ceil(each+math.Sqrt(each)), mostReserved*float64(slots)))
+	return int(min(math.Ceil(each+math.Sqrt(each)), maxReservedShare*float64(slots)))
 }
 
 // Queue is how long a request will wait for a place at the engine: those ahead
@@ -43,9 +43,9 @@
 	return time.Duration(behind) * r.Stay / time.Duration(slots)
 }
 
-// crowded is how full an engine may be, in shares of its places. Beyond, it
+// maxOccupancy is how full an engine may be, in shares of its places. Beyond, it
 // refuses requests, or keeps them until they are late.
-const crowded = 1.2
+const maxOccupancy = 1.2
 
 // Places is the number of streams that the engine takes: its places, or fewer
 // where the longest answers need them to end in time.
@@ -57,23 +57,23 @@
 	return places
 }
 
-// keptForOneTry is the share of an engine's bound that is left to requests with
+// singleTryShare is the share of an engine's bound that is left to requests with
 // no time to come back. The longest answers have none; without it they would be
 // served less often than the others, which have two tries.
-const keptForOneTry = 0.3
+const singleTryShare = 0.3
 
-// most is the number of streams up to which the engine takes the request.
-func (r Room) most(c *Candidate) int {
+// maxStreams is the number of streams up to which the engine takes the request.
+func (r Room) maxStreams(c *Candidate) int {
 	if !r.CanRetry {
 		return c.Most
 	}
-	return max(int((1-keptForOneTry)*float64(c.Most)), 1)
+	return max(int((1-singleTryShare)*float64(c.Most)), 1)
 }
 
 // Full reports whether the engine takes no request more.
 func (r Room) Full(c *Candidate) bool {
-	if c.Most > 0 && c.Load.Streams >= r.most(c) {
+	if c.Most > 0 && c.Load.Streams >= r.maxStreams(c) {
 		return true
 	}
-	return float64(c.Load.Streams+r.Reserved) > crowded*float64(max(c.Entry.Slots, 1))
+	return float64(c.Load.Streams+r.Reserved) > maxOccupancy*float64(max(c.Entry.Slots, 1))
 }
--- a/request/placement/room_test.go
+++ b/request/placement/room_test.go
@@ -11,7 +11,7 @@
 // Callers of short urgent requests are refused for seconds while long answers
 // hold every place. The places that are kept for them follow what they ask, and
 // leave the others half.
-func TestPlacesAreKeptForUrgentRequests(t *testing.T) {
+func TestSlotsAreReservedForUrgentRequests(t *testing.T) {
 	for _, tc := range []struct {
 		urgent         float64
 		engines, slots int
@@ -27,7 +27,7 @@
 
 // A request is taken by an engine whose places are all held, waits there for a
 // second and is late, though that could be told from what the streams take.
-func TestQueueForAPlace(t *testing.T) {
+func TestQueueWait(t *testing.T) {
 	r := Room{Reserved: 12, Stay: 3200 * time.Millisecond}
 	for _, tc := range []struct {
 		streams int
@@ -37,13 +37,13 @@
 		{0, r, 0}, {51, r, 0}, {52, r, 50 * time.Millisecond}, {63, r, 600 * time.Millisecond},
 		{63, Room{Stay: r.Stay}, 0}, {67, Room{Stay: r.Stay}, 200 * time.Millisecond}, {80, Room{}, 0},
 	} {
-		c := cand("e", "", engines.Load{Streams: tc.streams})
+		c := newCandidate("e", "", engines.Load{Streams: tc.streams})
 		if got := tc.room.Queue(&c); got != tc.want {
 			t.Errorf("%d streams, %+v: %v, want %v", tc.streams, tc.room, got, tc.want)
 		}
 	}
 	for streams, full := range map[int]bool{64: false, 76: false, 77: true} {
-		c := cand("e", "", engines.Load{Streams: streams})
+		c := newCandidate("e", "", engines.Load{Streams: streams})
 		if (Room{}).Full(&c) != full {
 			t.Errorf("%d streams: full %v", streams, !full)
 		}
@@ -52,7 +52,7 @@
 
 // Guards against engines so full that the longest answers end too late, and
 // against answers with one try only that are rejected as often as the others.
-func TestBoundOfAnEngine(t *testing.T) {
+func TestEngineStreamLimit(t *testing.T) {
 	for _, tc := range []struct {
 		streams, most  int
 		canRetry, full bool
@@ -60,7 +60,7 @@
 		{27, 40, true, false}, {28, 40, true, true}, {39, 40, false, false}, {40, 40, false, true},
 		{76, 0, true, false}, {76, 200, true, false}, {77, 200, false, true}, {0, 1, true, false}, {1, 1, true, true},
 	} {
-		c := cand("e", "", engines.Load{Streams: tc.streams})
+		c := newCandidate("e", "", engines.Load{Streams: tc.streams})
 		c.Most = tc.most
 		if got := (Room{CanRetry: tc.canRetry}).Full(&c); got != tc.full {
 			t.Errorf("%+v: full %v", tc, got)
@@ -69,9 +69,9 @@
 }
 
 // Guards against a slow engine that is filled like a quick one.
-func TestBoundsShareTheStreams(t *testing.T) {
+func TestDecodeWeighsStreamLimits(t *testing.T) {
 	p := Prompt{Tokens: 100, Objective: 150 * time.Millisecond}
-	quick, slow := cand("quick", "", engines.Load{Streams: 25}), cand("slow", "", engines.Load{Streams: 20})
+	quick, slow := newCandidate("quick", "", engines.Load{Streams: 25}), newCandidate("slow", "", engines.Load{Streams: 20})
 	quick.Most, slow.Most = 50, 25
 	if got := Decode(p, []Candidate{slow, quick}, &route.Engine{}, ""); got != 1 {
 		t.Errorf("engine %d, want the one that is half empty", got)
--- a/request/placement/shortlist.go
+++ b/request/placement/shortlist.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// drawn is the number of engines that are drawn at random, of which the
+	// randomDraws is the number of engines that are drawn at random, of which the
 	// cheaper ones come onto the shortlist.
-	drawn = 12
-	// fromDrawn is how many of them do.
-	fromDrawn = 5
+	randomDraws = 12
+	// maxFromDraws is how many of them do.
+	maxFromDraws = 5
 )
 
 // Shortlist chooses a few engines whose queues are worth being asked for: the
@@ -30,7 +30,7 @@
 	if len(cands) == 0 {
 		return nil
 	}
-	o := newOutlook(p, cands, sources, e, f)
+	o := newEvaluation(p, cands, sources, e, f)
 	all := make([]Choice, len(cands))
 	for i := range cands {
 		all[i] = o.choice(i)
@@ -52,21 +52,21 @@
 	}
 	add(idle)
 	luck := rand.New(rand.NewPCG(p.Draw, p.Seed))
-	lot := make([]Choice, 0, drawn)
+	lot := make([]Choice, 0, randomDraws)
 	warm := connected(cands)
-	for range min(drawn, len(cands)) {
-		if len(warm) < drawn {
+	for range min(randomDraws, len(cands)) {
+		if len(warm) < randomDraws {
 			lot = append(lot, all[luck.IntN(len(all))])
 		} else {
 			lot = append(lot, all[warm[luck.IntN(len(warm))]])
 		}
 	}
 	slices.SortFunc(lot, func(a, b Choice) int { return int(a.Cost - a.Wait - b.Cost + b.Wait) })
-	for _, ch := range lot[:min(fromDrawn, len(lot))] {
+	for _, ch := range lot[:min(maxFromDraws, len(lot))] {
 		add(ch)
 	}
 	for i := range list {
-		o.home.guess(&list[i])
+		o.home.addSpeculativeFetch(&list[i])
 	}
 	return list
 }
@@ -92,7 +92,7 @@
 	best := Choice{At: -1, Fetch: -1}
 	for i, ch := range list {
 		if waits[i] >= 0 {
-			wait := cands[ch.At].slower(waits[i])
+			wait := cands[ch.At].adjusted(waits[i])
 			ch.Cost += wait - ch.Wait
 			ch.Wait = wait
 		}
--- a/request/placement/shortlist_test.go
+++ b/request/placement/shortlist_test.go
@@ -10,48 +10,48 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// herd is a fleet of engines that read prompts one after the other, and
+// queueSim is a fleet of engines that read prompts one after the other, and
 // deciders whose news of the queues is old.
-type herd struct {
-	until []time.Duration // when each engine is done with what it has
-	news  []time.Duration // the same, as the deciders know it
-	ids   []string
-	luck  *rand.Rand
-	lasts time.Duration
+type queueSim struct {
+	busyUntil  []time.Duration // when each engine is done with what it has
+	knownUntil []time.Duration // the same, as the deciders know it
+	ids        []string
+	rnd        *rand.Rand
+	duration   time.Duration
 }
 
 const (
-	newsEvery = 500 * time.Millisecond
-	herdUse   = 0.6 // share of the engines' time that prompts take
+	reportInterval = 500 * time.Millisecond
+	utilization    = 0.6 // share of the engines' time that prompts take
 )
 
-// wait is how long prompts wait on the mean, chosen by choose.
-func (h *herd) wait(choose func(now time.Duration, p Prompt, cands []Candidate) int) time.Duration {
+// meanWait is how long prompts wait on the mean, chosen by choose.
+func (h *queueSim) meanWait(choose func(now time.Duration, p Prompt, cands []Candidate) int) time.Duration {
 	p := Prompt{Tokens: 8000, Objective: 800 * time.Millisecond}
 	read := figures.Read(p.Tokens, p.Tokens)
-	gap := time.Duration(float64(read) / herdUse / float64(len(h.ids)))
+	gap := time.Duration(float64(read) / utilization / float64(len(h.ids)))
 	var sum, now, told time.Duration
 	n := 0
-	for ; now < h.lasts; now += time.Duration(h.luck.ExpFloat64() * float64(gap)) {
+	for ; now < h.duration; now += time.Duration(h.rnd.ExpFloat64() * float64(gap)) {
 		if now >= told {
-			copy(h.news, h.until)
-			told = now + newsEvery
+			copy(h.knownUntil, h.busyUntil)
+			told = now + reportInterval
 		}
-		p.Seed, p.Draw = h.luck.Uint64(), h.luck.Uint64()
+		p.Seed, p.Draw = h.rnd.Uint64(), h.rnd.Uint64()
 		cands := make([]Candidate, len(h.ids))
 		for i, id := range h.ids {
-			cands[i] = Candidate{Entry: port.TargetEntry{ID: id}, Pace: 1, Load: engines.Load{Wait: max(h.news[i]-now, 0)}}
+			cands[i] = Candidate{Entry: port.TargetEntry{ID: id}, Pace: 1, Load: engines.Load{Wait: max(h.knownUntil[i]-now, 0)}}
 		}
 		at := choose(now, p, cands)
-		sum += max(h.until[at]-now, 0)
-		h.until[at] = max(h.until[at], now) + read
+		sum += max(h.busyUntil[at]-now, 0)
+		h.busyUntil[at] = max(h.busyUntil[at], now) + read
 		n++
 	}
 	return sum / time.Duration(n)
 }
 
-func newHerd(n int) *herd {
-	h := &herd{until: make([]time.Duration, n), news: make([]time.Duration, n), luck: rand.New(rand.NewPCG(7, uint64(n))), lasts: 4 * time.Second}
+func newQueueSim(n int) *queueSim {
+	h := &queueSim{busyUntil: make([]time.Duration, n), knownUntil: make([]time.Duration, n), rnd: rand.New(rand.NewPCG(7, uint64(n))), duration: 4 * time.Second}
 	for i := range n {
 		h.ids = append(h.ids, fmt.Sprint("engine", i))
 	}
@@ -63,18 +63,18 @@
 // other, and the callers get their first event late though engines are idle.
 // With a few queues asked for, a prompt waits less than a quarter of the time
 // that it takes to be read, whatever the number of engines.
-func TestHerdOnOldNews(t *testing.T) {
+func TestQueriedQueuesAvoidHerding(t *testing.T) {
 	for _, n := range []int{6, 60, 171, 700} {
 		read := figures.Read(8000, 8000)
-		old := newHerd(n).wait(func(_ time.Duration, p Prompt, cands []Candidate) int {
+		old := newQueueSim(n).meanWait(func(_ time.Duration, p Prompt, cands []Candidate) int {
 			return Prefill(p, cands, nil, nil, figures).At
 		})
-		h := newHerd(n)
-		asked := h.wait(func(now time.Duration, p Prompt, cands []Candidate) int {
+		h := newQueueSim(n)
+		asked := h.meanWait(func(now time.Duration, p Prompt, cands []Candidate) int {
 			list := Shortlist(p, cands, nil, nil, figures)
 			waits := make([]time.Duration, len(list))
 			for i := range list {
-				waits[i] = max(h.until[list[i].At]-now, 0)
+				waits[i] = max(h.busyUntil[list[i].At]-now, 0)
 			}
 			return Settle(list, cands, waits).At
 		})
@@ -89,21 +89,21 @@
 // from all engines, most prompts wait for a new connection, which is paid for.
 // Drawn from those that a daemon has connections to, few do, and prompts wait no
 // longer for each other: daemons have connections to different engines.
-func TestDrawnEnginesAreOnesWithAConnection(t *testing.T) {
+func TestRandomDrawsPreferConnectedEngines(t *testing.T) {
 	const daemons, n, idle = 200, 171, 9 * time.Second
 	used := make([][n]time.Duration, daemons) // when each daemon used an engine last
 	prompts, opened := 0, 0
-	h := newHerd(n)
-	h.lasts = 20 * time.Second
-	wait := h.wait(func(now time.Duration, p Prompt, cands []Candidate) int {
-		mine := &used[h.luck.IntN(daemons)]
+	h := newQueueSim(n)
+	h.duration = 20 * time.Second
+	wait := h.meanWait(func(now time.Duration, p Prompt, cands []Candidate) int {
+		mine := &used[h.rnd.IntN(daemons)]
 		for i := range cands {
 			cands[i].Warm = mine[i] > 0 && now-mine[i] < idle
 		}
 		list := Shortlist(p, cands, nil, nil, figures)
 		waits := make([]time.Duration, len(list))
 		for i := range list {
-			waits[i] = max(h.until[list[i].At]-now, 0)
+			waits[i] = max(h.busyUntil[list[i].At]-now, 0)
 		}
 		at := Settle(list, cands, waits).At
 		prompts++
@@ -124,8 +124,8 @@
 
 // A holder that doesn't answer must not make its engine look idle or full: what
 // is known of it by the sums holds.
-func TestSettleKeepsWhatIsKnownWithoutAnAnswer(t *testing.T) {
-	cands := []Candidate{cand("a", "", busy(300)), cand("b", "", busy(100)), cand("c", "", busy(0))}
+func TestSelectByWaitKeepsEstimateWithoutAnAnswer(t *testing.T) {
+	cands := []Candidate{newCandidate("a", "", waitOf(300)), newCandidate("b", "", waitOf(100)), newCandidate("c", "", waitOf(0))}
 	list := Shortlist(Prompt{Tokens: 8000}, cands, nil, nil, figures)
 	waits := make([]time.Duration, len(list))
 	for i := range list {
--- a/request/placement/usual.go
+++ b/request/placement/usual.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	// usualWeight is the weight of the newest prompt in what is usual: the
+	// newestWeight is the weight of the newest prompt in what is usual: the
 	// last 50.
-	usualWeight = 0.02
-	// longQueue is the number of usual prompts ahead from which on a queue is
+	newestWeight = 0.02
+	// longQueuePrompts is the number of usual prompts ahead from which on a queue is
 	// more than chance.
-	longQueue = 3
-	// offMargin is how many times the usual error of prediction a wait in a long
+	longQueuePrompts = 3
+	// errorMargin is how many times the usual error of prediction a wait in a long
 	// queue counts longer. A queue at the bound makes half of its requests late,
 	// one that is shorter by the error keeps the engines as busy. In short
 	// queues it refuses what would be on time: with it there a site where
 	// reading binds earned 0.642 on its days with trouble, 0.659 without.
-	offMargin = 1.5
-	// leastYield is the least part of the queue that a prompt may wait in:
+	errorMargin = 1.5
+	// minYield is the least part of the queue that a prompt may wait in:
 	// large prompts are served half as often as others at least.
-	leastYield = 0.5
+	minYield = 0.5
 )
 
 // Usual is what prompts of a service usually take to be read, and how many
@@ -32,9 +32,9 @@
 // place of two. Means of three plays of a quiet day with prompts at twice what
 // can be read: 8.9 in 100 requests end refused, 9.8 without.
 type Usual struct {
-	mu    sync.Mutex
-	read  float64 // nanoseconds
-	yield float64 // tokens for each nanosecond
+	mu        sync.Mutex
+	meanRead  float64 // nanoseconds
+	meanYield float64 // tokens for each nanosecond
 }
 
 // Note takes a prompt in, whether it is taken or refused.
@@ -45,12 +45,12 @@
 	yield := float64(tokens) / float64(read)
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.read == 0 {
-		u.read, u.yield = float64(read), yield
+	if u.meanRead == 0 {
+		u.meanRead, u.meanYield = float64(read), yield
 		return
 	}
-	u.read += usualWeight * (float64(read) - u.read)
-	u.yield += usualWeight * (yield - u.yield)
+	u.meanRead += newestWeight * (float64(read) - u.meanRead)
+	u.meanYield += newestWeight * (yield - u.meanYield)
 }
 
 // Counts is how long a wait counts for a prompt in the decision whether it is
@@ -59,12 +59,12 @@
 func (u *Usual) Counts(wait time.Duration, tokens int, read, off time.Duration) time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	over := wait - time.Duration(longQueue*u.read)
-	if over <= 0 || read <= 0 || u.yield <= 0 {
+	over := wait - time.Duration(longQueuePrompts*u.meanRead)
+	if over <= 0 || read <= 0 || u.meanYield <= 0 {
 		return wait
 	}
-	yield := float64(tokens) / float64(read) / u.yield
-	part := min(max(yield, leastYield), 1)
-	margin := min(over, time.Duration(offMargin*float64(off)))
+	yield := float64(tokens) / float64(read) / u.meanYield
+	part := min(max(yield, minYield), 1)
+	margin := min(over, time.Duration(errorMargin*float64(off)))
 	return wait + margin + time.Duration(float64(over)*(1/part-1))
 }
--- a/request/placement/usual_test.go
+++ b/request/placement/usual_test.go
@@ -11,7 +11,7 @@
 // More prompts come than can be read. Those of which nothing is kept take four
 // times the engine's time, and as many callers are refused for each of them.
 // They yield in a long queue, by half at most, and not in a short one.
-func TestCostlyPromptsYield(t *testing.T) {
+func TestCostlyPromptsAreRejectedFirst(t *testing.T) {
 	var u Usual
 	if got := u.Counts(100*ms, 9000, 20*ms, 0); got != 100*ms {
 		t.Errorf("before anything is usual: %v", got)
@@ -45,7 +45,7 @@
 // Callers come at random, bursts of a second at twice what an engine reads, half
 // of the prompts costly. With costly prompts yielding more callers are served
 // on time by the same engine, and costly ones half as often as others at least.
-func TestMoreAreServedWhenCostlyPromptsYield(t *testing.T) {
+func TestRejectingCostlyPromptsServesMore(t *testing.T) {
 	const bound = 200 * ms
 	serve := func(yields bool) (served, cheap, costly int) {
 		r := rand.New(rand.NewPCG(7, 1))
--- a/request/placement/weight.go
+++ b/request/placement/weight.go
@@ -8,15 +8,15 @@
 // assumedObjective stands in for the objective of a route that has none.
 const assumedObjective = 500 * time.Millisecond
 
-// share is a part of the time within which the caller wants the first event.
+// objectiveShare is a part of the time within which the caller wants the first event.
 // What speaks for or against an engine is weighed in it, so that engines and
 // callers of any speed are weighed alike: with times fixed for objectives of
 // half a second, engines five times as fast with callers more than twice as
 // demanding were chosen mostly by their open connections.
-type share float64
+type objectiveShare float64
 
-// of is the time that the share stands for with this prompt.
-func (s share) of(p *Prompt) time.Duration {
+// duration is the time that the share stands for with this prompt.
+func (s objectiveShare) duration(p *Prompt) time.Duration {
 	o := p.Objective
 	if o <= 0 {
 		o = assumedObjective
