--- a/process/roster/owner.go
+++ b/process/roster/owner.go
@@ -239,9 +239,9 @@
 	k.book.Merge(name, []engines.Work{n.Work}, nil)
 }
 
-// Asks reports whether owners are asked: in a small fleet each daemon receives
+// CanQueryQueues reports whether owners are asked: in a small fleet each daemon receives
 // all work at once.
-func (r *Roster) Asks() bool {
+func (r *Roster) CanQueryQueues() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.small()
--- a/request/admission/admission.go
+++ b/request/admission/admission.go
@@ -27,18 +27,18 @@
 	maxRetryAfter = 30 * time.Second
 )
 
-// Ask is what admission decides on.
-type Ask struct {
+// Request is what admission decides on.
+type Request struct {
 	Doc      *document.Document
 	Org      string
 	Priority int           // -1, 0, 1
 	Cost     float64       // work, in any unit that is the same for all
-	Left     time.Duration // until the deadline
+	TimeLeft time.Duration // until the deadline
 	Decision routing.Decision
 	Targets  []routing.Target
-	// Idle returns the expected finish if all targets were idle. It is called
+	// IdleFinish returns the expected finish if all targets were idle. It is called
 	// for refusals only.
-	Idle func() (time.Duration, bool)
+	IdleFinish func() (time.Duration, bool)
 }
 
 // Controller is safe for concurrent use. Its memory grows with the requests
@@ -57,11 +57,11 @@
 
 // Admit returns a function to call once when the request is over, or a
 // *code.Error with code.Overloaded, code.DeadlineTooShort or code.OrgOverShare.
-func (c *Controller) Admit(a Ask) (func(), error) {
+func (c *Controller) Admit(a Request) (func(), error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.service(a.Doc.Service)
-	if a.Decision.Finish > a.Left {
+	if a.Decision.Finish > a.TimeLeft {
 		return nil, deadlineError(a)
 	}
 	if wait, late := missesFirstToken(a); late {
@@ -79,8 +79,8 @@
 	return c.track(s, a), nil
 }
 
-// Full returns the refusal for a request that routing found no place for.
-func (c *Controller) Full(doc *document.Document, targets []routing.Target) error {
+// FullError returns the refusal for a request that routing found no place for.
+func (c *Controller) FullError(doc *document.Document, targets []routing.Target) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.service(doc.Service)
@@ -88,7 +88,7 @@
 		After(s.retryAfter(0, slotCount(targets)))
 }
 
-func (c *Controller) track(s *service, a Ask) func() {
+func (c *Controller) track(s *service, a Request) func() {
 	s.begin(a, c.now())
 	return func() {
 		c.mu.Lock()
@@ -123,11 +123,11 @@
 
 // deadlineError tells a deadline that is too short for any target from one that the
 // backlog makes too short.
-func deadlineError(a Ask) error {
-	if idle, ok := a.Idle(); ok && idle > a.Left {
+func deadlineError(a Request) error {
+	if idle, ok := a.IdleFinish(); ok && idle > a.TimeLeft {
 		return code.New(code.DeadlineTooShort, "an idle target needs about %v", idle.Round(time.Millisecond))
 	}
-	wait := clamp(a.Decision.Finish - a.Left)
+	wait := clamp(a.Decision.Finish - a.TimeLeft)
 	return code.New(code.Overloaded, "the answer would take about %v", a.Decision.Finish.Round(time.Millisecond)).After(wait)
 }
 
@@ -140,13 +140,13 @@
 // target until deadlines refuse: the same number of requests is answered, but
 // each of them late. High priority goes by its deadline, and so does a prompt
 // that even an idle target couldn't begin to answer in time.
-func missesFirstToken(a Ask) (time.Duration, bool) {
+func missesFirstToken(a Request) (time.Duration, bool) {
 	goal := time.Duration(firstTokenMargin * float64(a.Doc.Objectives.FirstToken))
 	over := a.Decision.First - goal
 	if goal <= 0 || over <= 0 || a.Priority > 0 {
 		return 0, false
 	}
-	idle, ok := a.Idle()
+	idle, ok := a.IdleFinish()
 	backlog := a.Decision.Finish - idle
 	return clamp(over), ok && backlog >= over
 }
--- a/request/admission/admission_test.go
+++ b/request/admission/admission_test.go
@@ -110,14 +110,14 @@
 	for _, tc := range cases {
 		c := New(time.Now)
 		for _, org := range []string{"a", "a", "a", "heavy", "heavy", "heavy", "c"} {
-			if _, err := c.Admit(Ask{Doc: doc, Org: org, Cost: 1, Left: time.Second, Targets: half}); err != nil {
+			if _, err := c.Admit(Request{Doc: doc, Org: org, Cost: 1, TimeLeft: time.Second, Targets: half}); err != nil {
 				t.Fatal(err)
 			}
 		}
-		_, err := c.Admit(Ask{
-			Doc: doc, Org: tc.org, Priority: tc.priority, Cost: 1, Left: 10 * time.Second, Targets: tc.targets,
-			Decision: routing.Decision{Finish: tc.finish},
-			Idle:     func() (time.Duration, bool) { return tc.idle, true },
+		_, err := c.Admit(Request{
+			Doc: doc, Org: tc.org, Priority: tc.priority, Cost: 1, TimeLeft: 10 * time.Second, Targets: tc.targets,
+			Decision:   routing.Decision{Finish: tc.finish},
+			IdleFinish: func() (time.Duration, bool) { return tc.idle, true },
 		})
 		if code.Of(err) != tc.want {
 			t.Errorf("%s: %v", tc.name, err)
@@ -147,13 +147,13 @@
 		{"long prompt, small backlog", 0, 4 * time.Second, 7 * time.Second, 6 * time.Second, code.OK},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := New(time.Now).Admit(Ask{
-				Doc:      &document.Document{Service: "s", Objectives: document.Objectives{FirstToken: goal}},
-				Priority: c.priority,
-				Left:     time.Minute,
-				Decision: routing.Decision{First: c.first, Finish: c.finish},
-				Targets:  []routing.Target{{Live: true, Limit: 100}},
-				Idle:     func() (time.Duration, bool) { return c.idle, true },
+			_, err := New(time.Now).Admit(Request{
+				Doc:        &document.Document{Service: "s", Objectives: document.Objectives{FirstToken: goal}},
+				Priority:   c.priority,
+				TimeLeft:   time.Minute,
+				Decision:   routing.Decision{First: c.first, Finish: c.finish},
+				Targets:    []routing.Target{{Live: true, Limit: 100}},
+				IdleFinish: func() (time.Duration, bool) { return c.idle, true },
 			})
 			if code.Of(err) != c.want {
 				t.Errorf("got %v, want %d", err, c.want)
--- a/request/admission/fullness.go
+++ b/request/admission/fullness.go
@@ -37,7 +37,7 @@
 
 // fullness weighs places and time. Engines serve high priority first, so the
 // queue's length says little about its wait: places only.
-func (s *service) fullness(a Ask) fullness {
+func (s *service) fullness(a Request) fullness {
 	f := s.slotFullness(a.Targets)
 	if a.Priority > 0 {
 		return f
@@ -111,15 +111,15 @@
 // waitFullness is the fullness in time. A request whose work alone takes most of
 // its time says nothing about others, so the time on an idle target is taken
 // off; where the result can't reach contention the second estimate is saved.
-func waitFullness(a Ask) fullness {
-	if a.Decision.Finish < time.Duration(waitContention*usableSlack*float64(a.Left)) {
+func waitFullness(a Request) fullness {
+	if a.Decision.Finish < time.Duration(waitContention*usableSlack*float64(a.TimeLeft)) {
 		return fullness{}
 	}
-	idle, ok := a.Idle()
-	if !ok || idle >= a.Left {
+	idle, ok := a.IdleFinish()
+	if !ok || idle >= a.TimeLeft {
 		return fullness{}
 	}
-	longest := float64(a.Left-idle) * usableSlack
+	longest := float64(a.TimeLeft-idle) * usableSlack
 	wait := float64(a.Decision.Finish - idle)
 	calm := float64(idle) + waitContention*longest
 	return fullness{share: wait / longest, excess: float64(a.Decision.Finish) / calm}
--- a/request/admission/share.go
+++ b/request/admission/share.go
@@ -40,7 +40,7 @@
 	u.meanAt = now
 }
 
-func (s *service) begin(a Ask, now time.Time) {
+func (s *service) begin(a Request, now time.Time) {
 	u, ok := s.orgs[a.Org]
 	if !ok {
 		u = &usage{weight: weight(a), meanAt: now}
@@ -58,7 +58,7 @@
 	}
 }
 
-func (s *service) end(a Ask, now time.Time) {
+func (s *service) end(a Request, now time.Time) {
 	u := s.orgs[a.Org]
 	u.update(now)
 	u.requests--
@@ -108,7 +108,7 @@
 // max-min fair: those who ask for little get it all, whatever others ask for,
 // and a lone organisation gets everything up to contention. Organisations that
 // are quiet cost no memory and shrink no one's share.
-func (s *service) overShare(a Ask, part float64, now time.Time) bool {
+func (s *service) overShare(a Request, part float64, now time.Time) bool {
 	u := s.orgs[a.Org]
 	if u == nil {
 		return false
@@ -160,7 +160,7 @@
 	return level
 }
 
-func weight(a Ask) float64 {
+func weight(a Request) float64 {
 	if w, ok := a.Doc.Fair.Weights[a.Org]; ok && w > 0 {
 		return w
 	}
--- a/request/admission/sim_test.go
+++ b/request/admission/sim_test.go
@@ -178,15 +178,15 @@
 	work := src.expDuration(simWorkMean.Seconds())
 	view := s.view(d)
 	i, finish := route(view)
-	release, err := d.ctl.Admit(Ask{
-		Doc:      &document.Document{Service: "s"},
-		Org:      src.org,
-		Priority: src.priority,
-		Cost:     1,
-		Left:     simDeadline,
-		Decision: routing.Decision{Finish: finish},
-		Targets:  view,
-		Idle:     func() (time.Duration, bool) { return simWorkMean, true },
+	release, err := d.ctl.Admit(Request{
+		Doc:        &document.Document{Service: "s"},
+		Org:        src.org,
+		Priority:   src.priority,
+		Cost:       1,
+		TimeLeft:   simDeadline,
+		Decision:   routing.Decision{Finish: finish},
+		Targets:    view,
+		IdleFinish: func() (time.Duration, bool) { return simWorkMean, true },
 	})
 	if err != nil {
 		s.refused[code.Of(err)]++
--- a/request/budget/fleet.go
+++ b/request/budget/fleet.go
@@ -26,9 +26,9 @@
 	Now     func() time.Time
 }
 
-// Spent is the part of the bound that is spent: the daemons' windows don't
+// SpendableShare is the part of the bound that is spent: the daemons' windows don't
 // begin together, and requests may end at other daemons than they began at.
-const Spent = 0.7
+const SpendableShare = 0.7
 
 // NewFleet returns a Fleet.
 func NewFleet(o FleetOptions) *Fleet {
@@ -51,6 +51,6 @@
 	ratio, slack := f.ratio, f.slack
 	f.mu.Unlock()
 	return f.w.take(service, n, func(requests float64) float64 {
-		return Spent * (ratio*requests + slack/float64(max(f.daemons(), 1)))
+		return SpendableShare * (ratio*requests + slack/float64(max(f.daemons(), 1)))
 	})
 }
--- a/request/dispatch/call.go
+++ b/request/dispatch/call.go
@@ -25,17 +25,17 @@
 
 // Call is one request of a caller, read and matched to its route.
 type Call struct {
-	Ask     port.Ask
-	Route   *route.Route
-	Service *route.Service
-	Version int64 // of the configuration
-	Arrived time.Time
-	GiveUp  time.Time // the earlier of the caller's deadline and the end of the route's timeout
-	Method  string
-	URI     string // path and query as they came
-	Host    string
-	Header  http.Header // what goes on to a target
-	Body    []byte
+	Ask      port.Ask
+	Route    *route.Route
+	Service  *route.Service
+	Version  int64 // of the configuration
+	Arrived  time.Time
+	Deadline time.Time // the earlier of the caller's deadline and the end of the route's timeout
+	Method   string
+	URI      string // path and query as they came
+	Host     string
+	Header   http.Header // what goes on to a target
+	Body     []byte
 	// Organisation holds the caller's key; empty: the route is public.
 	Organisation string
 	Priority     int // of the organisation or the route, 0 is the most urgent
@@ -70,8 +70,8 @@
 	// Queues returns how long a prompt will wait at each engine, -1 where that
 	// isn't known; nil if the books know as well.
 	Queues(ctx context.Context, targets []string) []time.Duration
-	// Asks reports whether there is anything to be asked.
-	Asks() bool
+	// CanQueryQueues reports whether there is anything to be asked.
+	CanQueryQueues() bool
 }
 
 // Options of a Runner. All are needed.
@@ -95,17 +95,17 @@
 	opts Options
 
 	mu                   sync.Mutex
-	promptStatsByService map[string]*placement.Usual // by service
-	answerLengths        map[string]*answerLength    // by route
+	promptStatsByService map[string]*placement.PromptStats // by service
+	answerLengths        map[string]*answerLength          // by route
 }
 
 // New returns a Runner.
 func New(o Options) *Runner {
-	return &Runner{opts: o, promptStatsByService: make(map[string]*placement.Usual), answerLengths: make(map[string]*answerLength)}
+	return &Runner{opts: o, promptStatsByService: make(map[string]*placement.PromptStats), answerLengths: make(map[string]*answerLength)}
 }
 
 // promptStats returns what is usual for a service's prompts.
-func (r *Runner) promptStats(service string) *placement.Usual {
+func (r *Runner) promptStats(service string) *placement.PromptStats {
 	return getOrCreate(&r.mu, r.promptStatsByService, service)
 }
 
@@ -125,7 +125,7 @@
 // Plain runs a call whose answer is passed on whole. The error is a
 // *code.Error; a code that says that nothing ran is given only when that holds.
 func (r *Runner) Plain(ctx context.Context, c *Call) (*Answer, Trace, error) {
-	ctx, cancel := context.WithDeadline(ctx, c.GiveUp)
+	ctx, cancel := context.WithDeadline(ctx, c.Deadline)
 	defer cancel()
 	x := r.newExecution(c)
 	a, err := x.runPlain(ctx)
@@ -134,7 +134,7 @@
 
 // Streamed runs a call that is answered by events.
 func (r *Runner) Streamed(ctx context.Context, c *Call, out Stream) (Trace, error) {
-	ctx, cancel := context.WithDeadline(ctx, c.GiveUp)
+	ctx, cancel := context.WithDeadline(ctx, c.Deadline)
 	defer cancel()
 	x := r.newExecution(c)
 	err := x.runStream(ctx, out)
@@ -144,28 +144,28 @@
 
 // Trace says how a call went, for its log line.
 type Trace struct {
-	Sends     int           // requests sent to targets
-	Targets   []string      // their ids, in order
-	Causes    []string      // why those that failed did
-	Predicted time.Duration // time to the first event, when the call was taken
-	Lasts     time.Duration // from the decoding engine's first work to the last event, predicted from the stated output
-	Prefill   Prefill       // the last one
-	First     time.Duration // from the arrival to the first event
-	Begun     bool          // the caller got a part of the answer
+	Sends             int           // requests sent to targets
+	Targets           []string      // their ids, in order
+	Causes            []string      // why those that failed did
+	PredictedFirst    time.Duration // time to the first event, when the call was taken
+	PredictedDuration time.Duration // from the decoding engine's first work to the last event, predicted from the stated output
+	Prefill           Prefill       // the last one
+	TimeToFirst       time.Duration // from the arrival to the first event
+	AnswerStarted     bool          // the caller got a part of the answer
 	// LastEvent is the id of the last event that the caller got, empty for none.
 	LastEvent string
 }
 
 // Prefill says how the reading of a prompt was predicted and went.
 type Prefill struct {
-	Prompt  int           // tokens of the prompt
-	Shared  int           // of them, those that other prompts may begin with too
-	Missing int           // of them, those that the engine had to read
-	Fetched int           // of them, those that it fetched from another engine
-	Guessed bool          // it was to fetch from an engine that might keep more
-	Wait    time.Duration // predicted until it begins to read them
-	Read    time.Duration // predicted for reading them
-	Took    time.Duration // in all
+	PromptTokens  int           // tokens of the prompt
+	SharedTokens  int           // of them, those that other prompts may begin with too
+	MissingTokens int           // of them, those that the engine had to read
+	FetchedTokens int           // of them, those that it fetched from another engine
+	Speculative   bool          // it was to fetch from an engine that might keep more
+	PredictedWait time.Duration // predicted until it begins to read them
+	PredictedRead time.Duration // predicted for reading them
+	Duration      time.Duration // in all
 }
 
 func (r *Runner) newExecution(c *Call) *execution {
--- a/request/dispatch/consider_test.go
+++ b/request/dispatch/consider_test.go
@@ -63,7 +63,7 @@
 					t.Errorf("%d in the zone asked for", near)
 				}
 				ch := placement.Prefill(p.Prompt, cands, cands, x.call.Service.Engine, h.speed.Figures("llm"))
-				homes[cands[ch.At].Entry.ID]++
+				homes[cands[ch.Index].Entry.ID]++
 			}
 			if len(homes) != 1 {
 				t.Errorf("%d engines: a new prompt goes to %v", n, homes)
--- a/request/dispatch/decode.go
+++ b/request/dispatch/decode.go
@@ -86,7 +86,7 @@
 	usual := x.opts.Speed.Figures(x.call.Service.Name).First
 	predicted := usual
 	if from.kv != nil {
-		predicted += placement.Move(x.call.Service.Engine, p.Tokens, from.zone == to.Zone)
+		predicted += placement.TransferTime(x.call.Service.Engine, p.Tokens, from.zone == to.Zone)
 	}
 	done := x.opts.Engines.Decode(to.ID, x.call.Service.Engine.KVTokens, p.parts, predicted)
 	defer done()
@@ -135,10 +135,10 @@
 		return f
 	}
 	x.markStarted(0)
-	if x.trace.Begun {
+	if x.trace.AnswerStarted {
 		return targetError(target, a)
 	}
-	x.trace.Begun = true
+	x.trace.AnswerStarted = true
 	out.Begin(a.Status, a.Header)
 	if err := out.Write(a.Body); err != nil {
 		return newFailure(failure.CallerGone, target, err)
--- a/request/dispatch/engine.go
+++ b/request/dispatch/engine.go
@@ -62,7 +62,7 @@
 		return true
 	}
 	for _, c := range x.candidates(p, port.RoleDecode, from.zone) {
-		if c.Rate < doubtfulRate {
+		if c.FailureRate < doubtfulRate {
 			return true
 		}
 	}
@@ -84,10 +84,10 @@
 	p.Tokens = x.call.Ask.Prompt
 	p.Zone = x.opts.Zone
 	p.Objective = x.call.Route.Objective
-	p.Draw = rand.Uint64()
+	p.RandomSeed = rand.Uint64()
 	p.priority = min(x.call.Priority, latePriority-1)
 	for _, part := range p.parts[:max(len(p.parts)-1, 0)] {
-		p.Shared += part.Tokens
+		p.SharedTokens += part.Tokens
 	}
 	if len(p.parts) > 0 {
 		p.Seed = p.parts[max(len(p.parts)-2, 0)].ID // the last part is the request's own
@@ -101,11 +101,11 @@
 // serving all of them earns less than refusing those that can't be on time.
 func (x *execution) admit(ctx context.Context) (prompt, error) {
 	p := x.prompt()
-	x.answerLength(x.call.Route.Name).addCall(x.call.Ask.Hint, x.call.Ask.Output, time.Until(x.call.GiveUp))
+	x.answerLength(x.call.Route.Name).addCall(x.call.Ask.Hint, x.call.Ask.Output, time.Until(x.call.Deadline))
 	f := x.opts.Speed.Figures(x.call.Service.Name)
 	ch := x.choosePrefill(ctx, p, f)
 	x.admitted = &ch
-	x.trace.Lasts = f.Lasts(x.call.Ask.Output)
+	x.trace.PredictedDuration = f.Lasts(x.call.Ask.Output)
 	err := x.checkObjective(&p, f, ch)
 	x.recordDemand(p, f, ch, err != nil)
 	return p, err
@@ -116,16 +116,16 @@
 	if err != nil {
 		return err
 	}
-	if ch.At < 0 {
+	if ch.Index < 0 {
 		return nil // decode engines may read it, or nothing can: not for here
 	}
-	alone := f.Start + ch.Read + f.First
-	wait := ch.Wait + queue
-	x.trace.Predicted = wait + alone
+	alone := f.Start + ch.ReadTime + f.First
+	wait := ch.PredictedWait + queue
+	x.trace.PredictedFirst = wait + alone
 	objective := x.call.Route.Objective
 	usual := x.promptStats(x.call.Service.Name)
-	usual.Note(p.Tokens, ch.Read)
-	if objective <= 0 || usual.Counts(wait, p.Tokens, ch.Read, f.Spread)+alone <= objective {
+	usual.Record(p.Tokens, ch.ReadTime)
+	if objective <= 0 || usual.EffectiveWait(wait, p.Tokens, ch.ReadTime, f.Spread)+alone <= objective {
 		return nil
 	}
 	if alone > objective {
@@ -134,7 +134,7 @@
 			return nil
 		}
 	}
-	predicted := max(x.trace.Predicted, objective)
+	predicted := max(x.trace.PredictedFirst, objective)
 	return x.overloaded(ch.decoders, predicted-objective, "the first event would take %v", predicted.Round(time.Millisecond))
 }
 
@@ -159,7 +159,7 @@
 // jitteredDelay is the least time after which a refused caller is asked to come back.
 func (x *execution) jitteredDelay() time.Duration {
 	part := minRetryShare + (maxRetryShare-minRetryShare)*hashFraction(x.call.Ask.ID, "come back")
-	return min(max(time.Duration(part*float64(time.Until(x.call.GiveUp))), minRetryDelay), maxJitteredDelay)
+	return min(max(time.Duration(part*float64(time.Until(x.call.Deadline))), minRetryDelay), maxJitteredDelay)
 }
 
 // triesIfRejected is how often a request that is refused is asked: its caller
@@ -170,10 +170,10 @@
 // the plan of their roles answers what is asked, not what was served.
 func (x *execution) recordDemand(p prompt, f speed.Figures, ch prefillChoice, refused bool) {
 	o := demand.Offer{
-		Reading: ch.Read, Lasts: f.Lasts(x.call.Ask.Output), Moving: x.transferTime(p, ch),
+		Reading: ch.ReadTime, Lasts: f.Lasts(x.call.Ask.Output), Moving: x.transferTime(p, ch),
 		Objective: x.call.Route.Objective, Priority: x.call.Priority,
 	}
-	if ch.At < 0 {
+	if ch.Index < 0 {
 		o.Reading = f.Read(p.Tokens, p.Tokens)
 	}
 	if refused {
@@ -186,7 +186,7 @@
 // one in the zone of the engine that reads if there is any.
 func (x *execution) transferTime(p prompt, ch prefillChoice) time.Duration {
 	near := slices.ContainsFunc(ch.decoders, func(c placement.Candidate) bool { return c.Entry.Zone == ch.engine.Zone })
-	return placement.Move(x.call.Service.Engine, p.Tokens, near)
+	return placement.TransferTime(x.call.Service.Engine, p.Tokens, near)
 }
 
 // predictSlotWait predicts how long the call waits for a place at a decoding engine. It
@@ -201,11 +201,11 @@
 		if x.opts.Health.Ejected(c.Entry.ID) || c.Load.Unreachable() {
 			continue
 		}
-		least = min(least, room.Queue(c))
+		least = min(least, room.SlotWait(c))
 		switch {
 		case room.Full(c):
 			full++
-		case c.Rate > doubtfulRate:
+		case c.FailureRate > doubtfulRate:
 			doubts++
 		default:
 			free++
@@ -226,16 +226,16 @@
 }
 
 // slotPolicy is how the decoding engines' places are shared out to the call.
-func (x *execution) slotPolicy(f speed.Figures, cands []placement.Candidate) placement.Room {
-	r := placement.Room{Stay: f.Stay, CanRetry: x.canRetry(cands)}
+func (x *execution) slotPolicy(f speed.Figures, cands []placement.Candidate) placement.SlotPolicy {
+	r := placement.SlotPolicy{StreamTime: f.Stay, CanRetry: x.canRetry(cands)}
 	if len(cands) == 0 || x.mostUrgent() {
 		return r
 	}
 	// The places that are freed meanwhile by more urgent requests are taken by
 	// others of them.
-	r.Stay = f.StayLess
+	r.StreamTime = f.StayLess
 	urgent := x.opts.Demand.Total(x.call.Service.Name).Urgent
-	r.Reserved = placement.Reserve(urgent, x.decoderCount(cands), cands[0].Entry.Slots)
+	r.Reserved = placement.ReservedSlots(urgent, x.decoderCount(cands), cands[0].Entry.Slots)
 	return r
 }
 
--- a/request/dispatch/pace.go
+++ b/request/dispatch/pace.go
@@ -28,7 +28,7 @@
 	for i := range decoders {
 		c := &decoders[i]
 		if pace := x.opts.Speed.Pace(x.call.Service.Name, c.Entry.ID); pace.Known() {
-			c.Most = pace.Streams(gap)
+			c.MaxStreams = pace.Streams(gap)
 		}
 	}
 }
@@ -44,14 +44,14 @@
 	if !pace.Known() {
 		return 0, false
 	}
-	lasts := x.answerLength(x.call.Route.Name).duration(x.call.Ask.Hint, pace.Gap(c.Places()))
-	return time.Until(x.call.GiveUp) - lasts, true
+	lasts := x.answerLength(x.call.Route.Name).duration(x.call.Ask.Hint, pace.Gap(c.StreamLimit()))
+	return time.Until(x.call.Deadline) - lasts, true
 }
 
 // canRetry reports whether the call has time to come back if it is rejected.
 func (x *execution) canRetry(decoders []placement.Candidate) bool {
 	spare, known := x.spareTime(decoders)
-	return known && spare > time.Duration(minRetryShare*float64(time.Until(x.call.GiveUp)))
+	return known && spare > time.Duration(minRetryShare*float64(time.Until(x.call.Deadline)))
 }
 
 // capRetryDelay shortens a rejected caller's wait to the time that its answer
--- a/request/dispatch/pace_test.go
+++ b/request/dispatch/pace_test.go
@@ -104,7 +104,7 @@
 		h.t.Fatal(err)
 	}
 	ask.Prompt, ask.Output, ask.Hint = 90, paceLongest*paceTokens, one.hint
-	c.Ask, c.Header, c.GiveUp = ask, platform.Wire{}.Forward(header, false), end
+	c.Ask, c.Header, c.Deadline = ask, platform.Wire{}.Forward(header, false), end
 	c.Service.Engine.Slots = paceSlots
 	c.Priority = 1
 	return c
--- a/request/dispatch/prefill.go
+++ b/request/dispatch/prefill.go
@@ -61,22 +61,22 @@
 func (x *execution) choosePrefill(ctx context.Context, p prompt, f speed.Figures) prefillChoice {
 	cands := x.candidates(p, port.RolePrefill, x.opts.Zone)
 	for i := range cands {
-		cands[i].Rate += x.opts.Health.Rate(kvHealthKey(cands[i].Entry.ID))
+		cands[i].FailureRate += x.opts.Health.Rate(kvHealthKey(cands[i].Entry.ID))
 	}
 	decoders := x.decoders(p, x.opts.Zone)
 	// Engines that read come first, of those that keep as much: requests that
 	// run fill the memory of those that decode, and push out what they keep.
 	sources := slices.Concat(cands, decoders)
 	ch := prefillChoice{decoders: decoders, Choice: x.choose(ctx, p, cands, sources, f.OrAssumed())}
-	ch.reportedRead, ch.reportedWait = ch.Read, ch.Wait
+	ch.reportedRead, ch.reportedWait = ch.ReadTime, ch.PredictedWait
 	if !f.Known() {
-		ch.Read, ch.Wait = 0, 0
+		ch.ReadTime, ch.PredictedWait = 0, 0
 	}
-	if ch.At >= 0 {
-		ch.engine = cands[ch.At].Entry
+	if ch.Index >= 0 {
+		ch.engine = cands[ch.Index].Entry
 	}
-	if ch.Fetch >= 0 {
-		ch.fetchAddr = sources[ch.Fetch].Entry.Addr
+	if ch.Source >= 0 {
+		ch.fetchAddr = sources[ch.Source].Entry.Addr
 	}
 	return ch
 }
@@ -85,19 +85,19 @@
 // others know better.
 func (x *execution) choose(ctx context.Context, p prompt, cands, sources []placement.Candidate, f speed.Figures) placement.Choice {
 	e := x.call.Service.Engine
-	if !x.opts.Queues.Asks() {
+	if !x.opts.Queues.CanQueryQueues() {
 		return placement.Prefill(p.Prompt, cands, sources, e, f)
 	}
 	list := placement.Shortlist(p.Prompt, cands, sources, e, f)
 	ids := make([]string, 0, len(list))
 	for _, ch := range list {
-		ids = append(ids, cands[ch.At].Entry.ID)
+		ids = append(ids, cands[ch.Index].Entry.ID)
 	}
 	waits := x.opts.Queues.Queues(ctx, ids)
 	if waits == nil {
 		return placement.Prefill(p.Prompt, cands, sources, e, f)
 	}
-	return placement.Settle(list, cands, waits)
+	return placement.SelectByWait(list, cands, waits)
 }
 
 // decoders are the engines that may make the answer, some of the zone among them.
@@ -118,12 +118,12 @@
 			continue
 		}
 		out = append(out, placement.Candidate{
-			Entry:   *t.TargetEntry,
-			Load:    t.load,
-			Rate:    x.opts.Health.Rate(t.ID),
-			Pace:    x.opts.Health.Pace(t.ID),
-			Warm:    x.opts.Pool.Warm(t.Addr, t.ID, reuse),
-			Private: t.localOnly,
+			Entry:       *t.TargetEntry,
+			Load:        t.load,
+			FailureRate: x.opts.Health.Rate(t.ID),
+			Slowdown:    x.opts.Health.Pace(t.ID),
+			HasIdleConn: x.opts.Pool.Warm(t.Addr, t.ID, reuse),
+			LocalOnly:   t.localOnly,
 		})
 	}
 	return out
@@ -134,14 +134,14 @@
 func (x *execution) prefill(ctx context.Context, p prompt) (prefilled, *sendFailure) {
 	figures := x.opts.Speed.Figures(x.call.Service.Name)
 	ch := x.takePrefillChoice(ctx, p, figures)
-	if ch.At < 0 {
+	if ch.Index < 0 {
 		return prefilled{}, nil
 	}
 	to := ch.engine
 	done := x.opts.Engines.Prefill(to.ID, x.call.Service.Engine.KVTokens, p.parts, figures.Start+ch.reportedWait, ch.reportedRead)
 	defer done()
-	predicted := figures.Start + ch.Wait + ch.Read
-	x.trace.Prefill = Prefill{Prompt: p.Tokens, Shared: p.Shared, Missing: ch.Missing, Fetched: ch.Fetched, Guessed: ch.Guessed, Wait: ch.Wait, Read: ch.Read}
+	predicted := figures.Start + ch.PredictedWait + ch.ReadTime
+	x.trace.Prefill = Prefill{PromptTokens: p.Tokens, SharedTokens: p.SharedTokens, MissingTokens: ch.MissingTokens, FetchedTokens: ch.FetchedTokens, Speculative: ch.Speculative, PredictedWait: ch.PredictedWait, PredictedRead: ch.ReadTime}
 	begun := time.Now()
 	resp, v, f := x.send(ctx, outgoing{
 		target:        to,
@@ -165,11 +165,11 @@
 		return prefilled{}, newFailure(failure.NotRun, to.ID, err)
 	}
 	took := time.Since(begun)
-	x.trace.Prefill.Took = took
-	if !ch.Guessed {
+	x.trace.Prefill.Duration = took
+	if !ch.Speculative {
 		// What a guess fetched was predicted as read: it would teach a wrong pace.
 		x.opts.Speed.Read(x.call.Service.Name, speed.Sample{
-			Prompt: p.Tokens, Missing: ch.Missing, Before: ch.Wait + ch.Moved, Took: took,
+			Prompt: p.Tokens, Missing: ch.MissingTokens, Before: ch.PredictedWait + ch.FetchTime, Took: took,
 		})
 		if figures.Known() {
 			x.opts.Health.NotePace(to.ID, x.slowdown(predicted, took))
@@ -182,7 +182,7 @@
 // prefillTimeout is how long an engine may take to read a prompt.
 func (x *execution) prefillTimeout(f speed.Figures, predicted time.Duration) time.Duration {
 	if !f.Known() {
-		return time.Duration(unpredictedTimeoutShare * float64(time.Until(x.call.GiveUp)))
+		return time.Duration(unpredictedTimeoutShare * float64(time.Until(x.call.Deadline)))
 	}
 	return prefillTimeoutFactor*predicted + prefillTimeoutExtra
 }
--- a/request/dispatch/relay.go
+++ b/request/dispatch/relay.go
@@ -49,9 +49,9 @@
 	fresh, last, n := eventsAfter(events, x.lastID)
 	w.batch(n)
 	x.markStarted(0)
-	if !x.trace.Begun {
-		x.trace.Begun = true
-		x.trace.First = time.Since(x.call.Arrived)
+	if !x.trace.AnswerStarted {
+		x.trace.AnswerStarted = true
+		x.trace.TimeToFirst = time.Since(x.call.Arrived)
 		out.Begin(resp.Status, resp.Header)
 		w.first()
 	}
@@ -73,8 +73,8 @@
 	if len(r.partial()) > 0 {
 		return newFailure(failure.Cut, target, io.ErrUnexpectedEOF)
 	}
-	if !x.trace.Begun {
-		x.trace.Begun = true
+	if !x.trace.AnswerStarted {
+		x.trace.AnswerStarted = true
 		out.Begin(resp.Status, resp.Header)
 	}
 	x.recordSuccess(target)
--- a/request/dispatch/rig_test.go
+++ b/request/dispatch/rig_test.go
@@ -80,7 +80,7 @@
 	h := &harness{net: &pipenet.Net{}, entries: map[string][]port.TargetEntry{}, released: make(chan port.KVSource, 100), speed: speed.NewBook()}
 	h.speed.Merge([]speed.Update{{Service: xxhash.Sum64String("llm"), PerToken: 23e3, PerPair: 257, StartUs: 50_000, FirstUs: 40_000, Reads: 1000}})
 	h.budget = budget.NewFleet(budget.FleetOptions{
-		Slack: (slack + 0.1) / budget.Spent, Window: 10 * time.Second, Now: time.Now,
+		Slack: (slack + 0.1) / budget.SpendableShare, Window: 10 * time.Second, Now: time.Now,
 		Daemons: func() int { return 1 },
 	})
 	pool := h1.New(h1.Options{Dial: h.net.Dial})
@@ -117,7 +117,7 @@
 	}
 	now := time.Now()
 	c := &Call{
-		Ask: ask, Service: svc, Arrived: now, GiveUp: now.Add(min(timeout, ask.Left)),
+		Ask: ask, Service: svc, Arrived: now, Deadline: now.Add(min(timeout, ask.Left)),
 		Method: "POST", URI: "/p/x?y=1", Host: "a.example", Header: platform.Wire{}.Forward(header, false), Body: []byte("body"),
 		Route: &route.Route{Name: "r", Kind: kind, Attempts: attempts, Objective: 500 * time.Millisecond, Timeout: timeout},
 	}
@@ -154,5 +154,5 @@
 // noQueues stands for a small fleet, whose daemons hear of all work at once.
 type noQueues struct{}
 
-func (noQueues) Asks() bool                                       { return false }
+func (noQueues) CanQueryQueues() bool                             { return false }
 func (noQueues) Queues(context.Context, []string) []time.Duration { return nil }
--- a/request/dispatch/send.go
+++ b/request/dispatch/send.go
@@ -41,7 +41,7 @@
 	s.state.ID = x.call.Ask.ID
 	s.state.Target = s.target.ID
 	s.state.Organisation = x.call.Organisation
-	s.state.Left = time.Until(x.call.GiveUp)
+	s.state.Left = time.Until(x.call.Deadline)
 	x.opts.Wire.Stamp(h, s.state)
 	return &h1.Request{
 		Addr:   s.target.Addr,
@@ -131,7 +131,7 @@
 	}
 	log.WithFields(log.Fields{
 		"request": x.call.Ask.ID, "target": f.Target, "class": f.Class.String(), "cause": f.Cause(),
-		"send": x.trace.Sends, "left_ms": time.Until(x.call.GiveUp).Milliseconds(),
+		"send": x.trace.Sends, "left_ms": time.Until(x.call.Deadline).Milliseconds(),
 	}).Info("dispatch: send failed")
 }
 
--- a/request/entry/admit.go
+++ b/request/entry/admit.go
@@ -49,15 +49,15 @@
 	if err != nil {
 		return nil, e.noPlace(err, q, targets)
 	}
-	release, err := e.admission.Admit(admission.Ask{
-		Doc:      q.Service.Doc,
-		Org:      t.org,
-		Priority: t.priority,
-		Cost:     cost,
-		Left:     time.Until(t.deadline),
-		Decision: d,
-		Targets:  targets,
-		Idle:     func() (time.Duration, bool) { return e.idleFinish(q, targets) },
+	release, err := e.admission.Admit(admission.Request{
+		Doc:        q.Service.Doc,
+		Org:        t.org,
+		Priority:   t.priority,
+		Cost:       cost,
+		TimeLeft:   time.Until(t.deadline),
+		Decision:   d,
+		Targets:    targets,
+		IdleFinish: func() (time.Duration, bool) { return e.idleFinish(q, targets) },
 	})
 	if err != nil {
 		return nil, err
@@ -72,7 +72,7 @@
 		return err
 	}
 	if ce.Code == code.Overloaded && ce.RetryAfter == 0 {
-		return e.admission.Full(q.Service.Doc, targets)
+		return e.admission.FullError(q.Service.Doc, targets)
 	}
 	if ce.RetryAfter == 0 {
 		return code.Wrap(ce.Code, ce.Err, "%s", ce.Detail).After(retryAfter)
--- a/request/ingress/ingress.go
+++ b/request/ingress/ingress.go
@@ -183,7 +183,7 @@
 			c.Priority = *org.Priority
 		}
 	}
-	c.GiveUp = x.arrived.Add(patience(c))
+	c.Deadline = x.arrived.Add(patience(c))
 	if x.leavesBefore(c) {
 		return c, code.New(code.Draining, "the answer would take longer than this daemon stays").After(elsewhereAfter)
 	}
@@ -256,7 +256,7 @@
 // observe writes the request's log line and counts it.
 func (x *exchange) observe(c *dispatch.Call, err error) {
 	whole := time.Since(x.arrived)
-	o := Observation{Code: code.Of(err), Status: x.status, Whole: whole, First: x.trace.First}
+	o := Observation{Code: code.Of(err), Status: x.status, Whole: whole, First: x.trace.TimeToFirst}
 	fields := log.Fields{
 		"request": x.ask.ID,
 		"code":    int(o.Code),
@@ -278,25 +278,25 @@
 			fields["output_tokens"] = c.Ask.Output
 			fields["hint_tokens"] = c.Ask.Hint
 			fields["last_event"] = x.trace.LastEvent
-			fields["predicted_stream_ms"] = x.trace.Lasts.Milliseconds()
+			fields["predicted_stream_ms"] = x.trace.PredictedDuration.Milliseconds()
 		}
 	}
 	if age, known := x.o.targetsAge(); known {
 		fields["targets_age_ms"] = age.Milliseconds()
 	}
-	if x.trace.Predicted > 0 {
-		fields["predicted_ms"] = x.trace.Predicted.Milliseconds()
-		fields["first_ms"] = x.trace.First.Milliseconds()
+	if x.trace.PredictedFirst > 0 {
+		fields["predicted_ms"] = x.trace.PredictedFirst.Milliseconds()
+		fields["first_ms"] = x.trace.TimeToFirst.Milliseconds()
 	}
-	if p := x.trace.Prefill; p.Took > 0 {
-		fields["prompt_tokens"] = p.Prompt
-		fields["shared_tokens"] = p.Shared
-		fields["missing_tokens"] = p.Missing
-		fields["fetched_tokens"] = p.Fetched
-		fields["fetch_guessed"] = p.Guessed
-		fields["predicted_wait_ms"] = p.Wait.Milliseconds()
-		fields["predicted_read_ms"] = p.Read.Milliseconds()
-		fields["prefill_ms"] = p.Took.Milliseconds()
+	if p := x.trace.Prefill; p.Duration > 0 {
+		fields["prompt_tokens"] = p.PromptTokens
+		fields["shared_tokens"] = p.SharedTokens
+		fields["missing_tokens"] = p.MissingTokens
+		fields["fetched_tokens"] = p.FetchedTokens
+		fields["fetch_guessed"] = p.Speculative
+		fields["predicted_wait_ms"] = p.PredictedWait.Milliseconds()
+		fields["predicted_read_ms"] = p.PredictedRead.Milliseconds()
+		fields["prefill_ms"] = p.Duration.Milliseconds()
 	}
 	if len(x.trace.Causes) > 0 {
 		fields["causes"] = strings.Join(x.trace.Causes, "; ")
@@ -310,7 +310,7 @@
 	}
 	entry.Info("ingress: request ended")
 	if err == nil && c != nil {
-		x.lengths.note(c.Route.Name, c.Ask.Output, x.trace.First, whole)
+		x.lengths.note(c.Route.Name, c.Ask.Output, x.trace.TimeToFirst, whole)
 	}
 	if x.o.Observe != nil {
 		x.o.Observe(o)
--- a/request/ingress/ingress_test.go
+++ b/request/ingress/ingress_test.go
@@ -307,5 +307,5 @@
 // noQueues stands for a small fleet, whose daemons hear of all work at once.
 type noQueues struct{}
 
-func (noQueues) Asks() bool                                       { return false }
+func (noQueues) CanQueryQueues() bool                             { return false }
 func (noQueues) Queues(context.Context, []string) []time.Duration { return nil }
--- a/request/placement/decode.go
+++ b/request/placement/decode.go
@@ -34,7 +34,7 @@
 		c := &cands[i]
 		cost := c.decodeCost(&p)
 		if from != "" {
-			cost += transferWeight * Move(e, max(p.Tokens-c.Load.Cached, 0), from == c.Entry.Zone)
+			cost += transferWeight * TransferTime(e, max(p.Tokens-c.Load.Cached, 0), from == c.Entry.Zone)
 		}
 		cost += time.Duration(hashFraction(p.Seed^uint64(i+1)) * float64(decodeTieCost.duration(&p)))
 		if best < 0 || cost < bestCost {
@@ -46,9 +46,9 @@
 
 // decodeCost is what it costs to have the answer made there, KV cache aside.
 func (c *Candidate) decodeCost(p *Prompt) time.Duration {
-	full := float64(c.Load.Streams) / float64(c.Places())
+	full := float64(c.Load.Streams) / float64(c.StreamLimit())
 	cost := time.Duration(full * full * float64(occupancyCost.duration(p)))
-	cost += time.Duration(c.Rate * float64(failureCost.duration(p)))
+	cost += time.Duration(c.FailureRate * float64(failureCost.duration(p)))
 	if full >= 1 {
 		cost += time.Duration((full - 1) * float64(overloadCost.duration(p)))
 	}
@@ -56,8 +56,8 @@
 	return cost + c.connCost(p)
 }
 
-// Move is the time to move the KV cache of that many tokens.
-func Move(e *route.Engine, tokens int, sameZone bool) time.Duration {
+// TransferTime is the time to move the KV cache of that many tokens.
+func TransferTime(e *route.Engine, tokens int, sameZone bool) time.Duration {
 	if e.LinkBytes <= 0 {
 		return 0
 	}
--- a/request/placement/home.go
+++ b/request/placement/home.go
@@ -32,7 +32,7 @@
 }
 
 func newHome(p Prompt, cands, sources []Candidate, holder int, f speed.Figures) home {
-	h := home{p: &p, index: -1, source: -1, unreadTokens: p.Shared}
+	h := home{p: &p, index: -1, source: -1, unreadTokens: p.SharedTokens}
 	if holder >= 0 {
 		h.unreadTokens -= sources[holder].Load.Ready
 	}
@@ -42,7 +42,7 @@
 	least := 0.0
 	for i := range cands {
 		c := &cands[i]
-		if c.Private || c.Rate >= maxSourceFailureRate || c.Pace > slowdownThreshold {
+		if c.LocalOnly || c.FailureRate >= maxSourceFailureRate || c.Slowdown > slowdownThreshold {
 			continue
 		}
 		if u := hashFraction(p.Seed ^ engines.Hash(c.Entry.ID)); h.index < 0 || u < least {
@@ -75,7 +75,7 @@
 // addSpeculativeFetch has an engine away from home fetch from there what others may have had
 // read there meanwhile. A fetch of nothing costs nothing.
 func (h *home) addSpeculativeFetch(ch *Choice) {
-	if h.index >= 0 && ch.At != h.index && ch.Fetch < 0 && h.source >= 0 {
-		ch.Fetch, ch.Guessed = h.source, true
+	if h.index >= 0 && ch.Index != h.index && ch.Source < 0 && h.source >= 0 {
+		ch.Source, ch.Speculative = h.source, true
 	}
 }
--- a/request/placement/home_test.go
+++ b/request/placement/home_test.go
@@ -27,11 +27,11 @@
 	r := rand.New(rand.NewPCG(1, 1))
 	e := &route.Engine{KVTokenBytes: 163_840, LinkBytes: 212e9}
 	for seed := range uint64(20) {
-		p := Prompt{Tokens: 17_000, Shared: 13_300, Seed: seed * 0x9e3779b97f4a7c15}
+		p := Prompt{Tokens: 17_000, SharedTokens: 13_300, Seed: seed * 0x9e3779b97f4a7c15}
 		at := make(map[string]int)
 		for range 10 {
 			cands := randomEngines(r, 50)
-			at[cands[Prefill(p, cands, cands, e, figures).At].Entry.ID]++
+			at[cands[Prefill(p, cands, cands, e, figures).Index].Entry.ID]++
 		}
 		if len(at) != 1 {
 			t.Errorf("seed %d: read by %v", seed, at)
@@ -43,17 +43,17 @@
 // reads the prompt, and fetches what the first has read meanwhile.
 func TestBusyHomeIsAvoided(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
-	p := Prompt{Tokens: 17_000, Shared: 13_300, Seed: 7}
+	p := Prompt{Tokens: 17_000, SharedTokens: 13_300, Seed: 7}
 	cands := randomEngines(r, 50)
 	sources := append([]Candidate{newCandidate("decodes", "a", engines.Load{})}, cands...)
-	home := Prefill(p, cands, sources, nil, figures).At
+	home := Prefill(p, cands, sources, nil, figures).Index
 	cands[home].Load.Wait = 2 * time.Second
 	got := Prefill(p, cands, sources, nil, figures)
-	if got.At == home || !got.Guessed || got.Fetch != home+1 || got.Fetched != 0 || got.Missing != p.Tokens {
+	if got.Index == home || !got.Speculative || got.Source != home+1 || got.FetchedTokens != 0 || got.MissingTokens != p.Tokens {
 		t.Errorf("%+v, home %d", got, home)
 	}
-	cands[home].Load.Wait, cands[home].Rate = 0, 0.9
-	if got := Prefill(p, cands, sources, nil, figures); got.At == home {
+	cands[home].Load.Wait, cands[home].FailureRate = 0, 0.9
+	if got := Prefill(p, cands, sources, nil, figures); got.Index == home {
 		t.Error("went to a failing home")
 	}
 }
@@ -61,13 +61,13 @@
 // What is known to be kept is fetched from there, wherever the hash points.
 func TestKnownPartsAreFetchedFromTheirHolder(t *testing.T) {
 	e := &route.Engine{KVTokenBytes: 163_840, LinkBytes: 212e9}
-	p := Prompt{Tokens: 17_000, Shared: 13_300, Seed: 7}
+	p := Prompt{Tokens: 17_000, SharedTokens: 13_300, Seed: 7}
 	cands := randomEngines(rand.New(rand.NewPCG(1, 1)), 50)
 	for i := range cands {
 		cands[i].Load.Wait = time.Second
 	}
 	cands[3].Load.Cached, cands[3].Load.Ready, cands[4].Load.Wait = 13_300, 13_300, 0
-	if got := Prefill(p, cands, cands, e, figures); got.At != 4 || got.Fetch != 3 || got.Guessed {
+	if got := Prefill(p, cands, cands, e, figures); got.Index != 4 || got.Source != 3 || got.Speculative {
 		t.Errorf("%+v", got)
 	}
 }
@@ -82,10 +82,10 @@
 			cands[i].Load = engines.Load{Streams: 2}
 		}
 		warm := int(seed) % len(cands)
-		cands[warm].Warm = true
+		cands[warm].HasIdleConn = true
 		p := Prompt{Tokens: 1460, Seed: seed}
-		if got := Prefill(p, cands, cands, e, figures); got.At != warm {
-			t.Errorf("seed %d: reads at %d, warm is %d", seed, got.At, warm)
+		if got := Prefill(p, cands, cands, e, figures); got.Index != warm {
+			t.Errorf("seed %d: reads at %d, warm is %d", seed, got.Index, warm)
 		}
 		if got := Decode(p, cands, e, "a"); got != warm {
 			t.Errorf("seed %d: decodes at %d, warm is %d", seed, got, warm)
--- a/request/placement/placement_test.go
+++ b/request/placement/placement_test.go
@@ -15,7 +15,7 @@
 var figures = speed.Figures{PerToken: 23e3, PerPair: 257, Start: 50 * time.Millisecond, First: 40 * time.Millisecond, Reads: 1300}
 
 func newCandidate(id, zone string, load engines.Load) Candidate {
-	return Candidate{Entry: port.TargetEntry{ID: id, Zone: zone, Slots: 64}, Load: load, Pace: 1}
+	return Candidate{Entry: port.TargetEntry{ID: id, Zone: zone, Slots: 64}, Load: load, Slowdown: 1}
 }
 
 func waitOf(ms int) engines.Load { return engines.Load{Wait: time.Duration(ms) * time.Millisecond} }
@@ -34,20 +34,20 @@
 		{"not at any price", prompt, []Candidate{
 			newCandidate("keeps", "", engines.Load{Cached: 13_000, Wait: 1400 * time.Millisecond}), newCandidate("idle", "", engines.Load{})}, "idle"},
 		{"not the failing one", prompt, []Candidate{
-			{Entry: port.TargetEntry{ID: "grey"}, Rate: 0.9, Pace: 1}, newCandidate("sound", "", waitOf(200))}, "sound"},
+			{Entry: port.TargetEntry{ID: "grey"}, FailureRate: 0.9, Slowdown: 1}, newCandidate("sound", "", waitOf(200))}, "sound"},
 		{"not the slow one", prompt, []Candidate{
-			{Entry: port.TargetEntry{ID: "slow"}, Pace: 6}, newCandidate("sound", "", waitOf(200))}, "sound"},
+			{Entry: port.TargetEntry{ID: "slow"}, Slowdown: 6}, newCandidate("sound", "", waitOf(200))}, "sound"},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			got := Prefill(tc.p, tc.cands, nil, nil, figures)
-			if id := tc.cands[got.At].Entry.ID; id != tc.want {
+			if id := tc.cands[got.Index].Entry.ID; id != tc.want {
 				t.Errorf("chose %s", id)
 			}
 		})
 	}
-	if got := Prefill(prompt, nil, nil, nil, figures); got.At != -1 {
-		t.Errorf("chose %d of none", got.At)
+	if got := Prefill(prompt, nil, nil, nil, figures); got.Index != -1 {
+		t.Errorf("chose %d of none", got.Index)
 	}
 }
 
@@ -59,21 +59,21 @@
 	keeps := newCandidate("keeps", "a", engines.Load{Cached: 13_000, Ready: 13_000, Wait: 200 * time.Millisecond})
 	idle := newCandidate("idle", "b", engines.Load{})
 	got := Prefill(p, []Candidate{keeps, idle}, []Candidate{idle, keeps}, e, figures)
-	if got.At != 1 || got.Fetch != 1 || got.Fetched != 13_000 || got.Missing != 4000 {
+	if got.Index != 1 || got.Source != 1 || got.FetchedTokens != 13_000 || got.MissingTokens != 4000 {
 		t.Errorf("choice %+v", got)
 	}
 	keeps.Load.Wait = 0
-	if got := Prefill(p, []Candidate{keeps, idle}, []Candidate{idle, keeps}, e, figures); got.At != 0 || got.Fetch != -1 {
+	if got := Prefill(p, []Candidate{keeps, idle}, []Candidate{idle, keeps}, e, figures); got.Index != 0 || got.Source != -1 {
 		t.Errorf("fetches from itself: %+v", got)
 	}
-	keeps.Rate = 0.9
+	keeps.FailureRate = 0.9
 	// What it only begins to read it can't give yet: it would give nothing, and
 	// the other engine would read it again unpredicted.
 	begins := newCandidate("begins", "a", engines.Load{Cached: 13_000, Wait: 200 * time.Millisecond})
-	if got := Prefill(p, []Candidate{begins, idle}, []Candidate{idle, begins}, e, figures); got.Fetch != -1 {
+	if got := Prefill(p, []Candidate{begins, idle}, []Candidate{idle, begins}, e, figures); got.Source != -1 {
 		t.Errorf("fetches what isn't there yet: %+v", got)
 	}
-	if got := Prefill(p, []Candidate{idle}, []Candidate{keeps}, e, figures); got.Fetch != -1 {
+	if got := Prefill(p, []Candidate{idle}, []Candidate{keeps}, e, figures); got.Source != -1 {
 		t.Errorf("fetches from a failing engine: %+v", got)
 	}
 }
@@ -86,8 +86,8 @@
 	used := map[string]bool{}
 	for seed := range uint64(50) {
 		p := Prompt{Tokens: 5000, Seed: seed * 0x9e3779b97f4a7c15}
-		one := cands[Prefill(p, cands, nil, nil, figures).At].Entry.ID
-		if other := reversed[Prefill(p, reversed, nil, nil, figures).At].Entry.ID; other != one {
+		one := cands[Prefill(p, cands, nil, nil, figures).Index].Entry.ID
+		if other := reversed[Prefill(p, reversed, nil, nil, figures).Index].Entry.ID; other != one {
 			t.Fatalf("seed %d: %s and %s", seed, one, other)
 		}
 		used[one] = true
@@ -109,8 +109,8 @@
 		{"the same zone", []Candidate{newCandidate("far", "b", streams(0)), newCandidate("near", "a", streams(10))}, "near"},
 		{"the one with places", []Candidate{newCandidate("far", "b", streams(5)), newCandidate("near", "a", streams(64))}, "far"},
 		{"the one that keeps the prompt", []Candidate{newCandidate("far", "b", engines.Load{Cached: 17_000, Streams: 5}), newCandidate("near", "a", streams(5))}, "far"},
-		{"not the failing one", []Candidate{{Entry: port.TargetEntry{ID: "grey", Zone: "a", Slots: 64}, Rate: 0.6, Pace: 1}, newCandidate("far", "b", streams(20))}, "far"},
-		{"not the slow one", []Candidate{{Entry: port.TargetEntry{ID: "slow", Zone: "a", Slots: 64}, Pace: 5}, newCandidate("far", "b", streams(20))}, "far"},
+		{"not the failing one", []Candidate{{Entry: port.TargetEntry{ID: "grey", Zone: "a", Slots: 64}, FailureRate: 0.6, Slowdown: 1}, newCandidate("far", "b", streams(20))}, "far"},
+		{"not the slow one", []Candidate{{Entry: port.TargetEntry{ID: "slow", Zone: "a", Slots: 64}, Slowdown: 5}, newCandidate("far", "b", streams(20))}, "far"},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/request/placement/prefill.go
+++ b/request/placement/prefill.go
@@ -12,22 +12,22 @@
 
 // Candidate is an engine that may take the request.
 type Candidate struct {
-	Entry port.TargetEntry
-	Load  engines.Load
-	Rate  float64 // share of its requests that failed lately
-	Pace  float64 // how many times longer than predicted it takes, 1: as predicted
-	Warm  bool    // this process has an idle connection to it
-	// Private says that other daemons don't look at it: prompts don't meet there.
-	Private bool
-	Most    int // streams at which the longest answers of the route still end in time; 0: not known
+	Entry       port.TargetEntry
+	Load        engines.Load
+	FailureRate float64 // share of its requests that failed lately
+	Slowdown    float64 // how many times longer than predicted it takes, 1: as predicted
+	HasIdleConn bool    // this process has an idle connection to it
+	// LocalOnly says that other daemons don't look at it: prompts don't meet there.
+	LocalOnly  bool
+	MaxStreams int // streams at which the longest answers of the route still end in time; 0: not known
 }
 
 // adjusted gives the time that the candidate is likely to take for one predicted.
 func (c *Candidate) adjusted(d time.Duration) time.Duration {
-	if c.Pace <= slowdownThreshold {
+	if c.Slowdown <= slowdownThreshold {
 		return d
 	}
-	return time.Duration(float64(d) * c.Pace)
+	return time.Duration(float64(d) * c.Slowdown)
 }
 
 // slowdownThreshold is the pace up to which a target counts as any other: prediction
@@ -36,26 +36,26 @@
 
 // Prompt is what placement knows of a request.
 type Prompt struct {
-	Tokens int
-	Shared int    // of these, the leading ones that other prompts may begin with too
-	Zone   string // availability zone of the deciding daemon
-	Seed   uint64 // of the prompt's first part: equal prompts go to one engine
-	Draw   uint64 // random, of the request
+	Tokens       int
+	SharedTokens int    // of these, the leading ones that other prompts may begin with too
+	Zone         string // availability zone of the deciding daemon
+	Seed         uint64 // of the prompt's first part: equal prompts go to one engine
+	RandomSeed   uint64 // random, of the request
 	// Objective is the time within which the caller wants the first event.
 	Objective time.Duration
 }
 
 // Choice is where a prompt is read.
 type Choice struct {
-	At      int // index of the candidate, -1: none
-	Missing int // prompt tokens that the engine has to read
-	Wait    time.Duration
-	Read    time.Duration // the fetch included
-	Moved   time.Duration // of it, the fetch
-	Fetch   int           // index of the source to fetch from, -1: none
-	Fetched int           // prompt tokens that are fetched
-	Cost    time.Duration // by which choices are compared
-	Guessed bool          // nobody said that the source keeps more of the prompt
+	Index         int // index of the candidate, -1: none
+	MissingTokens int // prompt tokens that the engine has to read
+	PredictedWait time.Duration
+	ReadTime      time.Duration // the fetch included
+	FetchTime     time.Duration // of it, the fetch
+	Source        int           // index of the source to fetch from, -1: none
+	FetchedTokens int           // prompt tokens that are fetched
+	Cost          time.Duration // by which choices are compared
+	Speculative   bool          // nobody said that the source keeps more of the prompt
 }
 
 const (
@@ -82,9 +82,9 @@
 // 300 ms to read. sources are the engines that can be fetched from.
 func Prefill(p Prompt, cands, sources []Candidate, e *route.Engine, f speed.Figures) Choice {
 	o := newEvaluation(p, cands, sources, e, f)
-	best := Choice{At: -1, Fetch: -1}
+	best := Choice{Index: -1, Source: -1}
 	for i := range cands {
-		if ch := o.choice(i); best.At < 0 || ch.Cost < best.Cost {
+		if ch := o.choice(i); best.Index < 0 || ch.Cost < best.Cost {
 			best = ch
 		}
 	}
@@ -113,11 +113,11 @@
 func (o *evaluation) choice(i int) Choice {
 	c := &o.cands[i]
 	ch := o.p.evaluate(c, o.sources, o.holder, o.engine, o.figures)
-	ch.At = i
+	ch.Index = i
 	if o.inZone >= minInZone && c.Entry.Zone != o.p.Zone {
 		ch.Cost += otherZoneCost.duration(&o.p)
 	}
-	ch.Cost += time.Duration(c.Rate * float64(failureCost.duration(&o.p)))
+	ch.Cost += time.Duration(c.FailureRate * float64(failureCost.duration(&o.p)))
 	ch.Cost += time.Duration(hashFraction(o.p.Seed^engines.Hash(c.Entry.ID)) * float64(prefillTieCost.duration(&o.p)))
 	ch.Cost += o.home.cost(i, o.figures)
 	ch.Cost += c.connCost(&o.p)
@@ -126,18 +126,18 @@
 
 // evaluate is the choice of an engine, with the cost of its time.
 func (p *Prompt) evaluate(c *Candidate, sources []Candidate, holder int, e *route.Engine, f speed.Figures) Choice {
-	ch := Choice{Fetch: -1, Wait: c.adjusted(c.Load.Wait)}
+	ch := Choice{Source: -1, PredictedWait: c.adjusted(c.Load.Wait)}
 	kept := c.Load.Cached
 	if holder >= 0 && worthFetch(p, f, kept, sources[holder].Load.Ready) {
 		src := &sources[holder]
-		ch.Fetch, ch.Fetched = holder, src.Load.Ready-kept
+		ch.Source, ch.FetchedTokens = holder, src.Load.Ready-kept
 		kept = src.Load.Ready
-		ch.Moved = Move(e, ch.Fetched, src.Entry.Zone == c.Entry.Zone)
+		ch.FetchTime = TransferTime(e, ch.FetchedTokens, src.Entry.Zone == c.Entry.Zone)
 	}
-	ch.Missing = max(p.Tokens-kept, 1)
-	read := c.adjusted(f.Read(p.Tokens, ch.Missing))
-	ch.Read = read + ch.Moved
-	ch.Cost = ch.Wait + read + time.Duration(rereadWeight*float64(read)) + fetchWeight*ch.Moved
+	ch.MissingTokens = max(p.Tokens-kept, 1)
+	read := c.adjusted(f.Read(p.Tokens, ch.MissingTokens))
+	ch.ReadTime = read + ch.FetchTime
+	ch.Cost = ch.PredictedWait + read + time.Duration(rereadWeight*float64(read)) + fetchWeight*ch.FetchTime
 	return ch
 }
 
@@ -147,7 +147,7 @@
 const newConnCost objectiveShare = 0.016
 
 func (c *Candidate) connCost(p *Prompt) time.Duration {
-	if c.Warm {
+	if c.HasIdleConn {
 		return 0
 	}
 	return newConnCost.duration(p)
@@ -187,7 +187,7 @@
 	best := -1
 	for i := range sources {
 		s := &sources[i]
-		if s.Load.Ready > 0 && s.Rate < maxSourceFailureRate && (best < 0 || s.Load.Ready > sources[best].Load.Ready) {
+		if s.Load.Ready > 0 && s.FailureRate < maxSourceFailureRate && (best < 0 || s.Load.Ready > sources[best].Load.Ready) {
 			best = i
 		}
 	}
--- a/request/placement/room.go
+++ b/request/placement/room.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Room is how decoding engines' places are shared out.
-type Room struct {
-	Reserved int           // places of each engine that are kept for more urgent requests
-	Stay     time.Duration // that a stream holds its place, on the mean; 0: not known
-	CanRetry bool          // the request has time to come back if it is rejected
+// SlotPolicy is how decoding engines' places are shared out.
+type SlotPolicy struct {
+	Reserved   int           // places of each engine that are kept for more urgent requests
+	StreamTime time.Duration // that a stream holds its place, on the mean; 0: not known
+	CanRetry   bool          // the request has time to come back if it is rejected
 }
 
 // maxReservedShare is the largest part of the places that is kept free: less urgent
 // requests get half at least.
 const maxReservedShare = 0.5
 
-// Reserve is the number of places of each decoding engine that requests leave
+// ReservedSlots is the number of places of each decoding engine that requests leave
 // free for more urgent ones, which ask for that many streams at a time over all
 // engines. Arrivals differ by about the root of their number.
 //
@@ -24,7 +24,7 @@
 // prompt with two tokens of answer, which needs a place for some milliseconds
 // and is more urgent, finds none at any engine. On a day of such turns up to
 // three in four of the urgent requests were refused for 8 s.
-func Reserve(urgent float64, engines, slots int) int {
+func ReservedSlots(urgent float64, engines, slots int) int {
 	if engines == 0 || urgent <= 0 {
 		return 0
 	}
@@ -32,27 +32,27 @@
 	return int(min(math.Ceil(each+math.Sqrt(each)), maxReservedShare*float64(slots)))
 }
 
-// Queue is how long a request will wait for a place at the engine: those ahead
+// SlotWait is how long a request will wait for a place at the engine: those ahead
 // of it leave one after the other.
-func (r Room) Queue(c *Candidate) time.Duration {
+func (r SlotPolicy) SlotWait(c *Candidate) time.Duration {
 	slots := max(c.Entry.Slots, 1)
 	behind := c.Load.Streams + 1 - (slots - r.Reserved)
 	if behind <= 0 {
 		return 0
 	}
-	return time.Duration(behind) * r.Stay / time.Duration(slots)
+	return time.Duration(behind) * r.StreamTime / time.Duration(slots)
 }
 
 // maxOccupancy is how full an engine may be, in shares of its places. Beyond, it
 // refuses requests, or keeps them until they are late.
 const maxOccupancy = 1.2
 
-// Places is the number of streams that the engine takes: its places, or fewer
+// StreamLimit is the number of streams that the engine takes: its places, or fewer
 // where the longest answers need them to end in time.
-func (c *Candidate) Places() int {
+func (c *Candidate) StreamLimit() int {
 	places := max(c.Entry.Slots, 1)
-	if c.Most > 0 {
-		places = min(places, c.Most)
+	if c.MaxStreams > 0 {
+		places = min(places, c.MaxStreams)
 	}
 	return places
 }
@@ -63,16 +63,16 @@
 const singleTryShare = 0.3
 
 // maxStreams is the number of streams up to which the engine takes the request.
-func (r Room) maxStreams(c *Candidate) int {
+func (r SlotPolicy) maxStreams(c *Candidate) int {
 	if !r.CanRetry {
-		return c.Most
+		return c.MaxStreams
 	}
-	return max(int((1-singleTryShare)*float64(c.Most)), 1)
+	return max(int((1-singleTryShare)*float64(c.MaxStreams)), 1)
 }
 
 // Full reports whether the engine takes no request more.
-func (r Room) Full(c *Candidate) bool {
-	if c.Most > 0 && c.Load.Streams >= r.maxStreams(c) {
+func (r SlotPolicy) Full(c *Candidate) bool {
+	if c.MaxStreams > 0 && c.Load.Streams >= r.maxStreams(c) {
 		return true
 	}
 	return float64(c.Load.Streams+r.Reserved) > maxOccupancy*float64(max(c.Entry.Slots, 1))
--- a/request/placement/room_test.go
+++ b/request/placement/room_test.go
@@ -19,7 +19,7 @@
 	}{
 		{0, 4, 64, 0}, {40, 0, 64, 0}, {4, 4, 64, 2}, {36, 4, 64, 12}, {1000, 4, 64, 32}, {0.1, 4, 64, 1},
 	} {
-		if got := Reserve(tc.urgent, tc.engines, tc.slots); got != tc.want {
+		if got := ReservedSlots(tc.urgent, tc.engines, tc.slots); got != tc.want {
 			t.Errorf("%v over %d engines of %d: %d, want %d", tc.urgent, tc.engines, tc.slots, got, tc.want)
 		}
 	}
@@ -28,23 +28,23 @@
 // A request is taken by an engine whose places are all held, waits there for a
 // second and is late, though that could be told from what the streams take.
 func TestQueueWait(t *testing.T) {
-	r := Room{Reserved: 12, Stay: 3200 * time.Millisecond}
+	r := SlotPolicy{Reserved: 12, StreamTime: 3200 * time.Millisecond}
 	for _, tc := range []struct {
 		streams int
-		room    Room
+		room    SlotPolicy
 		want    time.Duration
 	}{
 		{0, r, 0}, {51, r, 0}, {52, r, 50 * time.Millisecond}, {63, r, 600 * time.Millisecond},
-		{63, Room{Stay: r.Stay}, 0}, {67, Room{Stay: r.Stay}, 200 * time.Millisecond}, {80, Room{}, 0},
+		{63, SlotPolicy{StreamTime: r.StreamTime}, 0}, {67, SlotPolicy{StreamTime: r.StreamTime}, 200 * time.Millisecond}, {80, SlotPolicy{}, 0},
 	} {
 		c := newCandidate("e", "", engines.Load{Streams: tc.streams})
-		if got := tc.room.Queue(&c); got != tc.want {
+		if got := tc.room.SlotWait(&c); got != tc.want {
 			t.Errorf("%d streams, %+v: %v, want %v", tc.streams, tc.room, got, tc.want)
 		}
 	}
 	for streams, full := range map[int]bool{64: false, 76: false, 77: true} {
 		c := newCandidate("e", "", engines.Load{Streams: streams})
-		if (Room{}).Full(&c) != full {
+		if (SlotPolicy{}).Full(&c) != full {
 			t.Errorf("%d streams: full %v", streams, !full)
 		}
 	}
@@ -61,8 +61,8 @@
 		{76, 0, true, false}, {76, 200, true, false}, {77, 200, false, true}, {0, 1, true, false}, {1, 1, true, true},
 	} {
 		c := newCandidate("e", "", engines.Load{Streams: tc.streams})
-		c.Most = tc.most
-		if got := (Room{CanRetry: tc.canRetry}).Full(&c); got != tc.full {
+		c.MaxStreams = tc.most
+		if got := (SlotPolicy{CanRetry: tc.canRetry}).Full(&c); got != tc.full {
 			t.Errorf("%+v: full %v", tc, got)
 		}
 	}
@@ -72,7 +72,7 @@
 func TestDecodeWeighsStreamLimits(t *testing.T) {
 	p := Prompt{Tokens: 100, Objective: 150 * time.Millisecond}
 	quick, slow := newCandidate("quick", "", engines.Load{Streams: 25}), newCandidate("slow", "", engines.Load{Streams: 20})
-	quick.Most, slow.Most = 50, 25
+	quick.MaxStreams, slow.MaxStreams = 50, 25
 	if got := Decode(p, []Candidate{slow, quick}, &route.Engine{}, ""); got != 1 {
 		t.Errorf("engine %d, want the one that is half empty", got)
 	}
--- a/request/placement/shortlist.go
+++ b/request/placement/shortlist.go
@@ -40,18 +40,18 @@
 		if all[i].Cost < best.Cost {
 			best = all[i]
 		}
-		if all[i].Cost-all[i].Wait < idle.Cost-idle.Wait {
+		if all[i].Cost-all[i].PredictedWait < idle.Cost-idle.PredictedWait {
 			idle = all[i]
 		}
 	}
 	list := []Choice{best}
 	add := func(ch Choice) {
-		if !slices.ContainsFunc(list, func(o Choice) bool { return o.At == ch.At }) {
+		if !slices.ContainsFunc(list, func(o Choice) bool { return o.Index == ch.Index }) {
 			list = append(list, ch)
 		}
 	}
 	add(idle)
-	luck := rand.New(rand.NewPCG(p.Draw, p.Seed))
+	luck := rand.New(rand.NewPCG(p.RandomSeed, p.Seed))
 	lot := make([]Choice, 0, randomDraws)
 	warm := connected(cands)
 	for range min(randomDraws, len(cands)) {
@@ -61,7 +61,7 @@
 			lot = append(lot, all[warm[luck.IntN(len(warm))]])
 		}
 	}
-	slices.SortFunc(lot, func(a, b Choice) int { return int(a.Cost - a.Wait - b.Cost + b.Wait) })
+	slices.SortFunc(lot, func(a, b Choice) int { return int(a.Cost - a.PredictedWait - b.Cost + b.PredictedWait) })
 	for _, ch := range lot[:min(maxFromDraws, len(lot))] {
 		add(ch)
 	}
@@ -79,24 +79,24 @@
 func connected(cands []Candidate) []int {
 	var warm []int
 	for i := range cands {
-		if cands[i].Warm {
+		if cands[i].HasIdleConn {
 			warm = append(warm, i)
 		}
 	}
 	return warm
 }
 
-// Settle chooses from a shortlist, with waits that were asked for; one below
+// SelectByWait chooses from a shortlist, with waits that were asked for; one below
 // zero isn't known.
-func Settle(list []Choice, cands []Candidate, waits []time.Duration) Choice {
-	best := Choice{At: -1, Fetch: -1}
+func SelectByWait(list []Choice, cands []Candidate, waits []time.Duration) Choice {
+	best := Choice{Index: -1, Source: -1}
 	for i, ch := range list {
 		if waits[i] >= 0 {
-			wait := cands[ch.At].adjusted(waits[i])
-			ch.Cost += wait - ch.Wait
-			ch.Wait = wait
+			wait := cands[ch.Index].adjusted(waits[i])
+			ch.Cost += wait - ch.PredictedWait
+			ch.PredictedWait = wait
 		}
-		if best.At < 0 || ch.Cost < best.Cost {
+		if best.Index < 0 || ch.Cost < best.Cost {
 			best = ch
 		}
 	}
--- a/request/placement/shortlist_test.go
+++ b/request/placement/shortlist_test.go
@@ -37,10 +37,10 @@
 			copy(h.knownUntil, h.busyUntil)
 			told = now + reportInterval
 		}
-		p.Seed, p.Draw = h.rnd.Uint64(), h.rnd.Uint64()
+		p.Seed, p.RandomSeed = h.rnd.Uint64(), h.rnd.Uint64()
 		cands := make([]Candidate, len(h.ids))
 		for i, id := range h.ids {
-			cands[i] = Candidate{Entry: port.TargetEntry{ID: id}, Pace: 1, Load: engines.Load{Wait: max(h.knownUntil[i]-now, 0)}}
+			cands[i] = Candidate{Entry: port.TargetEntry{ID: id}, Slowdown: 1, Load: engines.Load{Wait: max(h.knownUntil[i]-now, 0)}}
 		}
 		at := choose(now, p, cands)
 		sum += max(h.busyUntil[at]-now, 0)
@@ -67,16 +67,16 @@
 	for _, n := range []int{6, 60, 171, 700} {
 		read := figures.Read(8000, 8000)
 		old := newQueueSim(n).meanWait(func(_ time.Duration, p Prompt, cands []Candidate) int {
-			return Prefill(p, cands, nil, nil, figures).At
+			return Prefill(p, cands, nil, nil, figures).Index
 		})
 		h := newQueueSim(n)
 		asked := h.meanWait(func(now time.Duration, p Prompt, cands []Candidate) int {
 			list := Shortlist(p, cands, nil, nil, figures)
 			waits := make([]time.Duration, len(list))
 			for i := range list {
-				waits[i] = max(h.busyUntil[list[i].At]-now, 0)
+				waits[i] = max(h.busyUntil[list[i].Index]-now, 0)
 			}
-			return Settle(list, cands, waits).At
+			return SelectByWait(list, cands, waits).Index
 		})
 		t.Logf("%d engines: a prompt that is read in %v waits %v on old news, %v when asked", n, read, old, asked)
 		if asked > read/4 {
@@ -98,16 +98,16 @@
 	wait := h.meanWait(func(now time.Duration, p Prompt, cands []Candidate) int {
 		mine := &used[h.rnd.IntN(daemons)]
 		for i := range cands {
-			cands[i].Warm = mine[i] > 0 && now-mine[i] < idle
+			cands[i].HasIdleConn = mine[i] > 0 && now-mine[i] < idle
 		}
 		list := Shortlist(p, cands, nil, nil, figures)
 		waits := make([]time.Duration, len(list))
 		for i := range list {
-			waits[i] = max(h.busyUntil[list[i].At]-now, 0)
+			waits[i] = max(h.busyUntil[list[i].Index]-now, 0)
 		}
-		at := Settle(list, cands, waits).At
+		at := SelectByWait(list, cands, waits).Index
 		prompts++
-		if !cands[at].Warm {
+		if !cands[at].HasIdleConn {
 			opened++
 		}
 		mine[at] = now
@@ -130,15 +130,15 @@
 	waits := make([]time.Duration, len(list))
 	for i := range list {
 		waits[i] = -1
-		if cands[list[i].At].Entry.ID == "c" {
+		if cands[list[i].Index].Entry.ID == "c" {
 			waits[i] = 400 * time.Millisecond
 		}
 	}
-	got := Settle(list, cands, waits)
-	if id := cands[got.At].Entry.ID; id == "c" || got.Wait != cands[got.At].Load.Wait {
-		t.Errorf("chose %s with a wait of %v", id, got.Wait)
+	got := SelectByWait(list, cands, waits)
+	if id := cands[got.Index].Entry.ID; id == "c" || got.PredictedWait != cands[got.Index].Load.Wait {
+		t.Errorf("chose %s with a wait of %v", id, got.PredictedWait)
 	}
-	if got := Settle(nil, nil, nil); got.At != -1 {
-		t.Errorf("chose %d of none", got.At)
+	if got := SelectByWait(nil, nil, nil); got.Index != -1 {
+		t.Errorf("chose %d of none", got.Index)
 	}
 }
--- a/request/placement/usual.go
+++ b/request/placement/usual.go
@@ -23,7 +23,7 @@
 	minYield = 0.5
 )
 
-// Usual is what prompts of a service usually take to be read, and how many
+// PromptStats is what prompts of a service usually take to be read, and how many
 // tokens are answered for it. It is safe for concurrent use.
 //
 // The load that it answers: more prompts than the engines can read. Which of
@@ -31,14 +31,14 @@
 // engine's time for each of its tokens, since nothing of it is kept, takes the
 // place of two. Means of three plays of a quiet day with prompts at twice what
 // can be read: 8.9 in 100 requests end refused, 9.8 without.
-type Usual struct {
+type PromptStats struct {
 	mu        sync.Mutex
 	meanRead  float64 // nanoseconds
 	meanYield float64 // tokens for each nanosecond
 }
 
-// Note takes a prompt in, whether it is taken or refused.
-func (u *Usual) Note(tokens int, read time.Duration) {
+// Record takes a prompt in, whether it is taken or refused.
+func (u *PromptStats) Record(tokens int, read time.Duration) {
 	if read <= 0 {
 		return
 	}
@@ -53,10 +53,10 @@
 	u.meanYield += newestWeight * (yield - u.meanYield)
 }
 
-// Counts is how long a wait counts for a prompt in the decision whether it is
+// EffectiveWait is how long a wait counts for a prompt in the decision whether it is
 // taken: in a long queue longer, by the usual error of prediction and the less
 // the prompt yields for its time. off is that error.
-func (u *Usual) Counts(wait time.Duration, tokens int, read, off time.Duration) time.Duration {
+func (u *PromptStats) EffectiveWait(wait time.Duration, tokens int, read, off time.Duration) time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	over := wait - time.Duration(longQueuePrompts*u.meanRead)
--- a/request/placement/usual_test.go
+++ b/request/placement/usual_test.go
@@ -12,12 +12,12 @@
 // times the engine's time, and as many callers are refused for each of them.
 // They yield in a long queue, by half at most, and not in a short one.
 func TestCostlyPromptsAreRejectedFirst(t *testing.T) {
-	var u Usual
-	if got := u.Counts(100*ms, 9000, 20*ms, 0); got != 100*ms {
+	var u PromptStats
+	if got := u.EffectiveWait(100*ms, 9000, 20*ms, 0); got != 100*ms {
 		t.Errorf("before anything is usual: %v", got)
 	}
 	for range 200 {
-		u.Note(9000, 15*ms)
+		u.Record(9000, 15*ms)
 	}
 	for _, tc := range []struct {
 		name   string
@@ -36,7 +36,7 @@
 		{"the same in a short queue", 40 * ms, 9000, 15 * ms, 20 * ms, 40 * ms},
 		{"nothing to read", 145 * ms, 9000, 0, 0, 145 * ms},
 	} {
-		if got := u.Counts(tc.wait, tc.tokens, tc.read, tc.off); (got - tc.want).Abs() > ms {
+		if got := u.EffectiveWait(tc.wait, tc.tokens, tc.read, tc.off); (got - tc.want).Abs() > ms {
 			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
 		}
 	}
@@ -49,7 +49,7 @@
 	const bound = 200 * ms
 	serve := func(yields bool) (served, cheap, costly int) {
 		r := rand.New(rand.NewPCG(7, 1))
-		var u Usual
+		var u PromptStats
 		now, free := time.Duration(0), time.Duration(0)
 		for range 20_000 {
 			gap := 30 * ms
@@ -62,10 +62,10 @@
 				read = 26 * ms
 			}
 			wait := max(free-now, 0)
-			u.Note(9000, read)
+			u.Record(9000, read)
 			counts := wait
 			if yields {
-				counts = u.Counts(wait, 9000, read, 0)
+				counts = u.EffectiveWait(wait, 9000, read, 0)
 			}
 			if counts+read > bound {
 				continue
