--- a/request/dispatch/answer_length.go
+++ b/request/dispatch/answer_length.go
@@ -7,47 +7,51 @@
 )
 
 const (
-	// maxDecay is the part of the longest stream's length that is given up
-	// with each shorter one: half of it after some 350 streams. Streams that are
-	// rejected or cut don't show their length, so it fades slowly.
+	// maxDecay is the fraction of the difference by which the maximum
+	// decreases with each shorter stream: it takes some 350 streams to
+	// halve. It decreases slowly because the longest streams may be
+	// rejected or cut and then don't show their length.
 	maxDecay = 0.002
-	// maxHints and maxRatios are the numbers of the newest callers' hints, and
-	// of their ratios to what streams had, that count.
+	// maxHints and maxRatios are the numbers of recent hints, and of recent
+	// ratios of hints to events, that are kept.
 	maxHints  = 64
 	maxRatios = 64
-	// minRatios is the number of ratios from which on hints are used.
+	// minRatios is the number of ratios needed before hints are used.
 	minRatios = 8
-	// hintQuantile is the share of hints that are shorter than what counts as the
-	// longest answer.
+	// hintQuantile is the quantile of the hints that counts as the longest
+	// answer.
 	hintQuantile  = 0.9
 	ratioQuantile = 0.5
-	// paceMargin is the part of a stream's time in which it is planned to end.
+	// paceMargin is the fraction of a stream's time within which it is
+	// planned to end.
 	paceMargin = 0.95
 )
 
-// answerLength learns how long a route's longest answers are, in events, and
-// how much time they have. It is safe for concurrent use.
+// answerLength tracks how long the longest answers of a route are, in
+// events, and how much time they have. It is safe for concurrent use.
 //
-// Streams that have ended show it, but not before some of the longest had time
-// to end. Until then it comes from the callers' hints, in tokens, and from the
-// number of tokens that an event of the ended streams stands for.
+// The length is taken from streams that have ended, but only once some of
+// the longest have had time to end. Until then it is predicted from the
+// callers' hints, in tokens, and from the number of hinted tokens for each
+// event of the streams that have ended.
 type answerLength struct {
 	mu        sync.Mutex
-	firstCall time.Time     // of the first call
-	maxTime   time.Duration // the most time that a call has
-	maxEvents float64       // of the longest streams lately
-	maxOutput int           // tokens, the most that the last call allows
-	hints     quantileRing  // longHint of these are shorter
-	ratios    quantileRing  // hinted tokens for each event; the median
+	firstCall time.Time
+	maxTime   time.Duration // decaying maximum of the time that calls have
+	maxEvents float64       // decaying maximum of the events of a stream
+	maxOutput int           // tokens that the last call allows; 0: no limit
+	hints     quantileRing  // hinted tokens; the hintQuantile
+	ratios    quantileRing  // hinted tokens for each event; the ratioQuantile (median)
 }
 
-// decayingMax is the largest value lately, which fades with each smaller one.
-func decayingMax[T time.Duration | float64](old, seen T) T {
-	return max(seen, old-T(maxDecay*float64(old-seen)))
+// decayingMax returns the updated maximum of recent values. The maximum
+// decreases with each smaller value.
+func decayingMax[T time.Duration | float64](old, v T) T {
+	return max(v, old-T(maxDecay*float64(old-v)))
 }
 
-// addCall notes a call: its hint and the most output that it allows, in tokens,
-// 0 for none, and the time it has.
+// addCall records a call: its hint and its output limit in tokens, 0 if
+// there is none, and the time left until its deadline.
 func (l *answerLength) addCall(hint, output int, left time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,7 +65,8 @@
 	}
 }
 
-// addStream notes the events of a stream; whole means that it was not cut.
+// addStream records the events of a stream. whole means that the stream
+// wasn't cut.
 func (l *answerLength) addStream(hint, events int, whole bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,8 +77,8 @@
 	}
 }
 
-// longest is the number of events of the longest answers, 0 while it isn't
-// known.
+// longest returns the number of events of the longest answers, or 0 if it is
+// unknown.
 func (l *answerLength) longest() float64 {
 	if !l.firstCall.IsZero() && time.Since(l.firstCall) > 2*l.maxTime {
 		return l.maxEvents
@@ -85,8 +90,8 @@
 	return max(l.maxEvents, l.eventsForHint(hint))
 }
 
-// eventsForHint is the number of events that a hint stands for, 0 while that isn't
-// known.
+// eventsForHint converts a hint to events. It returns 0 if the ratio is
+// unknown.
 func (l *answerLength) eventsForHint(hint float64) float64 {
 	if l.ratios.len() < minRatios {
 		return 0
@@ -94,8 +99,8 @@
 	return hint / l.ratios.quantile
 }
 
-// maxGap is the time between events at which the longest answers end in time, 0
-// while it isn't known.
+// maxGap returns the longest time between events with which the longest
+// answers end in time, or 0 if it is unknown.
 func (l *answerLength) maxGap() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -106,15 +111,16 @@
 	return time.Duration(paceMargin * float64(l.maxTime) / n)
 }
 
-// duration is how long a stream with that hint takes with events that far apart, 0
-// while it isn't known.
+// duration predicts the duration of a stream with that hint and that time
+// between events. It returns 0 if it is unknown.
 func (l *answerLength) duration(hint int, gap time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Duration(min(l.eventsForHint(float64(hint)), l.longest()) * float64(gap))
 }
 
-// quantileRing is the newest values of something, and a quantile of them.
+// quantileRing holds the most recent values of a series and one of their
+// quantiles.
 type quantileRing struct {
 	values   []float64
 	next     int
@@ -123,14 +129,15 @@
 
 func (r *quantileRing) len() int { return len(r.values) }
 
-// add takes in a value in place of the oldest of that many, and looks for the
-// quantile q anew: it is read more often than values come.
-func (r *quantileRing) add(v float64, most int, q float64) {
-	if len(r.values) < most {
+// add stores a value and drops the oldest one beyond size. It recomputes the
+// quantile q at once, since the quantile is read more often than values are
+// added.
+func (r *quantileRing) add(v float64, size int, q float64) {
+	if len(r.values) < size {
 		r.values = append(r.values, v)
 	} else {
 		r.values[r.next] = v
-		r.next = (r.next + 1) % most
+		r.next = (r.next + 1) % size
 	}
 	sorted := slices.Sorted(slices.Values(r.values))
 	r.quantile = sorted[int(q*float64(len(sorted)-1))]
--- a/request/dispatch/call.go
+++ b/request/dispatch/call.go
@@ -1,7 +1,8 @@
-// Package dispatch runs one request at its service's targets: it chooses them,
-// sends the request, repeats it where that is allowed, and passes the answer
-// on. A request that may run once at most goes to a second target only when
-// the first said itself that it ran nothing, or when no byte was written.
+// Package dispatch executes one request at the targets of its service. It
+// chooses targets, sends the request, retries it where that is allowed, and
+// relays the answer. A request that isn't idempotent is sent to a second
+// target only if the first one stated that it ran nothing, or if no byte of
+// the request was written.
 package dispatch
 
 import (
@@ -32,49 +33,51 @@
 	Arrived  time.Time
 	Deadline time.Time // the earlier of the caller's deadline and the end of the route's timeout
 	Method   string
-	URI      string // path and query as they came
+	URI      string // path and query as received
 	Host     string
-	Header   http.Header // what goes on to a target
+	Header   http.Header // forwarded to the target
 	Body     []byte
-	// Organisation holds the caller's key; empty: the route is public.
+	// Organisation is the one that the caller's API key belongs to; empty if
+	// the route is public.
 	Organisation string
-	Priority     int // of the organisation or the route, 0 is the most urgent
-	// OnStart is called once, when the first target is known to run the call:
-	// that long ago. It may be nil.
+	Priority     int // of the organisation or the route; 0 is the most urgent
+	// OnStart is called once, when it is known that a target has started the
+	// call. ago is the time since that start. OnStart may be nil.
 	OnStart func(ago time.Duration)
 }
 
-// Answer is a target's whole answer.
+// Answer is the complete answer of a target.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Stream takes a streamed answer. It is used by one goroutine.
+// Stream receives a streamed answer. It is used by a single goroutine.
 type Stream interface {
-	// Begin passes on the status and the headers.
+	// Begin sends the status and the headers.
 	Begin(status int, h http.Header)
-	// Write passes on whole events. An error means that the caller is gone.
+	// Write sends complete events. An error means that the caller is gone.
 	Write(events []byte) error
 }
 
-// Targets gives the entries of a service's targets.
+// Targets returns the entries of a service's targets.
 type Targets interface {
 	Targets(service string) *targets.Set
 }
 
-// Queues knows engines' queues better than the books, which get reports late in a
-// large fleet.
+// Queues queries the present queues of engines. In a large fleet they are
+// more accurate than the load that the process tracks from reports, which
+// arrive late.
 type Queues interface {
-	// Queues returns how long a prompt will wait at each engine, -1 where that
-	// isn't known; nil if the books know as well.
+	// Queues returns how long a prompt will wait at each engine, or -1 if
+	// that is unknown. It returns nil if the tracked load is as accurate.
 	Queues(ctx context.Context, targets []string) []time.Duration
-	// CanQueryQueues reports whether there is anything to be asked.
+	// CanQueryQueues reports whether the queues are worth a query.
 	CanQueryQueues() bool
 }
 
-// Options of a Runner. All are needed.
+// Options configures a Runner. All fields are required.
 type Options struct {
 	Wire    port.TargetWire
 	Pool    *h1.Pool
@@ -87,43 +90,42 @@
 	Speed   *speed.Book
 	Demand  *demand.Book
 	Zone    string // availability zone of this process
-	Self    string // name of this process's VM: the targets that it prefers follow from it
+	Self    string // name of this process's VM, which determines its preferred targets
 }
 
-// Runner runs calls. It is safe for concurrent use.
+// Runner executes calls. It is safe for concurrent use.
 type Runner struct {
 	opts Options
 
 	mu                   sync.Mutex
-	promptStatsByService map[string]*placement.PromptStats // by service
-	answerLengths        map[string]*answerLength          // by route
+	promptStatsByService map[string]*placement.PromptStats
+	answerLengths        map[string]*answerLength // by route
 }
 
-// New returns a Runner.
 func New(o Options) *Runner {
 	return &Runner{opts: o, promptStatsByService: make(map[string]*placement.PromptStats), answerLengths: make(map[string]*answerLength)}
 }
 
-// promptStats returns what is usual for a service's prompts.
+// promptStats returns the statistics of a service's prompts.
 func (r *Runner) promptStats(service string) *placement.PromptStats {
 	return getOrCreate(&r.mu, r.promptStatsByService, service)
 }
 
-// getOrCreate returns what is kept under a name, an empty one at first. Names come
-// from the configuration, so the map stays as small as their number.
-func getOrCreate[T any](mu *sync.Mutex, kept map[string]*T, name string) *T {
+// getOrCreate returns the entry with that name and creates it if there is
+// none. Names come from the configuration, which bounds the size of the map.
+func getOrCreate[T any](mu *sync.Mutex, entries map[string]*T, name string) *T {
 	mu.Lock()
 	defer mu.Unlock()
-	one := kept[name]
-	if one == nil {
-		one = new(T)
-		kept[name] = one
+	e := entries[name]
+	if e == nil {
+		e = new(T)
+		entries[name] = e
 	}
-	return one
+	return e
 }
 
-// Plain runs a call whose answer is passed on whole. The error is a
-// *code.Error; a code that says that nothing ran is given only when that holds.
+// Plain executes a call whose answer is relayed as a whole. The error is a
+// *code.Error. Its code states that nothing ran only if that is certain.
 func (r *Runner) Plain(ctx context.Context, c *Call) (*Answer, Trace, error) {
 	ctx, cancel := context.WithDeadline(ctx, c.Deadline)
 	defer cancel()
@@ -132,7 +134,7 @@
 	return a, x.trace, err
 }
 
-// Streamed runs a call that is answered by events.
+// Streamed executes a call whose answer is a stream of events.
 func (r *Runner) Streamed(ctx context.Context, c *Call, out Stream) (Trace, error) {
 	ctx, cancel := context.WithDeadline(ctx, c.Deadline)
 	defer cancel()
@@ -142,30 +144,31 @@
 	return x.trace, err
 }
 
-// Trace says how a call went, for its log line.
+// Trace describes how a call was executed, for its log line.
 type Trace struct {
 	Sends             int           // requests sent to targets
-	Targets           []string      // their ids, in order
-	Causes            []string      // why those that failed did
-	PredictedFirst    time.Duration // time to the first event, when the call was taken
-	PredictedDuration time.Duration // from the decoding engine's first work to the last event, predicted from the stated output
-	Prefill           Prefill       // the last one
+	Targets           []string      // ids of the targets, in order of the sends
+	Causes            []string      // one for each failed send
+	PredictedFirst    time.Duration // time to the first event, predicted at admission
+	PredictedDuration time.Duration // from the start of decoding to the last event, predicted from the stated output
+	Prefill           Prefill       // of the last prefill
 	TimeToFirst       time.Duration // from the arrival to the first event
-	AnswerStarted     bool          // the caller got a part of the answer
-	// LastEvent is the id of the last event that the caller got, empty for none.
+	AnswerStarted     bool          // the caller received a part of the answer
+	// LastEvent is the id of the last event that the caller received; empty if
+	// there is none.
 	LastEvent string
 }
 
-// Prefill says how the reading of a prompt was predicted and went.
+// Prefill compares the prediction for a prefill with its outcome.
 type Prefill struct {
-	PromptTokens  int           // tokens of the prompt
-	SharedTokens  int           // of them, those that other prompts may begin with too
-	MissingTokens int           // of them, those that the engine had to read
-	FetchedTokens int           // of them, those that it fetched from another engine
-	Speculative   bool          // it was to fetch from an engine that might keep more
-	PredictedWait time.Duration // predicted until it begins to read them
-	PredictedRead time.Duration // predicted for reading them
-	Duration      time.Duration // in all
+	PromptTokens  int
+	SharedTokens  int           // tokens of the prefix that other prompts may share
+	MissingTokens int           // tokens that the engine had to compute
+	FetchedTokens int           // tokens fetched from another engine
+	Speculative   bool          // the fetch was from an engine not known to hold more of the prompt
+	PredictedWait time.Duration // predicted time in the engine's queue
+	PredictedRead time.Duration // predicted time of the prefill itself
+	Duration      time.Duration // measured, from send to answer
 }
 
 func (r *Runner) newExecution(c *Call) *execution {
@@ -173,21 +176,22 @@
 	return &execution{Runner: r, call: c}
 }
 
-// execution is the state of one call over its sends. It belongs to one goroutine.
+// execution is the state of one call across its sends. It is used by a
+// single goroutine.
 type execution struct {
 	*Runner
 	call          *Call
 	trace         Trace
-	possibleRuns  int            // targets that may have run it
-	failedTargets []string       // targets that failed it
-	admitted      *prefillChoice // the choice at admission, until it is used
+	possibleRuns  int            // number of targets that may have run the call
+	failedTargets []string       // ids of the targets whose send failed
+	admitted      *prefillChoice // choice made at admission, until it is used
 	lastFailure   *sendFailure
-	lastID        string // id of the last event that the caller got
+	lastID        string // id of the last event that the caller received
 
-	started bool // Call.OnStart was called
+	started bool // Call.OnStart has been called
 }
 
-// markStarted notes that a target runs the call, since that long ago.
+// markStarted records that a target started the call that long ago.
 func (x *execution) markStarted(ago time.Duration) {
 	if x.started {
 		return
@@ -198,9 +202,9 @@
 	}
 }
 
-// provesStart reports whether a send that failed shows that the target ran the
-// call. A caller that left, or a target that is silent, shows nothing: the call
-// may still have waited.
+// provesStart reports whether a failed send shows that the target started
+// the call. It doesn't if the caller left or the target was silent: the call
+// may still have been queued.
 func provesStart(f *sendFailure) bool {
 	switch f.Class {
 	case failure.NoAnswer, failure.Cut, failure.Mismatch, failure.Failed:
--- a/request/dispatch/decode.go
+++ b/request/dispatch/decode.go
@@ -14,19 +14,20 @@
 	"github.com/pomelospool/pomelospool/request/placement"
 )
 
-// releaseLimit bounds the call that frees unused KV cache.
+// releaseLimit bounds the request that releases unused KV cache.
 const releaseLimit = 500 * time.Millisecond
 
-// decode has the answer made from the KV cache. If the engine refuses, another
-// one is asked with the same cache: a full engine leaves it where it is.
+// decode runs the decode from the KV cache. If the engine rejects it,
+// another engine is tried with the same cache, since a full engine doesn't
+// consume it.
 func (x *execution) decode(ctx context.Context, p prompt, from prefilled, out Stream) *sendFailure {
-	taken := false
+	consumed := false
 	defer func() {
-		if from.kv != nil && !taken {
+		if from.kv != nil && !consumed {
 			x.releaseKV(*from.kv)
 		}
 	}()
-	for tries := 1; ; tries++ {
+	for attempt := 1; ; attempt++ {
 		cands := x.decoders(p, from.zone)
 		at := placement.Decode(p.Prompt, cands, x.call.Service.Engine, from.zone)
 		if at < 0 {
@@ -35,7 +36,7 @@
 		to := cands[at].Entry
 		f := x.streamFrom(ctx, &cands[at], p, from, out)
 		if f == nil || f.MayHaveRun() {
-			taken = true
+			consumed = true
 			if f == nil && from.kv != nil {
 				x.opts.Health.Note(kvHealthKey(from.engineID), health.OK)
 			}
@@ -44,53 +45,56 @@
 		if from.kv != nil && f.Class == failure.NotRun {
 			x.opts.Health.Note(kvHealthKey(from.engineID), health.Refused)
 		}
-		if tries > 1 || from.kv == nil || !x.hasAlternative(cands, to.ID) || !x.mayRetry(ctx, f, 1) {
+		if attempt > 1 || from.kv == nil || !x.hasAlternative(cands, to.ID) || !x.mayRetry(ctx, f, 1) {
 			return f
 		}
 		x.recordFailure(f)
 	}
 }
 
-// kvHealthKey names an engine's KV cache where health is kept: whether what the engine
-// read can be fetched from it says nothing of its reading.
+// kvHealthKey returns the name under which the health of an engine's KV
+// cache is tracked. It is tracked apart from the engine's own health,
+// because failed fetches from its cache say nothing about its prefills.
 func kvHealthKey(id string) string { return id + KVSuffix }
 
-// KVSuffix ends the names of engines' KV caches where health is kept.
+// KVSuffix is the suffix of the names under which the health of KV caches is
+// tracked.
 const KVSuffix = "/kv"
 
-// hasAlternative reports whether a candidate is left that hasn't failed this call.
-func (x *execution) hasAlternative(cands []placement.Candidate, but string) bool {
+// hasAlternative reports whether there is a candidate other than except that
+// hasn't failed this call.
+func (x *execution) hasAlternative(cands []placement.Candidate, except string) bool {
 	for _, c := range cands {
-		if c.Entry.ID != but && !x.hasFailed(c.Entry.ID) {
+		if c.Entry.ID != except && !x.hasFailed(c.Entry.ID) {
 			return true
 		}
 	}
 	return false
 }
 
-// releaseKV frees KV cache that nobody will read, beside the call.
+// releaseKV releases KV cache that won't be used. It doesn't block the call.
 func (x *execution) releaseKV(kv port.KVSource) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), releaseLimit)
 		defer cancel()
 		if err := x.opts.Control.Release(ctx, kv); err != nil {
-			// The engine frees it by itself some seconds later.
-			log.WithError(err).WithField("addr", kv.Addr).Debug("dispatch: KV cache not released")
+			// The engine releases it by itself after some seconds.
+			log.WithError(err).WithField("addr", kv.Addr).Debug("dispatch: failed to release KV cache")
 		}
 	}()
 }
 
-// streamFrom sends the call to a decoding engine and relays the answer.
+// streamFrom sends the call to a decoding engine and relays its answer.
 func (x *execution) streamFrom(ctx context.Context, cand *placement.Candidate, p prompt, from prefilled, out Stream) *sendFailure {
 	to := cand.Entry
-	usual := x.opts.Speed.Figures(x.call.Service.Name).First
-	predicted := usual
+	firstEvent := x.opts.Speed.Figures(x.call.Service.Name).First
+	predicted := firstEvent
 	if from.kv != nil {
 		predicted += placement.TransferTime(x.call.Service.Engine, p.Tokens, from.zone == to.Zone)
 	}
 	done := x.opts.Engines.Decode(to.ID, x.call.Service.Engine.KVTokens, p.parts, predicted)
 	defer done()
-	begun := time.Now()
+	start := time.Now()
 	s := outgoing{target: to, state: port.Send{Priority: p.priority, KV: from.kv, LastEvent: x.lastID}}
 	resp, v, f := x.send(ctx, s)
 	if f != nil {
@@ -103,29 +107,29 @@
 		resp.Close(0)
 		return newFailure(failure.Mismatch, to.ID, errUnsigned)
 	}
-	firstAt := begun
+	firstAt := start
 	first := func() {
 		firstAt = time.Now()
-		seen := firstAt.Sub(begun)
+		took := firstAt.Sub(start)
 		if cand.Load.Streams < to.Slots {
-			// Beyond its places it would be the wait for one that is learnt.
-			x.opts.Speed.First(x.call.Service.Name, usual+seen-predicted)
+			// At a full engine the sample would include the wait for a slot.
+			x.opts.Speed.First(x.call.Service.Name, firstEvent+took-predicted)
 		}
-		if usual > 0 {
-			x.opts.Health.NotePace(to.ID, x.slowdown(predicted, seen))
+		if firstEvent > 0 {
+			x.opts.Health.NotePace(to.ID, x.slowdown(predicted, took))
 		}
 	}
 	m := &paceMeter{exec: x, target: to.ID, resumed: x.lastID != ""}
 	f = x.relay(ctx, to.ID, resp, v, out, streamHooks{first: first, batch: m.addEvents})
 	m.finish(f == nil)
 	if f == nil && x.call.Ask.Output > 0 {
-		x.opts.Speed.Stream(x.call.Service.Name, x.call.Ask.Output, time.Since(firstAt), time.Since(begun), x.mostUrgent())
+		x.opts.Speed.Stream(x.call.Service.Name, x.call.Ask.Output, time.Since(firstAt), time.Since(start), x.mostUrgent())
 	}
 	return f
 }
 
-// relayNonStream takes an answer that is no stream: a refusal, a failure, or the
-// target's own answer, which is passed on.
+// relayNonStream handles an answer that isn't a stream: a rejection, a
+// failure, or an answer of the target itself, which is relayed.
 func (x *execution) relayNonStream(ctx context.Context, target string, resp *h1.Response, v port.Verdict, out Stream) *sendFailure {
 	a, f := x.readAnswer(ctx, target, resp, v)
 	if f != nil {
@@ -146,18 +150,19 @@
 	return nil
 }
 
-// slowdown is how many times longer than predicted something took. Short times are
-// off by some tens of milliseconds for reasons that aren't the engine's.
-func (x *execution) slowdown(predicted, seen time.Duration) float64 {
+// slowdown returns the ratio of a measured time to its prediction. Slack is
+// added to both because short times deviate by some tens of milliseconds for
+// reasons outside the engine.
+func (x *execution) slowdown(predicted, took time.Duration) float64 {
 	slack := defaultSlack
 	if o := x.call.Route.Objective; o > 0 {
 		slack = time.Duration(slackShare * float64(o))
 	}
-	return float64(seen+slack) / float64(predicted+slack)
+	return float64(took+slack) / float64(predicted+slack)
 }
 
-// What is added to both times of a pace: a share of the objective, or defaultSlack
-// without one.
+// The slack of slowdown is slackShare of the objective, or defaultSlack if the
+// route has none.
 const (
 	slackShare   = 0.2
 	defaultSlack = 100 * time.Millisecond
--- a/request/dispatch/engine.go
+++ b/request/dispatch/engine.go
@@ -15,15 +15,18 @@
 )
 
 const (
-	// latePriority is the urgency of requests that can't make their objective.
+	// latePriority is the priority of requests that can't meet their
+	// objective.
 	latePriority = 9
-	// maxLateWait is the longest wait at an engine, as a share of the objective,
-	// that such a request is taken for. Without a bound they would pile up;
-	// with none taken, the largest prompts would never be served.
+	// maxLateWait is the longest wait at an engine, as a fraction of the
+	// objective, with which such a request is admitted. Without a bound
+	// these requests would pile up. If none were admitted, the largest
+	// prompts would never be served.
 	maxLateWait = 0.24
 )
 
-// runStream runs a call at the service's engines, or at plain targets.
+// runStream executes a streamed call at the service's engines, or at plain
+// targets if it has no engines.
 func (x *execution) runStream(ctx context.Context, out Stream) error {
 	if x.call.Service.Engine == nil {
 		return x.runPlainStream(ctx, out)
@@ -51,12 +54,12 @@
 	}
 }
 
-// worthRetry reports whether another round could end better.
+// worthRetry reports whether another prefill and decode could succeed.
 //
-// When a decoding engine refuses, either the KV cache was gone before it was
-// fetched, and another engine should read the prompt, or the decoding engine
-// can't take it. Reading the prompt again for an engine that refuses others
-// too fills the engines with work for nothing.
+// A decoding engine rejects a call either because the KV cache was gone
+// before it was fetched, in which case another engine should prefill the
+// prompt, or because it can't take the call. Another prefill for an engine
+// that rejects other calls too loads the engines with useless work.
 func (x *execution) worthRetry(p prompt, from prefilled, f *sendFailure) bool {
 	if from.kv == nil || f.Class != failure.NotRun {
 		return true
@@ -69,10 +72,11 @@
 	return false
 }
 
-// doubtfulRate is the failure rate from which on an engine isn't counted on.
+// doubtfulRate is the failure rate from which on an engine is considered
+// unreliable.
 const doubtfulRate = 0.4
 
-// prompt is the call as placement sees it.
+// prompt is the call's prompt as placement sees it.
 type prompt struct {
 	placement.Prompt
 	parts    []port.PromptPart
@@ -90,15 +94,16 @@
 		p.SharedTokens += part.Tokens
 	}
 	if len(p.parts) > 0 {
-		p.Seed = p.parts[max(len(p.parts)-2, 0)].ID // the last part is the request's own
+		p.Seed = p.parts[max(len(p.parts)-2, 0)].ID // the last part belongs to this request only
 	}
 	return p
 }
 
-// admit decides at once whether the call is taken.
+// admit decides at once whether the call is admitted.
 //
-// Once a queue stands before the engines, every request behind it is late:
-// serving all of them earns less than refusing those that can't be on time.
+// Once there is a queue at the engines, every request behind it is late.
+// Serving all of them yields less than rejecting those that can't be on
+// time.
 func (x *execution) admit(ctx context.Context) (prompt, error) {
 	p := x.prompt()
 	x.answerLength(x.call.Route.Name).addCall(x.call.Ask.Hint, x.call.Ask.Output, time.Until(x.call.Deadline))
@@ -111,21 +116,24 @@
 	return p, err
 }
 
+// checkObjective rejects a call whose first event would miss the objective
+// because of the queues. It lowers the priority of a call that would miss it
+// at an idle engine too.
 func (x *execution) checkObjective(p *prompt, f speed.Figures, ch prefillChoice) error {
 	queue, err := x.predictSlotWait(f, ch.decoders)
 	if err != nil {
 		return err
 	}
 	if ch.Index < 0 {
-		return nil // decode engines may read it, or nothing can: not for here
+		return nil // a decoding engine prefills it, or none can; that is decided later
 	}
 	alone := f.Start + ch.ReadTime + f.First
 	wait := ch.PredictedWait + queue
 	x.trace.PredictedFirst = wait + alone
 	objective := x.call.Route.Objective
-	usual := x.promptStats(x.call.Service.Name)
-	usual.Record(p.Tokens, ch.ReadTime)
-	if objective <= 0 || usual.EffectiveWait(wait, p.Tokens, ch.ReadTime, f.Spread)+alone <= objective {
+	stats := x.promptStats(x.call.Service.Name)
+	stats.Record(p.Tokens, ch.ReadTime)
+	if objective <= 0 || stats.EffectiveWait(wait, p.Tokens, ch.ReadTime, f.Spread)+alone <= objective {
 		return nil
 	}
 	if alone > objective {
@@ -138,37 +146,41 @@
 	return x.overloaded(ch.decoders, predicted-objective, "the first event would take %v", predicted.Round(time.Millisecond))
 }
 
-// overloaded rejects a call that is too late by that much at these engines.
+// overloaded returns the rejection of a call that would be late by that much
+// at these decoding engines.
 func (x *execution) overloaded(decoders []placement.Candidate, late time.Duration, format string, args ...any) error {
 	after := max(late, x.jitteredDelay())
 	return code.New(code.Overloaded, format, args...).After(x.capRetryDelay(after, decoders))
 }
 
-// What part of its time a refused caller waits before it comes back: a random
-// one between them. Callers have one try more at most, and loads that turn last
-// some seconds. With the queue's excess alone (100 ms mostly) they came back
-// into the same crowd, and 12.6 in 100 requests of a quiet day ended refused,
-// 9.8 so. Together they would come back as a crowd.
+// A rejected caller waits a random fraction between these two of its remaining
+// time before it retries. Callers retry once at most, and load peaks last some
+// seconds. With a delay of only the queue's excess, mostly 100 ms, retries hit
+// the same peak: 12.6% of requests were rejected for good, against 9.8% with
+// these fractions. With a fixed fraction the retries would arrive together.
 const (
 	minRetryShare = 0.12
 	maxRetryShare = 0.24
-	// maxJitteredDelay bounds it for callers with much time: loads last some seconds.
+	// maxJitteredDelay bounds the delay for callers with much time, since
+	// load peaks last only some seconds.
 	maxJitteredDelay = 4 * time.Second
 )
 
-// jitteredDelay is the least time after which a refused caller is asked to come back.
+// jitteredDelay returns the least delay after which a rejected caller is
+// asked to retry.
 func (x *execution) jitteredDelay() time.Duration {
 	part := minRetryShare + (maxRetryShare-minRetryShare)*hashFraction(x.call.Ask.ID, "come back")
 	return min(max(time.Duration(part*float64(time.Until(x.call.Deadline))), minRetryDelay), maxJitteredDelay)
 }
 
-// triesIfRejected is how often a request that is refused is asked: its caller
-// comes back once at least.
+// triesIfRejected is the assumed number of times that a rejected request is
+// sent: its caller retries at least once.
 const triesIfRejected = 2
 
-// recordDemand notes what the call asks of the engines, whether it is taken or not:
-// the plan of their roles answers what is asked, not what was served.
-func (x *execution) recordDemand(p prompt, f speed.Figures, ch prefillChoice, refused bool) {
+// recordDemand records the load that the call asks for, whether it is
+// admitted or not, since engine roles are planned for the demand and not for
+// the served load.
+func (x *execution) recordDemand(p prompt, f speed.Figures, ch prefillChoice, rejected bool) {
 	o := demand.Offer{
 		Reading: ch.ReadTime, Lasts: f.Lasts(x.call.Ask.Output), Moving: x.transferTime(p, ch),
 		Objective: x.call.Route.Objective, Priority: x.call.Priority,
@@ -176,76 +188,81 @@
 	if ch.Index < 0 {
 		o.Reading = f.Read(p.Tokens, p.Tokens)
 	}
-	if refused {
+	if rejected {
 		o.Reading, o.Lasts, o.Moving = o.Reading/triesIfRejected, o.Lasts/triesIfRejected, o.Moving/triesIfRejected
 	}
 	x.opts.Demand.Note(x.call.Service.Name, o)
 }
 
-// transferTime is how long the prompt's KV cache will take to an engine that decodes,
-// one in the zone of the engine that reads if there is any.
+// transferTime predicts how long the transfer of the prompt's KV cache to a
+// decoding engine takes. It assumes one in the zone of the prefill engine if
+// there is any.
 func (x *execution) transferTime(p prompt, ch prefillChoice) time.Duration {
 	near := slices.ContainsFunc(ch.decoders, func(c placement.Candidate) bool { return c.Entry.Zone == ch.engine.Zone })
 	return placement.TransferTime(x.call.Service.Engine, p.Tokens, near)
 }
 
-// predictSlotWait predicts how long the call waits for a place at a decoding engine. It
-// refuses a call that none would take, before its prompt is read for nothing.
-// Engines that refuse lately get one call in some, so that their recovery shows.
+// predictSlotWait predicts how long the call waits for a slot at a decoding
+// engine. It rejects a call that no engine would take, to save the prefill.
+// Engines with a high failure rate get a share of the calls, so that their
+// recovery is noticed.
 func (x *execution) predictSlotWait(f speed.Figures, cands []placement.Candidate) (time.Duration, error) {
-	room := x.slotPolicy(f, cands)
-	free, full, doubts := 0, 0, 0
-	least := maxRetryDelay
+	policy := x.slotPolicy(f, cands)
+	free, full, doubtful := 0, 0, 0
+	minWait := maxRetryDelay
 	for i := range cands {
 		c := &cands[i]
 		if x.opts.Health.Ejected(c.Entry.ID) || c.Load.Unreachable() {
 			continue
 		}
-		least = min(least, room.SlotWait(c))
+		minWait = min(minWait, policy.SlotWait(c))
 		switch {
-		case room.Full(c):
+		case policy.Full(c):
 			full++
 		case c.FailureRate > doubtfulRate:
-			doubts++
+			doubtful++
 		default:
 			free++
 		}
 	}
 	switch {
-	case free > 0, doubts > 0 && hashFraction(x.call.Ask.ID, "") < probeShare:
-		return least, nil
+	case free > 0, doubtful > 0 && hashFraction(x.call.Ask.ID, "") < probeShare:
+		return minWait, nil
 	case full > 0:
-		return 0, x.overloaded(cands, least, "%d of %d decoding engines are full", full, len(cands))
+		return 0, x.overloaded(cands, minWait, "%d of %d decoding engines are full", full, len(cands))
 	}
 	return 0, code.New(code.NoTarget, "none of %d decoding engines takes requests", len(cands)).After(x.call.Service.Engine.SwitchTime)
 }
 
-// mostUrgent reports whether no call of the service is more urgent.
+// mostUrgent reports whether no call of the service has a higher priority.
 func (x *execution) mostUrgent() bool {
 	return x.opts.Demand.MostUrgent(x.call.Service.Name, x.call.Priority)
 }
 
-// slotPolicy is how the decoding engines' places are shared out to the call.
+// slotPolicy returns the policy by which the call may use the slots of
+// decoding engines.
 func (x *execution) slotPolicy(f speed.Figures, cands []placement.Candidate) placement.SlotPolicy {
 	r := placement.SlotPolicy{StreamTime: f.Stay, CanRetry: x.canRetry(cands)}
 	if len(cands) == 0 || x.mostUrgent() {
 		return r
 	}
-	// The places that are freed meanwhile by more urgent requests are taken by
-	// others of them.
+	// Slots freed by more urgent requests are taken by other urgent requests, so
+	// only streams of this priority or lower free slots for the call.
 	r.StreamTime = f.StayLess
 	urgent := x.opts.Demand.Total(x.call.Service.Name).Urgent
 	r.Reserved = placement.ReservedSlots(urgent, x.decoderCount(cands), cands[0].Entry.Slots)
 	return r
 }
 
-// decoderCount is the number of engines that decode, of which cands are looked at.
+// decoderCount returns the number of the service's decoding engines, of
+// which cands may be a sample.
 func (x *execution) decoderCount(cands []placement.Candidate) int {
-	if of := x.opts.Targets.Targets(x.call.Service.Name).Of(port.RoleDecode, "").Len(); of > sampleThreshold {
-		return of
+	if n := x.opts.Targets.Targets(x.call.Service.Name).Of(port.RoleDecode, "").Len(); n > sampleThreshold {
+		return n
 	}
 	return len(cands)
 }
 
-// probeShare is the share of calls that engines get which refuse lately.
+// probeShare is the fraction of calls that may go to engines with a high
+// failure rate.
 const probeShare = 0.3
--- a/request/dispatch/failure.go
+++ b/request/dispatch/failure.go
@@ -9,21 +9,21 @@
 	"github.com/pomelospool/pomelospool/request/failure"
 )
 
-// sendFailure is a send that failed.
+// sendFailure describes a failed send.
 type sendFailure struct {
 	*failure.Failure
-	answer         *Answer       // the target's own, if it gave one
-	retryAfter     time.Duration // the target said when to come back
-	healthRecorded bool          // the target was judged already
+	answer         *Answer       // the target's answer, if there was one
+	retryAfter     time.Duration // stated by the target; 0 if it wasn't
+	healthRecorded bool          // the target's health has been updated
 }
 
-// newFailure makes a failed send.
 func newFailure(class failure.Class, target string, err error) *sendFailure {
 	return &sendFailure{Failure: &failure.Failure{Class: class, Target: target, Err: err}}
 }
 
-// healthOutcome is what the failure says of the target. It reports false if the call
-// ended on the caller's side: by its leaving or by its deadline.
+// healthOutcome returns what the failure means for the target's health. It
+// returns false if the call ended because the caller left or its deadline
+// passed.
 func (f *sendFailure) healthOutcome() (health.Outcome, bool) {
 	switch {
 	case f.Final():
@@ -36,17 +36,17 @@
 	return health.Failed, true
 }
 
-// Causes in words of this code's own.
+// Causes of failures that this package detects itself.
 const (
-	errUnsigned    = failure.Detail("the answer isn't the target's own")
+	errUnsigned    = failure.Detail("the answer lacks the target's id")
 	errTooLarge    = failure.Detail("the answer is too large")
-	errWrongTarget = failure.Detail("another target has the address")
-	errNotRun      = failure.Detail("the target says that it ran nothing")
-	errNoDecoder   = failure.Detail("no engine decodes")
+	errWrongTarget = failure.Detail("the address belongs to another target")
+	errNotRun      = failure.Detail("the target reported that it ran nothing")
+	errNoDecoder   = failure.Detail("no decoding engine is available")
 )
 
-// finalError turns the end of a call into its code. "Not run" must be true: it
-// is said only when every send was refused or never written.
+// finalError returns the error that ends the call. It states that nothing
+// ran only if every send was rejected or never written.
 func (x *execution) finalError(f *sendFailure) error {
 	switch {
 	case f.Class == failure.CallerGone:
@@ -59,7 +59,7 @@
 	return code.Wrap(code.NoTarget, f, "after %d sends", x.trace.Sends).After(x.retryDelay(f))
 }
 
-// The least and the most that a caller is asked to wait.
+// Bounds of the delay after which a caller is asked to retry.
 const (
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = 2 * time.Second
@@ -73,7 +73,8 @@
 	return min(max(d, minRetryDelay), maxRetryDelay)
 }
 
-// impliesNotRun reports whether a status says that the request didn't run.
+// impliesNotRun reports whether callers take a status to mean that the
+// request didn't run.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable,
--- a/request/dispatch/pace.go
+++ b/request/dispatch/pace.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// minGapSpan and minGapEvents are the least of a stream that gives a sample of its
-	// engine's pace.
+	// minGapSpan and minGapEvents are the shortest time and the fewest
+	// events of a stream that are taken as a sample of its engine's pace.
 	minGapSpan   = 250 * time.Millisecond
 	minGapEvents = 4
 )
 
-// answerLength returns what is known of a route's answers.
+// answerLength returns the tracker of a route's answer lengths.
 func (r *Runner) answerLength(route string) *answerLength {
 	return getOrCreate(&r.mu, r.answerLengths, route)
 }
 
-// setStreamLimits sets for each engine how many streams it may run for the longest
-// answers of the call's route to end in time.
+// setStreamLimits sets for each engine the number of concurrent streams up
+// to which the longest answers of the call's route end in time.
 func (x *execution) setStreamLimits(decoders []placement.Candidate) {
 	gap := x.answerLength(x.call.Route.Name).maxGap()
 	if gap <= 0 {
@@ -33,8 +33,8 @@
 	}
 }
 
-// spareTime is the time that the call's answer leaves it, made by engines that are
-// full; false: that isn't known.
+// spareTime predicts how much of the call's time is left over if a fully
+// loaded engine makes its answer. It returns false if that is unknown.
 func (x *execution) spareTime(decoders []placement.Candidate) (time.Duration, bool) {
 	if len(decoders) == 0 || x.call.Ask.Hint <= 0 {
 		return 0, false
@@ -44,18 +44,18 @@
 	if !pace.Known() {
 		return 0, false
 	}
-	lasts := x.answerLength(x.call.Route.Name).duration(x.call.Ask.Hint, pace.Gap(c.StreamLimit()))
-	return time.Until(x.call.Deadline) - lasts, true
+	duration := x.answerLength(x.call.Route.Name).duration(x.call.Ask.Hint, pace.Gap(c.StreamLimit()))
+	return time.Until(x.call.Deadline) - duration, true
 }
 
-// canRetry reports whether the call has time to come back if it is rejected.
+// canRetry reports whether a rejected caller has enough time for a retry.
 func (x *execution) canRetry(decoders []placement.Candidate) bool {
 	spare, known := x.spareTime(decoders)
 	return known && spare > time.Duration(minRetryShare*float64(time.Until(x.call.Deadline)))
 }
 
-// capRetryDelay shortens a rejected caller's wait to the time that its answer
-// leaves it.
+// capRetryDelay limits the retry delay of a rejected caller to the time that
+// its answer leaves over.
 func (x *execution) capRetryDelay(after time.Duration, decoders []placement.Candidate) time.Duration {
 	spare, known := x.spareTime(decoders)
 	if !known {
@@ -64,18 +64,19 @@
 	return max(min(after, spare), minRetryDelay)
 }
 
-// paceMeter measures the pace of one stream's engine.
+// paceMeter measures the time between events at the engine of one stream.
 type paceMeter struct {
 	exec          *execution
 	target        string
-	events        int // of the whole stream
+	events        int // in the whole stream
 	sampleStart   time.Time
-	eventsBefore  int // events at that time
-	streamsBefore int // at the engine at that time
+	eventsBefore  int // events at sampleStart
+	streamsBefore int // streams at the engine at sampleStart
 	resumed       bool
 }
 
-// addEvents notes events that came.
+// addEvents records received events and reports a sample once it is large
+// enough.
 func (m *paceMeter) addEvents(events int) {
 	m.events += events
 	now := time.Now()
@@ -97,8 +98,8 @@
 	m.streamsBefore = m.exec.opts.Engines.Load(m.target, nil).Streams
 }
 
-// finish notes the end of the stream. One that was resumed shows a part of its
-// length only.
+// finish records the length of the answer. A resumed stream is ignored,
+// since it holds only a part of the answer.
 func (m *paceMeter) finish(whole bool) {
 	if m.resumed {
 		return
--- a/request/dispatch/plain.go
+++ b/request/dispatch/plain.go
@@ -13,14 +13,15 @@
 )
 
 const (
-	// silenceFactor is how many objectives an idempotent call waits for one target
-	// before it asks another: targets that hang would hold it for its deadline.
+	// silenceFactor times the objective is how long an idempotent call
+	// waits for one target before it is sent to another one. Without this
+	// bound a target that hangs would hold the call until its deadline.
 	silenceFactor = 2
-	// minSilence is the least of these waits.
+	// minSilence is the least such wait.
 	minSilence = 150 * time.Millisecond
 )
 
-// runPlain sends the call until it has an answer to pass on.
+// runPlain sends the call until there is an answer to relay.
 func (x *execution) runPlain(ctx context.Context) (*Answer, error) {
 	for {
 		to, ok := x.pickPlain()
@@ -61,10 +62,10 @@
 	return a, x.answerFailure(to.ID, a, v)
 }
 
-// finalAnswer answers with the target's own failure where that is allowed.
+// finalAnswer returns the target's own error answer if that is allowed.
 //
-// A status that promises "not run" isn't passed on from a target that ran the
-// request: the caller would send it again.
+// A status that callers take to mean "not run" isn't relayed from a target
+// that ran the request, since the caller would send it again.
 func (x *execution) finalAnswer(f *sendFailure) (*Answer, error) {
 	if f.Class == failure.Failed && !impliesNotRun(f.answer.Status) {
 		return f.answer, nil
@@ -82,14 +83,15 @@
 	return code.New(code.NoTarget, "service %q has no target", x.call.Service.Name).After(x.retryDelay(nil))
 }
 
-// The weights of what speaks against a target, in shares of its places.
+// The weights of the disadvantages of a target, as fractions of its slots.
 const (
-	failWeight = 2.0  // for a failure rate of one
-	zoneWeight = 0.05 // for another availability zone: half a millisecond, and bytes that are paid for
-	dialWeight = 0.05 // for a new connection: a round trip, and it is paid for
+	failWeight = 2.0  // for a failure rate of 1
+	zoneWeight = 0.05 // for another availability zone, which takes 0.5 ms more and is billed by the byte
+	dialWeight = 0.05 // for a new connection, which takes a round trip and is billed
 )
 
-// pickPlain chooses the target with the most free places.
+// pickPlain chooses the target with the least cost: the fraction of its
+// slots in use and its weighted disadvantages.
 func (x *execution) pickPlain() (port.TargetEntry, bool) {
 	var best port.TargetEntry
 	bestCost := -1.0
@@ -111,13 +113,13 @@
 	return best, bestCost >= 0
 }
 
-// hashFraction is a number in [0,1) for a call and a target, so that targets that
-// are alike share the calls.
+// hashFraction maps a call and a target to a number in [0,1), so that
+// equally good targets share the calls.
 func hashFraction(id, target string) float64 {
 	return fraction.Of(engines.Hash(id) ^ engines.Hash(target))
 }
 
-// runPlainStream runs a streamed call at plain targets.
+// runPlainStream executes a streamed call at plain targets.
 func (x *execution) runPlainStream(ctx context.Context, out Stream) error {
 	for {
 		to, ok := x.pickPlain()
--- a/request/dispatch/prefill.go
+++ b/request/dispatch/prefill.go
@@ -13,36 +13,37 @@
 )
 
 const (
-	// prefillTimeoutFactor times the predicted time, and prefillTimeoutExtra on top, is how
-	// long an engine may take to read a prompt. A dark engine shows in nothing
-	// but silence. While nothing can be predicted it may take unpredictedTimeoutShare of
-	// the time that the call has.
+	// An engine may take prefillTimeoutFactor times the predicted time of a
+	// prefill, and prefillTimeoutExtra on top. A timeout is the only sign
+	// of an engine that has lost power or its network. If nothing can be
+	// predicted, the engine may take unpredictedTimeoutShare of the time
+	// that the call has left.
 	prefillTimeoutFactor    = 3
 	prefillTimeoutExtra     = 700 * time.Millisecond
 	unpredictedTimeoutShare = 0.5
 )
 
-// prefilled is a prompt that was read, or the decision to have it read by the
-// engine that decodes.
+// prefilled is the result of the prefill step. Without KV cache the decoding
+// engine prefills the prompt itself.
 type prefilled struct {
-	kv       *port.KVSource // nil: there is none
-	zone     string         // of the engine that keeps it
-	engineID string         // id of that engine
+	kv       *port.KVSource // nil if there is none
+	zone     string         // of the engine that holds the KV cache
+	engineID string         // of the engine that holds the KV cache
 }
 
-// prefillChoice is a choice of the engine that reads the prompt.
+// prefillChoice is the choice of the engine that prefills the prompt.
 type prefillChoice struct {
 	placement.Choice
 	engine       port.TargetEntry
-	fetchAddr    string        // address of the engine to fetch from, empty: none
-	reportedRead time.Duration // that is reported, assumed while nothing can be predicted
-	reportedWait time.Duration // of it, until the engine begins with it
+	fetchAddr    string        // address of the engine to fetch KV cache from; empty if there is none
+	reportedRead time.Duration // reported to other daemons; an assumption while nothing can be predicted
+	reportedWait time.Duration // reported time in the engine's queue, assumed likewise
 
-	decoders []placement.Candidate // engines that may make the answer
+	decoders []placement.Candidate // engines that may decode
 }
 
-// prefillChoice returns the choice that the call was admitted with, or a new one for
-// another round.
+// takePrefillChoice returns the choice made at admission the first time, and
+// a new one after that.
 func (x *execution) takePrefillChoice(ctx context.Context, p prompt, f speed.Figures) prefillChoice {
 	if ch := x.admitted; ch != nil {
 		x.admitted = nil
@@ -51,21 +52,21 @@
 	return x.choosePrefill(ctx, p, f)
 }
 
-// choosePrefill chooses the engine that reads the prompt.
+// choosePrefill chooses the engine that prefills the prompt.
 //
-// While no engine's speed is known prompts are weighed by their tokens, for the
-// choice and for what is reported, and for nothing else. Otherwise each
-// counts as no work at all: in the first seconds of a fleet, and after all of it
-// lost its power, engines look alike whatever waits there, some hold 2.7 s of
-// prompts and others are idle, and nothing is fetched that is kept elsewhere.
+// While no engine's speed is known, prompts count by their tokens with an
+// assumed speed, but only in the choice and in the reported load. If they
+// counted as no work, all engines would look alike when a fleet starts or
+// recovers from a power loss: some engines had 2.7 s of prompts queued while
+// others were idle, and no cached prefix was fetched from another engine.
 func (x *execution) choosePrefill(ctx context.Context, p prompt, f speed.Figures) prefillChoice {
 	cands := x.candidates(p, port.RolePrefill, x.opts.Zone)
 	for i := range cands {
 		cands[i].FailureRate += x.opts.Health.Rate(kvHealthKey(cands[i].Entry.ID))
 	}
 	decoders := x.decoders(p, x.opts.Zone)
-	// Engines that read come first, of those that keep as much: requests that
-	// run fill the memory of those that decode, and push out what they keep.
+	// Among engines that hold equally much, prefill engines come first: running
+	// requests fill the memory of decoding engines, which evicts cached prefixes.
 	sources := slices.Concat(cands, decoders)
 	ch := prefillChoice{decoders: decoders, Choice: x.choose(ctx, p, cands, sources, f.OrAssumed())}
 	ch.reportedRead, ch.reportedWait = ch.ReadTime, ch.PredictedWait
@@ -81,34 +82,35 @@
 	return ch
 }
 
-// choose chooses among the candidates by the books, or by the queues that
-// others know better.
+// choose chooses among the candidates by the tracked load, or by queried
+// queues where these are more accurate.
 func (x *execution) choose(ctx context.Context, p prompt, cands, sources []placement.Candidate, f speed.Figures) placement.Choice {
 	e := x.call.Service.Engine
 	if !x.opts.Queues.CanQueryQueues() {
 		return placement.Prefill(p.Prompt, cands, sources, e, f)
 	}
-	list := placement.Shortlist(p.Prompt, cands, sources, e, f)
-	ids := make([]string, 0, len(list))
-	for _, ch := range list {
+	shortlist := placement.Shortlist(p.Prompt, cands, sources, e, f)
+	ids := make([]string, 0, len(shortlist))
+	for _, ch := range shortlist {
 		ids = append(ids, cands[ch.Index].Entry.ID)
 	}
 	waits := x.opts.Queues.Queues(ctx, ids)
 	if waits == nil {
 		return placement.Prefill(p.Prompt, cands, sources, e, f)
 	}
-	return placement.SelectByWait(list, cands, waits)
+	return placement.SelectByWait(shortlist, cands, waits)
 }
 
-// decoders are the engines that may make the answer, some of the zone among them.
+// decoders returns the candidates for the decode, including some in the
+// zone.
 func (x *execution) decoders(p prompt, zone string) []placement.Candidate {
 	out := x.candidates(p, port.RoleDecode, zone)
 	x.setStreamLimits(out)
 	return out
 }
 
-// candidates are the engines of a role that are looked at. They are of any zone,
-// some of the given one among them.
+// candidates returns the considered engines of a role. They are of any zone
+// and include some in the given one.
 func (x *execution) candidates(p prompt, role port.Role, zone string) []placement.Candidate {
 	var out []placement.Candidate
 	c := x.sampleTargets(role, &p, zone)
@@ -129,8 +131,8 @@
 	return out
 }
 
-// prefill has the prompt read. Without an engine for that the decoding engine
-// reads it itself, at half the speed.
+// prefill runs the prefill of the prompt. If there is no engine for it, the
+// decoding engine prefills the prompt itself, at half the speed.
 func (x *execution) prefill(ctx context.Context, p prompt) (prefilled, *sendFailure) {
 	figures := x.opts.Speed.Figures(x.call.Service.Name)
 	ch := x.takePrefillChoice(ctx, p, figures)
@@ -142,7 +144,7 @@
 	defer done()
 	predicted := figures.Start + ch.PredictedWait + ch.ReadTime
 	x.trace.Prefill = Prefill{PromptTokens: p.Tokens, SharedTokens: p.SharedTokens, MissingTokens: ch.MissingTokens, FetchedTokens: ch.FetchedTokens, Speculative: ch.Speculative, PredictedWait: ch.PredictedWait, PredictedRead: ch.ReadTime}
-	begun := time.Now()
+	start := time.Now()
 	resp, v, f := x.send(ctx, outgoing{
 		target:        to,
 		state:         port.Send{Priority: p.priority, Prefill: true, FetchFrom: ch.fetchAddr},
@@ -164,10 +166,11 @@
 	if err != nil {
 		return prefilled{}, newFailure(failure.NotRun, to.ID, err)
 	}
-	took := time.Since(begun)
+	took := time.Since(start)
 	x.trace.Prefill.Duration = took
 	if !ch.Speculative {
-		// What a guess fetched was predicted as read: it would teach a wrong pace.
+		// A speculative fetch was predicted as a full prefill, so its time would
+		// distort the measured speed.
 		x.opts.Speed.Read(x.call.Service.Name, speed.Sample{
 			Prompt: p.Tokens, Missing: ch.MissingTokens, Before: ch.PredictedWait + ch.FetchTime, Took: took,
 		})
@@ -179,7 +182,7 @@
 	return prefilled{kv: &port.KVSource{Addr: to.Addr, Handle: handle}, zone: to.Zone, engineID: to.ID}, nil
 }
 
-// prefillTimeout is how long an engine may take to read a prompt.
+// prefillTimeout returns how long an engine may take for a prefill.
 func (x *execution) prefillTimeout(f speed.Figures, predicted time.Duration) time.Duration {
 	if !f.Known() {
 		return time.Duration(unpredictedTimeoutShare * float64(time.Until(x.call.Deadline)))
@@ -187,14 +190,14 @@
 	return prefillTimeoutFactor*predicted + prefillTimeoutExtra
 }
 
-// asNotRun says of a failed prefill that the request did not run: reading a
-// prompt makes no answer and may be repeated. The target is judged by what it
-// did, the call by "not run".
+// asNotRun changes a failed prefill to a failure that states that the
+// request didn't run, since a prefill makes no answer and may be repeated.
+// The target's health is updated by the original failure.
 func (x *execution) asNotRun(f *sendFailure) *sendFailure {
 	if f.Final() {
 		return f
 	}
-	if o, counts := f.healthOutcome(); counts {
+	if o, known := f.healthOutcome(); known {
 		x.opts.Health.Note(f.Target, o)
 	}
 	f.healthRecorded = true
--- a/request/dispatch/relay.go
+++ b/request/dispatch/relay.go
@@ -13,18 +13,18 @@
 	"github.com/pomelospool/pomelospool/request/failure"
 )
 
-// maxEvent bounds one event, in bytes.
+// maxEvent is the largest size of one event, in bytes.
 const maxEvent = 1 << 20
 
-// streamHooks is called as a stream's events come.
+// streamHooks are functions called while a stream is relayed.
 type streamHooks struct {
-	first func()      // before the first one of the answer
-	batch func(n int) // with the number of events in each batch
+	first func()      // after the first event was received
+	batch func(n int) // with the number of events in each received batch
 }
 
-// relay passes events on as they come, each one whole. A stream that breaks
-// off in the middle of an event ends after the last whole one, so that a
-// resumed run can go on from there.
+// relay forwards events as they arrive. It forwards only complete events, so
+// a stream that is cut within an event can be resumed after the last
+// complete one.
 func (x *execution) relay(ctx context.Context, target string, resp *h1.Response, v port.Verdict, out Stream, w streamHooks) *sendFailure {
 	defer resp.Close(v.KeepAlive)
 	r := &eventReader{src: resp.Body}
@@ -44,7 +44,7 @@
 	}
 }
 
-// forward hands events to the caller, without those that it has already.
+// forward sends the caller those events that it doesn't have yet.
 func (x *execution) forward(target string, resp *h1.Response, events []byte, out Stream, w streamHooks) *sendFailure {
 	fresh, last, n := eventsAfter(events, x.lastID)
 	w.batch(n)
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// checkEnd reports whether the stream ended whole: at its marked end, or at the
-// connection's orderly end, and not within an event.
+// checkEnd returns a failure if the stream ended within an event. The end is
+// regular if it is marked or the connection was closed in order.
 func (x *execution) checkEnd(target string, resp *h1.Response, r *eventReader, out Stream) *sendFailure {
 	if len(r.partial()) > 0 {
 		return newFailure(failure.Cut, target, io.ErrUnexpectedEOF)
@@ -81,17 +81,18 @@
 	return nil
 }
 
-// eventReader cuts a stream of server-sent events into runs of whole events.
+// eventReader splits a stream of server-sent events into batches of complete
+// events.
 type eventReader struct {
 	src      io.Reader
-	buf      []byte // what was read and not returned
-	returned int    // length of what was returned last, to be dropped
+	buf      []byte // bytes read; the first returned ones have been returned by next
+	returned int    // number of bytes that the last call of next returned
 }
 
 const readSize = 4 << 10
 
-// next returns one or more whole events, or an error. The bytes hold until the
-// next call.
+// next returns one or more complete events, or an error. The bytes are valid
+// until the next call.
 func (r *eventReader) next() ([]byte, error) {
 	r.buf = r.buf[:copy(r.buf, r.buf[r.returned:])]
 	r.returned = 0
@@ -120,10 +121,11 @@
 	return n, err
 }
 
-// partial is what was read of an event without its end.
+// partial returns the bytes read after the last complete event.
 func (r *eventReader) partial() []byte { return r.buf[r.returned:] }
 
-// lastEventEnd is the length up to the last blank line in b, 0 without one.
+// lastEventEnd returns the offset after the last blank line in b, or 0 if
+// there is none.
 func lastEventEnd(b []byte) int {
 	end := 0
 	if i := bytes.LastIndex(b, []byte("\n\n")); i >= 0 {
@@ -135,42 +137,42 @@
 	return end
 }
 
-// eventsAfter returns the events that come after the one with id last, the id of the
-// newest event, and the number of all events. Ids that are numbers rise, by
-// whatever step.
+// eventsAfter returns the events after the one with id last, the id of the
+// newest event, and the number of all events. Numeric ids increase, by any
+// step.
 func eventsAfter(events []byte, last string) (fresh []byte, newest string, n int) {
 	newest = last
-	had, known := parseNumericID(last)
+	lastNum, numeric := parseNumericID(last)
 	for rest := events; len(rest) > 0; {
-		one := rest[:firstEventEnd(rest)]
-		rest = rest[len(one):]
+		event := rest[:firstEventEnd(rest)]
+		rest = rest[len(event):]
 		n++
-		id := eventID(one)
-		at, isNumber := parseNumericID(id)
-		if isNumber && known && at <= had {
+		id := eventID(event)
+		num, isNumber := parseNumericID(id)
+		if isNumber && numeric && num <= lastNum {
 			continue
 		}
-		fresh = append(fresh, one...)
+		fresh = append(fresh, event...)
 		if id != "" {
 			newest = id
-			had, known = at, isNumber
+			lastNum, numeric = num, isNumber
 		}
 	}
 	return fresh, newest, n
 }
 
 func firstEventEnd(b []byte) int {
-	unix, dos := bytes.Index(b, []byte("\n\n")), bytes.Index(b, []byte("\r\n\r\n"))
+	lf, crlf := bytes.Index(b, []byte("\n\n")), bytes.Index(b, []byte("\r\n\r\n"))
 	switch {
-	case unix < 0 && dos < 0:
+	case lf < 0 && crlf < 0:
 		return len(b)
-	case dos < 0 || unix >= 0 && unix < dos:
-		return unix + 2
+	case crlf < 0 || lf >= 0 && lf < crlf:
+		return lf + 2
 	}
-	return dos + 4
+	return crlf + 4
 }
 
-// eventID returns the id field of one event, empty without one.
+// eventID returns the id field of an event, or "" if it has none.
 func eventID(event []byte) string {
 	for _, line := range bytes.Split(event, []byte("\n")) {
 		if v, ok := bytes.CutPrefix(line, []byte("id:")); ok {
--- a/request/dispatch/send.go
+++ b/request/dispatch/send.go
@@ -17,15 +17,15 @@
 	"github.com/pomelospool/pomelospool/request/failure"
 )
 
-// outgoing is one send: to whom, with what, and for how long.
+// outgoing describes one send of a call.
 type outgoing struct {
 	target        port.TargetEntry
-	state         port.Send     // ID, Target and Left are filled in
-	headerTimeout time.Duration // longest wait for the header and the body's first bytes; 0: as long as the call may take
+	state         port.Send     // request fills in ID, Target, Organisation and Left
+	headerTimeout time.Duration // bounds the wait for the header and the first bytes of the body; 0: only the call's deadline does
 }
 
-// send sends the call and reads the answer's header. With a nil failure the
-// response must be closed.
+// send sends the call and reads the header of the answer. If the failure is
+// nil, the caller must close the response.
 func (x *execution) send(ctx context.Context, s outgoing) (*h1.Response, port.Verdict, *sendFailure) {
 	x.trace.Sends++
 	x.trace.Targets = append(x.trace.Targets, s.target.ID)
@@ -57,9 +57,9 @@
 	}
 }
 
-// connReuse keeps calls that may run once at most off connections that were idle
-// for long: on one that the target has just closed they would end as "may have
-// run".
+// connReuse excludes connections with a long idle time for calls that aren't
+// idempotent. If the target had just closed such a connection, the call
+// would fail as one that may have run.
 func (x *execution) connReuse(s outgoing) h1.Reuse {
 	if x.call.Route.Idempotent() || s.state.Prefill {
 		return h1.Idle
@@ -67,17 +67,17 @@
 	return h1.Recent
 }
 
-// answersCall reports whether an answer is to this call. A refusal or an error may lack
-// the id; a success must have it.
+// answersCall reports whether an answer belongs to this call. A success must
+// carry the call's id; a rejection or an error may lack it.
 func (x *execution) answersCall(status int, h http.Header) bool {
 	id := x.opts.Wire.Judge(status, h).ID
 	return id == x.call.Ask.ID || id == "" && status >= http.StatusMultipleChoices
 }
 
-// maxAnswer bounds an answer that is passed on whole, in bytes.
+// maxAnswer is the largest answer, in bytes, that is relayed as a whole.
 const maxAnswer = 8 << 20
 
-// readAnswer reads an answer to its end and closes the response.
+// readAnswer reads the rest of an answer and closes the response.
 func (x *execution) readAnswer(ctx context.Context, target string, resp *h1.Response, v port.Verdict) (*Answer, *sendFailure) {
 	defer resp.Close(v.KeepAlive)
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
@@ -90,8 +90,8 @@
 	return &Answer{Status: resp.Status, Header: resp.Header, Body: body}, nil
 }
 
-// answerFailure turns a whole answer into a failure, or nil if it may be passed on as
-// the call's answer.
+// answerFailure classifies a complete answer. It returns nil if the answer
+// may be relayed as the call's answer.
 func (x *execution) answerFailure(target string, a *Answer, v port.Verdict) *sendFailure {
 	switch {
 	case v.WrongOne:
@@ -108,14 +108,15 @@
 	return nil
 }
 
-// targetError is a target's own answer of failure.
+// targetError returns the failure for an error answer of the target itself.
 func targetError(target string, a *Answer) *sendFailure {
 	f := newFailure(failure.Failed, target, failure.Status(a.Status))
 	f.answer = a
 	return f
 }
 
-// recordFailure keeps the books about a failed send.
+// recordFailure records a failed send in the trace, in the target's health
+// and in the log.
 func (x *execution) recordFailure(f *sendFailure) {
 	x.lastFailure = f
 	x.failedTargets = append(x.failedTargets, f.Target)
@@ -126,7 +127,7 @@
 	if provesStart(f) {
 		x.markStarted(0)
 	}
-	if o, counts := f.healthOutcome(); counts && !f.healthRecorded {
+	if o, known := f.healthOutcome(); known && !f.healthRecorded {
 		x.opts.Health.Note(f.Target, o)
 	}
 	log.WithFields(log.Fields{
@@ -135,12 +136,14 @@
 	}).Info("dispatch: send failed")
 }
 
-// maxSends bounds the sends of one call, prefills and refused ones included.
+// maxSends bounds the sends of one call, including prefills and rejected
+// sends.
 const maxSends = 6
 
-// mayRetry reports whether the call may be sent once more after f, which takes
-// that many sends. The first prefill that an engine accepted is no send beyond
-// the first; a second one is, and so is the request that goes on from it.
+// mayRetry reports whether the call may be sent again after f. sends is the
+// number of sends that the retry takes from the budget. The first accepted
+// prefill of a call isn't a retry. A second prefill is one, and so is the
+// decode that follows it.
 func (x *execution) mayRetry(ctx context.Context, f *sendFailure, sends int) bool {
 	switch {
 	case ctx.Err() != nil || f.Final():
@@ -150,32 +153,33 @@
 	case f.MayHaveRun() && !x.call.Route.Idempotent():
 		return false
 	case f.Class == failure.NotWritten:
-		return true // no target saw it, so it is no send beyond the first
+		return true // no target received it, so it isn't charged as a retry
 	}
 	return x.opts.Budget.Take(x.call.Service.Name, sends)
 }
 
-// loadedTarget is a target with its load.
+// loadedTarget is a target together with its load.
 type loadedTarget struct {
 	*port.TargetEntry
 	load      engines.Load
-	localOnly bool // only this daemon considers it
+	localOnly bool // other daemons may not consider this target
 }
 
-// usable returns the considered targets without those that failed this call or are
-// ejected if others are left. parts are the call's prompt.
+// usable returns the sampled targets except those that failed this call, are
+// ejected or are unreachable. If no others are left, it returns those. parts
+// are the parts of the call's prompt.
 func (x *execution) usable(c *targetSample, parts []port.PromptPart) []loadedTarget {
-	var good, tried []loadedTarget
+	var good, excluded []loadedTarget
 	for i, e := range c.entries {
 		t := loadedTarget{TargetEntry: e, load: x.opts.Engines.Load(e.ID, parts), localOnly: i >= c.shared}
 		if x.hasFailed(e.ID) || x.opts.Health.Ejected(e.ID) || t.load.Unreachable() {
-			tried = append(tried, t)
+			excluded = append(excluded, t)
 			continue
 		}
 		good = append(good, t)
 	}
 	if len(good) == 0 {
-		return tried
+		return excluded
 	}
 	return good
 }
