--- a/request/dispatch/answer_length_test.go
+++ b/request/dispatch/answer_length_test.go
@@ -9,15 +9,16 @@
 	"github.com/pomelospool/pomelospool/version/route"
 )
 
-// addHintedCalls feeds calls of 10 to 200 events of 50 tokens whose hints are right.
+// addHintedCalls adds calls of 10 to 200 events with 50 tokens each, whose
+// hints are accurate.
 func addHintedCalls(l *answerLength, left time.Duration) {
 	for n := 10; n <= 200; n += 10 {
 		l.addCall(50*n, 10_000, left)
 	}
 }
 
-// Guards against a bound that is too loose until the first of the longest
-// answers had time to end.
+// Guards against a stream limit that is too loose until the first of the
+// longest answers have had time to end.
 func TestLongestAnswerIsPredictedFromHints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const left = 15 * time.Second
@@ -40,8 +41,9 @@
 	})
 }
 
-// Guards against a bound that loosens since the longest answers, which it
-// protects, are rejected or cut and so don't show their length.
+// Guards against a stream limit that becomes too loose because the longest
+// answers, which it protects, are rejected or cut and don't show their
+// length.
 func TestLongestAnswerDecaysSlowly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var l answerLength
@@ -57,7 +59,7 @@
 	})
 }
 
-// Guards against the rest of a resumed stream that is taken for a whole short
+// Guards against recording the rest of a resumed stream as a complete short
 // answer.
 func TestResumedStreamIsNotRecordedAsShortAnswer(t *testing.T) {
 	r := New(Options{})
--- a/request/dispatch/consider_test.go
+++ b/request/dispatch/consider_test.go
@@ -11,7 +11,7 @@
 	"github.com/pomelospool/pomelospool/version/route"
 )
 
-// manyEngines adds engines without anybody behind them, half of which decode.
+// manyEngines adds engines that nothing serves. Half of them decode.
 func (h *harness) manyEngines(n int) {
 	for i := range n {
 		role := port.RolePrefill
@@ -26,7 +26,7 @@
 	h.set = targets.NewSet(h.entries["llm"])
 }
 
-// newExecution is a call as a daemon sees it.
+// newExecution returns the execution of a call at the daemon on that VM.
 func (h *harness) newExecution(self string) *execution {
 	c := h.newCall(route.Stream, 1, 3*time.Second)
 	x := &execution{Runner: h.runner, call: c}
@@ -34,8 +34,9 @@
 	return x
 }
 
-// Guards against a call whose cost grows with the number of engines, and against
-// equal prompts that don't meet where there are many.
+// Guards against a call whose cost grows with the number of engines, and
+// against equal prompts that are prefilled on different engines when there
+// are many.
 func TestManyEnginesAreSampled(t *testing.T) {
 	for _, n := range []int{100, 2 * sampleThreshold, 2400, 20_000} {
 		withHarness(t, 0, func(t *testing.T, h *harness) {
@@ -46,21 +47,21 @@
 				p := x.prompt()
 				cands := x.candidates(p, port.RolePrefill, "b")
 				if n/2 <= sampleThreshold && len(cands) != n/2 || n/2 > sampleThreshold && len(cands) > 64 {
-					t.Fatalf("%d of %d engines are looked at", len(cands), n)
+					t.Fatalf("%d of %d engines are considered", len(cands), n)
 				}
 				seen := make(map[string]bool)
-				near := 0
+				inZone := 0
 				for _, c := range cands {
 					if seen[c.Entry.ID] || c.Entry.Role != port.RolePrefill {
-						t.Fatalf("looks at %+v", c.Entry)
+						t.Fatalf("considered %+v", c.Entry)
 					}
 					seen[c.Entry.ID] = true
 					if c.Entry.Zone == "b" {
-						near++
+						inZone++
 					}
 				}
-				if near < preferredTargets {
-					t.Errorf("%d in the zone asked for", near)
+				if inZone < preferredTargets {
+					t.Errorf("%d considered in the requested zone", inZone)
 				}
 				ch := placement.Prefill(p.Prompt, cands, cands, x.call.Service.Engine, h.speed.Figures("llm"))
 				homes[cands[ch.Index].Entry.ID]++
@@ -72,21 +73,21 @@
 	}
 }
 
-// Guards against a new connection for each call where there are many engines that
-// nobody uses.
+// Guards against a new connection for each call when there are many engines
+// without connections.
 func TestDaemonAlwaysConsidersItsPreferredTargets(t *testing.T) {
 	withHarness(t, 0, func(t *testing.T, h *harness) {
 		h.manyEngines(5000)
-		at := make(map[string]int)
+		counts := make(map[string]int)
 		for range 50 {
 			x := h.newExecution("vm1")
 			p := x.prompt()
 			for _, c := range x.candidates(p, port.RoleDecode, "a") {
-				at[c.Entry.ID]++
+				counts[c.Entry.ID]++
 			}
 		}
 		always := 0
-		for _, n := range at {
+		for _, n := range counts {
 			if n == 50 {
 				always++
 			}
@@ -97,8 +98,8 @@
 	})
 }
 
-// Guards against engines that are known to keep a prompt's parts and aren't looked
-// at.
+// Guards against ignoring engines that are known to hold parts of the
+// prompt.
 func TestCacheHoldersAreConsidered(t *testing.T) {
 	withHarness(t, 0, func(t *testing.T, h *harness) {
 		h.manyEngines(5000)
@@ -110,11 +111,12 @@
 				return
 			}
 		}
-		t.Error("the engine that keeps the prompt isn't looked at")
+		t.Error("the engine that holds the prompt isn't considered")
 	})
 }
 
-// BenchmarkShortlistManyEngines is the choice among engines of which nothing is known.
+// BenchmarkShortlistManyEngines measures the choice among engines whose load
+// is unknown.
 func BenchmarkShortlistManyEngines(b *testing.B) {
 	for _, n := range []int{240, 2400, 9675, 20_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/request/dispatch/engine_test.go
+++ b/request/dispatch/engine_test.go
@@ -39,7 +39,7 @@
 	})
 }
 
-// Without an engine that reads prompts the decoding one reads it itself.
+// Without a prefill engine the decoding engine prefills the prompt itself.
 func TestDecoderPrefillsWithoutPrefillEngine(t *testing.T) {
 	withHarness(t, 0, func(t *testing.T, h *harness) {
 		d := h.addTarget("llm", port.RoleDecode)
@@ -49,9 +49,9 @@
 	})
 }
 
-// A dispatcher reads half an answer as if it were all: the stream was cut and
-// its end looked whole. Or two runs' pieces are joined, since it may not run
-// again.
+// Guards against a cut stream that is relayed as a complete answer, and
+// against joining the events of two runs of a call that must not be
+// repeated.
 func TestCutStreamIsReportedAsFailure(t *testing.T) {
 	withHarness(t, 100, func(t *testing.T, h *harness) {
 		h.addTarget("llm", port.RolePrefill)
@@ -66,8 +66,8 @@
 	})
 }
 
-// A stream that may be resumed goes on at another engine after the last whole
-// event, under the headers of the first one.
+// A resumable stream continues on another engine after the last complete
+// event, under the headers of the first answer.
 func TestResumableStreamResumesOnAnotherEngine(t *testing.T) {
 	withHarness(t, 100, func(t *testing.T, h *harness) {
 		h.addTarget("llm", port.RolePrefill)
@@ -96,7 +96,8 @@
 	})
 }
 
-// repairingRecorder is a sheet that mends the engines once it has some events.
+// repairingRecorder is a recorder that repairs the engines once it has
+// received some events.
 type repairingRecorder struct {
 	recorder
 	after  int
@@ -112,8 +113,7 @@
 	return err
 }
 
-// A caller is told "not run" and comes back; the KV cache that waits for it
-// meanwhile takes memory from others.
+// Guards against KV cache that stays in memory after the call was rejected.
 func TestRefusedDecodeReleasesKVCache(t *testing.T) {
 	withHarness(t, 0, func(t *testing.T, h *harness) {
 		h.addTarget("llm", port.RolePrefill)
@@ -128,7 +128,7 @@
 	})
 }
 
-// A full engine leaves the cache where it is: another one takes it.
+// A full engine doesn't consume the KV cache, so another one can use it.
 func TestAnotherDecoderUsesTheSameKVCache(t *testing.T) {
 	withHarness(t, 1, func(t *testing.T, h *harness) {
 		p := h.addTarget("llm", port.RolePrefill)
@@ -141,14 +141,14 @@
 			}
 		}
 		if len(p.Arrivals()) != 3 {
-			t.Errorf("the prompt was read %d times for 3 calls", len(p.Arrivals()))
+			t.Errorf("the prompt was prefilled %d times for 3 calls", len(p.Arrivals()))
 		}
 	})
 }
 
-// One of two decoding engines crashed, the other's links were slow and it
-// refused all. Each refused call had its prompt read again, which is two
-// arrivals at engines and was charged to the budget as one.
+// Guards against a repeated prefill and decode, which are two sends, being
+// charged to the retry budget as one. It happens when one of two decoding
+// engines has crashed and the other rejects every call.
 func TestSecondRoundIsChargedAsTwoSends(t *testing.T) {
 	withHarness(t, 10, func(t *testing.T, h *harness) {
 		p, d := h.addTarget("llm", port.RolePrefill), h.addTarget("llm", port.RoleDecode)
@@ -157,8 +157,8 @@
 		for range calls {
 			_, _, _ = h.runStream(t.Context(), true)
 		}
-		// The first prefill that is accepted and the first decode of a call are
-		// no extra sends; all others are.
+		// The first accepted prefill and the first decode of a call aren't extra
+		// sends; all others are.
 		extra := 0
 		if n := len(p.Arrivals()); n > calls {
 			extra += n - calls
@@ -172,19 +172,20 @@
 	})
 }
 
-// When no engine decodes, the prompt isn't read for nothing.
+// Guards against prefilling a prompt when no engine decodes.
 func TestCallWithoutDecoderIsRejectedBeforePrefill(t *testing.T) {
 	withHarness(t, 100, func(t *testing.T, h *harness) {
 		p := h.addTarget("llm", port.RolePrefill)
 		_, _, err := h.runStream(t.Context(), false)
 		if code.Of(err) != code.NoTarget || len(p.Arrivals()) != 0 {
-			t.Errorf("%d prompts read, %v", len(p.Arrivals()), err)
+			t.Errorf("%d prompts prefilled, %v", len(p.Arrivals()), err)
 		}
 	})
 }
 
-// A dark engine shows in nothing but silence: the prompt is read elsewhere, as
-// reading it runs nothing.
+// An engine that lost power or its network only shows it by silence. The
+// prefill is repeated on another engine, since a prefill doesn't run the
+// request.
 func TestSilentPrefillIsRetriedOnAnotherEngine(t *testing.T) {
 	withHarness(t, 100, func(t *testing.T, h *harness) {
 		a, b := h.addTarget("llm", port.RolePrefill), h.addTarget("llm", port.RolePrefill)
@@ -197,13 +198,13 @@
 			}
 		}
 		if len(b.Arrivals()) != 4 {
-			t.Errorf("the sound engine read %d prompts", len(b.Arrivals()))
+			t.Errorf("the healthy engine prefilled %d prompts", len(b.Arrivals()))
 		}
 	})
 }
 
-// The longer a queue stands before the engines, the later every call behind
-// it. Calls that can't make their objective are told so at once.
+// Calls that can't meet their objective because of a queue are rejected at
+// once. Otherwise the queue makes every later call late as well.
 func TestCallsThatWouldBeLateAreRejected(t *testing.T) {
 	withHarness(t, 0, func(t *testing.T, h *harness) {
 		p := h.addTarget("llm", port.RolePrefill)
@@ -220,8 +221,8 @@
 	})
 }
 
-// The largest prompts can't make the objective at any engine; they are served
-// with what the others leave.
+// The largest prompts can't meet the objective at any engine. They are
+// served with the capacity that other calls leave.
 func TestLargestPromptsGetLowestPriority(t *testing.T) {
 	withHarness(t, 0, func(t *testing.T, h *harness) {
 		p := h.addTarget("llm", port.RolePrefill)
@@ -237,18 +238,18 @@
 	})
 }
 
-// A fleet has just started, or all of it lost its power, and its first callers
-// wait for seconds at one engine while others are idle: no engine's speed is
-// known, so no prompt counted as work. Nor is any refused by a time that is
-// only assumed.
+// Guards against prompts that all go to one engine while no engine's speed
+// is known, after the start of a fleet or a power loss. It happens if a
+// prompt counts as no work. It also guards against rejecting calls because
+// of a time that is only assumed.
 func TestPromptsSpreadBeforeAnySpeedIsKnown(t *testing.T) {
 	withHarness(t, 0, func(t *testing.T, h *harness) {
 		h.runner.opts.Speed = speed.NewBook()
-		var readers []*standin.Target
+		var prefillers []*standin.Target
 		for range 3 {
 			p := h.addTarget("llm", port.RolePrefill)
 			p.Set(func(b *standin.Behaviour) { b.Mute = true })
-			readers = append(readers, p)
+			prefillers = append(prefillers, p)
 		}
 		h.addTarget("llm", port.RoleDecode)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -259,7 +260,7 @@
 			go func() { _, _ = h.runner.Streamed(ctx, c, &recorder{}) }()
 			synctest.Wait()
 		}
-		for i, p := range readers {
+		for i, p := range prefillers {
 			if n := len(p.Arrivals()); n != 10 {
 				t.Errorf("engine %d was given %d of 30 prompts", i, n)
 			}
@@ -269,7 +270,7 @@
 	})
 }
 
-// A caller leaves; the engine must not work on for nobody.
+// The engine must stop working once the caller has left.
 func TestCallerThatLeavesStopsTheEngine(t *testing.T) {
 	withHarness(t, 0, func(t *testing.T, h *harness) {
 		h.addTarget("llm", port.RolePrefill)
@@ -305,7 +306,8 @@
 	}
 }
 
-// Prompts are read for an engine that the other daemons know to be dark.
+// Guards against prefills for a decoding engine that other daemons have
+// found unreachable.
 func TestDecoderUnreachableFromPeersIsNotUsed(t *testing.T) {
 	withHarness(t, 100, func(t *testing.T, h *harness) {
 		p := h.addTarget("llm", port.RolePrefill)
@@ -315,13 +317,13 @@
 		h.runner.opts.Engines.Merge("peer-2", down, nil)
 		_, _, err := h.runStream(t.Context(), false)
 		if code.Of(err) != code.NoTarget || len(p.Arrivals()) != 0 {
-			t.Errorf("%d prompts read, %v", len(p.Arrivals()), err)
+			t.Errorf("%d prompts prefilled, %v", len(p.Arrivals()), err)
 		}
 	})
 }
 
-// A caller gets an empty success. The engine answered a streamed request with
-// an answer of its own that is no stream, and nothing of it was passed on.
+// Guards against an empty success. An engine may answer a streamed request
+// with an answer that isn't a stream; it must be relayed.
 func TestNonStreamAnswerIsRelayed(t *testing.T) {
 	withHarness(t, 0, func(t *testing.T, h *harness) {
 		h.addTarget("llm", port.RoleDecode).Set(func(b *standin.Behaviour) { b.Reject = true })
--- a/request/dispatch/pace_test.go
+++ b/request/dispatch/pace_test.go
@@ -20,37 +20,37 @@
 	"github.com/pomelospool/pomelospool/version/route"
 )
 
-// A load of streams of one route whose longest take 9 s on an idle engine and
-// 16 s on a full one, of the 13.4 s that they have.
+// The load consists of streams of one route. The longest of them take 9 s on an
+// idle engine and 16 s on a full p, and have 13.4 s until their deadline.
 const (
-	paceGap        = 172 * time.Millisecond // between events of a stream alone
-	paceSlowing    = 2 * time.Millisecond   // for each stream more
+	paceGap        = 172 * time.Millisecond // between events of a stream that is alone
+	paceSlowing    = 2 * time.Millisecond   // added for each further stream
 	paceLongest    = 52                     // events
 	paceMean       = 22
-	paceSpread     = 0.84 // of the logarithm of a stream's length
-	paceTokens     = 200  // of an event
-	paceHintSpread = 0.5  // of the logarithm of a hint
+	paceSpread     = 0.84 // standard deviation of the logarithm of a stream's length
+	paceTokens     = 200  // hinted for each event
+	paceHintSpread = 0.5  // standard deviation of the logarithm of a hint
 	paceTimeout    = 13400 * time.Millisecond
 	paceSlots      = 64
-	paceArrivals   = 40 * time.Millisecond // between two
+	paceArrivals   = 40 * time.Millisecond // between two requests
 	paceDuration   = 40 * time.Second
 )
 
-// pacedRequest is one caller's request and how it ended.
+// pacedRequest is one caller's request and its outcome.
 type pacedRequest struct {
 	id     string
 	events int
-	hint   int // tokens, right at the median only
+	hint   int // tokens; accurate only in the median
 	served bool
 	cut    bool
 }
 
-// runLoad runs the load with callers that come back once after a rejection.
+// runLoad runs the load with callers that retry once after a rejection.
 func (h *harness) runLoad(ctx context.Context, seed uint64) []*pacedRequest {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	lengths := make(map[string]int)
-	reader := h.addTarget("llm", port.RolePrefill)
-	reader.Set(func(b *standin.Behaviour) { b.Gap = time.Millisecond })
+	prefiller := h.addTarget("llm", port.RolePrefill)
+	prefiller.Set(func(b *standin.Behaviour) { b.Gap = time.Millisecond })
 	for range 2 {
 		h.addTarget("llm", port.RoleDecode).Set(func(b *standin.Behaviour) {
 			b.Gap, b.Slowing = paceGap, paceSlowing
@@ -62,33 +62,33 @@
 	}
 	var all []*pacedRequest
 	for at := time.Duration(0); at < paceDuration; at += paceArrivals {
-		one := &pacedRequest{id: fmt.Sprint("p", len(all))}
+		p := &pacedRequest{id: fmt.Sprint("p", len(all))}
 		length := paceMean * math.Exp(paceSpread*rnd.NormFloat64()-paceSpread*paceSpread/2)
-		one.events = min(max(int(length), 1), paceLongest)
-		one.hint = int(paceTokens * float64(one.events) * math.Exp(paceHintSpread*rnd.NormFloat64()))
-		lengths[one.id] = one.events
-		all = append(all, one)
+		p.events = min(max(int(length), 1), paceLongest)
+		p.hint = int(paceTokens * float64(p.events) * math.Exp(paceHintSpread*rnd.NormFloat64()))
+		lengths[p.id] = p.events
+		all = append(all, p)
 	}
 	var callers sync.WaitGroup
-	for _, one := range all {
-		callers.Go(func() { h.runCaller(ctx, one) })
+	for _, p := range all {
+		callers.Go(func() { h.runCaller(ctx, p) })
 		_ = pause.For(ctx, paceArrivals)
 	}
 	callers.Wait()
 	return all
 }
 
-// runCaller sends a request, and once more after a rejection.
-func (h *harness) runCaller(ctx context.Context, one *pacedRequest) {
+// runCaller sends a request and retries it once after a rejection.
+func (h *harness) runCaller(ctx context.Context, p *pacedRequest) {
 	end := time.Now().Add(paceTimeout)
 	for range 2 {
-		_, err := h.runner.Streamed(ctx, h.pacedCall(one, end), &recorder{})
+		_, err := h.runner.Streamed(ctx, h.pacedCall(p, end), &recorder{})
 		var e *code.Error
 		if !errors.As(err, &e) {
-			one.served = err == nil
+			p.served = err == nil
 			return
 		}
-		one.cut = e.Code == code.DeadlinePassed
+		p.cut = e.Code == code.DeadlinePassed
 		if e.Code != code.Overloaded {
 			return
 		}
@@ -96,32 +96,32 @@
 	}
 }
 
-func (h *harness) pacedCall(one *pacedRequest, end time.Time) *Call {
+func (h *harness) pacedCall(p *pacedRequest, end time.Time) *Call {
 	c := h.newCall(route.Stream, 1, time.Until(end))
-	header := standin.CallerHeaders(one.id, time.Until(end), "cc:50,dd:40")
+	header := standin.CallerHeaders(p.id, time.Until(end), "cc:50,dd:40")
 	ask, err := platform.Wire{}.Ask(header)
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	ask.Prompt, ask.Output, ask.Hint = 90, paceLongest*paceTokens, one.hint
+	ask.Prompt, ask.Output, ask.Hint = 90, paceLongest*paceTokens, p.hint
 	c.Ask, c.Header, c.Deadline = ask, platform.Wire{}.Forward(header, false), end
 	c.Service.Engine.Slots = paceSlots
 	c.Priority = 1
 	return c
 }
 
-func fractionOf(of []*pacedRequest, is func(*pacedRequest) bool) float64 {
+func fractionOf(requests []*pacedRequest, matches func(*pacedRequest) bool) float64 {
 	n := 0
-	for _, one := range of {
-		if is(one) {
+	for _, p := range requests {
+		if matches(p) {
 			n++
 		}
 	}
-	return float64(n) / float64(len(of))
+	return float64(n) / float64(len(requests))
 }
 
-// Guards against engines so full that the longest answers never end in time,
-// while the shorter ones do.
+// Guards against engines that run so many streams that the longest answers
+// always miss their deadline, while shorter ones meet it.
 func TestLongAnswersEndInTime(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/request/dispatch/plain_test.go
+++ b/request/dispatch/plain_test.go
@@ -13,7 +13,7 @@
 	"github.com/pomelospool/pomelospool/version/route"
 )
 
-// runCount is how often the targets ran anything.
+// runCount returns how many requests the targets ran.
 func runCount(targets ...*standin.Target) int {
 	n := 0
 	for _, t := range targets {
@@ -22,7 +22,8 @@
 	return n
 }
 
-// targetFaults are ways in which a target fails a request, and whether it ran it.
+// targetFaults are ways in which a target fails a request. ran states
+// whether the target runs it.
 var targetFaults = map[string]struct {
 	set func(b *standin.Behaviour)
 	ran bool
@@ -33,8 +34,9 @@
 	"answers nonsense": {func(b *standin.Behaviour) { b.Garble = true }, true},
 }
 
-// A passenger's board shows two departures. A request that may run once ran at
-// a second target, after the first had run it and failed to say so.
+// Guards against a request that isn't idempotent running at a second target
+// after the first one ran it and failed to answer. The user then sees a
+// duplicate, such as the same departure twice on a board.
 func TestUnsafeCallsRunOnce(t *testing.T) {
 	for name, fault := range targetFaults {
 		t.Run(name, func(t *testing.T) {
@@ -58,7 +60,8 @@
 	}
 }
 
-// "Not run" is the one promise after which callers send the request again.
+// Callers send a request again only after "not run", so that error must
+// carry a retry delay.
 func TestRefusedCallsCarryRetryAfter(t *testing.T) {
 	withHarness(t, 100, func(t *testing.T, h *harness) {
 		h.addTarget("app", "").Set(func(b *standin.Behaviour) { b.Refuse = true })
@@ -83,7 +86,7 @@
 					}
 				}
 				if len(b.Ran()) != 5 {
-					t.Errorf("the sound target ran %d of 5", len(b.Ran()))
+					t.Errorf("the healthy target ran %d of 5", len(b.Ran()))
 				}
 			})
 		})
@@ -106,8 +109,8 @@
 	})
 }
 
-// A target that ran a request and answers 503 would have the caller send it
-// again.
+// Guards against relaying a 503 from a target that ran the request, since
+// the caller would send it again.
 func TestRetryableStatusAfterARunIsNotRelayed(t *testing.T) {
 	x := &execution{possibleRuns: 1, call: &Call{Route: &route.Route{}}}
 	a, err := x.finalAnswer(targetError("t", &Answer{Status: 503}))
@@ -132,7 +135,8 @@
 	})
 }
 
-// With all targets failing, each retry adds load to what is failing already.
+// When all targets fail, each retry adds load to targets that are failing
+// already.
 func TestBudgetBoundsRetries(t *testing.T) {
 	withHarness(t, 3, func(t *testing.T, h *harness) {
 		a, b := h.addTarget("app", ""), h.addTarget("app", "")
@@ -153,16 +157,16 @@
 	})
 }
 
-// The caller is told at once when the route's time is over, and the target
-// stops working for it.
+// The call ends at once when the route's timeout passes, and the target
+// stops working on it.
 func TestRouteTimeoutEndsTheCall(t *testing.T) {
 	withHarness(t, 100, func(t *testing.T, h *harness) {
 		a := h.addTarget("app", "")
 		a.Set(func(b *standin.Behaviour) { b.Mute = true })
-		begun := time.Now()
+		start := time.Now()
 		_, _, err := h.runner.Plain(t.Context(), h.newCall(route.Unsafe, 1, 700*time.Millisecond))
-		if code.Of(err) != code.DeadlinePassed || time.Since(begun) != 700*time.Millisecond {
-			t.Errorf("%v after %v", err, time.Since(begun))
+		if code.Of(err) != code.DeadlinePassed || time.Since(start) != 700*time.Millisecond {
+			t.Errorf("%v after %v", err, time.Since(start))
 		}
 		if got := a.Arrivals()[0].Left; got != 700*time.Millisecond {
 			t.Errorf("the target may work for %v", got)
@@ -184,8 +188,8 @@
 	})
 }
 
-// An address is used again by a target of another service, which must not run
-// the request.
+// An address may be reused by a target of another service, which must not
+// run the request.
 func TestReusedAddressDoesNotRunTheCall(t *testing.T) {
 	withHarness(t, 100, func(t *testing.T, h *harness) {
 		a, b := h.addTarget("app", ""), h.addTarget("app", "")
@@ -206,16 +210,16 @@
 		h.addTarget("app", "").Set(func(b *standin.Behaviour) { b.Mute = true })
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(100*time.Millisecond, cancel)
-		begun := time.Now()
+		start := time.Now()
 		_, _, err := h.runner.Plain(ctx, h.newCall(route.Safe, 2, time.Second))
-		if code.Of(err) != code.CallerGone || time.Since(begun) != 100*time.Millisecond {
-			t.Errorf("%v after %v", err, time.Since(begun))
+		if code.Of(err) != code.CallerGone || time.Since(start) != 100*time.Millisecond {
+			t.Errorf("%v after %v", err, time.Since(start))
 		}
 	})
 }
 
-// TestCallerThatLeavesDoesNotEjectTheTarget guards against sound targets that get
-// no requests because callers left while a connection was being opened.
+// Guards against healthy targets being ejected because callers left while a
+// connection was being opened.
 func TestCallerThatLeavesDoesNotEjectTheTarget(t *testing.T) {
 	for name, end := range map[string]struct {
 		leaves  time.Duration // 0: the caller stays
--- a/request/dispatch/rig_test.go
+++ b/request/dispatch/rig_test.go
@@ -29,16 +29,16 @@
 	m.Run()
 }
 
-// harness is a Runner before stand-in targets on a network in memory.
+// harness is a Runner with stand-in targets on an in-memory network.
 type harness struct {
 	t        *testing.T
 	net      *pipenet.Net
 	runner   *Runner
 	budget   *budget.Fleet
 	entries  map[string][]port.TargetEntry
-	set      *targets.Set // in place of entries, if there are many
+	set      *targets.Set // used in place of entries if it isn't nil
 	released chan port.KVSource
-	speed    *speed.Book // knows the engines of service llm
+	speed    *speed.Book // has estimates for service llm
 }
 
 // Targets implements Targets.
@@ -49,7 +49,7 @@
 	return targets.NewSet(h.entries[service])
 }
 
-// recordingControl notes what is released.
+// recordingControl records the KV caches that are released.
 type recordingControl struct{ h *harness }
 
 func (c recordingControl) Report(context.Context, string, string) (port.RoleReport, error) {
@@ -64,7 +64,8 @@
 	return nil
 }
 
-// withHarness runs a test on virtual time. slack is what the budget allows.
+// withHarness runs a test in virtual time. slack is the number of retries
+// that the budget allows on top of its ratio.
 func withHarness(t *testing.T, slack float64, test func(t *testing.T, h *harness)) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(slack)
@@ -92,7 +93,7 @@
 	return h
 }
 
-// addTarget serves a target. Its address is its id.
+// addTarget serves a stand-in target. Its address is its id.
 func (h *harness) addTarget(service string, role port.Role) *standin.Target {
 	id := service + string(rune('0'+len(h.entries[service])))
 	stage := map[port.Role]string{port.RolePrefill: "prefill", port.RoleDecode: "decode"}[role]
@@ -102,7 +103,7 @@
 	return target
 }
 
-// newCall makes a call of a route's kind.
+// newCall returns a call of a route of that kind.
 func (h *harness) newCall(kind route.Kind, attempts int, timeout time.Duration) *Call {
 	svc := &route.Service{Name: "app"}
 	prompt := ""
@@ -124,7 +125,7 @@
 	return c
 }
 
-// recorder is a Stream that keeps what it gets.
+// recorder is a Stream that records what is sent to the caller.
 type recorder struct {
 	status     int
 	text       string
@@ -143,6 +144,7 @@
 	return nil
 }
 
+// eventText returns the text of the events with ids from to to.
 func eventText(from, to int) string {
 	out := ""
 	for n := from; n <= to; n++ {
@@ -151,7 +153,7 @@
 	return out
 }
 
-// noQueues stands for a small fleet, whose daemons hear of all work at once.
+// noQueues stands for a small fleet, in which the tracked load is accurate.
 type noQueues struct{}
 
 func (noQueues) CanQueryQueues() bool                             { return false }
