--- a/request/dispatch/call.go
+++ b/request/dispatch/call.go
@@ -161,14 +161,14 @@
 
 // Prefill compares the prediction for a prefill with its outcome.
 type Prefill struct {
-	PromptTokens  int
-	SharedTokens  int           // tokens of the prefix that other prompts may share
-	MissingTokens int           // tokens that the engine had to compute
-	FetchedTokens int           // tokens fetched from another engine
-	Speculative   bool          // the fetch was from an engine not known to hold more of the prompt
-	PredictedWait time.Duration // predicted time in the engine's queue
-	PredictedRead time.Duration // predicted time of the prefill itself
-	Duration      time.Duration // measured, from send to answer
+	PromptTokens     int
+	SharedTokens     int           // tokens of the prefix that other prompts may share
+	MissingTokens    int           // tokens that the engine had to compute
+	FetchedTokens    int           // tokens fetched from another engine
+	Speculative      bool          // the fetch was from an engine not known to hold more of the prompt
+	PredictedWait    time.Duration // predicted time in the engine's queue
+	PredictedPrefill time.Duration // predicted time of the prefill itself
+	Duration         time.Duration // measured, from send to answer
 }
 
 func (r *Runner) newExecution(c *Call) *execution {
--- a/request/dispatch/engine.go
+++ b/request/dispatch/engine.go
@@ -127,13 +127,13 @@
 	if ch.Index < 0 {
 		return nil // a decoding engine prefills it, or none can; that is decided later
 	}
-	alone := f.Start + ch.ReadTime + f.First
+	alone := f.Start + ch.PrefillTime + f.First
 	wait := ch.PredictedWait + queue
 	x.trace.PredictedFirst = wait + alone
 	objective := x.call.Route.Objective
 	stats := x.promptStats(x.call.Service.Name)
-	stats.Record(p.Tokens, ch.ReadTime)
-	if objective <= 0 || stats.EffectiveWait(wait, p.Tokens, ch.ReadTime, f.Spread)+alone <= objective {
+	stats.Record(p.Tokens, ch.PrefillTime)
+	if objective <= 0 || stats.EffectiveWait(wait, p.Tokens, ch.PrefillTime, f.Spread)+alone <= objective {
 		return nil
 	}
 	if alone > objective {
@@ -182,7 +182,7 @@
 // the served load.
 func (x *execution) recordDemand(p prompt, f speed.Figures, ch prefillChoice, rejected bool) {
 	o := demand.Offer{
-		Reading: ch.ReadTime, Lasts: f.Lasts(x.call.Ask.Output), Moving: x.transferTime(p, ch),
+		Reading: ch.PrefillTime, Lasts: f.Lasts(x.call.Ask.Output), Moving: x.transferTime(p, ch),
 		Objective: x.call.Route.Objective, Priority: x.call.Priority,
 	}
 	if ch.Index < 0 {
--- a/request/dispatch/prefill.go
+++ b/request/dispatch/prefill.go
@@ -69,9 +69,9 @@
 	// requests fill the memory of decoding engines, which evicts cached prefixes.
 	sources := slices.Concat(cands, decoders)
 	ch := prefillChoice{decoders: decoders, Choice: x.choose(ctx, p, cands, sources, f.OrAssumed())}
-	ch.reportedRead, ch.reportedWait = ch.ReadTime, ch.PredictedWait
+	ch.reportedRead, ch.reportedWait = ch.PrefillTime, ch.PredictedWait
 	if !f.Known() {
-		ch.ReadTime, ch.PredictedWait = 0, 0
+		ch.PrefillTime, ch.PredictedWait = 0, 0
 	}
 	if ch.Index >= 0 {
 		ch.engine = cands[ch.Index].Entry
@@ -142,8 +142,8 @@
 	to := ch.engine
 	done := x.opts.Engines.Prefill(to.ID, x.call.Service.Engine.KVTokens, p.parts, figures.Start+ch.reportedWait, ch.reportedRead)
 	defer done()
-	predicted := figures.Start + ch.PredictedWait + ch.ReadTime
-	x.trace.Prefill = Prefill{PromptTokens: p.Tokens, SharedTokens: p.SharedTokens, MissingTokens: ch.MissingTokens, FetchedTokens: ch.FetchedTokens, Speculative: ch.Speculative, PredictedWait: ch.PredictedWait, PredictedRead: ch.ReadTime}
+	predicted := figures.Start + ch.PredictedWait + ch.PrefillTime
+	x.trace.Prefill = Prefill{PromptTokens: p.Tokens, SharedTokens: p.SharedTokens, MissingTokens: ch.MissingTokens, FetchedTokens: ch.FetchedTokens, Speculative: ch.Speculative, PredictedWait: ch.PredictedWait, PredictedPrefill: ch.PrefillTime}
 	start := time.Now()
 	resp, v, f := x.send(ctx, outgoing{
 		target:        to,
--- a/request/ingress/ingress.go
+++ b/request/ingress/ingress.go
@@ -295,7 +295,7 @@
 		fields["fetched_tokens"] = p.FetchedTokens
 		fields["fetch_guessed"] = p.Speculative
 		fields["predicted_wait_ms"] = p.PredictedWait.Milliseconds()
-		fields["predicted_read_ms"] = p.PredictedRead.Milliseconds()
+		fields["predicted_read_ms"] = p.PredictedPrefill.Milliseconds()
 		fields["prefill_ms"] = p.Duration.Milliseconds()
 	}
 	if len(x.trace.Causes) > 0 {
--- a/request/placement/prefill.go
+++ b/request/placement/prefill.go
@@ -50,7 +50,7 @@
 	Index         int // index of the candidate, -1: none
 	MissingTokens int // prompt tokens that the engine has to read
 	PredictedWait time.Duration
-	ReadTime      time.Duration // the fetch included
+	PrefillTime   time.Duration // the fetch included
 	FetchTime     time.Duration // of it, the fetch
 	Source        int           // index of the source to fetch from, -1: none
 	FetchedTokens int           // prompt tokens that are fetched
@@ -136,7 +136,7 @@
 	}
 	ch.MissingTokens = max(p.Tokens-kept, 1)
 	read := c.adjusted(f.Read(p.Tokens, ch.MissingTokens))
-	ch.ReadTime = read + ch.FetchTime
+	ch.PrefillTime = read + ch.FetchTime
 	ch.Cost = ch.PredictedWait + read + time.Duration(rereadWeight*float64(read)) + fetchWeight*ch.FetchTime
 	return ch
 }
