--- a/request/dispatch/failure.go
+++ b/request/dispatch/failure.go
@@ -38,7 +38,7 @@
 
 // Causes of failures that this package detects itself.
 const (
-	errUnsigned    = failure.Detail("the answer lacks the target's id")
+	errUnsigned    = failure.Detail("the answer lacks the target's response stamp")
 	errTooLarge    = failure.Detail("the answer is too large")
 	errWrongTarget = failure.Detail("the address belongs to another target")
 	errNotRun      = failure.Detail("the target reported that it ran nothing")
--- a/request/dispatch/prefill.go
+++ b/request/dispatch/prefill.go
@@ -34,10 +34,10 @@
 // prefillChoice is the choice of the engine that prefills the prompt.
 type prefillChoice struct {
 	placement.Choice
-	engine       port.TargetEntry
-	fetchAddr    string        // address of the engine to fetch KV cache from; empty if there is none
-	reportedRead time.Duration // reported to other daemons; an assumption while nothing can be predicted
-	reportedWait time.Duration // reported time in the engine's queue, assumed likewise
+	engine          port.TargetEntry
+	fetchAddr       string        // address of the engine to fetch KV cache from; empty if there is none
+	reportedPrefill time.Duration // reported to other daemons; an assumption while nothing can be predicted
+	reportedWait    time.Duration // reported time in the engine's queue, assumed likewise
 
 	decoders []placement.Candidate // engines that may decode
 }
@@ -69,7 +69,7 @@
 	// requests fill the memory of decoding engines, which evicts cached prefixes.
 	sources := slices.Concat(cands, decoders)
 	ch := prefillChoice{decoders: decoders, Choice: x.choose(ctx, p, cands, sources, f.OrAssumed())}
-	ch.reportedRead, ch.reportedWait = ch.PrefillTime, ch.PredictedWait
+	ch.reportedPrefill, ch.reportedWait = ch.PrefillTime, ch.PredictedWait
 	if !f.Known() {
 		ch.PrefillTime, ch.PredictedWait = 0, 0
 	}
@@ -140,7 +140,7 @@
 		return prefilled{}, nil
 	}
 	to := ch.engine
-	done := x.opts.Engines.Prefill(to.ID, x.call.Service.Engine.KVTokens, p.parts, figures.Start+ch.reportedWait, ch.reportedRead)
+	done := x.opts.Engines.Prefill(to.ID, x.call.Service.Engine.KVTokens, p.parts, figures.Start+ch.reportedWait, ch.reportedPrefill)
 	defer done()
 	predicted := figures.Start + ch.PredictedWait + ch.PrefillTime
 	x.trace.Prefill = Prefill{PromptTokens: p.Tokens, SharedTokens: p.SharedTokens, MissingTokens: ch.MissingTokens, FetchedTokens: ch.FetchedTokens, Speculative: ch.Speculative, PredictedWait: ch.PredictedWait, PredictedPrefill: ch.PrefillTime}
--- a/request/placement/decode.go
+++ b/request/placement/decode.go
@@ -7,26 +7,30 @@
 )
 
 const (
-	// crossZoneFactor is how much longer KV cache takes to another availability
-	// zone, and how much more it costs.
+	// crossZoneFactor is the factor by which the transfer of KV cache to
+	// another availability zone takes longer and costs more.
 	crossZoneFactor = 2
-	// occupancyCost is what a full engine costs: its steps take longer, and a prompt
-	// that is admitted as its last has no room to be late.
+	// occupancyCost is the cost of a full engine: its steps take longer,
+	// and the last prompt that it admits has no margin.
 	occupancyCost objectiveShare = 0.16
-	// overloadCost is what each engine's worth of requests beyond its places costs.
+	// overloadCost is the cost of requests beyond the engine's stream
+	// limit, for each multiple of that limit.
 	overloadCost objectiveShare = 2
-	// slowdownCost is what an engine costs for each time that it is slower.
+	// slowdownCost is the cost of an engine for each multiple of the
+	// predicted time that it takes.
 	slowdownCost objectiveShare = 0.08
-	// decodeTieCost is the most that the prompt's hash adds, so that engines that are
-	// alike share the prompts.
+	// decodeTieCost is the largest cost that the prompt's hash adds, so
+	// that equally good engines share the prompts.
 	decodeTieCost objectiveShare = 0.002
-	// transferWeight counts the time of a move again, since moves are paid for.
+	// transferWeight is the weight of the transfer time, which also counts
+	// because transfers are billed.
 	transferWeight = 3
 )
 
-// Decode chooses the engine that makes the answer: few requests, and little
-// KV cache to move there. from is the availability zone of the engine that
-// keeps the cache, empty when there is none. It returns -1 without candidates.
+// Decode chooses the engine that decodes: one with few streams that needs
+// little transfer of KV cache. from is the availability zone of the engine
+// that holds the KV cache, or empty if there is none. Decode returns -1 if
+// there are no candidates.
 func Decode(p Prompt, cands []Candidate, e *route.Engine, from string) int {
 	best := -1
 	var bestCost time.Duration
@@ -44,19 +48,21 @@
 	return best
 }
 
-// decodeCost is what it costs to have the answer made there, KV cache aside.
+// decodeCost returns the cost of a decode at the candidate, without the
+// transfer of KV cache.
 func (c *Candidate) decodeCost(p *Prompt) time.Duration {
-	full := float64(c.Load.Streams) / float64(c.StreamLimit())
-	cost := time.Duration(full * full * float64(occupancyCost.duration(p)))
+	occupancy := float64(c.Load.Streams) / float64(c.StreamLimit())
+	cost := time.Duration(occupancy * occupancy * float64(occupancyCost.duration(p)))
 	cost += time.Duration(c.FailureRate * float64(failureCost.duration(p)))
-	if full >= 1 {
-		cost += time.Duration((full - 1) * float64(overloadCost.duration(p)))
+	if occupancy >= 1 {
+		cost += time.Duration((occupancy - 1) * float64(overloadCost.duration(p)))
 	}
 	cost += c.adjusted(slowdownCost.duration(p)) - slowdownCost.duration(p)
 	return cost + c.connCost(p)
 }
 
-// TransferTime is the time to move the KV cache of that many tokens.
+// TransferTime returns the time to transfer the KV cache of that many
+// tokens.
 func TransferTime(e *route.Engine, tokens int, sameZone bool) time.Duration {
 	if e.LinkBytes <= 0 {
 		return 0
--- a/request/placement/home.go
+++ b/request/placement/home.go
@@ -8,45 +8,47 @@
 )
 
 const (
-	// minEnginesForHome is the number of engines from which on the daemons know too
-	// little of each other's prompts: reports take some 0.7 s to all of 90 daemons.
+	// minEnginesForHome is the number of engines from which on prompts get
+	// a home. In fleets of this size daemons learn of each other's prompts
+	// too late: reports take some 0.7 s to reach all of 90 daemons.
 	minEnginesForHome = 16
-	// awayCostShare is the part of the time to read what nobody is known to keep
-	// that an engine other than the home costs on top.
+	// awayCostShare is the cost of an engine other than the home, as a
+	// fraction of the time to prefill the shared tokens that no engine is
+	// known to hold.
 	awayCostShare = 0.5
 )
 
-// home is where prompts with equal leading parts meet while nobody is known to
-// keep those parts: the engine that their hash names. Each daemon names the
-// same one without a message.
+// home is the engine that all daemons prefer for prompts with equal leading
+// parts while no engine is known to hold those parts. It follows from a
+// hash, so daemons choose the same engine without communication.
 //
-// The failure it stops: the first prompts with a new part come to several
-// daemons within the time that reports take, and each has another engine read
-// it. Of 85 million prompt tokens read on a day of 90 daemons and 140 engines
-// 24 million were read so again.
+// Without it, the first prompts with a new part reach several daemons before
+// reports do, and each daemon has a different engine prefill the part. On a
+// day of 90 daemons and 140 engines, 24 of 85 million prefilled prompt
+// tokens were such duplicates.
 type home struct {
-	p            *Prompt
-	index        int // index of the candidate, -1: none is needed
-	source       int // the same engine's index among the sources
-	unreadTokens int // shared prompt tokens that nobody is known to keep
+	p              *Prompt
+	index          int // index of the candidate, -1: no home is needed
+	source         int // index of the same engine among the sources, -1: it isn't one
+	uncachedTokens int // shared prompt tokens that no engine is known to hold
 }
 
 func newHome(p Prompt, cands, sources []Candidate, holder int, f speed.Figures) home {
-	h := home{p: &p, index: -1, source: -1, unreadTokens: p.SharedTokens}
+	h := home{p: &p, index: -1, source: -1, uncachedTokens: p.SharedTokens}
 	if holder >= 0 {
-		h.unreadTokens -= sources[holder].Load.Ready
+		h.uncachedTokens -= sources[holder].Load.Ready
 	}
-	if len(cands) < minEnginesForHome || f.Read(p.Tokens, h.unreadTokens) < minFetchSaving.duration(&p) {
+	if len(cands) < minEnginesForHome || f.Read(p.Tokens, h.uncachedTokens) < minFetchSaving.duration(&p) {
 		return h
 	}
-	least := 0.0
+	minHash := 0.0
 	for i := range cands {
 		c := &cands[i]
 		if c.LocalOnly || c.FailureRate >= maxSourceFailureRate || c.Slowdown > slowdownThreshold {
 			continue
 		}
-		if u := hashFraction(p.Seed ^ engines.Hash(c.Entry.ID)); h.index < 0 || u < least {
-			h.index, least = i, u
+		if u := hashFraction(p.Seed ^ engines.Hash(c.Entry.ID)); h.index < 0 || u < minHash {
+			h.index, minHash = i, u
 		}
 	}
 	if h.index >= 0 {
@@ -64,16 +66,17 @@
 	return -1
 }
 
-// cost is what it costs to have candidate i read the prompt away from home.
+// cost returns the cost of a prefill at candidate i if it isn't the home.
 func (h *home) cost(i int, f speed.Figures) time.Duration {
 	if h.index < 0 || i == h.index {
 		return 0
 	}
-	return time.Duration(awayCostShare * float64(f.Read(h.p.Tokens, h.unreadTokens)))
+	return time.Duration(awayCostShare * float64(f.Read(h.p.Tokens, h.uncachedTokens)))
 }
 
-// addSpeculativeFetch has an engine away from home fetch from there what others may have had
-// read there meanwhile. A fetch of nothing costs nothing.
+// addSpeculativeFetch lets an engine other than the home fetch from the
+// home, which may have prefilled the shared parts meanwhile for other
+// daemons. A fetch that finds nothing costs nothing.
 func (h *home) addSpeculativeFetch(ch *Choice) {
 	if h.index >= 0 && ch.Index != h.index && ch.Source < 0 && h.source >= 0 {
 		ch.Source, ch.Speculative = h.source, true
--- a/request/placement/prefill.go
+++ b/request/placement/prefill.go
@@ -14,15 +14,16 @@
 type Candidate struct {
 	Entry       port.TargetEntry
 	Load        engines.Load
-	FailureRate float64 // share of its requests that failed lately
-	Slowdown    float64 // how many times longer than predicted it takes, 1: as predicted
+	FailureRate float64 // fraction of its recent requests that failed
+	Slowdown    float64 // ratio of measured to predicted time
 	HasIdleConn bool    // this process has an idle connection to it
-	// LocalOnly says that other daemons don't look at it: prompts don't meet there.
+	// LocalOnly means that other daemons may not consider the engine, so it
+	// can't be the home of a prompt.
 	LocalOnly  bool
-	MaxStreams int // streams at which the longest answers of the route still end in time; 0: not known
+	MaxStreams int // number of streams up to which the longest answers of the route end in time; 0: unknown
 }
 
-// adjusted gives the time that the candidate is likely to take for one predicted.
+// adjusted scales a predicted time by the candidate's slowdown.
 func (c *Candidate) adjusted(d time.Duration) time.Duration {
 	if c.Slowdown <= slowdownThreshold {
 		return d
@@ -30,120 +31,125 @@
 	return time.Duration(float64(d) * c.Slowdown)
 }
 
-// slowdownThreshold is the pace up to which a target counts as any other: prediction
-// alone is off by that much.
+// slowdownThreshold is the slowdown up to which an engine counts as normal,
+// since predictions are inaccurate by that factor.
 const slowdownThreshold = 2.5
 
-// Prompt is what placement knows of a request.
+// Prompt describes a request for placement.
 type Prompt struct {
 	Tokens       int
-	SharedTokens int    // of these, the leading ones that other prompts may begin with too
+	SharedTokens int    // leading tokens that other prompts may share
 	Zone         string // availability zone of the deciding daemon
-	Seed         uint64 // of the prompt's first part: equal prompts go to one engine
-	RandomSeed   uint64 // random, of the request
+	Seed         uint64 // id of the shared prefix; prompts with equal seeds go to the same engine
+	RandomSeed   uint64 // random number of the request
 	// Objective is the time within which the caller wants the first event.
 	Objective time.Duration
 }
 
-// Choice is where a prompt is read.
+// Choice is an engine for the prefill and its prediction.
 type Choice struct {
 	Index         int // index of the candidate, -1: none
-	MissingTokens int // prompt tokens that the engine has to read
+	MissingTokens int // prompt tokens that the engine has to compute
 	PredictedWait time.Duration
-	PrefillTime   time.Duration // the fetch included
-	FetchTime     time.Duration // of it, the fetch
+	PrefillTime   time.Duration // includes FetchTime
+	FetchTime     time.Duration // time to fetch KV cache from the source
 	Source        int           // index of the source to fetch from, -1: none
-	FetchedTokens int           // prompt tokens that are fetched
-	Cost          time.Duration // by which choices are compared
-	Speculative   bool          // nobody said that the source keeps more of the prompt
+	FetchedTokens int           // prompt tokens whose KV cache is fetched
+	Cost          time.Duration // choices with a lower cost are better
+	Speculative   bool          // the source isn't known to hold more of the prompt
 }
 
 const (
-	// rereadWeight is the weight of the time to read what another engine keeps
-	// already, on top of the time itself: it is taken from later requests.
-	rereadWeight = 0.9
-	// failureCost is what a failure rate of one costs.
+	// recomputeWeight is the additional weight of the prefill time: an
+	// engine that computes more delays later requests.
+	recomputeWeight = 0.9
+	// failureCost is the cost of a failure rate of 1.
 	failureCost objectiveShare = 1.6
-	// prefillTieCost is the most that the prompt's hash adds to an engine's cost.
+	// prefillTieCost is the largest cost that the prompt's hash adds to an
+	// engine.
 	prefillTieCost objectiveShare = 0.008
 )
 
 const (
-	// minFetchSaving is the least time to read that a fetch is worth: it is a call
-	// between two engines, and paid for.
+	// minFetchSaving is the least prefill time that a fetch must save,
+	// since a fetch is a call between two engines and billed.
 	minFetchSaving objectiveShare = 0.02
-	// fetchWeight counts the time of a fetch again, since moves are paid for.
+	// fetchWeight is the weight of the fetch time, which also counts
+	// because transfers are billed.
 	fetchWeight = 2
 )
 
-// Prefill chooses the engine that reads the prompt: the one that is done first,
-// with what it has to read counted again in part. An engine that lacks what
-// another one keeps fetches it: 13,000 tokens take 10 to 20 ms to fetch and
-// 300 ms to read. sources are the engines that can be fetched from.
+// Prefill chooses the engine for the prefill: the one that finishes first,
+// with an extra weight on the time that it computes. An engine fetches KV
+// cache that it lacks and another engine holds: 13,000 tokens take 10 to 20
+// ms to fetch and 300 ms to compute. sources are the engines that can be
+// fetched from.
 func Prefill(p Prompt, cands, sources []Candidate, e *route.Engine, f speed.Figures) Choice {
-	o := newEvaluation(p, cands, sources, e, f)
+	ev := newEvaluation(p, cands, sources, e, f)
 	best := Choice{Index: -1, Source: -1}
 	for i := range cands {
-		if ch := o.choice(i); best.Index < 0 || ch.Cost < best.Cost {
+		if ch := ev.choice(i); best.Index < 0 || ch.Cost < best.Cost {
 			best = ch
 		}
 	}
-	o.home.addSpeculativeFetch(&best)
+	ev.home.addSpeculativeFetch(&best)
 	return best
 }
 
-// evaluation is what all choices of a prompt have in common.
+// evaluation holds what is common to all choices for a prompt.
 type evaluation struct {
 	p              Prompt
 	cands, sources []Candidate
 	engine         *route.Engine
 	figures        speed.Figures
-	holder         int // index of the source that keeps most, -1: none
-	inZone         int // candidates in the daemon's zone
+	holder         int // index of the source that holds the most tokens, -1: none
+	inZone         int // number of candidates in the daemon's zone
 	home           home
 }
 
 func newEvaluation(p Prompt, cands, sources []Candidate, e *route.Engine, f speed.Figures) *evaluation {
-	o := &evaluation{p: p, cands: cands, sources: sources, engine: e, figures: f, holder: largestHolder(sources), inZone: countInZone(cands, p.Zone)}
-	o.home = newHome(o.p, cands, sources, o.holder, f)
-	return o
+	ev := &evaluation{p: p, cands: cands, sources: sources, engine: e, figures: f, holder: largestHolder(sources), inZone: countInZone(cands, p.Zone)}
+	ev.home = newHome(ev.p, cands, sources, ev.holder, f)
+	return ev
 }
 
-// choice is that of candidate i.
-func (o *evaluation) choice(i int) Choice {
-	c := &o.cands[i]
-	ch := o.p.evaluate(c, o.sources, o.holder, o.engine, o.figures)
+// choice returns the choice of candidate i with its total cost.
+func (ev *evaluation) choice(i int) Choice {
+	c := &ev.cands[i]
+	ch := ev.p.evaluate(c, ev.sources, ev.holder, ev.engine, ev.figures)
 	ch.Index = i
-	if o.inZone >= minInZone && c.Entry.Zone != o.p.Zone {
-		ch.Cost += otherZoneCost.duration(&o.p)
+	if ev.inZone >= minInZone && c.Entry.Zone != ev.p.Zone {
+		ch.Cost += otherZoneCost.duration(&ev.p)
 	}
-	ch.Cost += time.Duration(c.FailureRate * float64(failureCost.duration(&o.p)))
-	ch.Cost += time.Duration(hashFraction(o.p.Seed^engines.Hash(c.Entry.ID)) * float64(prefillTieCost.duration(&o.p)))
-	ch.Cost += o.home.cost(i, o.figures)
-	ch.Cost += c.connCost(&o.p)
+	ch.Cost += time.Duration(c.FailureRate * float64(failureCost.duration(&ev.p)))
+	ch.Cost += time.Duration(hashFraction(ev.p.Seed^engines.Hash(c.Entry.ID)) * float64(prefillTieCost.duration(&ev.p)))
+	ch.Cost += ev.home.cost(i, ev.figures)
+	ch.Cost += c.connCost(&ev.p)
 	return ch
 }
 
-// evaluate is the choice of an engine, with the cost of its time.
+// evaluate returns the choice of an engine with the cost of its queue,
+// prefill and fetch.
 func (p *Prompt) evaluate(c *Candidate, sources []Candidate, holder int, e *route.Engine, f speed.Figures) Choice {
 	ch := Choice{Source: -1, PredictedWait: c.adjusted(c.Load.Wait)}
-	kept := c.Load.Cached
-	if holder >= 0 && worthFetch(p, f, kept, sources[holder].Load.Ready) {
+	cached := c.Load.Cached
+	if holder >= 0 && worthFetch(p, f, cached, sources[holder].Load.Ready) {
 		src := &sources[holder]
-		ch.Source, ch.FetchedTokens = holder, src.Load.Ready-kept
-		kept = src.Load.Ready
+		ch.Source, ch.FetchedTokens = holder, src.Load.Ready-cached
+		cached = src.Load.Ready
 		ch.FetchTime = TransferTime(e, ch.FetchedTokens, src.Entry.Zone == c.Entry.Zone)
 	}
-	ch.MissingTokens = max(p.Tokens-kept, 1)
-	read := c.adjusted(f.Read(p.Tokens, ch.MissingTokens))
-	ch.PrefillTime = read + ch.FetchTime
-	ch.Cost = ch.PredictedWait + read + time.Duration(rereadWeight*float64(read)) + fetchWeight*ch.FetchTime
+	ch.MissingTokens = max(p.Tokens-cached, 1)
+	prefill := c.adjusted(f.Read(p.Tokens, ch.MissingTokens))
+	ch.PrefillTime = prefill + ch.FetchTime
+	ch.Cost = ch.PredictedWait + prefill + time.Duration(recomputeWeight*float64(prefill)) + fetchWeight*ch.FetchTime
 	return ch
 }
 
-// newConnCost is what a new connection costs: a round trip and the target's
-// acceptance take 3 ms, and connections are paid for. With it 90 daemons open
-// 7,508 connections for 44,778 requests, 13,975 without.
+// newConnCost is the cost of a new connection. A round trip and the target's
+// acceptance take 3 ms, and connections are billed. With this cost 90
+// daemons opened 7,508 connections for 44,778 requests, against 13,975
+// without it.
 const newConnCost objectiveShare = 0.016
 
 func (c *Candidate) connCost(p *Prompt) time.Duration {
@@ -154,11 +160,11 @@
 }
 
 const (
-	// minInZone is the number of engines in the daemon's availability zone from
-	// which on it keeps to them: of these it knows the others' work sooner, and
-	// bytes between zones are paid for.
+	// minInZone is the number of candidates in the daemon's availability
+	// zone from which on the daemon prefers them. It learns of load in its
+	// own zone sooner, and transfers between zones are billed.
 	minInZone = 8
-	// otherZoneCost is what another zone's engine costs then.
+	// otherZoneCost is the cost of an engine in another zone in that case.
 	otherZoneCost objectiveShare = 0.02
 )
 
@@ -172,17 +178,18 @@
 	return n
 }
 
-// worthFetch reports whether the tokens that another engine keeps on top are
-// worth being fetched.
-func worthFetch(p *Prompt, f speed.Figures, kept, elsewhere int) bool {
-	if elsewhere <= kept {
+// worthFetch reports whether fetching the tokens that another engine holds
+// beyond the cached ones saves enough prefill time.
+func worthFetch(p *Prompt, f speed.Figures, cached, elsewhere int) bool {
+	if elsewhere <= cached {
 		return false
 	}
-	saved := f.Read(p.Tokens, p.Tokens-kept) - f.Read(p.Tokens, p.Tokens-elsewhere)
+	saved := f.Read(p.Tokens, p.Tokens-cached) - f.Read(p.Tokens, p.Tokens-elsewhere)
 	return saved >= minFetchSaving.duration(p)
 }
 
-// largestHolder is the index of the source that can give most of the prompt now.
+// largestHolder returns the index of the reliable source that can provide
+// the most tokens of the prompt now, or -1.
 func largestHolder(sources []Candidate) int {
 	best := -1
 	for i := range sources {
@@ -194,8 +201,8 @@
 	return best
 }
 
-// maxSourceFailureRate is the failure rate from which on nothing is fetched from an
-// engine.
+// maxSourceFailureRate is the failure rate from which on an engine is no
+// source for fetches.
 const maxSourceFailureRate = 0.3
 
 // hashFraction maps a hash to [0,1).
--- a/request/placement/room.go
+++ b/request/placement/room.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// SlotPolicy is how decoding engines' places are shared out.
+// SlotPolicy states how a request may use the slots of decoding engines.
 type SlotPolicy struct {
-	Reserved   int           // places of each engine that are kept for more urgent requests
-	StreamTime time.Duration // that a stream holds its place, on the mean; 0: not known
-	CanRetry   bool          // the request has time to come back if it is rejected
+	Reserved   int           // slots of each engine that are reserved for more urgent requests
+	StreamTime time.Duration // mean time that a stream holds its slot; 0: unknown
+	CanRetry   bool          // the request has time for a retry after a rejection
 }
 
-// maxReservedShare is the largest part of the places that is kept free: less urgent
-// requests get half at least.
+// maxReservedShare is the largest fraction of the slots that is reserved, so
+// that less urgent requests get at least half.
 const maxReservedShare = 0.5
 
-// ReservedSlots is the number of places of each decoding engine that requests leave
-// free for more urgent ones, which ask for that many streams at a time over all
-// engines. Arrivals differ by about the root of their number.
+// ReservedSlots returns the number of slots that each decoding engine
+// reserves for more urgent requests. urgent is the mean number of their
+// streams over all engines. The number of arrivals varies by about its
+// square root.
 //
-// The load that it answers: long answers fill all places for seconds, and a
-// prompt with two tokens of answer, which needs a place for some milliseconds
-// and is more urgent, finds none at any engine. On a day of such turns up to
-// three in four of the urgent requests were refused for 8 s.
+// Without a reserve, long answers hold all slots for seconds. An urgent
+// prompt with an answer of two tokens, which needs a slot for some
+// milliseconds, then finds none at any engine. Up to three in four of the
+// urgent requests were rejected for 8 s.
 func ReservedSlots(urgent float64, engines, slots int) int {
 	if engines == 0 || urgent <= 0 {
 		return 0
@@ -32,48 +33,50 @@
 	return int(min(math.Ceil(each+math.Sqrt(each)), maxReservedShare*float64(slots)))
 }
 
-// SlotWait is how long a request will wait for a place at the engine: those ahead
-// of it leave one after the other.
-func (r SlotPolicy) SlotWait(c *Candidate) time.Duration {
+// SlotWait predicts how long a request waits for a slot at the engine. The
+// streams ahead of it end one after the other.
+func (p SlotPolicy) SlotWait(c *Candidate) time.Duration {
 	slots := max(c.Entry.Slots, 1)
-	behind := c.Load.Streams + 1 - (slots - r.Reserved)
+	behind := c.Load.Streams + 1 - (slots - p.Reserved)
 	if behind <= 0 {
 		return 0
 	}
-	return time.Duration(behind) * r.StreamTime / time.Duration(slots)
+	return time.Duration(behind) * p.StreamTime / time.Duration(slots)
 }
 
-// maxOccupancy is how full an engine may be, in shares of its places. Beyond, it
-// refuses requests, or keeps them until they are late.
+// maxOccupancy is the ratio of streams to slots up to which an engine is
+// used. Beyond it the engine rejects requests or queues them until they are
+// late.
 const maxOccupancy = 1.2
 
-// StreamLimit is the number of streams that the engine takes: its places, or fewer
-// where the longest answers need them to end in time.
+// StreamLimit returns the number of streams that the engine should run: its
+// slots, or fewer if the longest answers would otherwise be late.
 func (c *Candidate) StreamLimit() int {
-	places := max(c.Entry.Slots, 1)
+	limit := max(c.Entry.Slots, 1)
 	if c.MaxStreams > 0 {
-		places = min(places, c.MaxStreams)
+		limit = min(limit, c.MaxStreams)
 	}
-	return places
+	return limit
 }
 
-// singleTryShare is the share of an engine's bound that is left to requests with
-// no time to come back. The longest answers have none; without it they would be
-// served less often than the others, which have two tries.
+// singleTryShare is the fraction of an engine's stream limit that is left to
+// requests without time for a retry. The longest answers have no time for
+// one and would otherwise be served less often than answers with two tries.
 const singleTryShare = 0.3
 
-// maxStreams is the number of streams up to which the engine takes the request.
-func (r SlotPolicy) maxStreams(c *Candidate) int {
-	if !r.CanRetry {
+// maxStreams returns the number of streams up to which the engine accepts
+// the request.
+func (p SlotPolicy) maxStreams(c *Candidate) int {
+	if !p.CanRetry {
 		return c.MaxStreams
 	}
 	return max(int((1-singleTryShare)*float64(c.MaxStreams)), 1)
 }
 
-// Full reports whether the engine takes no request more.
-func (r SlotPolicy) Full(c *Candidate) bool {
-	if c.MaxStreams > 0 && c.Load.Streams >= r.maxStreams(c) {
+// Full reports whether the engine shouldn't get another request.
+func (p SlotPolicy) Full(c *Candidate) bool {
+	if c.MaxStreams > 0 && c.Load.Streams >= p.maxStreams(c) {
 		return true
 	}
-	return float64(c.Load.Streams+r.Reserved) > maxOccupancy*float64(max(c.Entry.Slots, 1))
+	return float64(c.Load.Streams+p.Reserved) > maxOccupancy*float64(max(c.Entry.Slots, 1))
 }
--- a/request/placement/shortlist.go
+++ b/request/placement/shortlist.go
@@ -10,30 +10,29 @@
 )
 
 const (
-	// randomDraws is the number of engines that are drawn at random, of which the
-	// cheaper ones come onto the shortlist.
+	// randomDraws is the number of engines chosen at random.
 	randomDraws = 12
-	// maxFromDraws is how many of them do.
+	// maxFromDraws is the number of those, by lowest cost, that are added
+	// to the shortlist.
 	maxFromDraws = 5
 )
 
-// Shortlist chooses a few engines whose queues are worth being asked for: the
-// best one by what is known, the best one were all idle, and the better ones of
-// some that are drawn at random.
+// Shortlist chooses a few engines whose queues are worth a query: the best
+// one by the known load, the best one if all were idle, and the better ones
+// of some chosen at random.
 //
-// The load that it answers: hundreds of daemons decide on the same late news.
-// All choose the engine that was idle then, and none the one that has become
-// idle since. With a random engine among those that are asked for, what is
-// chosen differs from daemon to daemon, and a queue that is known right now
-// decides.
+// Without random engines, hundreds of daemons decide on the same outdated
+// load. All choose the engine that was idle when it was reported, and none
+// chooses one that became idle since. Random engines differ from daemon to
+// daemon, and the queried queues then decide.
 func Shortlist(p Prompt, cands, sources []Candidate, e *route.Engine, f speed.Figures) []Choice {
 	if len(cands) == 0 {
 		return nil
 	}
-	o := newEvaluation(p, cands, sources, e, f)
+	ev := newEvaluation(p, cands, sources, e, f)
 	all := make([]Choice, len(cands))
 	for i := range cands {
-		all[i] = o.choice(i)
+		all[i] = ev.choice(i)
 	}
 	best, idle := all[0], all[0]
 	for i := range all {
@@ -46,48 +45,49 @@
 	}
 	list := []Choice{best}
 	add := func(ch Choice) {
-		if !slices.ContainsFunc(list, func(o Choice) bool { return o.Index == ch.Index }) {
+		if !slices.ContainsFunc(list, func(c Choice) bool { return c.Index == ch.Index }) {
 			list = append(list, ch)
 		}
 	}
 	add(idle)
-	luck := rand.New(rand.NewPCG(p.RandomSeed, p.Seed))
-	lot := make([]Choice, 0, randomDraws)
-	warm := connected(cands)
+	rnd := rand.New(rand.NewPCG(p.RandomSeed, p.Seed))
+	sample := make([]Choice, 0, randomDraws)
+	conns := connected(cands)
 	for range min(randomDraws, len(cands)) {
-		if len(warm) < randomDraws {
-			lot = append(lot, all[luck.IntN(len(all))])
+		if len(conns) < randomDraws {
+			sample = append(sample, all[rnd.IntN(len(all))])
 		} else {
-			lot = append(lot, all[warm[luck.IntN(len(warm))]])
+			sample = append(sample, all[conns[rnd.IntN(len(conns))]])
 		}
 	}
-	slices.SortFunc(lot, func(a, b Choice) int { return int(a.Cost - a.PredictedWait - b.Cost + b.PredictedWait) })
-	for _, ch := range lot[:min(maxFromDraws, len(lot))] {
+	slices.SortFunc(sample, func(a, b Choice) int { return int(a.Cost - a.PredictedWait - b.Cost + b.PredictedWait) })
+	for _, ch := range sample[:min(maxFromDraws, len(sample))] {
 		add(ch)
 	}
 	for i := range list {
-		o.home.addSpeculativeFetch(&list[i])
+		ev.home.addSpeculativeFetch(&list[i])
 	}
 	return list
 }
 
-// connected are the candidates that the daemon has connections to. They are drawn
-// from if they are enough to choose among, and differ from daemon to daemon as
-// much as others do. Of 295 daemons each sends three prompts a second
-// to 240 engines: drawn from all of them, three in four needed a new connection,
-// 14,700 on a day of 36 s, which are paid for and take 3 ms.
+// connected returns the indexes of the candidates that the daemon has idle
+// connections to. If there are enough of them, the random engines are chosen
+// among them; they differ from daemon to daemon as much as others do. When
+// 295 daemons that send three prompts a second each chose among all of 240
+// engines, three in four prompts needed a new connection: 14,700 in 36 s,
+// which are billed and take 3 ms each.
 func connected(cands []Candidate) []int {
-	var warm []int
+	var conns []int
 	for i := range cands {
 		if cands[i].HasIdleConn {
-			warm = append(warm, i)
+			conns = append(conns, i)
 		}
 	}
-	return warm
+	return conns
 }
 
-// SelectByWait chooses from a shortlist, with waits that were asked for; one below
-// zero isn't known.
+// SelectByWait chooses from a shortlist by queried waits. A negative wait is
+// unknown; the predicted one is used instead.
 func SelectByWait(list []Choice, cands []Candidate, waits []time.Duration) Choice {
 	best := Choice{Index: -1, Source: -1}
 	for i, ch := range list {
--- a/request/placement/usual.go
+++ b/request/placement/usual.go
@@ -6,65 +6,67 @@
 )
 
 const (
-	// newestWeight is the weight of the newest prompt in what is usual: the
-	// last 50.
-	newestWeight = 0.02
-	// longQueuePrompts is the number of usual prompts ahead from which on a queue is
-	// more than chance.
+	// sampleWeight is the weight of the newest prompt in the moving
+	// averages, which cover some 50 prompts.
+	sampleWeight = 0.02
+	// longQueuePrompts is the number of average prompts ahead from which on
+	// a queue is longer than random variation explains.
 	longQueuePrompts = 3
-	// errorMargin is how many times the usual error of prediction a wait in a long
-	// queue counts longer. A queue at the bound makes half of its requests late,
-	// one that is shorter by the error keeps the engines as busy. In short
-	// queues it refuses what would be on time: with it there a site where
-	// reading binds earned 0.642 on its days with trouble, 0.659 without.
+	// errorMargin is the multiple of the prediction error that is added to
+	// a wait in a long queue. A queue at the limit makes half of its
+	// requests late; one that is shorter by the error keeps the engines as
+	// busy. In short queues the margin would reject requests that would be
+	// on time: a site limited by prefill scored 0.642 with it in short
+	// queues, against 0.659 without it, on days with failures.
 	errorMargin = 1.5
-	// minYield is the least part of the queue that a prompt may wait in:
-	// large prompts are served half as often as others at least.
+	// minYield is the least yield that is used for a prompt, so that large
+	// prompts are served at least half as often as others.
 	minYield = 0.5
 )
 
-// PromptStats is what prompts of a service usually take to be read, and how many
-// tokens are answered for it. It is safe for concurrent use.
+// PromptStats tracks how long prompts of a service take to prefill, and how
+// many tokens that time yields. It is safe for concurrent use.
 //
-// The load that it answers: more prompts than the engines can read. Which of
-// them are refused decides how many are served: one that needs twice the
-// engine's time for each of its tokens, since nothing of it is kept, takes the
-// place of two. Means of three plays of a quiet day with prompts at twice what
-// can be read: 8.9 in 100 requests end refused, 9.8 without.
+// It decides which prompts are rejected when there are more than the engines
+// can prefill. A prompt with nothing cached that needs twice the time for
+// each token takes the place of two others. With prompts at twice the
+// engines' capacity, 8.9% of requests were rejected for good, against 9.8%
+// without it (means of three runs).
 type PromptStats struct {
-	mu        sync.Mutex
-	meanRead  float64 // nanoseconds
-	meanYield float64 // tokens for each nanosecond
+	mu          sync.Mutex
+	meanPrefill float64 // mean prefill time in nanoseconds
+	meanYield   float64 // mean of tokens per nanosecond
 }
 
-// Record takes a prompt in, whether it is taken or refused.
-func (u *PromptStats) Record(tokens int, read time.Duration) {
-	if read <= 0 {
+// Record adds a prompt, whether it is admitted or rejected.
+func (s *PromptStats) Record(tokens int, prefill time.Duration) {
+	if prefill <= 0 {
 		return
 	}
-	yield := float64(tokens) / float64(read)
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.meanRead == 0 {
-		u.meanRead, u.meanYield = float64(read), yield
+	yield := float64(tokens) / float64(prefill)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.meanPrefill == 0 {
+		s.meanPrefill, s.meanYield = float64(prefill), yield
 		return
 	}
-	u.meanRead += newestWeight * (float64(read) - u.meanRead)
-	u.meanYield += newestWeight * (yield - u.meanYield)
+	s.meanPrefill += sampleWeight * (float64(prefill) - s.meanPrefill)
+	s.meanYield += sampleWeight * (yield - s.meanYield)
 }
 
-// EffectiveWait is how long a wait counts for a prompt in the decision whether it is
-// taken: in a long queue longer, by the usual error of prediction and the less
-// the prompt yields for its time. off is that error.
-func (u *PromptStats) EffectiveWait(wait time.Duration, tokens int, read, off time.Duration) time.Duration {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	over := wait - time.Duration(longQueuePrompts*u.meanRead)
-	if over <= 0 || read <= 0 || u.meanYield <= 0 {
+// EffectiveWait returns the wait to assume for a prompt in the admission
+// decision. In a long queue it exceeds the predicted wait: by a multiple of
+// the prediction error predictionError, and by more the fewer tokens the
+// prompt yields for its time.
+func (s *PromptStats) EffectiveWait(wait time.Duration, tokens int, prefill, predictionError time.Duration) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	excess := wait - time.Duration(longQueuePrompts*s.meanPrefill)
+	if excess <= 0 || prefill <= 0 || s.meanYield <= 0 {
 		return wait
 	}
-	yield := float64(tokens) / float64(read) / u.meanYield
-	part := min(max(yield, minYield), 1)
-	margin := min(over, time.Duration(errorMargin*float64(off)))
-	return wait + margin + time.Duration(float64(over)*(1/part-1))
+	yield := float64(tokens) / float64(prefill) / s.meanYield
+	relYield := min(max(yield, minYield), 1)
+	margin := min(excess, time.Duration(errorMargin*float64(predictionError)))
+	return wait + margin + time.Duration(float64(excess)*(1/relYield-1))
 }
--- a/request/placement/weight.go
+++ b/request/placement/weight.go
@@ -1,21 +1,21 @@
-// Package placement chooses the engines that read a request's prompt and that
-// make its answer, and says when the first event can be expected. It is pure:
-// no clock and no I/O.
+// Package placement chooses the engines for the prefill and the decode of a
+// request and predicts the time of its first event. It is pure: it uses no
+// clock and does no I/O.
 package placement
 
 import "time"
 
-// assumedObjective stands in for the objective of a route that has none.
+// assumedObjective is used for routes without an objective.
 const assumedObjective = 500 * time.Millisecond
 
-// objectiveShare is a part of the time within which the caller wants the first event.
-// What speaks for or against an engine is weighed in it, so that engines and
-// callers of any speed are weighed alike: with times fixed for objectives of
-// half a second, engines five times as fast with callers more than twice as
-// demanding were chosen mostly by their open connections.
+// objectiveShare is a fraction of the time within which the caller wants the
+// first event. Costs are stated in it so that they fit engines and callers
+// of any speed. With fixed costs, set for objectives of half a second,
+// engines five times as fast with objectives less than half as long were
+// chosen mostly by their open connections.
 type objectiveShare float64
 
-// duration is the time that the share stands for with this prompt.
+// duration returns the time that the share amounts to for this prompt.
 func (s objectiveShare) duration(p *Prompt) time.Duration {
 	o := p.Objective
 	if o <= 0 {
