--- a/request/placement/home_test.go
+++ b/request/placement/home_test.go
@@ -10,8 +10,8 @@
 	"github.com/pomelospool/pomelospool/version/route"
 )
 
-// randomEngines returns engines in a random order with little work each, as one of many
-// daemons sees them.
+// randomEngines returns engines with small random queues in a random order,
+// as one of many daemons sees them.
 func randomEngines(r *rand.Rand, n int) []Candidate {
 	out := make([]Candidate, n)
 	for i := range out {
@@ -21,8 +21,9 @@
 	return out
 }
 
-// A part that nobody has read before comes to several daemons within the time
-// that news takes. Each sees other loads and has another engine read all of it.
+// Guards against a new prompt part that several engines compute. It happens
+// when the part reaches several daemons before reports do and each daemon
+// sees other loads.
 func TestEqualNewPromptsGoToOneHome(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	e := &route.Engine{KVTokenBytes: 163_840, LinkBytes: 212e9}
@@ -34,13 +35,13 @@
 			at[cands[Prefill(p, cands, cands, e, figures).Index].Entry.ID]++
 		}
 		if len(at) != 1 {
-			t.Errorf("seed %d: read by %v", seed, at)
+			t.Errorf("seed %d: prefilled by %v", seed, at)
 		}
 	}
 }
 
-// The engine that all choose for a new part has a long queue: another one
-// reads the prompt, and fetches what the first has read meanwhile.
+// If the home of a new part has a long queue, another engine does the
+// prefill and fetches what the home has computed meanwhile.
 func TestBusyHomeIsAvoided(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	p := Prompt{Tokens: 17_000, SharedTokens: 13_300, Seed: 7}
@@ -58,7 +59,8 @@
 	}
 }
 
-// What is known to be kept is fetched from there, wherever the hash points.
+// Cached parts are fetched from the engine that holds them, whatever the
+// home is.
 func TestKnownPartsAreFetchedFromTheirHolder(t *testing.T) {
 	e := &route.Engine{KVTokenBytes: 163_840, LinkBytes: 212e9}
 	p := Prompt{Tokens: 17_000, SharedTokens: 13_300, Seed: 7}
@@ -72,8 +74,8 @@
 	}
 }
 
-// Ninety daemons open a connection for nearly each request, and each is paid
-// for. Among engines that are alike the one with an idle connection is taken.
+// Guards against a new connection for nearly each request, which is billed.
+// Among equally good engines the one with an idle connection is chosen.
 func TestIdleConnectionsArePreferred(t *testing.T) {
 	e := &route.Engine{KVTokenBytes: 163_840, LinkBytes: 212e9}
 	for seed := range uint64(50) {
@@ -81,18 +83,18 @@
 		for i := range cands {
 			cands[i].Load = engines.Load{Streams: 2}
 		}
-		warm := int(seed) % len(cands)
-		cands[warm].HasIdleConn = true
+		connected := int(seed) % len(cands)
+		cands[connected].HasIdleConn = true
 		p := Prompt{Tokens: 1460, Seed: seed}
-		if got := Prefill(p, cands, cands, e, figures); got.Index != warm {
-			t.Errorf("seed %d: reads at %d, warm is %d", seed, got.Index, warm)
+		if got := Prefill(p, cands, cands, e, figures); got.Index != connected {
+			t.Errorf("seed %d: prefill at %d, connected to %d", seed, got.Index, connected)
 		}
-		if got := Decode(p, cands, e, "a"); got != warm {
-			t.Errorf("seed %d: decodes at %d, warm is %d", seed, got, warm)
+		if got := Decode(p, cands, e, "a"); got != connected {
+			t.Errorf("seed %d: decode at %d, connected to %d", seed, got, connected)
 		}
-		cands[warm].Load.Streams = 60
-		if Decode(p, cands, e, "a") == warm {
-			t.Errorf("seed %d: decodes at a full engine for its connection", seed)
+		cands[connected].Load.Streams = 60
+		if Decode(p, cands, e, "a") == connected {
+			t.Errorf("seed %d: decode at a full engine because of its connection", seed)
 		}
 	}
 }
--- a/request/placement/placement_test.go
+++ b/request/placement/placement_test.go
@@ -10,8 +10,8 @@
 	"github.com/pomelospool/pomelospool/version/route"
 )
 
-// figures are those of an engine with 70 billion parameters, by least squares
-// over 1,300 prompts.
+// figures are the estimates for an engine with 70 billion parameters, fitted
+// by least squares to 1,300 prompts.
 var figures = speed.Figures{PerToken: 23e3, PerPair: 257, Start: 50 * time.Millisecond, First: 40 * time.Millisecond, Reads: 1300}
 
 func newCandidate(id, zone string, load engines.Load) Candidate {
@@ -51,8 +51,8 @@
 	}
 }
 
-// The engine that keeps a long prompt is busy, and an idle one would read all of
-// it again; fetching it takes a twentieth of the time.
+// Guards against an idle engine that computes a long prompt again while the
+// engine that holds it is busy. A fetch takes a twentieth of the time.
 func TestPrefillFetchesCachedTokens(t *testing.T) {
 	e := &route.Engine{KVTokenBytes: 163_840, LinkBytes: 212e9}
 	p := Prompt{Tokens: 17_000}
@@ -67,19 +67,21 @@
 		t.Errorf("fetches from itself: %+v", got)
 	}
 	keeps.FailureRate = 0.9
-	// What it only begins to read it can't give yet: it would give nothing, and
-	// the other engine would read it again unpredicted.
+	// An engine that is only starting a prefill can't provide it yet: the fetch
+	// would return nothing, and the other engine would compute all of it, which
+	// the prediction wouldn't include.
 	begins := newCandidate("begins", "a", engines.Load{Cached: 13_000, Wait: 200 * time.Millisecond})
 	if got := Prefill(p, []Candidate{begins, idle}, []Candidate{idle, begins}, e, figures); got.Source != -1 {
-		t.Errorf("fetches what isn't there yet: %+v", got)
+		t.Errorf("fetches what isn't cached yet: %+v", got)
 	}
 	if got := Prefill(p, []Candidate{idle}, []Candidate{keeps}, e, figures); got.Source != -1 {
 		t.Errorf("fetches from a failing engine: %+v", got)
 	}
 }
 
-// Six daemons begin at once with equal prompts. Each must take the same engine,
-// or each engine reads what another keeps already.
+// Guards against equal prompts that several daemons send to different
+// engines at the same time, so that each engine computes what another one
+// already holds.
 func TestEqualPromptsGoToOneEngine(t *testing.T) {
 	cands := []Candidate{newCandidate("a", "", engines.Load{}), newCandidate("b", "", engines.Load{}), newCandidate("c", "", engines.Load{})}
 	reversed := []Candidate{cands[2], cands[1], cands[0]}
--- a/request/placement/room_test.go
+++ b/request/placement/room_test.go
@@ -8,9 +8,9 @@
 	"github.com/pomelospool/pomelospool/version/route"
 )
 
-// Callers of short urgent requests are refused for seconds while long answers
-// hold every place. The places that are kept for them follow what they ask, and
-// leave the others half.
+// Guards against short urgent requests being rejected for seconds while long
+// answers hold every slot. The reserve follows the urgent demand and leaves
+// the others at least half.
 func TestSlotsAreReservedForUrgentRequests(t *testing.T) {
 	for _, tc := range []struct {
 		urgent         float64
@@ -25,21 +25,21 @@
 	}
 }
 
-// A request is taken by an engine whose places are all held, waits there for a
-// second and is late, though that could be told from what the streams take.
+// Guards against admitting a request to an engine whose slots are all held,
+// where it would wait and be late.
 func TestQueueWait(t *testing.T) {
-	r := SlotPolicy{Reserved: 12, StreamTime: 3200 * time.Millisecond}
+	policy := SlotPolicy{Reserved: 12, StreamTime: 3200 * time.Millisecond}
 	for _, tc := range []struct {
 		streams int
-		room    SlotPolicy
+		policy  SlotPolicy
 		want    time.Duration
 	}{
-		{0, r, 0}, {51, r, 0}, {52, r, 50 * time.Millisecond}, {63, r, 600 * time.Millisecond},
-		{63, SlotPolicy{StreamTime: r.StreamTime}, 0}, {67, SlotPolicy{StreamTime: r.StreamTime}, 200 * time.Millisecond}, {80, SlotPolicy{}, 0},
+		{0, policy, 0}, {51, policy, 0}, {52, policy, 50 * time.Millisecond}, {63, policy, 600 * time.Millisecond},
+		{63, SlotPolicy{StreamTime: policy.StreamTime}, 0}, {67, SlotPolicy{StreamTime: policy.StreamTime}, 200 * time.Millisecond}, {80, SlotPolicy{}, 0},
 	} {
 		c := newCandidate("e", "", engines.Load{Streams: tc.streams})
-		if got := tc.room.SlotWait(&c); got != tc.want {
-			t.Errorf("%d streams, %+v: %v, want %v", tc.streams, tc.room, got, tc.want)
+		if got := tc.policy.SlotWait(&c); got != tc.want {
+			t.Errorf("%d streams, %+v: %v, want %v", tc.streams, tc.policy, got, tc.want)
 		}
 	}
 	for streams, full := range map[int]bool{64: false, 76: false, 77: true} {
@@ -50,25 +50,26 @@
 	}
 }
 
-// Guards against engines so full that the longest answers end too late, and
-// against answers with one try only that are rejected as often as the others.
+// Guards against engines that run so many streams that the longest answers
+// are late, and against rejecting answers with a single try as often as
+// others.
 func TestEngineStreamLimit(t *testing.T) {
 	for _, tc := range []struct {
-		streams, most  int
-		canRetry, full bool
+		streams, maxStreams int
+		canRetry, full      bool
 	}{
 		{27, 40, true, false}, {28, 40, true, true}, {39, 40, false, false}, {40, 40, false, true},
 		{76, 0, true, false}, {76, 200, true, false}, {77, 200, false, true}, {0, 1, true, false}, {1, 1, true, true},
 	} {
 		c := newCandidate("e", "", engines.Load{Streams: tc.streams})
-		c.MaxStreams = tc.most
+		c.MaxStreams = tc.maxStreams
 		if got := (SlotPolicy{CanRetry: tc.canRetry}).Full(&c); got != tc.full {
 			t.Errorf("%+v: full %v", tc, got)
 		}
 	}
 }
 
-// Guards against a slow engine that is filled like a quick one.
+// Guards against loading a slow engine like a quick one.
 func TestDecodeWeighsStreamLimits(t *testing.T) {
 	p := Prompt{Tokens: 100, Objective: 150 * time.Millisecond}
 	quick, slow := newCandidate("quick", "", engines.Load{Streams: 25}), newCandidate("slow", "", engines.Load{Streams: 20})
--- a/request/placement/shortlist_test.go
+++ b/request/placement/shortlist_test.go
@@ -10,11 +10,11 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// queueSim is a fleet of engines that read prompts one after the other, and
-// deciders whose news of the queues is old.
+// queueSim simulates engines that prefill one prompt after the other, and
+// daemons that choose among them by outdated reports of their queues.
 type queueSim struct {
-	busyUntil  []time.Duration // when each engine is done with what it has
-	knownUntil []time.Duration // the same, as the deciders know it
+	busyUntil  []time.Duration // when each engine's queue ends
+	knownUntil []time.Duration // busyUntil as of the last report
 	ids        []string
 	rnd        *rand.Rand
 	duration   time.Duration
@@ -22,95 +22,96 @@
 
 const (
 	reportInterval = 500 * time.Millisecond
-	utilization    = 0.6 // share of the engines' time that prompts take
+	utilization    = 0.6 // fraction of the engines' time that prefills take
 )
 
-// meanWait is how long prompts wait on the mean, chosen by choose.
-func (h *queueSim) meanWait(choose func(now time.Duration, p Prompt, cands []Candidate) int) time.Duration {
+// meanWait returns the mean time that prompts wait at the engines that
+// choose returns.
+func (sim *queueSim) meanWait(choose func(now time.Duration, p Prompt, cands []Candidate) int) time.Duration {
 	p := Prompt{Tokens: 8000, Objective: 800 * time.Millisecond}
 	read := figures.Read(p.Tokens, p.Tokens)
-	gap := time.Duration(float64(read) / utilization / float64(len(h.ids)))
-	var sum, now, told time.Duration
+	gap := time.Duration(float64(read) / utilization / float64(len(sim.ids)))
+	var sum, now, nextReport time.Duration
 	n := 0
-	for ; now < h.duration; now += time.Duration(h.rnd.ExpFloat64() * float64(gap)) {
-		if now >= told {
-			copy(h.knownUntil, h.busyUntil)
-			told = now + reportInterval
+	for ; now < sim.duration; now += time.Duration(sim.rnd.ExpFloat64() * float64(gap)) {
+		if now >= nextReport {
+			copy(sim.knownUntil, sim.busyUntil)
+			nextReport = now + reportInterval
 		}
-		p.Seed, p.RandomSeed = h.rnd.Uint64(), h.rnd.Uint64()
-		cands := make([]Candidate, len(h.ids))
-		for i, id := range h.ids {
-			cands[i] = Candidate{Entry: port.TargetEntry{ID: id}, Slowdown: 1, Load: engines.Load{Wait: max(h.knownUntil[i]-now, 0)}}
+		p.Seed, p.RandomSeed = sim.rnd.Uint64(), sim.rnd.Uint64()
+		cands := make([]Candidate, len(sim.ids))
+		for i, id := range sim.ids {
+			cands[i] = Candidate{Entry: port.TargetEntry{ID: id}, Slowdown: 1, Load: engines.Load{Wait: max(sim.knownUntil[i]-now, 0)}}
 		}
 		at := choose(now, p, cands)
-		sum += max(h.busyUntil[at]-now, 0)
-		h.busyUntil[at] = max(h.busyUntil[at], now) + read
+		sum += max(sim.busyUntil[at]-now, 0)
+		sim.busyUntil[at] = max(sim.busyUntil[at], now) + read
 		n++
 	}
 	return sum / time.Duration(n)
 }
 
 func newQueueSim(n int) *queueSim {
-	h := &queueSim{busyUntil: make([]time.Duration, n), knownUntil: make([]time.Duration, n), rnd: rand.New(rand.NewPCG(7, uint64(n))), duration: 4 * time.Second}
+	sim := &queueSim{busyUntil: make([]time.Duration, n), knownUntil: make([]time.Duration, n), rnd: rand.New(rand.NewPCG(7, uint64(n))), duration: 4 * time.Second}
 	for i := range n {
-		h.ids = append(h.ids, fmt.Sprint("engine", i))
+		sim.ids = append(sim.ids, fmt.Sprint("engine", i))
 	}
-	return h
+	return sim
 }
 
-// Hundreds of daemons hear of the engines' queues half a second late. All send
-// their prompts to the engines that were idle then, where these wait for each
-// other, and the callers get their first event late though engines are idle.
-// With a few queues asked for, a prompt waits less than a quarter of the time
-// that it takes to be read, whatever the number of engines.
+// Guards against hundreds of daemons that send their prompts to the same
+// engines. It happens because reports of queues are half a second old: all
+// choose the engines that were idle then. With a few queues queried, a
+// prompt waits less than a quarter of its prefill time, whatever the number
+// of engines.
 func TestQueriedQueuesAvoidHerding(t *testing.T) {
 	for _, n := range []int{6, 60, 171, 700} {
 		read := figures.Read(8000, 8000)
-		old := newQueueSim(n).meanWait(func(_ time.Duration, p Prompt, cands []Candidate) int {
+		byReports := newQueueSim(n).meanWait(func(_ time.Duration, p Prompt, cands []Candidate) int {
 			return Prefill(p, cands, nil, nil, figures).Index
 		})
-		h := newQueueSim(n)
-		asked := h.meanWait(func(now time.Duration, p Prompt, cands []Candidate) int {
+		sim := newQueueSim(n)
+		queried := sim.meanWait(func(now time.Duration, p Prompt, cands []Candidate) int {
 			list := Shortlist(p, cands, nil, nil, figures)
 			waits := make([]time.Duration, len(list))
 			for i := range list {
-				waits[i] = max(h.busyUntil[list[i].Index]-now, 0)
+				waits[i] = max(sim.busyUntil[list[i].Index]-now, 0)
 			}
 			return SelectByWait(list, cands, waits).Index
 		})
-		t.Logf("%d engines: a prompt that is read in %v waits %v on old news, %v when asked", n, read, old, asked)
-		if asked > read/4 {
-			t.Errorf("%d engines: a prompt waits %v of %v", n, asked, read)
+		t.Logf("%d engines: a prompt with a prefill of %v waits %v by reports, %v by queried queues", n, read, byReports, queried)
+		if queried > read/4 {
+			t.Errorf("%d engines: a prompt waits %v of %v", n, queried, read)
 		}
 	}
 }
 
-// Each of a hundred daemons sends some prompts a second to 171 engines. Drawn
-// from all engines, most prompts wait for a new connection, which is paid for.
-// Drawn from those that a daemon has connections to, few do, and prompts wait no
-// longer for each other: daemons have connections to different engines.
+// Guards against random engines to which most prompts need a new connection,
+// which is billed. If engines with a connection are drawn, few prompts need
+// one, and prompts don't wait longer, since daemons have connections to
+// different engines.
 func TestRandomDrawsPreferConnectedEngines(t *testing.T) {
 	const daemons, n, idle = 200, 171, 9 * time.Second
-	used := make([][n]time.Duration, daemons) // when each daemon used an engine last
+	used := make([][n]time.Duration, daemons) // when each daemon last used each engine
 	prompts, opened := 0, 0
-	h := newQueueSim(n)
-	h.duration = 20 * time.Second
-	wait := h.meanWait(func(now time.Duration, p Prompt, cands []Candidate) int {
-		mine := &used[h.rnd.IntN(daemons)]
+	sim := newQueueSim(n)
+	sim.duration = 20 * time.Second
+	wait := sim.meanWait(func(now time.Duration, p Prompt, cands []Candidate) int {
+		lastUse := &used[sim.rnd.IntN(daemons)]
 		for i := range cands {
-			cands[i].HasIdleConn = mine[i] > 0 && now-mine[i] < idle
+			cands[i].HasIdleConn = lastUse[i] > 0 && now-lastUse[i] < idle
 		}
 		list := Shortlist(p, cands, nil, nil, figures)
 		waits := make([]time.Duration, len(list))
 		for i := range list {
-			waits[i] = max(h.busyUntil[list[i].Index]-now, 0)
+			waits[i] = max(sim.busyUntil[list[i].Index]-now, 0)
 		}
 		at := SelectByWait(list, cands, waits).Index
 		prompts++
 		if !cands[at].HasIdleConn {
 			opened++
 		}
-		mine[at] = now
+		lastUse[at] = now
 		return at
 	})
 	t.Logf("%d prompts, %d connections opened, a wait of %v", prompts, opened, wait)
@@ -122,8 +123,8 @@
 	}
 }
 
-// A holder that doesn't answer must not make its engine look idle or full: what
-// is known of it by the sums holds.
+// Guards against an engine that looks idle or full because its queue wasn't
+// reported. The predicted wait is used instead.
 func TestSelectByWaitKeepsEstimateWithoutAnAnswer(t *testing.T) {
 	cands := []Candidate{newCandidate("a", "", waitOf(300)), newCandidate("b", "", waitOf(100)), newCandidate("c", "", waitOf(0))}
 	list := Shortlist(Prompt{Tokens: 8000}, cands, nil, nil, figures)
--- a/request/placement/usual_test.go
+++ b/request/placement/usual_test.go
@@ -8,24 +8,25 @@
 
 const ms = time.Millisecond
 
-// More prompts come than can be read. Those of which nothing is kept take four
-// times the engine's time, and as many callers are refused for each of them.
-// They yield in a long queue, by half at most, and not in a short one.
+// When more prompts arrive than can be prefilled, a prompt with nothing
+// cached takes four times the time of others, so that several callers are
+// rejected for it. In a long queue its effective wait is longer, by at most
+// a factor of two; in a short queue it isn't.
 func TestCostlyPromptsAreRejectedFirst(t *testing.T) {
-	var u PromptStats
-	if got := u.EffectiveWait(100*ms, 9000, 20*ms, 0); got != 100*ms {
+	var stats PromptStats
+	if got := stats.EffectiveWait(100*ms, 9000, 20*ms, 0); got != 100*ms {
 		t.Errorf("before anything is usual: %v", got)
 	}
 	for range 200 {
-		u.Record(9000, 15*ms)
+		stats.Record(9000, 15*ms)
 	}
 	for _, tc := range []struct {
-		name   string
-		wait   time.Duration
-		tokens int
-		read   time.Duration
-		off    time.Duration
-		want   time.Duration
+		name            string
+		wait            time.Duration
+		tokens          int
+		read            time.Duration
+		predictionError time.Duration
+		want            time.Duration
 	}{
 		{"usual", 145 * ms, 9000, 15 * ms, 0, 145 * ms},
 		{"cheap", 145 * ms, 9000, 5 * ms, 0, 145 * ms},
@@ -36,20 +37,21 @@
 		{"the same in a short queue", 40 * ms, 9000, 15 * ms, 20 * ms, 40 * ms},
 		{"nothing to read", 145 * ms, 9000, 0, 0, 145 * ms},
 	} {
-		if got := u.EffectiveWait(tc.wait, tc.tokens, tc.read, tc.off); (got - tc.want).Abs() > ms {
+		if got := stats.EffectiveWait(tc.wait, tc.tokens, tc.read, tc.predictionError); (got - tc.want).Abs() > ms {
 			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
 		}
 	}
 }
 
-// Callers come at random, bursts of a second at twice what an engine reads, half
-// of the prompts costly. With costly prompts yielding more callers are served
-// on time by the same engine, and costly ones half as often as others at least.
+// The load has random arrivals, bursts of a second at twice the engine's
+// capacity, and costly prompts as half of the requests. Rejecting costly
+// prompts first serves more callers on time, and costly ones at least half
+// as often as others.
 func TestRejectingCostlyPromptsServesMore(t *testing.T) {
 	const bound = 200 * ms
-	serve := func(yields bool) (served, cheap, costly int) {
+	serve := func(effective bool) (served, cheap, costly int) {
 		r := rand.New(rand.NewPCG(7, 1))
-		var u PromptStats
+		var stats PromptStats
 		now, free := time.Duration(0), time.Duration(0)
 		for range 20_000 {
 			gap := 30 * ms
@@ -62,12 +64,12 @@
 				read = 26 * ms
 			}
 			wait := max(free-now, 0)
-			u.Record(9000, read)
-			counts := wait
-			if yields {
-				counts = u.EffectiveWait(wait, 9000, read, 0)
+			stats.Record(9000, read)
+			assumed := wait
+			if effective {
+				assumed = stats.EffectiveWait(wait, 9000, read, 0)
 			}
-			if counts+read > bound {
+			if assumed+read > bound {
 				continue
 			}
 			free = max(free, now) + read
