--- a/request/admission/admission.go
+++ b/request/admission/admission.go
@@ -1,6 +1,6 @@
-// Package admission decides at once whether a request may run: by its
-// deadline, its priority and its organisation's fair share. It never queues;
-// a refusal says when to come back.
+// Package admission decides at once whether a request may run, by its
+// deadline, its priority and the fair share of its organisation. It never
+// queues requests; a rejection states when to retry.
 package admission
 
 import (
@@ -12,8 +12,8 @@
 	"github.com/pomelospool/pomelospool/version/document"
 )
 
-// Fullness, as a share of the room at the targets, from which requests are
-// refused. The room above normalPriorityFull are the reserve of high priority.
+// Thresholds of the fullness of the targets from which on requests are rejected.
+// The capacity above normalPriorityFull is reserved for high priority.
 const (
 	lowPriorityFull    = 0.70 // requests of low priority
 	normalPriorityFull = 0.95 // requests of normal priority
@@ -27,22 +27,23 @@
 	maxRetryAfter = 30 * time.Second
 )
 
-// Request is what admission decides on.
+// Request is the input of an admission decision.
 type Request struct {
 	Doc      *document.Document
 	Org      string
 	Priority int           // -1, 0, 1
-	Cost     float64       // work, in any unit that is the same for all
+	Cost     float64       // work, in any unit that is common to all requests
 	TimeLeft time.Duration // until the deadline
 	Decision routing.Decision
 	Targets  []routing.Target
-	// IdleFinish returns the expected finish if all targets were idle. It is called
-	// for refusals only.
+	// IdleFinish returns the expected finish if all targets were idle. It is
+	// only called if the request may be rejected.
 	IdleFinish func() (time.Duration, bool)
 }
 
-// Controller is safe for concurrent use. Its memory grows with the requests
-// in flight, not with the organisations known.
+// Controller makes admission decisions. It is safe for concurrent use. Its
+// memory grows with the requests in flight, not with the number of known
+// organisations.
 type Controller struct {
 	now func() time.Time
 
@@ -55,8 +56,9 @@
 	return &Controller{now: now, services: make(map[string]*service)}
 }
 
-// Admit returns a function to call once when the request is over, or a
-// *code.Error with code.Overloaded, code.DeadlineTooShort or code.OrgOverShare.
+// Admit returns a function to call once when the request has ended, or a
+// *code.Error with code.Overloaded, code.DeadlineTooShort or
+// code.OrgOverShare.
 func (c *Controller) Admit(a Request) (func(), error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,7 +71,7 @@
 	}
 	full := s.fullness(a)
 	if over := full.excessOver(a.Priority); over >= 0 {
-		return nil, code.New(code.Overloaded, "%.0f%% of the room is taken", full.share*100).
+		return nil, code.New(code.Overloaded, "targets are %.0f%% full", full.share*100).
 			After(s.retryAfter(over, slotCount(a.Targets)))
 	}
 	if over := full.excess - 1; over >= 0 && a.Priority <= 0 && s.overShare(a, 1/full.excess, c.now()) {
@@ -79,12 +81,13 @@
 	return c.track(s, a), nil
 }
 
-// FullError returns the refusal for a request that routing found no place for.
+// FullError returns the rejection of a request for which routing found no
+// free slot.
 func (c *Controller) FullError(doc *document.Document, targets []routing.Target) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.service(doc.Service)
-	return code.New(code.Overloaded, "every target is full").
+	return code.New(code.Overloaded, "all targets are full").
 		After(s.retryAfter(0, slotCount(targets)))
 }
 
@@ -97,7 +100,8 @@
 	}
 }
 
-// service returns the state of a service. Names come from documents in force.
+// service returns the state of a service and creates it if there is none.
+// Names come from active documents, which bounds their number.
 func (c *Controller) service(name string) *service {
 	s, ok := c.services[name]
 	if !ok {
@@ -107,10 +111,11 @@
 	return s
 }
 
-// excessOver tells by how much the room for a priority is exceeded; negative when
-// there is some. Those who leave a reserve to others keep to the cautious
-// estimate too: four processes that each fill the same gap would fill the
-// reserve as well.
+// excessOver returns by how much the fullness exceeds the threshold of a
+// priority; it is negative below the threshold. Priorities that leave a
+// reserve to others are also held to the cautious estimate: otherwise four
+// processes that each fill the same free slots would fill the reserve as
+// well.
 func (f fullness) excessOver(priority int) float64 {
 	switch {
 	case priority > 0:
@@ -121,8 +126,8 @@
 	return max(f.share-normalPriorityFull, f.cautious-normalPriorityCautiousFull)
 }
 
-// deadlineError tells a deadline that is too short for any target from one that the
-// backlog makes too short.
+// deadlineError returns DeadlineTooShort if the deadline is too short even
+// for an idle target, and Overloaded if only the backlog makes it too short.
 func deadlineError(a Request) error {
 	if idle, ok := a.IdleFinish(); ok && idle > a.TimeLeft {
 		return code.New(code.DeadlineTooShort, "an idle target needs about %v", idle.Round(time.Millisecond))
@@ -131,15 +136,16 @@
 	return code.New(code.Overloaded, "the answer would take about %v", a.Decision.Finish.Round(time.Millisecond)).After(wait)
 }
 
-// firstTokenMargin is the share of the first-token objective that the estimate may
-// take, since it is some way too low on the whole.
+// firstTokenMargin is the fraction of the first-token objective that the
+// estimate may use, since the estimate is too low on average.
 const firstTokenMargin = 0.9
 
-// missesFirstToken reports whether the backlog alone makes the first token miss the
-// objective, and how long until it wouldn't. Without it a queue grows at every
-// target until deadlines refuse: the same number of requests is answered, but
-// each of them late. High priority goes by its deadline, and so does a prompt
-// that even an idle target couldn't begin to answer in time.
+// missesFirstToken reports whether the backlog alone makes the first token
+// miss its objective, and how long until it no longer does. Without this
+// check queues grow until deadlines cause rejections: as many requests are
+// answered, but all of them late. High-priority requests are held to their
+// deadline only, and so are prompts that even an idle target couldn't answer
+// in time.
 func missesFirstToken(a Request) (time.Duration, bool) {
 	goal := time.Duration(firstTokenMargin * float64(a.Doc.Objectives.FirstToken))
 	over := a.Decision.First - goal
--- a/request/admission/admission_test.go
+++ b/request/admission/admission_test.go
@@ -11,45 +11,45 @@
 	"github.com/pomelospool/pomelospool/version/document"
 )
 
-// limitKinds are the two ways in which a service runs out of room: places at the
+// limitKinds are the two limits of a service's capacity: slots at the
 // targets, and time.
 var limitKinds = []struct {
 	name  string
 	limit int
 }{{"places", simServers + 5}, {"time", 0}}
 
-// TestOverload: the load rises to ten times what the fleet can do. Accepted
-// without a bound, every request would wait until its deadline has passed and
-// the fleet would work for nobody. Goodput stays at 95% of that at 1x, and
-// high priority keeps 95% of its own.
+// Guards against a loss of goodput when the load rises to ten times the
+// capacity. If every request were accepted, all would wait until their
+// deadline had passed. Goodput must stay at 95% of that at 1x, and high
+// priority must keep 95% of its own.
 func TestOverload(t *testing.T) {
-	const orgs = 50 // alike, so that fair shares alone bound nothing
-	for _, room := range limitKinds {
+	const orgs = 50 // equal loads, so that fair shares alone reject nothing
+	for _, kind := range limitKinds {
 		base, high := 0.0, 0.0
 		for _, factor := range []float64{1, 2, 5, 10} {
 			sources := []source{{"high", 1, capacity * 0.1}}
 			for i := range orgs {
 				sources = append(sources, source{fmt.Sprint("org", i), 0, capacity * (factor - 0.1) / orgs})
 			}
-			s := run(1, room.limit, sources)
+			s := run(1, kind.limit, sources)
 			if factor == 1 {
 				base, high = s.total(), s.onTime["high"]
 			}
-			t.Logf("%s %gx: goodput %.3f of 1x (%.3f of capacity), high %.3f of 1x, refused %v", room.name, factor,
+			t.Logf("%s %gx: goodput %.3f of 1x (%.3f of capacity), high %.3f of 1x, refused %v", kind.name, factor,
 				s.total()/base, s.total()/(capacity*simLength.Seconds()), s.onTime["high"]/high, s.refused)
 			if s.total() < 0.95*base || s.onTime["high"] < 0.95*high {
-				t.Errorf("%s %gx: goodput %.3f, high %.3f of 1x", room.name, factor, s.total()/base, s.onTime["high"]/high)
+				t.Errorf("%s %gx: goodput %.3f, high %.3f of 1x", kind.name, factor, s.total()/base, s.onTime["high"]/high)
 			}
 		}
 	}
 }
 
-// TestFloodOfOneOrganisation: nineteen organisations use 80% of the fleet; then another one
-// sends ten times what the fleet can do. The others lose at most 5%, as a mean
-// over seeds.
+// Guards against one organisation that sends ten times the capacity while
+// nineteen others use 80% of it. The others must lose at most 5% of their
+// goodput, averaged over the seeds.
 func TestFloodOfOneOrganisation(t *testing.T) {
 	const seeds = 4
-	for _, room := range limitKinds {
+	for _, kind := range limitKinds {
 		var calm []source
 		for i := range 19 {
 			calm = append(calm, source{fmt.Sprint("org", i), 0, capacity * 0.8 / 19})
@@ -57,7 +57,7 @@
 		flood := append(slices.Clip(calm), source{"flood", 0, capacity * 10})
 		sum, worst, taken := 0.0, 1.0, 0.0
 		for seed := range uint64(seeds) {
-			before, after := run(seed, room.limit, calm), run(seed, room.limit, flood)
+			before, after := run(seed, kind.limit, calm), run(seed, kind.limit, flood)
 			kept := (after.total() - after.onTime["flood"]) / before.total()
 			sum += kept
 			worst = min(worst, kept)
@@ -68,14 +68,15 @@
 				}
 			}
 		}
-		t.Logf("%s: others keep %.3f, in the worst run %.3f; the flood gets %.3f of capacity", room.name, sum/seeds, worst, taken/seeds)
+		t.Logf("%s: others keep %.3f, in the worst run %.3f; the flood gets %.3f of capacity", kind.name, sum/seeds, worst, taken/seeds)
 		if sum/seeds < 0.95 {
-			t.Errorf("%s: others keep %.3f", room.name, sum/seeds)
+			t.Errorf("%s: others keep %.3f", kind.name, sum/seeds)
 		}
 	}
 }
 
-// TestRefusalCodes: which refusal a request gets, and when to come back.
+// TestRefusalCodes checks the code of each rejection and whether it states
+// when to retry.
 func TestRefusalCodes(t *testing.T) {
 	half := []routing.Target{{Live: true, Limit: 100, InFlight: 50}}
 	busy := []routing.Target{{Live: true, Limit: 100, InFlight: 85}}
@@ -129,9 +130,10 @@
 	}
 }
 
-// TestBacklogMissesFirstTokenObjective: the backlog alone would make the first token come after its
-// objective, though the deadline is far. Accepted, every answer would come
-// late while the queue stays as long as deadlines allow.
+// Guards against accepting requests whose first token would miss its
+// objective because of the backlog, though their deadline is far off. The
+// queue would then stay as long as deadlines allow, and every answer would
+// be late.
 func TestBacklogMissesFirstTokenObjective(t *testing.T) {
 	const goal = time.Second
 	for _, c := range []struct {
--- a/request/admission/fullness.go
+++ b/request/admission/fullness.go
@@ -7,36 +7,39 @@
 )
 
 const (
-	// usableSlack is the part of a request's time to spare that waiting may use.
-	// Estimates are means: planning with all of it, half the answers are late.
+	// usableSlack is the fraction of a request's spare time that waiting
+	// may use. Estimates are means: if all of the spare time were planned
+	// for, half of the answers would be late.
 	usableSlack = 0.5
-	// maxOthersRatio bounds how much more than this process others are taken to send.
+	// maxOthersRatio bounds the assumed ratio of other processes' requests
+	// to those of this process.
 	maxOthersRatio = 16
 )
 
-// Where fair shares begin to be enforced. It leaves room for the fluctuation
-// of those who stay below their share, and costs no throughput: the targets
-// are busy at this point.
+// Thresholds from which on fair shares are enforced. They leave a margin for
+// fluctuations of organisations below their share. They cost no throughput,
+// since the targets are busy at this point.
 const (
-	slotContention = 0.75 // of the places
+	slotContention = 0.75 // of the slots
 	waitContention = 0.20 // of the time that waiting may use
 )
 
-// fullness is how full the targets are.
+// fullness states how full the targets are.
 type fullness struct {
-	// share is the greater of the shares of the places that are taken, and of
-	// the time for waiting that would be used up.
+	// share is the fraction of the slots in use or of the usable waiting time,
+	// whichever is greater.
 	share float64
-	// cautious is share with the others taken to have sent half as much more
-	// as this process did.
+	// cautious is share with the change since the reports scaled up halfway to
+	// that of all processes, by their part in the reported load.
 	cautious float64
-	// excess is the usage in flight over that at which fair shares begin to be
-	// enforced: from 1 on there is contention.
+	// excess is the ratio of the usage in flight to that from which on fair
+	// shares are enforced. From 1 on there is contention.
 	excess float64
 }
 
-// fullness weighs places and time. Engines serve high priority first, so the
-// queue's length says little about its wait: places only.
+// fullness combines the use of slots and of time. Engines serve high
+// priority first, so the length of the queue says little about the wait of
+// such requests: for them only slots count.
 func (s *service) fullness(a Request) fullness {
 	f := s.slotFullness(a.Targets)
 	if a.Priority > 0 {
@@ -50,12 +53,12 @@
 	}
 }
 
-// occupancy sums what is known of the live targets.
+// occupancy sums the load of the live targets.
 type occupancy struct {
 	slots    int
-	reported int // requests there by the newest reports, of all processes
-	inFlight int // of this process
-	sent     int // by this process since the reports, still in flight
+	reported int // requests of all processes, by the newest reports
+	inFlight int // requests of this process
+	sent     int // requests sent by this process since the reports and still in flight
 	age      time.Duration
 }
 
@@ -79,15 +82,16 @@
 	return o
 }
 
-// slotFullness is the share of places that are taken now.
+// slotFullness estimates the fraction of slots that are in use now.
 //
-// Reports lag, and all processes see the same free places at the same moment:
-// each fills them for itself, and the targets get several times as many. So
-// the change since the reports is worked out: what this process sent, less
-// what it gets back on average. The cautious estimate takes the others, by
-// their part in what the reports show, to have sent as much more; it is noisy
-// and decides only who has to stand back for others. Where all traffic comes
-// through this process both are the same.
+// Reports lag, and all processes see the same free slots at the same moment.
+// If each filled them for itself, the targets would get several times as
+// many requests. The change since the reports is therefore estimated: the
+// requests that this process sent, less the average number of its
+// completions. The cautious estimate assumes that other processes sent
+// requests too, in proportion to their part of the reported load. It is
+// noisy, and only decides which requests yield to others. If all traffic
+// passes through this process, both estimates are equal.
 func (s *service) slotFullness(targets []routing.Target) fullness {
 	o := sumOccupancy(targets)
 	if o.slots == 0 {
@@ -108,9 +112,10 @@
 	}
 }
 
-// waitFullness is the fullness in time. A request whose work alone takes most of
-// its time says nothing about others, so the time on an idle target is taken
-// off; where the result can't reach contention the second estimate is saved.
+// waitFullness returns the fullness in terms of time. The time on an idle
+// target is subtracted, because a request whose work alone takes most of its
+// time says nothing about the load. The estimate for an idle target is
+// skipped if the result can't reach contention.
 func waitFullness(a Request) fullness {
 	if a.Decision.Finish < time.Duration(waitContention*usableSlack*float64(a.TimeLeft)) {
 		return fullness{}
@@ -125,5 +130,5 @@
 	return fullness{share: wait / longest, excess: float64(a.Decision.Finish) / calm}
 }
 
-// slotCount counts the places of the live targets.
+// slotCount returns the number of slots of the live targets.
 func slotCount(targets []routing.Target) int { return sumOccupancy(targets).slots }
--- a/request/admission/share.go
+++ b/request/admission/share.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	rateWindow    = 10 * time.Second       // over which completions are averaged
-	usageWindow   = 8 * time.Second        // over which usage is averaged
-	levelInterval = 100 * time.Millisecond // between searches for the fair level
-	levelPasses   = 20                     // of one search, at most
-	maxOrgs       = 4096                   // organisations whose usage is kept
-	idleUsage     = 0.02                   // of the mean usage: less is forgotten
+	rateWindow    = 10 * time.Second       // completions are averaged over this time
+	usageWindow   = 8 * time.Second        // usage is averaged over this time
+	levelInterval = 100 * time.Millisecond // time between updates of the fair level
+	levelPasses   = 20                     // maximum of one search
+	maxOrgs       = 4096                   // organisations with tracked usage
+	idleUsage     = 0.02                   // fraction of the mean usage below which an idle organisation is evicted
 )
 
-// service is the state of one service at this process.
+// service is the state of one service in this process.
 type service struct {
-	orgs           map[string]*usage // organisations with usage of late
-	inFlightCost   float64           // in flight
-	completionRate float64           // completions a second, averaged
+	orgs           map[string]*usage // organisations with recent usage
+	inFlightCost   float64
+	completionRate float64 // mean completions per second
 	lastCompletion time.Time
-	level          float64   // fair level: mean cost in flight for a weight of 1
-	levelAt        time.Time // when it was found
+	level          float64   // fair share of a weight of 1, as mean cost in flight
+	levelAt        time.Time // when level was updated
 }
 
-// usage is what one organisation has in flight.
+// usage is the usage of one organisation.
 type usage struct {
 	requests int
 	cost     float64 // in flight now
@@ -33,7 +33,7 @@
 	weight   float64
 }
 
-// update brings the mean up to now.
+// update advances the mean to now.
 func (u *usage) update(now time.Time) {
 	keep := math.Exp(-now.Sub(u.meanAt).Seconds() / usageWindow.Seconds())
 	u.mean = u.cost + (u.mean-u.cost)*keep
@@ -65,13 +65,14 @@
 	u.cost -= a.Cost
 	s.inFlightCost -= a.Cost
 	if u.requests == 0 {
-		u.cost = 0 // rounding errors don't add up
+		u.cost = 0 // keeps rounding errors from accumulating
 	}
 	s.recordCompletion(now)
 }
 
-// evict drops the organisations that have nothing in flight and whose usage
-// of late is small; if that leaves too many, all that have nothing in flight.
+// evict drops the organisations that have nothing in flight and little
+// recent usage. If too many are left, it drops all that have nothing in
+// flight.
 func (s *service) evict(now time.Time) {
 	small := idleUsage * s.inFlightCost / float64(len(s.orgs))
 	for range 2 {
@@ -88,7 +89,7 @@
 	}
 }
 
-// recordCompletion takes one completion into the average rate.
+// recordCompletion adds one completion to the average rate.
 func (s *service) recordCompletion(now time.Time) {
 	gap := now.Sub(s.lastCompletion).Seconds()
 	s.lastCompletion = now
@@ -97,17 +98,19 @@
 	s.completionRate = s.completionRate*keep + 1/window
 }
 
-// overShare reports whether the organisation uses more than its fair share of
-// the usage at contention, which is part of the present usage.
+// overShare reports whether the organisation uses more than its fair share
+// of the usage from which on there is contention, which is the fraction part
+// of the present usage.
 //
-// One organisation's flood would otherwise take every place that comes free,
-// and the others' requests would be refused in proportion. By Little's law
-// work in flight is throughput times duration, so a share of it is a share of
-// the targets' time. It is averaged over a short while: an organisation with
-// one request at a time would else be refused its second one. The share is
-// max-min fair: those who ask for little get it all, whatever others ask for,
-// and a lone organisation gets everything up to contention. Organisations that
-// are quiet cost no memory and shrink no one's share.
+// Without it, a flood from one organisation would take every slot that
+// becomes free, and requests of others would be rejected in proportion. By
+// Little's law, work in flight is throughput times duration, so a share of
+// it is a share of the targets' time. Usage is averaged over a short time,
+// since an organisation with one request at a time would otherwise be
+// refused its second one. Shares are max-min fair: organisations that ask
+// for little get all of it, whatever others ask for, and a lone organisation
+// gets everything up to contention. Idle organisations use no memory and
+// reduce nobody's share.
 func (s *service) overShare(a Request, part float64, now time.Time) bool {
 	u := s.orgs[a.Org]
 	if u == nil {
@@ -118,9 +121,9 @@
 	return u.mean > s.level*u.weight
 }
 
-// updateLevel searches for the level now and then, and averages what it finds:
-// part comes from lagging reports, and a single low one would have those
-// refused who are well below their share.
+// updateLevel recomputes the level every levelInterval and averages the
+// results. part is derived from lagging reports, and a single low value
+// would reject requests of organisations well below their share.
 func (s *service) updateLevel(part float64, now time.Time) {
 	since := now.Sub(s.levelAt)
 	if since < levelInterval {
@@ -131,9 +134,10 @@
 	s.levelAt = now
 }
 
-// fairLevel returns the level at which the organisations' usage, cut at level
-// times weight, adds up to part of what it is. It raises the level in
-// passes: what those below it leave is shared among those above.
+// fairLevel returns the level at which the organisations' usage, capped at
+// level times weight, adds up to the fraction part of its sum. It raises the
+// level in passes: what organisations below the level leave unused is shared
+// among those above it.
 func (s *service) fairLevel(part float64, now time.Time) float64 {
 	s.evict(now)
 	sum, weights := 0.0, 0.0
@@ -141,21 +145,21 @@
 		sum += u.mean
 		weights += u.weight
 	}
-	fit := sum * part
-	level := fit / weights
+	allowed := sum * part
+	level := allowed / weights
 	for range levelPasses {
-		left, above := fit, 0.0
+		remaining, above := allowed, 0.0
 		for _, u := range s.orgs {
 			if u.mean <= level*u.weight {
-				left -= u.mean
+				remaining -= u.mean
 			} else {
 				above += u.weight
 			}
 		}
-		if above == 0 || left <= level*above {
+		if above == 0 || remaining <= level*above {
 			return level
 		}
-		level = left / above
+		level = remaining / above
 	}
 	return level
 }
@@ -167,12 +171,12 @@
 	return 1
 }
 
-// retryAfter is the time in which the present rate of completions frees the
-// share of places by which the service is too full, and one more.
-func (s *service) retryAfter(over float64, places int) time.Duration {
+// retryAfter returns the time in which completions at the present rate free
+// the slots by which the service is too full, and one more.
+func (s *service) retryAfter(excess float64, slots int) time.Duration {
 	if s.completionRate <= 0 {
 		return minRetryAfter
 	}
-	need := max(over, 0)*float64(places) + 1
+	need := max(excess, 0)*float64(slots) + 1
 	return clamp(time.Duration(need / s.completionRate * float64(time.Second)))
 }
--- a/request/admission/sim_test.go
+++ b/request/admission/sim_test.go
@@ -12,7 +12,7 @@
 	"github.com/pomelospool/pomelospool/version/document"
 )
 
-// The fleet of the simulated load: servers that queue whatever they are sent.
+// The simulated fleet consists of servers that queue every request they receive.
 const (
 	simTargets        = 4
 	simServers        = 20 // requests that a target runs at once
@@ -31,22 +31,23 @@
 	rate     float64 // requests a second
 }
 
-// traffic is one source's own random numbers: what it sends doesn't depend on
-// what becomes of it, nor on the other sources.
+// traffic is a source with its own random numbers, so that its requests
+// depend neither on their outcome nor on the other sources.
 type traffic struct {
 	source
 	rnd *rand.Rand
 }
 
-// sim drives Controllers with virtual time, an event at a time.
+// sim is a discrete-event simulation that drives Controllers in virtual
+// time.
 type sim struct {
 	now     time.Time
 	end     time.Time
-	limit   int     // places at a target, 0 for none
-	events  []event // in the order of time
+	limit   int     // slots of a target; 0: no limit
+	events  []event // ordered by time
 	targets [simTargets]simTarget
 	daemons [simDaemons]*simDaemon
-	onTime  map[string]float64 // requests answered in time, by organisation
+	onTime  map[string]float64 // requests answered before their deadline, by organisation
 	refused map[code.Code]int
 }
 
@@ -76,7 +77,8 @@
 	do func()
 }
 
-// run returns the sim after its time is over. The same seed gives the same run.
+// run returns the simulation after its end. Runs with the same seed are
+// equal.
 func run(seed uint64, limit int, sources []source) *sim {
 	s := &sim{limit: limit}
 	s.now = time.Unix(0, 0)
@@ -125,7 +127,7 @@
 	})
 }
 
-// report refreshes what daemons know of targets.
+// report updates the load of targets that daemons know.
 func (s *sim) report() {
 	for i := range s.targets {
 		s.targets[i].reported = s.targets[i].running + len(s.targets[i].queue)
@@ -155,9 +157,9 @@
 	return out
 }
 
-// route takes the target with the least work; its time is the queue's. Like
-// the real routing it reckons with what other daemons sent since the report,
-// and with what the target got done.
+// route returns the target with the least work and the expected duration
+// there. Like the real routing, it accounts for requests that other daemons
+// sent and that the target completed since the report.
 func route(targets []routing.Target) (int, time.Duration) {
 	best, least, sent := 0, 1<<30, 0
 	for i, t := range targets {
@@ -207,7 +209,7 @@
 	s.after(r.work, func() { s.finish(r) })
 }
 
-// enqueue lets high priority go first, as engines do.
+// enqueue queues a request with high priority before others, as engines do.
 func (t *simTarget) enqueue(r *simRequest) {
 	i := len(t.queue)
 	for r.priority > 0 && i > 0 && t.queue[i-1].priority < r.priority {
--- a/request/budget/budget_test.go
+++ b/request/budget/budget_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestSharesBoundRetries: retries stay within the greater of the reserve and the share,
-// and the past is forgotten.
+// TestSharesBoundRetries checks that retries stay within the greater of the
+// reserve and the share, and that old requests expire.
 func TestSharesBoundRetries(t *testing.T) {
 	now := time.Unix(0, 0)
 	b := NewShares(func() time.Time { return now })
--- a/request/budget/fleet.go
+++ b/request/budget/fleet.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Fleet bounds the sends of all daemons together, without a word between them:
-// each spends a share of its own requests, and its part of what is allowed on
-// top.
+// Fleet limits the extra sends of all daemons together without communication
+// between them. Each daemon may spend a share of its own requests and its
+// part of a common allowance.
 type Fleet struct {
 	w       *windows
 	daemons func() int
@@ -17,35 +17,35 @@
 	slack float64
 }
 
-// FleetOptions of a Fleet. All are needed.
+// FleetOptions configures a Fleet. All fields are required.
 type FleetOptions struct {
-	Ratio   float64       // extra sends a request
-	Slack   float64       // extra sends in a window on top, of all daemons
-	Window  time.Duration // span that the bound holds for
-	Daemons func() int    // most daemons that there can be now
+	Ratio   float64       // extra sends for each request
+	Slack   float64       // additional extra sends of all daemons in a window
+	Window  time.Duration // time over which the limit holds
+	Daemons func() int    // upper bound of the present number of daemons
 	Now     func() time.Time
 }
 
-// SpendableShare is the part of the bound that is spent: the daemons' windows don't
-// begin together, and requests may end at other daemons than they began at.
+// SpendableShare is the fraction of the limit that daemons spend. The rest
+// is a margin, since windows of daemons aren't aligned and a request may end
+// at another daemon than it began at.
 const SpendableShare = 0.7
 
-// NewFleet returns a Fleet.
 func NewFleet(o FleetOptions) *Fleet {
 	return &Fleet{w: newWindows(o.Window, o.Now), daemons: o.Daemons, ratio: o.Ratio, slack: o.Slack}
 }
 
-// Set changes the bounds.
+// Set changes the ratio and the slack.
 func (f *Fleet) Set(ratio, slack float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.ratio, f.slack = ratio, slack
 }
 
-// Request counts a request of a caller.
+// Request counts a request of the service.
 func (f *Fleet) Request(service string) { f.w.request(service) }
 
-// Take allows n sends beyond the first, or not.
+// Take reports whether n extra sends are allowed and counts them if so.
 func (f *Fleet) Take(service string, n int) bool {
 	f.mu.Lock()
 	ratio, slack := f.ratio, f.slack
--- a/request/budget/window.go
+++ b/request/budget/window.go
@@ -1,7 +1,8 @@
-// Package budget bounds the sends beyond the first one of each request.
+// Package budget limits retries: the sends beyond the first one of each
+// request.
 //
-// The failure it stops: when all targets fail, each retry adds load to what is
-// failing already, and the load stays when its cause has gone.
+// Without a limit, each retry adds load when all targets fail, and the
+// overload persists after its cause is gone.
 package budget
 
 import (
@@ -9,10 +10,10 @@
 	"time"
 )
 
-// windows counts requests and sends beyond the first for each service, over
-// the span that ends now. It counts in slots, so that what lies longer ago than
-// the span leaves little by little. Services come from the configuration in
-// force, so the map stays as small as their number.
+// windows counts requests and extra sends of each service over a sliding
+// window. A window is divided into slots, so that old counts expire in small
+// steps. Services come from the active configuration, which bounds the size
+// of the map.
 type windows struct {
 	span time.Duration
 	now  func() time.Time
@@ -23,8 +24,8 @@
 
 type window [windowSlots]slot
 
-// windowSlots is the number of slots in a window: a tenth of what counts
-// leaves at a time.
+// windowSlots is the number of slots in a window: a tenth of the window
+// expires at a time.
 const windowSlots = 10
 
 type slot struct {
@@ -37,22 +38,21 @@
 	return &windows{span: span, now: now, services: make(map[string]*window)}
 }
 
-// request counts a request of a caller.
 func (w *windows) request(service string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.slot(service).requests++
 }
 
-// count counts n sends beyond the first.
+// count counts n extra sends.
 func (w *windows) count(service string, n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.slot(service).extraSends += float64(n)
 }
 
-// take counts n sends beyond the first if they stay within what allowed gives
-// for the requests in the window.
+// take counts n extra sends if the total stays within the result of allowed
+// for the requests in the window. It reports whether it does.
 func (w *windows) take(service string, n int, allowed func(requests float64) float64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -75,15 +75,15 @@
 	return requests, extras
 }
 
-// slot returns the slot of this moment. Callers hold w.mu.
+// slot returns the slot for the present time. The caller must hold w.mu.
 func (w *windows) slot(service string) *slot {
-	one := w.services[service]
-	if one == nil {
-		one = &window{}
-		w.services[service] = one
+	win := w.services[service]
+	if win == nil {
+		win = &window{}
+		w.services[service] = win
 	}
 	number := w.now().UnixNano() / int64(w.span/windowSlots)
-	s := &one[number%windowSlots]
+	s := &win[number%windowSlots]
 	if s.number != number {
 		*s = slot{number: number}
 	}
--- a/request/limit/limit.go
+++ b/request/limit/limit.go
@@ -1,4 +1,5 @@
-// Package limit bounds what callers may use: connections, streams and bytes.
+// Package limit limits what callers may use: connections, concurrent
+// requests, body bytes and time.
 package limit
 
 import (
@@ -14,23 +15,23 @@
 	"github.com/pomelospool/pomelospool/internal/watchdog"
 )
 
-// Streams counts the open requests of each caller. The map holds callers with
-// open requests only.
+// Streams counts the open requests of each caller. It only holds callers
+// with open requests.
 type Streams struct {
 	mu   sync.Mutex
 	open map[string]int
 }
 
-// NewStreams returns an empty Streams.
 func NewStreams() *Streams { return &Streams{open: make(map[string]int)} }
 
-// Enter counts one request of caller and returns the function that ends it,
-// or code.TooManyStreams. A max of 0 or less means no limit.
+// Enter counts a request of caller and returns the function that ends it.
+// Beyond max it returns code.TooManyStreams. A max of 0 or less means no
+// limit.
 func (s *Streams) Enter(caller string, max int) (func(), error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if max > 0 && s.open[caller] >= max {
-		return nil, code.New(code.TooManyStreams, "%d are open", s.open[caller]).After(time.Second)
+		return nil, code.New(code.TooManyStreams, "%d requests are open", s.open[caller]).After(time.Second)
 	}
 	s.open[caller]++
 	return func() { s.leave(caller) }, nil
@@ -45,11 +46,12 @@
 	}
 }
 
-// ReadBody reads the whole body of req within max bytes and wait.
+// ReadBody reads the whole body of req, up to max bytes, and fails if that
+// takes longer than wait.
 //
-// A caller that sends its body a byte at a time holds a connection and memory
-// for as long as it pleases; the limit covers the whole body, so dripping bytes
-// doesn't extend it. A pause of this process doesn't count.
+// The time limit covers the whole body, so a caller that sends its body a
+// byte at a time can't hold a connection and memory for long. Time during
+// which this process is paused doesn't count.
 func ReadBody(w http.ResponseWriter, req *http.Request, max int64, wait time.Duration) ([]byte, error) {
 	if req.ContentLength == 0 && len(req.TransferEncoding) == 0 {
 		return nil, nil
@@ -57,7 +59,7 @@
 	if req.ContentLength > max {
 		return nil, code.New(code.BodyTooLarge, "%d bytes, at most %d", req.ContentLength, max)
 	}
-	// Deadlines fail on writers without a connection only, as in tests.
+	// Setting a deadline only fails on writers without a connection, as in tests.
 	ctl := http.NewResponseController(w)
 	dog := watchdog.New(func() { _ = ctl.SetReadDeadline(expiredDeadline) })
 	dog.Arm(wait)
@@ -85,7 +87,7 @@
 	return body, err
 }
 
-// rejection is written as it is to a connection over the limit.
+// rejection is the complete response to a connection beyond the limit.
 var rejection = func() []byte {
 	i := code.TooManyConns.Info()
 	body := fmt.Sprintf(`{"error":{"code":%d,"type":%q,"message":%q,"not_run":true,"retry_after_ms":1000}}`,
@@ -101,7 +103,7 @@
 	maxRejecting   = 64
 )
 
-// listener takes at most max connections at a time.
+// listener accepts at most max connections at a time.
 type listener struct {
 	net.Listener
 	max       int
@@ -112,7 +114,7 @@
 }
 
 // Listen returns a listener that answers connections beyond max with
-// code.TooManyConns and closes them.
+// code.TooManyConns and closes them. A max of 0 or less means no limit.
 func Listen(l net.Listener, max int) net.Listener {
 	if max <= 0 {
 		return l
@@ -133,9 +135,10 @@
 	}
 }
 
-// reject answers and closes. A close with unread bytes makes the kernel reset
-// the connection, and the caller may lose the answer: so what the caller sends
-// meanwhile is read, for a moment and by a bounded number of goroutines.
+// reject answers with the rejection and closes the connection. If it were
+// closed with unread bytes, the kernel would reset it and the caller might
+// lose the answer. Incoming bytes are therefore drained for a short time by
+// a bounded number of goroutines.
 func (l *listener) reject(c net.Conn) {
 	_ = c.SetDeadline(time.Now().Add(rejectTimeout))
 	_, _ = c.Write(rejection)
--- a/request/limit/write_test.go
+++ b/request/limit/write_test.go
@@ -10,35 +10,35 @@
 
 const stall = 300 * time.Millisecond
 
-// connWriter is a ResponseWriter to a connection whose other end may take no
-// byte. Deadlines end its writes as they end those of a net.Conn.
+// connWriter is a ResponseWriter for a connection whose peer may accept no
+// bytes. Deadlines end its writes as those of a net.Conn do.
 type connWriter struct {
 	*httptest.ResponseRecorder
-	blocked   bool
-	deadlines []time.Time
-	woken     chan struct{}
+	blocked     bool
+	deadlines   []time.Time
+	deadlineSet chan struct{}
 }
 
 func newConnWriter() *connWriter {
-	return &connWriter{ResponseRecorder: httptest.NewRecorder(), woken: make(chan struct{}, 1)}
+	return &connWriter{ResponseRecorder: httptest.NewRecorder(), deadlineSet: make(chan struct{}, 1)}
 }
 
 func (c *connWriter) SetWriteDeadline(t time.Time) error {
 	c.deadlines = append(c.deadlines, t)
-	c.woken <- struct{}{}
+	c.deadlineSet <- struct{}{}
 	return nil
 }
 
 func (c *connWriter) Write(p []byte) (int, error) {
 	if c.blocked {
-		<-c.woken
+		<-c.deadlineSet
 		return 0, os.ErrDeadlineExceeded
 	}
 	return c.ResponseRecorder.Write(p)
 }
 
-// TestPausedProcessDoesNotExpireWrites guards against callers cut off
-// because the daemon was paused between a write's deadline and its bytes.
+// Guards against cutting off callers because the daemon was paused between
+// setting a write deadline and writing.
 func TestPausedProcessDoesNotExpireWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newConnWriter()
@@ -57,11 +57,11 @@
 		c := newConnWriter()
 		c.blocked = true
 		w := NewWriter(c, stall)
-		begun := time.Now()
+		start := time.Now()
 		if err := w.Send([]byte("event")); err == nil || w.Err() == nil {
-			t.Error("a write ended well that the caller took no byte of")
+			t.Error("a write succeeded although the caller accepted no bytes")
 		}
-		if took := time.Since(begun); took != stall {
+		if took := time.Since(start); took != stall {
 			t.Errorf("ended after %v, want %v", took, stall)
 		}
 	})
--- a/request/prefix/prefix.go
+++ b/request/prefix/prefix.go
@@ -1,5 +1,5 @@
-// Package prefix turns a prompt into the hashes of its blocks, so that a
-// router can tell which engine holds the KV cache of the longest prefix.
+// Package prefix hashes the blocks of a prompt, so that a router can find
+// the engine that holds the KV cache of the longest prefix.
 package prefix
 
 import (
@@ -11,10 +11,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The estimate of tokens and the size of a block.
+// Constants of the token estimate and of the block size.
 const (
-	BytesPerToken  = 4  // rough mean over the models in use
-	TokensPerBlock = 64 // tokens under one hash
+	BytesPerToken  = 4  // approximate mean over the models in use
+	TokensPerBlock = 64 // tokens covered by one hash
 	blockBytes     = BytesPerToken * TokensPerBlock
 )
 
@@ -24,7 +24,7 @@
 	Content string `json:"content"`
 }
 
-// UnmarshalJSON takes the content as a string or as a list of text parts.
+// UnmarshalJSON accepts the content as a string or as a list of text parts.
 func (m *Message) UnmarshalJSON(data []byte) error {
 	var raw struct {
 		Role    string          `json:"role"`
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// Prompt joins the messages of a chat into one text: "role: content", one
-// message after the other, separated by line feeds.
+// Prompt joins the messages of a chat into one text, with a line "role:
+// content" for each message.
 func Prompt(messages []Message) string {
 	var b strings.Builder
 	for i, m := range messages {
@@ -56,13 +56,13 @@
 	return b.String()
 }
 
-// EstimateTokens returns about how many tokens text has, rounded up.
+// EstimateTokens estimates the number of tokens of text, rounded up.
 func EstimateTokens(text string) int {
 	return (len(text) + BytesPerToken - 1) / BytesPerToken
 }
 
-// Blocks returns a hash for each whole block of text. Each hash covers its
-// block and all before it, so equal hashes mean equal prefixes.
+// Blocks returns a hash for each complete block of text. A hash covers its
+// block and all blocks before it, so equal hashes mean equal prefixes.
 func Blocks(text string) []uint64 {
 	n := len(text) / blockBytes
 	hashes := make([]uint64, 0, n)
--- a/request/prefix/prefix_test.go
+++ b/request/prefix/prefix_test.go
@@ -16,7 +16,7 @@
 	cases := []struct {
 		name   string
 		text   string
-		shared int // leading hashes as of long
+		shared int // number of leading hashes equal to those of long
 		blocks int
 	}{
 		{"empty", "", 0, 0},
