--- a/request/dispatch/consider.go
+++ b/request/dispatch/consider.go
@@ -56,11 +56,11 @@
 			s.add(all.Lookup(hash))
 		}
 	}
-	own := engines.Hash(x.opts.Self)
+	selfHash := engines.Hash(x.opts.Self)
 	inZone := set.Of(role, x.opts.Zone)
-	s.add(inZone.After(own, preferredTargets)...)
+	s.add(inZone.After(selfHash, preferredTargets)...)
 	if zone != x.opts.Zone {
-		s.add(set.Of(role, zone).After(own, preferredTargets)...)
+		s.add(set.Of(role, zone).After(selfHash, preferredTargets)...)
 	}
 	connected := x.opts.Pool.IdleKeys()
 	for _, key := range connected[:min(len(connected), maxConnected)] {
--- a/request/dispatch/engine.go
+++ b/request/dispatch/engine.go
@@ -120,23 +120,23 @@
 // because of the queues. It lowers the priority of a call that would miss it
 // at an idle engine too.
 func (x *execution) checkObjective(p *prompt, f speed.Figures, ch prefillChoice) error {
-	queue, err := x.predictSlotWait(f, ch.decoders)
+	slotWait, err := x.predictSlotWait(f, ch.decoders)
 	if err != nil {
 		return err
 	}
 	if ch.Index < 0 {
 		return nil // a decoding engine prefills it, or none can; that is decided later
 	}
-	alone := f.Start + ch.PrefillTime + f.First
-	wait := ch.PredictedWait + queue
-	x.trace.PredictedFirst = wait + alone
+	unqueuedTime := f.Start + ch.PrefillTime + f.First
+	wait := ch.PredictedWait + slotWait
+	x.trace.PredictedFirst = wait + unqueuedTime
 	objective := x.call.Route.Objective
 	stats := x.promptStats(x.call.Service.Name)
 	stats.Record(p.Tokens, ch.PrefillTime)
-	if objective <= 0 || stats.EffectiveWait(wait, p.Tokens, ch.PrefillTime, f.Spread)+alone <= objective {
+	if objective <= 0 || stats.EffectiveWait(wait, p.Tokens, ch.PrefillTime, f.Spread)+unqueuedTime <= objective {
 		return nil
 	}
-	if alone > objective {
+	if unqueuedTime > objective {
 		p.priority = latePriority
 		if wait <= time.Duration(maxLateWait*float64(objective)) {
 			return nil
--- a/request/dispatch/engine_test.go
+++ b/request/dispatch/engine_test.go
@@ -86,8 +86,8 @@
 		}
 		last := ""
 		for _, d := range []*standin.Target{a, b} {
-			for _, one := range d.Arrivals() {
-				last += one.LastEvent
+			for _, arrival := range d.Arrivals() {
+				last += arrival.LastEvent
 			}
 		}
 		if last != "2" || len(a.Ran()) != 1 || len(b.Ran()) != 1 {
--- a/request/dispatch/plain.go
+++ b/request/dispatch/plain.go
@@ -17,7 +17,7 @@
 	// waits for one target before it is sent to another one. Without this
 	// bound a target that hangs would hold the call until its deadline.
 	silenceFactor = 2
-	// minSilence is the least such wait.
+	// minSilence is the lower bound of that wait.
 	minSilence = 150 * time.Millisecond
 )
 
--- a/request/dispatch/plain_test.go
+++ b/request/dispatch/plain_test.go
@@ -98,9 +98,9 @@
 	withHarness(t, 100, func(t *testing.T, h *harness) {
 		var all []*standin.Target
 		for range 5 {
-			one := h.addTarget("app", "")
-			one.Set(func(b *standin.Behaviour) { b.Fail = true })
-			all = append(all, one)
+			target := h.addTarget("app", "")
+			target.Set(func(b *standin.Behaviour) { b.Fail = true })
+			all = append(all, target)
 		}
 		got, _, err := h.runner.Plain(t.Context(), h.newCall(route.Safe, 2, time.Second))
 		if err != nil || got.Status != 500 || runCount(all...) != 2 {
@@ -140,8 +140,8 @@
 func TestBudgetBoundsRetries(t *testing.T) {
 	withHarness(t, 3, func(t *testing.T, h *harness) {
 		a, b := h.addTarget("app", ""), h.addTarget("app", "")
-		for _, one := range []*standin.Target{a, b} {
-			one.Set(func(b *standin.Behaviour) { b.Fail = true })
+		for _, target := range []*standin.Target{a, b} {
+			target.Set(func(b *standin.Behaviour) { b.Fail = true })
 		}
 		for range 20 {
 			_, _, _ = h.runner.Plain(t.Context(), h.newCall(route.Safe, 2, time.Second))
--- a/request/placement/home_test.go
+++ b/request/placement/home_test.go
@@ -29,13 +29,13 @@
 	e := &route.Engine{KVTokenBytes: 163_840, LinkBytes: 212e9}
 	for seed := range uint64(20) {
 		p := Prompt{Tokens: 17_000, SharedTokens: 13_300, Seed: seed * 0x9e3779b97f4a7c15}
-		at := make(map[string]int)
+		engineCounts := make(map[string]int)
 		for range 10 {
 			cands := randomEngines(r, 50)
-			at[cands[Prefill(p, cands, cands, e, figures).Index].Entry.ID]++
+			engineCounts[cands[Prefill(p, cands, cands, e, figures).Index].Entry.ID]++
 		}
-		if len(at) != 1 {
-			t.Errorf("seed %d: prefilled by %v", seed, at)
+		if len(engineCounts) != 1 {
+			t.Errorf("seed %d: prefilled by %v", seed, engineCounts)
 		}
 	}
 }
--- a/request/placement/shortlist_test.go
+++ b/request/placement/shortlist_test.go
@@ -87,7 +87,7 @@
 }
 
 // Guards against random engines to which most prompts need a new connection,
-// which is billed. If engines with a connection are drawn, few prompts need
+// which is billed. If engines with a connection are chosen, few prompts need
 // one, and prompts don't wait longer, since daemons have connections to
 // different engines.
 func TestRandomDrawsPreferConnectedEngines(t *testing.T) {
