--- a/process/roster/owner.go
+++ b/process/roster/owner.go
@@ -243,9 +243,9 @@
 	s.book.Merge(name, []engines.Work{report.Work}, nil)
 }
 
-// Asks reports whether owners are queried. In a small fleet they aren't, because each
+// CanQueryQueues reports whether owners are queried. In a small fleet they aren't, because each
 // daemon receives all work at once.
-func (r *Roster) Asks() bool {
+func (r *Roster) CanQueryQueues() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.small()
--- a/request/admission/admission_test.go
+++ b/request/admission/admission_test.go
@@ -11,45 +11,45 @@
 	"github.com/pomelospool/pomelospool/version/document"
 )
 
-// rooms are the two ways in which a service runs out of room: places at the
+// limitKinds are the two limits of a service's capacity: slots at the
 // targets, and time.
-var rooms = []struct {
+var limitKinds = []struct {
 	name  string
 	limit int
 }{{"places", simServers + 5}, {"time", 0}}
 
-// TestOverload: the load rises to ten times what the fleet can do. Accepted
-// without a bound, every request would wait until its deadline has passed and
-// the fleet would work for nobody. Goodput stays at 95% of that at 1x, and
-// high priority keeps 95% of its own.
+// Guards against a loss of goodput when the load rises to ten times the
+// capacity. If every request were accepted, all would wait until their
+// deadline had passed. Goodput must stay at 95% of that at 1x, and high
+// priority must keep 95% of its own.
 func TestOverload(t *testing.T) {
-	const orgs = 50 // alike, so that fair shares alone bound nothing
-	for _, room := range rooms {
+	const orgs = 50 // equal loads, so that fair shares alone reject nothing
+	for _, kind := range limitKinds {
 		base, high := 0.0, 0.0
 		for _, factor := range []float64{1, 2, 5, 10} {
 			sources := []source{{"high", 1, capacity * 0.1}}
 			for i := range orgs {
 				sources = append(sources, source{fmt.Sprint("org", i), 0, capacity * (factor - 0.1) / orgs})
 			}
-			s := run(1, room.limit, sources)
+			s := run(1, kind.limit, sources)
 			if factor == 1 {
-				base, high = s.total(), s.good["high"]
+				base, high = s.total(), s.onTime["high"]
 			}
-			t.Logf("%s %gx: goodput %.3f of 1x (%.3f of capacity), high %.3f of 1x, refused %v", room.name, factor,
-				s.total()/base, s.total()/(capacity*simLength.Seconds()), s.good["high"]/high, s.refused)
-			if s.total() < 0.95*base || s.good["high"] < 0.95*high {
-				t.Errorf("%s %gx: goodput %.3f, high %.3f of 1x", room.name, factor, s.total()/base, s.good["high"]/high)
+			t.Logf("%s %gx: goodput %.3f of 1x (%.3f of capacity), high %.3f of 1x, refused %v", kind.name, factor,
+				s.total()/base, s.total()/(capacity*simLength.Seconds()), s.onTime["high"]/high, s.refused)
+			if s.total() < 0.95*base || s.onTime["high"] < 0.95*high {
+				t.Errorf("%s %gx: goodput %.3f, high %.3f of 1x", kind.name, factor, s.total()/base, s.onTime["high"]/high)
 			}
 		}
 	}
 }
 
-// TestFlood: nineteen organisations use 80% of the fleet; then another one
-// sends ten times what the fleet can do. The others lose at most 5%, as a mean
-// over seeds.
-func TestFlood(t *testing.T) {
+// Guards against one organisation that sends ten times the capacity while
+// nineteen others use 80% of it. The others must lose at most 5% of their
+// goodput, averaged over the seeds.
+func TestFloodOfOneOrganisation(t *testing.T) {
 	const seeds = 4
-	for _, room := range rooms {
+	for _, kind := range limitKinds {
 		var calm []source
 		for i := range 19 {
 			calm = append(calm, source{fmt.Sprint("org", i), 0, capacity * 0.8 / 19})
@@ -57,25 +57,26 @@
 		flood := append(slices.Clip(calm), source{"flood", 0, capacity * 10})
 		sum, worst, taken := 0.0, 1.0, 0.0
 		for seed := range uint64(seeds) {
-			before, after := run(seed, room.limit, calm), run(seed, room.limit, flood)
-			kept := (after.total() - after.good["flood"]) / before.total()
+			before, after := run(seed, kind.limit, calm), run(seed, kind.limit, flood)
+			kept := (after.total() - after.onTime["flood"]) / before.total()
 			sum += kept
 			worst = min(worst, kept)
-			taken += after.good["flood"] / (capacity * simLength.Seconds())
+			taken += after.onTime["flood"] / (capacity * simLength.Seconds())
 			for _, d := range after.daemons {
-				if c := d.ctl.services["s"].cost; c != 0 {
+				if c := d.ctl.services["s"].inFlightCost; c != 0 {
 					t.Errorf("cost %g in flight after the end", c)
 				}
 			}
 		}
-		t.Logf("%s: others keep %.3f, in the worst run %.3f; the flood gets %.3f of capacity", room.name, sum/seeds, worst, taken/seeds)
+		t.Logf("%s: others keep %.3f, in the worst run %.3f; the flood gets %.3f of capacity", kind.name, sum/seeds, worst, taken/seeds)
 		if sum/seeds < 0.95 {
-			t.Errorf("%s: others keep %.3f", room.name, sum/seeds)
+			t.Errorf("%s: others keep %.3f", kind.name, sum/seeds)
 		}
 	}
 }
 
-// TestRefusalCodes: which refusal a request gets, and when to come back.
+// TestRefusalCodes checks the code of each rejection and whether it states
+// when to retry.
 func TestRefusalCodes(t *testing.T) {
 	half := []routing.Target{{Live: true, Limit: 100, InFlight: 50}}
 	busy := []routing.Target{{Live: true, Limit: 100, InFlight: 85}}
@@ -110,14 +111,14 @@
 	for _, tc := range cases {
 		c := New(time.Now)
 		for _, org := range []string{"a", "a", "a", "heavy", "heavy", "heavy", "c"} {
-			if _, err := c.Admit(Ask{Doc: doc, Org: org, Cost: 1, Left: time.Second, Targets: half}); err != nil {
+			if _, err := c.Admit(Request{Doc: doc, Org: org, Cost: 1, TimeLeft: time.Second, Targets: half}); err != nil {
 				t.Fatal(err)
 			}
 		}
-		_, err := c.Admit(Ask{
-			Doc: doc, Org: tc.org, Priority: tc.priority, Cost: 1, Left: 10 * time.Second, Targets: tc.targets,
-			Decision: routing.Decision{Finish: tc.finish},
-			Idle:     func() (time.Duration, bool) { return tc.idle, true },
+		_, err := c.Admit(Request{
+			Doc: doc, Org: tc.org, Priority: tc.priority, Cost: 1, TimeLeft: 10 * time.Second, Targets: tc.targets,
+			Decision:   routing.Decision{Finish: tc.finish},
+			IdleFinish: func() (time.Duration, bool) { return tc.idle, true },
 		})
 		if code.Of(err) != tc.want {
 			t.Errorf("%s: %v", tc.name, err)
@@ -129,10 +130,11 @@
 	}
 }
 
-// TestStartsLate: the backlog alone would make the first token come after its
-// objective, though the deadline is far. Accepted, every answer would come
-// late while the queue stays as long as deadlines allow.
-func TestStartsLate(t *testing.T) {
+// Guards against accepting requests whose first token would miss its
+// objective because of the backlog, though their deadline is far off. The
+// queue would then stay as long as deadlines allow, and every answer would
+// be late.
+func TestBacklogMissesFirstTokenObjective(t *testing.T) {
 	const goal = time.Second
 	for _, c := range []struct {
 		name                string
@@ -147,13 +149,13 @@
 		{"long prompt, small backlog", 0, 4 * time.Second, 7 * time.Second, 6 * time.Second, code.OK},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := New(time.Now).Admit(Ask{
-				Doc:      &document.Document{Service: "s", Objectives: document.Objectives{FirstToken: goal}},
-				Priority: c.priority,
-				Left:     time.Minute,
-				Decision: routing.Decision{First: c.first, Finish: c.finish},
-				Targets:  []routing.Target{{Live: true, Limit: 100}},
-				Idle:     func() (time.Duration, bool) { return c.idle, true },
+			_, err := New(time.Now).Admit(Request{
+				Doc:        &document.Document{Service: "s", Objectives: document.Objectives{FirstToken: goal}},
+				Priority:   c.priority,
+				TimeLeft:   time.Minute,
+				Decision:   routing.Decision{First: c.first, Finish: c.finish},
+				Targets:    []routing.Target{{Live: true, Limit: 100}},
+				IdleFinish: func() (time.Duration, bool) { return c.idle, true },
 			})
 			if code.Of(err) != c.want {
 				t.Errorf("got %v, want %d", err, c.want)
--- a/request/admission/share.go
+++ b/request/admission/share.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	rateWindow  = 10 * time.Second       // over which completions are averaged
-	usageWindow = 8 * time.Second        // over which usage is averaged
-	levelEvery  = 100 * time.Millisecond // between searches for the fair level
-	levelPasses = 20                     // of one search, at most
-	maxOrgs     = 4096                   // organisations whose usage is kept
-	idleUsage   = 0.02                   // of the mean usage: less is forgotten
+	rateWindow    = 10 * time.Second       // completions are averaged over this time
+	usageWindow   = 8 * time.Second        // usage is averaged over this time
+	levelInterval = 100 * time.Millisecond // time between updates of the fair level
+	levelPasses   = 20                     // maximum of one search
+	maxOrgs       = 4096                   // organisations with tracked usage
+	idleUsage     = 0.02                   // fraction of the mean usage below which an idle organisation is evicted
 )
 
-// service is the state of one service at this process.
+// service is the state of one service in this process.
 type service struct {
-	orgs    map[string]*usage // organisations with usage of late
-	cost    float64           // in flight
-	rate    float64           // completions a second, averaged
-	lastEnd time.Time
-	level   float64   // fair level: mean cost in flight for a weight of 1
-	levelAt time.Time // when it was found
+	orgs           map[string]*usage // organisations with recent usage
+	inFlightCost   float64
+	completionRate float64 // mean completions per second
+	lastCompletion time.Time
+	level          float64   // fair share of a weight of 1, as mean cost in flight
+	levelAt        time.Time // when level was updated
 }
 
-// usage is what one organisation has in flight.
+// usage is the usage of one organisation.
 type usage struct {
 	requests int
 	cost     float64 // in flight now
@@ -33,14 +33,14 @@
 	weight   float64
 }
 
-// update brings the mean up to now.
+// update advances the mean to now.
 func (u *usage) update(now time.Time) {
 	keep := math.Exp(-now.Sub(u.meanAt).Seconds() / usageWindow.Seconds())
 	u.mean = u.cost + (u.mean-u.cost)*keep
 	u.meanAt = now
 }
 
-func (s *service) begin(a Ask, now time.Time) {
+func (s *service) begin(a Request, now time.Time) {
 	u, ok := s.orgs[a.Org]
 	if !ok {
 		u = &usage{weight: weight(a), meanAt: now}
@@ -49,31 +49,32 @@
 	u.update(now)
 	u.requests++
 	u.cost += a.Cost
-	s.cost += a.Cost
-	if s.lastEnd.IsZero() {
-		s.lastEnd = now
+	s.inFlightCost += a.Cost
+	if s.lastCompletion.IsZero() {
+		s.lastCompletion = now
 	}
 	if len(s.orgs) > maxOrgs {
-		s.forget(now)
+		s.evict(now)
 	}
 }
 
-func (s *service) end(a Ask, now time.Time) {
+func (s *service) end(a Request, now time.Time) {
 	u := s.orgs[a.Org]
 	u.update(now)
 	u.requests--
 	u.cost -= a.Cost
-	s.cost -= a.Cost
+	s.inFlightCost -= a.Cost
 	if u.requests == 0 {
-		u.cost = 0 // rounding errors don't add up
+		u.cost = 0 // keeps rounding errors from accumulating
 	}
-	s.count(now)
+	s.recordCompletion(now)
 }
 
-// forget drops the organisations that have nothing in flight and whose usage
-// of late is small; if that leaves too many, all that have nothing in flight.
-func (s *service) forget(now time.Time) {
-	small := idleUsage * s.cost / float64(len(s.orgs))
+// evict drops the organisations that have nothing in flight and little
+// recent usage. If too many are left, it drops all that have nothing in
+// flight.
+func (s *service) evict(now time.Time) {
+	small := idleUsage * s.inFlightCost / float64(len(s.orgs))
 	for range 2 {
 		for org, u := range s.orgs {
 			u.update(now)
@@ -88,42 +89,44 @@
 	}
 }
 
-// count takes one completion into the average rate.
-func (s *service) count(now time.Time) {
-	gap := now.Sub(s.lastEnd).Seconds()
-	s.lastEnd = now
+// recordCompletion adds one completion to the average rate.
+func (s *service) recordCompletion(now time.Time) {
+	gap := now.Sub(s.lastCompletion).Seconds()
+	s.lastCompletion = now
 	window := rateWindow.Seconds()
 	keep := max(0, 1-gap/window)
-	s.rate = s.rate*keep + 1/window
+	s.completionRate = s.completionRate*keep + 1/window
 }
 
-// overShare reports whether the organisation uses more than its fair share of
-// the usage at contention, which is part of the present usage.
+// overShare reports whether the organisation uses more than its fair share
+// of the usage from which on there is contention, which is the fraction part
+// of the present usage.
 //
-// One organisation's flood would otherwise take every place that comes free,
-// and the others' requests would be refused in proportion. By Little's law
-// work in flight is throughput times duration, so a share of it is a share of
-// the targets' time. It is averaged over a short while: an organisation with
-// one request at a time would else be refused its second one. The share is
-// max-min fair: those who ask for little get it all, whatever others ask for,
-// and a lone organisation gets everything up to contention. Organisations that
-// are quiet cost no memory and shrink no one's share.
-func (s *service) overShare(a Ask, part float64, now time.Time) bool {
+// Without it, a flood from one organisation would take every slot that
+// becomes free, and requests of others would be rejected in proportion. By
+// Little's law, work in flight is throughput times duration, so a share of
+// it is a share of the targets' time. Usage is averaged over a short time,
+// since an organisation with one request at a time would otherwise be
+// refused its second one. Shares are max-min fair: organisations that ask
+// for little get all of it, whatever others ask for, and a lone organisation
+// gets everything up to contention. Idle organisations use no memory and
+// reduce nobody's share.
+func (s *service) overShare(a Request, part float64, now time.Time) bool {
 	u := s.orgs[a.Org]
 	if u == nil {
 		return false
 	}
-	s.findLevel(part, now)
+	s.updateLevel(part, now)
 	u.update(now)
 	return u.mean > s.level*u.weight
 }
 
-// findLevel searches for the level now and then, and averages what it finds:
-// part comes from lagging reports, and a single low one would have those
-// refused who are well below their share.
-func (s *service) findLevel(part float64, now time.Time) {
+// updateLevel recomputes the level every levelInterval and averages the
+// results. part is derived from lagging reports, and a single low value
+// would reject requests of organisations well below their share.
+func (s *service) updateLevel(part float64, now time.Time) {
 	since := now.Sub(s.levelAt)
-	if since < levelEvery {
+	if since < levelInterval {
 		return
 	}
 	keep := math.Exp(-since.Seconds() / usageWindow.Seconds())
@@ -131,48 +134,49 @@
 	s.levelAt = now
 }
 
-// fairLevel returns the level at which the organisations' usage, cut at level
-// times weight, adds up to part of what it is. It raises the level in
-// passes: what those below it leave is shared among those above.
+// fairLevel returns the level at which the organisations' usage, capped at
+// level times weight, adds up to the fraction part of its sum. It raises the
+// level in passes: what organisations below the level leave unused is shared
+// among those above it.
 func (s *service) fairLevel(part float64, now time.Time) float64 {
-	s.forget(now)
+	s.evict(now)
 	sum, weights := 0.0, 0.0
 	for _, u := range s.orgs {
 		sum += u.mean
 		weights += u.weight
 	}
-	fit := sum * part
-	level := fit / weights
+	allowed := sum * part
+	level := allowed / weights
 	for range levelPasses {
-		left, above := fit, 0.0
+		remaining, above := allowed, 0.0
 		for _, u := range s.orgs {
 			if u.mean <= level*u.weight {
-				left -= u.mean
+				remaining -= u.mean
 			} else {
 				above += u.weight
 			}
 		}
-		if above == 0 || left <= level*above {
+		if above == 0 || remaining <= level*above {
 			return level
 		}
-		level = left / above
+		level = remaining / above
 	}
 	return level
 }
 
-func weight(a Ask) float64 {
+func weight(a Request) float64 {
 	if w, ok := a.Doc.Fair.Weights[a.Org]; ok && w > 0 {
 		return w
 	}
 	return 1
 }
 
-// retryAfter is the time in which the present rate of completions frees the
-// share of places by which the service is too full, and one more.
-func (s *service) retryAfter(over float64, places int) time.Duration {
-	if s.rate <= 0 {
+// retryAfter returns the time in which completions at the present rate free
+// the slots by which the service is too full, and one more.
+func (s *service) retryAfter(excess float64, slots int) time.Duration {
+	if s.completionRate <= 0 {
 		return minRetryAfter
 	}
-	need := max(over, 0)*float64(places) + 1
-	return clamp(time.Duration(need / s.rate * float64(time.Second)))
+	need := max(excess, 0)*float64(slots) + 1
+	return clamp(time.Duration(need / s.completionRate * float64(time.Second)))
 }
--- a/request/admission/sim_test.go
+++ b/request/admission/sim_test.go
@@ -12,16 +12,16 @@
 	"github.com/pomelospool/pomelospool/version/document"
 )
 
-// The fleet of the simulated load: servers that queue whatever they are sent.
+// The simulated fleet consists of servers that queue every request they receive.
 const (
-	simTargets = 4
-	simServers = 20 // requests that a target runs at once
-	simDaemons = 4
-	simWork    = time.Second // mean time of a request at a server
-	simReport  = 250 * time.Millisecond
-	simLength  = 40 * time.Second
-	simLeft    = 4 * time.Second
-	capacity   = simTargets * simServers // requests a second
+	simTargets        = 4
+	simServers        = 20 // requests that a target runs at once
+	simDaemons        = 4
+	simWorkMean       = time.Second // mean time of a request at a server
+	simReportInterval = 250 * time.Millisecond
+	simLength         = 40 * time.Second
+	simDeadline       = 4 * time.Second
+	capacity          = simTargets * simServers // requests a second
 )
 
 // source is one organisation's load.
@@ -31,28 +31,29 @@
 	rate     float64 // requests a second
 }
 
-// traffic is one source's own random numbers: what it sends doesn't depend on
-// what becomes of it, nor on the other sources.
+// traffic is a source with its own random numbers, so that its requests
+// depend neither on their outcome nor on the other sources.
 type traffic struct {
 	source
 	rnd *rand.Rand
 }
 
-// sim drives Controllers with virtual time, an event at a time.
+// sim is a discrete-event simulation that drives Controllers in virtual
+// time.
 type sim struct {
 	now     time.Time
 	end     time.Time
-	limit   int     // places at a target, 0 for none
-	events  []event // in the order of time
+	limit   int     // slots of a target; 0: no limit
+	events  []event // ordered by time
 	targets [simTargets]simTarget
 	daemons [simDaemons]*simDaemon
-	good    map[string]float64 // requests answered in time, by organisation
+	onTime  map[string]float64 // requests answered before their deadline, by organisation
 	refused map[code.Code]int
 }
 
 type simTarget struct {
 	running, reported int
-	at                time.Time // of the report
+	reportedAt        time.Time // of the report
 	queue             []*simRequest
 }
 
@@ -64,11 +65,11 @@
 
 type simRequest struct {
 	source
-	work    time.Duration
-	daemon  *simDaemon
-	target  int
-	until   time.Time
-	release func()
+	work     time.Duration
+	daemon   *simDaemon
+	target   int
+	deadline time.Time
+	release  func()
 }
 
 type event struct {
@@ -76,18 +77,19 @@
 	do func()
 }
 
-// run returns the sim after its time is over. The same seed gives the same run.
+// run returns the simulation after its end. Runs with the same seed are
+// equal.
 func run(seed uint64, limit int, sources []source) *sim {
 	s := &sim{limit: limit}
 	s.now = time.Unix(0, 0)
 	s.end = s.now.Add(simLength)
-	s.good = make(map[string]float64)
+	s.onTime = make(map[string]float64)
 	s.refused = make(map[code.Code]int)
 	for i := range s.daemons {
 		s.daemons[i] = &simDaemon{ctl: New(func() time.Time { return s.now })}
 	}
 	for i, src := range sources {
-		s.next(traffic{src, rand.New(rand.NewPCG(seed, uint64(i)))})
+		s.scheduleArrivals(traffic{src, rand.New(rand.NewPCG(seed, uint64(i)))})
 	}
 	s.report()
 	for len(s.events) > 0 {
@@ -99,7 +101,7 @@
 	return s
 }
 
-func (s *sim) in(d time.Duration, do func()) {
+func (s *sim) after(d time.Duration, do func()) {
 	at := s.now.Add(d)
 	i, _ := slices.BinarySearchFunc(s.events, at, func(e event, at time.Time) int {
 		if e.at.After(at) {
@@ -110,32 +112,32 @@
 	s.events = slices.Insert(s.events, i, event{at, do})
 }
 
-func (t traffic) exp(mean float64) time.Duration {
+func (t traffic) expDuration(mean float64) time.Duration {
 	return time.Duration(t.rnd.ExpFloat64() * mean * float64(time.Second))
 }
 
-// next lets src send requests at random times until the end.
-func (s *sim) next(src traffic) {
-	s.in(src.exp(1/src.rate), func() {
+// scheduleArrivals lets src send requests at random times until the end.
+func (s *sim) scheduleArrivals(src traffic) {
+	s.after(src.expDuration(1/src.rate), func() {
 		if s.now.After(s.end) {
 			return
 		}
 		s.arrive(src)
-		s.next(src)
+		s.scheduleArrivals(src)
 	})
 }
 
-// report refreshes what daemons know of targets.
+// report updates the load of targets that daemons know.
 func (s *sim) report() {
 	for i := range s.targets {
 		s.targets[i].reported = s.targets[i].running + len(s.targets[i].queue)
-		s.targets[i].at = s.now
+		s.targets[i].reportedAt = s.now
 	}
 	for _, d := range s.daemons {
 		d.sent = [simTargets]int{}
 	}
 	if s.now.Before(s.end) {
-		s.in(simReport, s.report)
+		s.after(simReportInterval, s.report)
 	}
 }
 
@@ -148,16 +150,16 @@
 			Limit:     s.limit,
 			InFlight:  d.inFlight[i],
 			SentCount: d.sent[i],
-			LoadAge:   s.now.Sub(s.targets[i].at),
+			LoadAge:   s.now.Sub(s.targets[i].reportedAt),
 			Load:      port.Load{Running: s.targets[i].reported},
 		}
 	}
 	return out
 }
 
-// route takes the target with the least work; its time is the queue's. Like
-// the real routing it reckons with what other daemons sent since the report,
-// and with what the target got done.
+// route returns the target with the least work and the expected duration
+// there. Like the real routing, it accounts for requests that other daemons
+// sent and that the target completed since the report.
 func route(targets []routing.Target) (int, time.Duration) {
 	best, least, sent := 0, 1<<30, 0
 	for i, t := range targets {
@@ -168,25 +170,25 @@
 		}
 	}
 	others := float64(sent) / simTargets * (simDaemons - 1)
-	done := simServers * targets[best].LoadAge.Seconds() / simWork.Seconds()
+	done := simServers * targets[best].LoadAge.Seconds() / simWorkMean.Seconds()
 	wait := max(0, float64(least-simServers+1)+others-done)
-	return best, simWork + time.Duration(wait/simServers*float64(simWork))
+	return best, simWorkMean + time.Duration(wait/simServers*float64(simWorkMean))
 }
 
 func (s *sim) arrive(src traffic) {
 	d := s.daemons[src.rnd.IntN(simDaemons)]
-	work := src.exp(simWork.Seconds())
+	work := src.expDuration(simWorkMean.Seconds())
 	view := s.view(d)
 	i, finish := route(view)
-	release, err := d.ctl.Admit(Ask{
-		Doc:      &document.Document{Service: "s"},
-		Org:      src.org,
-		Priority: src.priority,
-		Cost:     1,
-		Left:     simLeft,
-		Decision: routing.Decision{Finish: finish},
-		Targets:  view,
-		Idle:     func() (time.Duration, bool) { return simWork, true },
+	release, err := d.ctl.Admit(Request{
+		Doc:        &document.Document{Service: "s"},
+		Org:        src.org,
+		Priority:   src.priority,
+		Cost:       1,
+		TimeLeft:   simDeadline,
+		Decision:   routing.Decision{Finish: finish},
+		Targets:    view,
+		IdleFinish: func() (time.Duration, bool) { return simWorkMean, true },
 	})
 	if err != nil {
 		s.refused[code.Of(err)]++
@@ -194,7 +196,7 @@
 	}
 	d.inFlight[i]++
 	d.sent[i]++
-	s.start(&simRequest{source: src.source, work: work, daemon: d, target: i, until: s.now.Add(simLeft), release: release})
+	s.start(&simRequest{source: src.source, work: work, daemon: d, target: i, deadline: s.now.Add(simDeadline), release: release})
 }
 
 func (s *sim) start(r *simRequest) {
@@ -204,10 +206,10 @@
 		return
 	}
 	t.running++
-	s.in(r.work, func() { s.finish(r) })
+	s.after(r.work, func() { s.finish(r) })
 }
 
-// enqueue lets high priority go first, as engines do.
+// enqueue queues a request with high priority before others, as engines do.
 func (t *simTarget) enqueue(r *simRequest) {
 	i := len(t.queue)
 	for r.priority > 0 && i > 0 && t.queue[i-1].priority < r.priority {
@@ -221,8 +223,8 @@
 	t.running--
 	r.daemon.inFlight[r.target]--
 	r.release()
-	if !s.now.After(r.until) && s.now.Before(s.end) {
-		s.good[r.org]++
+	if !s.now.After(r.deadline) && s.now.Before(s.end) {
+		s.onTime[r.org]++
 	}
 	if len(t.queue) > 0 {
 		first := t.queue[0]
@@ -233,7 +235,7 @@
 
 func (s *sim) total() float64 {
 	sum := 0.0
-	for _, n := range s.good {
+	for _, n := range s.onTime {
 		sum += n
 	}
 	return sum
--- a/request/dispatch/engine.go
+++ b/request/dispatch/engine.go
@@ -15,237 +15,254 @@
 )
 
 const (
-	// latePriority is the urgency of requests that can't make their objective.
+	// latePriority is the priority of requests that can't meet their
+	// objective.
 	latePriority = 9
-	// lateWait is the longest wait at an engine, as a share of the objective,
-	// that such a request is taken for. Without a bound they would pile up;
-	// with none taken, the largest prompts would never be served.
-	lateWait = 0.24
+	// maxLateWait is the longest wait at an engine, as a fraction of the
+	// objective, with which such a request is admitted. Without a bound
+	// these requests would pile up. If none were admitted, the largest
+	// prompts would never be served.
+	maxLateWait = 0.24
 )
 
-// streamed runs a call at the service's engines, or at plain targets.
-func (u *run) streamed(ctx context.Context, out Stream) error {
-	if u.c.Service.Engine == nil {
-		return u.plainStream(ctx, out)
+// runStream executes a streamed call at the service's engines, or at plain
+// targets if it has no engines.
+func (x *execution) runStream(ctx context.Context, out Stream) error {
+	if x.call.Service.Engine == nil {
+		return x.runPlainStream(ctx, out)
 	}
-	prompt, err := u.admit(ctx)
+	prompt, err := x.admit(ctx)
 	if err != nil {
 		return err
 	}
 	sends := 1
 	for {
-		p, f := u.prefill(ctx, prompt)
+		p, f := x.prefill(ctx, prompt)
 		if f == nil {
 			if p.kv != nil {
 				sends = 2
 			}
-			f = u.decode(ctx, prompt, p, out)
+			f = x.decode(ctx, prompt, p, out)
 			if f == nil {
 				return nil
 			}
 		}
-		u.note(f)
-		if !u.worthAnother(prompt, p, f) || !u.again(ctx, f, sends) {
-			return u.finalError(f)
+		x.recordFailure(f)
+		if !x.worthRetry(prompt, p, f) || !x.mayRetry(ctx, f, sends) {
+			return x.finalError(f)
 		}
 	}
 }
 
-// worthAnother reports whether another round could end better.
+// worthRetry reports whether another prefill and decode could succeed.
 //
-// When a decoding engine refuses, either the KV cache was gone before it was
-// fetched, and another engine should read the prompt, or the decoding engine
-// can't take it. Reading the prompt again for an engine that refuses others
-// too fills the engines with work for nothing.
-func (u *run) worthAnother(p prompt, from prefilled, f *failed) bool {
+// A decoding engine rejects a call either because the KV cache was gone
+// before it was fetched, in which case another engine should prefill the
+// prompt, or because it can't take the call. Another prefill for an engine
+// that rejects other calls too loads the engines with useless work.
+func (x *execution) worthRetry(p prompt, from prefilled, f *sendFailure) bool {
 	if from.kv == nil || f.Class != failure.NotRun {
 		return true
 	}
-	for _, c := range u.candidates(p, port.RoleDecode, from.zone) {
-		if c.Rate < doubtful {
+	for _, c := range x.candidates(p, port.RoleDecode, from.zone) {
+		if c.FailureRate < doubtfulRate {
 			return true
 		}
 	}
 	return false
 }
 
-// doubtful is the failure rate from which on an engine isn't counted on.
-const doubtful = 0.4
+// doubtfulRate is the failure rate from which on an engine is considered
+// unreliable.
+const doubtfulRate = 0.4
 
-// prompt is the call as placement sees it.
+// prompt is the call's prompt as placement sees it.
 type prompt struct {
 	placement.Prompt
 	parts    []port.PromptPart
 	priority int
 }
 
-func (u *run) prompt() prompt {
-	p := prompt{parts: u.c.Ask.Parts}
-	p.Tokens = u.c.Ask.Prompt
-	p.Zone = u.opts.Zone
-	p.Objective = u.c.Route.Objective
-	p.Draw = rand.Uint64()
-	p.priority = min(u.c.Priority, latePriority-1)
+func (x *execution) prompt() prompt {
+	p := prompt{parts: x.call.Ask.Parts}
+	p.Tokens = x.call.Ask.Prompt
+	p.Zone = x.opts.Zone
+	p.Objective = x.call.Route.Objective
+	p.RandomSeed = rand.Uint64()
+	p.priority = min(x.call.Priority, latePriority-1)
 	for _, part := range p.parts[:max(len(p.parts)-1, 0)] {
-		p.Shared += part.Tokens
+		p.SharedTokens += part.Tokens
 	}
 	if len(p.parts) > 0 {
-		p.Seed = p.parts[max(len(p.parts)-2, 0)].ID // the last part is the request's own
+		p.Seed = p.parts[max(len(p.parts)-2, 0)].ID // the last part belongs to this request only
 	}
 	return p
 }
 
-// admit decides at once whether the call is taken.
+// admit decides at once whether the call is admitted.
 //
-// Once a queue stands before the engines, every request behind it is late:
-// serving all of them earns less than refusing those that can't be on time.
-func (u *run) admit(ctx context.Context) (prompt, error) {
-	p := u.prompt()
-	u.answerLength(u.c.Route.Name).arrived(u.c.Ask.Hint, u.c.Ask.Output, time.Until(u.c.GiveUp))
-	f := u.opts.Speed.Figures(u.c.Service.Name)
-	ch := u.choosePrefill(ctx, p, f)
-	u.first = &ch
-	u.trace.Lasts = f.Lasts(u.c.Ask.Output)
-	err := u.admitTo(&p, f, ch)
-	u.offer(p, f, ch, err != nil)
+// Once there is a queue at the engines, every request behind it is late.
+// Serving all of them yields less than rejecting those that can't be on
+// time.
+func (x *execution) admit(ctx context.Context) (prompt, error) {
+	p := x.prompt()
+	x.answerLength(x.call.Route.Name).addCall(x.call.Ask.Hint, x.call.Ask.Output, time.Until(x.call.Deadline))
+	f := x.opts.Speed.Figures(x.call.Service.Name)
+	ch := x.choosePrefill(ctx, p, f)
+	x.admitted = &ch
+	x.trace.PredictedDuration = f.Lasts(x.call.Ask.Output)
+	err := x.checkObjective(&p, f, ch)
+	x.recordDemand(p, f, ch, err != nil)
 	return p, err
 }
 
-func (u *run) admitTo(p *prompt, f speed.Figures, ch reading) error {
-	queue, err := u.place(f, ch.decoders)
+// checkObjective rejects a call whose first event would miss the objective
+// because of the queues. It lowers the priority of a call that would miss it
+// at an idle engine too.
+func (x *execution) checkObjective(p *prompt, f speed.Figures, ch prefillChoice) error {
+	slotWait, err := x.predictSlotWait(f, ch.decoders)
 	if err != nil {
 		return err
 	}
-	if ch.At < 0 {
-		return nil // decode engines may read it, or nothing can: not for here
+	if ch.Index < 0 {
+		return nil // a decoding engine prefills it, or none can; that is decided later
 	}
-	alone := f.Start + ch.Read + f.First
-	wait := ch.Wait + queue
-	u.trace.Predicted = wait + alone
-	objective := u.c.Route.Objective
-	usual := u.usual(u.c.Service.Name)
-	usual.Note(p.Tokens, ch.Read)
-	if objective <= 0 || usual.Counts(wait, p.Tokens, ch.Read, f.Spread)+alone <= objective {
+	unqueuedTime := f.Start + ch.PrefillTime + f.First
+	wait := ch.PredictedWait + slotWait
+	x.trace.PredictedFirst = wait + unqueuedTime
+	objective := x.call.Route.Objective
+	stats := x.promptStats(x.call.Service.Name)
+	stats.Record(p.Tokens, ch.PrefillTime)
+	if objective <= 0 || stats.EffectiveWait(wait, p.Tokens, ch.PrefillTime, f.Spread)+unqueuedTime <= objective {
 		return nil
 	}
-	if alone > objective {
+	if unqueuedTime > objective {
 		p.priority = latePriority
-		if wait <= time.Duration(lateWait*float64(objective)) {
+		if wait <= time.Duration(maxLateWait*float64(objective)) {
 			return nil
 		}
 	}
-	predicted := max(u.trace.Predicted, objective)
-	return u.overloaded(ch.decoders, predicted-objective, "the first event would take %v", predicted.Round(time.Millisecond))
+	predicted := max(x.trace.PredictedFirst, objective)
+	return x.overloaded(ch.decoders, predicted-objective, "the first event would take %v", predicted.Round(time.Millisecond))
 }
 
-// overloaded rejects a call that is too late by that much at these engines.
-func (u *run) overloaded(decoders []placement.Candidate, late time.Duration, format string, args ...any) error {
-	after := max(late, u.hedge())
-	return code.New(code.Overloaded, format, args...).After(u.soonEnough(after, decoders))
+// overloaded returns the rejection of a call that would be late by that much
+// at these decoding engines.
+func (x *execution) overloaded(decoders []placement.Candidate, late time.Duration, format string, args ...any) error {
+	after := max(late, x.jitteredDelay())
+	return code.New(code.Overloaded, format, args...).After(x.capRetryDelay(after, decoders))
 }
 
-// What part of its time a refused caller waits before it comes back: a random
-// one between them. Callers have one try more at most, and loads that turn last
-// some seconds. With the queue's excess alone (100 ms mostly) they came back
-// into the same crowd, and 12.6 in 100 requests of a quiet day ended refused,
-// 9.8 so. Together they would come back as a crowd.
+// A rejected caller waits a random fraction between these two of its remaining
+// time before it retries. Callers retry once at most, and load peaks last some
+// seconds. With a delay of only the queue's excess, mostly 100 ms, retries hit
+// the same peak: 12.6% of requests were rejected for good, against 9.8% with
+// these fractions. With a fixed fraction the retries would arrive together.
 const (
-	leastHedge = 0.12
-	mostHedge  = 0.24
-	// maxHedge bounds it for callers with much time: loads last some seconds.
-	maxHedge = 4 * time.Second
+	minRetryShare = 0.12
+	maxRetryShare = 0.24
+	// maxJitteredDelay bounds the delay for callers with much time, since
+	// load peaks last only some seconds.
+	maxJitteredDelay = 4 * time.Second
 )
 
-// hedge is the least time after which a refused caller is asked to come back.
-func (u *run) hedge() time.Duration {
-	part := leastHedge + (mostHedge-leastHedge)*spread(u.c.Ask.ID, "come back")
-	return min(max(time.Duration(part*float64(time.Until(u.c.GiveUp))), minComeBack), maxHedge)
+// jitteredDelay returns the least delay after which a rejected caller is
+// asked to retry.
+func (x *execution) jitteredDelay() time.Duration {
+	part := minRetryShare + (maxRetryShare-minRetryShare)*hashFraction(x.call.Ask.ID, "come back")
+	return min(max(time.Duration(part*float64(time.Until(x.call.Deadline))), minRetryDelay), maxJitteredDelay)
 }
 
-// refusedCount is how often a request that is refused is asked: its caller
-// comes back once at least.
-const refusedCount = 2
+// triesIfRejected is the assumed number of times that a rejected request is
+// sent: its caller retries at least once.
+const triesIfRejected = 2
 
-// offer notes what the call asks of the engines, whether it is taken or not:
-// the plan of their roles answers what is asked, not what was served.
-func (u *run) offer(p prompt, f speed.Figures, ch reading, refused bool) {
+// recordDemand records the load that the call asks for, whether it is
+// admitted or not, since engine roles are planned for the demand and not for
+// the served load.
+func (x *execution) recordDemand(p prompt, f speed.Figures, ch prefillChoice, rejected bool) {
 	o := demand.Offer{
-		Reading: ch.Read, Lasts: f.Lasts(u.c.Ask.Output), Moving: u.moving(p, ch),
-		Objective: u.c.Route.Objective, Priority: u.c.Priority,
+		Reading: ch.PrefillTime, Lasts: f.Lasts(x.call.Ask.Output), Moving: x.transferTime(p, ch),
+		Objective: x.call.Route.Objective, Priority: x.call.Priority,
 	}
-	if ch.At < 0 {
+	if ch.Index < 0 {
 		o.Reading = f.Read(p.Tokens, p.Tokens)
 	}
-	if refused {
-		o.Reading, o.Lasts, o.Moving = o.Reading/refusedCount, o.Lasts/refusedCount, o.Moving/refusedCount
+	if rejected {
+		o.Reading, o.Lasts, o.Moving = o.Reading/triesIfRejected, o.Lasts/triesIfRejected, o.Moving/triesIfRejected
 	}
-	u.opts.Demand.Note(u.c.Service.Name, o)
+	x.opts.Demand.Note(x.call.Service.Name, o)
 }
 
-// moving is how long the prompt's KV cache will take to an engine that decodes,
-// one in the zone of the engine that reads if there is any.
-func (u *run) moving(p prompt, ch reading) time.Duration {
-	near := slices.ContainsFunc(ch.decoders, func(c placement.Candidate) bool { return c.Entry.Zone == ch.to.Zone })
-	return placement.Move(u.c.Service.Engine, p.Tokens, near)
+// transferTime predicts how long the transfer of the prompt's KV cache to a
+// decoding engine takes. It assumes one in the zone of the prefill engine if
+// there is any.
+func (x *execution) transferTime(p prompt, ch prefillChoice) time.Duration {
+	near := slices.ContainsFunc(ch.decoders, func(c placement.Candidate) bool { return c.Entry.Zone == ch.engine.Zone })
+	return placement.TransferTime(x.call.Service.Engine, p.Tokens, near)
 }
 
-// place predicts how long the call waits for a place at a decoding engine. It
-// refuses a call that none would take, before its prompt is read for nothing.
-// Engines that refuse lately get one call in some, so that their recovery shows.
-func (u *run) place(f speed.Figures, cands []placement.Candidate) (time.Duration, error) {
-	room := u.room(f, cands)
-	free, full, doubts := 0, 0, 0
-	least := maxComeBack
+// predictSlotWait predicts how long the call waits for a slot at a decoding
+// engine. It rejects a call that no engine would take, to save the prefill.
+// Engines with a high failure rate get a share of the calls, so that their
+// recovery is noticed.
+func (x *execution) predictSlotWait(f speed.Figures, cands []placement.Candidate) (time.Duration, error) {
+	policy := x.slotPolicy(f, cands)
+	free, full, doubtful := 0, 0, 0
+	minWait := maxRetryDelay
 	for i := range cands {
 		c := &cands[i]
-		if u.opts.Health.Ejected(c.Entry.ID) || c.Load.Unreachable() {
+		if x.opts.Health.Ejected(c.Entry.ID) || c.Load.Unreachable() {
 			continue
 		}
-		least = min(least, room.Queue(c))
+		minWait = min(minWait, policy.SlotWait(c))
 		switch {
-		case room.Full(c):
+		case policy.Full(c):
 			full++
-		case c.Rate > doubtful:
-			doubts++
+		case c.FailureRate > doubtfulRate:
+			doubtful++
 		default:
 			free++
 		}
 	}
 	switch {
-	case free > 0, doubts > 0 && spread(u.c.Ask.ID, "") < probeShare:
-		return least, nil
+	case free > 0, doubtful > 0 && hashFraction(x.call.Ask.ID, "") < probeShare:
+		return minWait, nil
 	case full > 0:
-		return 0, u.overloaded(cands, least, "%d of %d decoding engines are full", full, len(cands))
+		return 0, x.overloaded(cands, minWait, "%d of %d decoding engines are full", full, len(cands))
 	}
-	return 0, code.New(code.NoTarget, "none of %d decoding engines takes requests", len(cands)).After(u.c.Service.Engine.SwitchTime)
+	return 0, code.New(code.NoTarget, "none of %d decoding engines takes requests", len(cands)).After(x.call.Service.Engine.SwitchTime)
 }
 
-// mostUrgent reports whether no call of the service is more urgent.
-func (u *run) mostUrgent() bool {
-	return u.opts.Demand.MostUrgent(u.c.Service.Name, u.c.Priority)
+// mostUrgent reports whether no call of the service has a higher priority.
+func (x *execution) mostUrgent() bool {
+	return x.opts.Demand.MostUrgent(x.call.Service.Name, x.call.Priority)
 }
 
-// room is how the decoding engines' places are shared out to the call.
-func (u *run) room(f speed.Figures, cands []placement.Candidate) placement.Room {
-	r := placement.Room{Stay: f.Stay, CanRetry: u.canRetry(cands)}
-	if len(cands) == 0 || u.mostUrgent() {
+// slotPolicy returns the policy by which the call may use the slots of
+// decoding engines.
+func (x *execution) slotPolicy(f speed.Figures, cands []placement.Candidate) placement.SlotPolicy {
+	r := placement.SlotPolicy{StreamTime: f.Stay, CanRetry: x.canRetry(cands)}
+	if len(cands) == 0 || x.mostUrgent() {
 		return r
 	}
-	// The places that are freed meanwhile by more urgent requests are taken by
-	// others of them.
-	r.Stay = f.StayLess
-	urgent := u.opts.Demand.Total(u.c.Service.Name).Urgent
-	r.Reserved = placement.Reserve(urgent, u.decoding(cands), cands[0].Entry.Slots)
+	// Slots freed by more urgent requests are taken by other urgent requests, so
+	// only streams of this priority or lower free slots for the call.
+	r.StreamTime = f.StayLess
+	urgent := x.opts.Demand.Total(x.call.Service.Name).Urgent
+	r.Reserved = placement.ReservedSlots(urgent, x.decoderCount(cands), cands[0].Entry.Slots)
 	return r
 }
 
-// decoding is the number of engines that decode, of which cands are looked at.
-func (u *run) decoding(cands []placement.Candidate) int {
-	if of := u.opts.Targets.Targets(u.c.Service.Name).Of(port.RoleDecode, "").Len(); of > lookAtAll {
-		return of
+// decoderCount returns the number of the service's decoding engines, of
+// which cands may be a sample.
+func (x *execution) decoderCount(cands []placement.Candidate) int {
+	if n := x.opts.Targets.Targets(x.call.Service.Name).Of(port.RoleDecode, "").Len(); n > sampleThreshold {
+		return n
 	}
 	return len(cands)
 }
 
-// probeShare is the share of calls that engines get which refuse lately.
+// probeShare is the fraction of calls that may go to engines with a high
+// failure rate.
 const probeShare = 0.3
--- a/request/dispatch/relay.go
+++ b/request/dispatch/relay.go
@@ -13,45 +13,45 @@
 	"github.com/pomelospool/pomelospool/request/failure"
 )
 
-// maxEvent bounds one event, in bytes.
+// maxEvent is the largest size of one event, in bytes.
 const maxEvent = 1 << 20
 
-// watch is called as a stream's events come.
-type watch struct {
-	first func()      // before the first one of the answer
-	batch func(n int) // with the number of events in each batch
+// streamHooks are functions called while a stream is relayed.
+type streamHooks struct {
+	first func()      // after the first event was received
+	batch func(n int) // with the number of events in each received batch
 }
 
-// relay passes events on as they come, each one whole. A stream that breaks
-// off in the middle of an event ends after the last whole one, so that a
-// resumed run can go on from there.
-func (u *run) relay(ctx context.Context, target string, resp *h1.Response, v port.Verdict, out Stream, w watch) *failed {
+// relay forwards events as they arrive. It forwards only complete events, so
+// a stream that is cut within an event can be resumed after the last
+// complete one.
+func (x *execution) relay(ctx context.Context, target string, resp *h1.Response, v port.Verdict, out Stream, w streamHooks) *sendFailure {
 	defer resp.Close(v.KeepAlive)
 	r := &eventReader{src: resp.Body}
 	for {
 		events, err := r.next()
 		if len(events) > 0 {
-			if f := u.pass(target, resp, events, out, w); f != nil {
+			if f := x.forward(target, resp, events, out, w); f != nil {
 				return f
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			return u.ended(target, resp, r, out)
+			return x.checkEnd(target, resp, r, out)
 		}
 		if err != nil {
-			return &failed{Failure: failure.Read(ctx, target, err)}
+			return &sendFailure{Failure: failure.Read(ctx, target, err)}
 		}
 	}
 }
 
-// pass hands events to the caller, without those that it has already.
-func (u *run) pass(target string, resp *h1.Response, events []byte, out Stream, w watch) *failed {
-	fresh, last, n := after(events, u.lastID)
+// forward sends the caller those events that it doesn't have yet.
+func (x *execution) forward(target string, resp *h1.Response, events []byte, out Stream, w streamHooks) *sendFailure {
+	fresh, last, n := eventsAfter(events, x.lastID)
 	w.batch(n)
-	u.start(0)
-	if !u.trace.Begun {
-		u.trace.Begun = true
-		u.trace.First = time.Since(u.c.Arrived)
+	x.markStarted(0)
+	if !x.trace.AnswerStarted {
+		x.trace.AnswerStarted = true
+		x.trace.TimeToFirst = time.Since(x.call.Arrived)
 		out.Begin(resp.Status, resp.Header)
 		w.first()
 	}
@@ -59,49 +59,50 @@
 		return nil
 	}
 	if err := out.Write(fresh); err != nil {
-		return fail(failure.CallerGone, target, err)
+		return newFailure(failure.CallerGone, target, err)
 	}
 	if last != "" {
-		u.lastID = last
+		x.lastID = last
 	}
 	return nil
 }
 
-// ended reports whether the stream ended whole: at its marked end, or at the
-// connection's orderly end, and not within an event.
-func (u *run) ended(target string, resp *h1.Response, r *eventReader, out Stream) *failed {
-	if len(r.rest()) > 0 {
-		return fail(failure.Cut, target, io.ErrUnexpectedEOF)
+// checkEnd returns a failure if the stream ended within an event. The end is
+// regular if it is marked or the connection was closed in order.
+func (x *execution) checkEnd(target string, resp *h1.Response, r *eventReader, out Stream) *sendFailure {
+	if len(r.partial()) > 0 {
+		return newFailure(failure.Cut, target, io.ErrUnexpectedEOF)
 	}
-	if !u.trace.Begun {
-		u.trace.Begun = true
+	if !x.trace.AnswerStarted {
+		x.trace.AnswerStarted = true
 		out.Begin(resp.Status, resp.Header)
 	}
-	u.ok(target)
+	x.recordSuccess(target)
 	return nil
 }
 
-// eventReader cuts a stream of server-sent events into runs of whole events.
+// eventReader splits a stream of server-sent events into batches of complete
+// events.
 type eventReader struct {
-	src io.Reader
-	buf []byte // what was read and not returned
-	out int    // length of what was returned last, to be dropped
+	src      io.Reader
+	buf      []byte // bytes read; the first returned ones have been returned by next
+	returned int    // number of bytes that the last call of next returned
 }
 
 const readSize = 4 << 10
 
-// next returns one or more whole events, or an error. The bytes hold until the
-// next call.
+// next returns one or more complete events, or an error. The bytes are valid
+// until the next call.
 func (r *eventReader) next() ([]byte, error) {
-	r.buf = r.buf[:copy(r.buf, r.buf[r.out:])]
-	r.out = 0
+	r.buf = r.buf[:copy(r.buf, r.buf[r.returned:])]
+	r.returned = 0
 	for {
 		if len(r.buf) > maxEvent {
 			return nil, errTooLarge
 		}
 		n, err := r.fill()
 		if end := lastEventEnd(r.buf); end > 0 && n > 0 {
-			r.out = end
+			r.returned = end
 			return r.buf[:end], err
 		}
 		if err != nil {
@@ -120,10 +121,11 @@
 	return n, err
 }
 
-// rest is what was read of an event without its end.
-func (r *eventReader) rest() []byte { return r.buf[r.out:] }
+// partial returns the bytes read after the last complete event.
+func (r *eventReader) partial() []byte { return r.buf[r.returned:] }
 
-// lastEventEnd is the length up to the last blank line in b, 0 without one.
+// lastEventEnd returns the offset after the last blank line in b, or 0 if
+// there is none.
 func lastEventEnd(b []byte) int {
 	end := 0
 	if i := bytes.LastIndex(b, []byte("\n\n")); i >= 0 {
@@ -135,42 +137,42 @@
 	return end
 }
 
-// after returns the events that come after the one with id last, the id of the
-// newest event, and the number of all events. Ids that are numbers rise, by
-// whatever step.
-func after(events []byte, last string) (fresh []byte, newest string, n int) {
+// eventsAfter returns the events after the one with id last, the id of the
+// newest event, and the number of all events. Numeric ids increase, by any
+// step.
+func eventsAfter(events []byte, last string) (fresh []byte, newest string, n int) {
 	newest = last
-	had, known := number(last)
+	lastNum, numeric := parseNumericID(last)
 	for rest := events; len(rest) > 0; {
-		one := rest[:firstEventEnd(rest)]
-		rest = rest[len(one):]
+		event := rest[:firstEventEnd(rest)]
+		rest = rest[len(event):]
 		n++
-		id := eventID(one)
-		at, isNumber := number(id)
-		if isNumber && known && at <= had {
+		id := eventID(event)
+		num, isNumber := parseNumericID(id)
+		if isNumber && numeric && num <= lastNum {
 			continue
 		}
-		fresh = append(fresh, one...)
+		fresh = append(fresh, event...)
 		if id != "" {
 			newest = id
-			had, known = at, isNumber
+			lastNum, numeric = num, isNumber
 		}
 	}
 	return fresh, newest, n
 }
 
 func firstEventEnd(b []byte) int {
-	unix, dos := bytes.Index(b, []byte("\n\n")), bytes.Index(b, []byte("\r\n\r\n"))
+	lf, crlf := bytes.Index(b, []byte("\n\n")), bytes.Index(b, []byte("\r\n\r\n"))
 	switch {
-	case unix < 0 && dos < 0:
+	case lf < 0 && crlf < 0:
 		return len(b)
-	case dos < 0 || unix >= 0 && unix < dos:
-		return unix + 2
+	case crlf < 0 || lf >= 0 && lf < crlf:
+		return lf + 2
 	}
-	return dos + 4
+	return crlf + 4
 }
 
-// eventID returns the id field of one event, empty without one.
+// eventID returns the id field of an event, or "" if it has none.
 func eventID(event []byte) string {
 	for _, line := range bytes.Split(event, []byte("\n")) {
 		if v, ok := bytes.CutPrefix(line, []byte("id:")); ok {
@@ -180,7 +182,7 @@
 	return ""
 }
 
-func number(id string) (int64, bool) {
+func parseNumericID(id string) (int64, bool) {
 	n, err := strconv.ParseInt(id, 10, 64)
 	return n, err == nil
 }
--- a/request/placement/decode.go
+++ b/request/placement/decode.go
@@ -7,26 +7,30 @@
 )
 
 const (
-	// zoneFactor is how much longer KV cache takes to another availability
-	// zone, and how much more it costs.
-	zoneFactor = 2
-	// fullCost is what a full engine costs: its steps take longer, and a prompt
-	// that is admitted as its last has no room to be late.
-	fullCost share = 0.16
-	// overCost is what each engine's worth of requests beyond its places costs.
-	overCost share = 2
-	// slowCost is what an engine costs for each time that it is slower.
-	slowCost share = 0.08
-	// mixCost is the most that the prompt's hash adds, so that engines that are
-	// alike share the prompts.
-	mixCost share = 0.002
-	// moveWeight counts the time of a move again, since moves are paid for.
-	moveWeight = 3
+	// crossZoneFactor is the factor by which the transfer of KV cache to
+	// another availability zone takes longer and costs more.
+	crossZoneFactor = 2
+	// occupancyCost is the cost of a full engine: its steps take longer,
+	// and the last prompt that it admits has no margin.
+	occupancyCost objectiveShare = 0.16
+	// overloadCost is the cost of requests beyond the engine's stream
+	// limit, for each multiple of that limit.
+	overloadCost objectiveShare = 2
+	// slowdownCost is the cost of an engine for each multiple of the
+	// predicted time that it takes.
+	slowdownCost objectiveShare = 0.08
+	// decodeTieCost is the largest cost that the prompt's hash adds, so
+	// that equally good engines share the prompts.
+	decodeTieCost objectiveShare = 0.002
+	// transferWeight is the weight of the transfer time, which also counts
+	// because transfers are billed.
+	transferWeight = 3
 )
 
-// Decode chooses the engine that makes the answer: few requests, and little
-// KV cache to move there. from is the availability zone of the engine that
-// keeps the cache, empty when there is none. It returns -1 without candidates.
+// Decode chooses the engine that decodes: one with few streams that needs
+// little transfer of KV cache. from is the availability zone of the engine
+// that holds the KV cache, or empty if there is none. Decode returns -1 if
+// there are no candidates.
 func Decode(p Prompt, cands []Candidate, e *route.Engine, from string) int {
 	best := -1
 	var bestCost time.Duration
@@ -34,9 +38,9 @@
 		c := &cands[i]
 		cost := c.decodeCost(&p)
 		if from != "" {
-			cost += moveWeight * Move(e, max(p.Tokens-c.Load.Cached, 0), from == c.Entry.Zone)
+			cost += transferWeight * TransferTime(e, max(p.Tokens-c.Load.Cached, 0), from == c.Entry.Zone)
 		}
-		cost += time.Duration(unit(p.Seed^uint64(i+1)) * float64(mixCost.of(&p)))
+		cost += time.Duration(hashFraction(p.Seed^uint64(i+1)) * float64(decodeTieCost.duration(&p)))
 		if best < 0 || cost < bestCost {
 			best, bestCost = i, cost
 		}
@@ -44,26 +48,28 @@
 	return best
 }
 
-// decodeCost is what it costs to have the answer made there, KV cache aside.
+// decodeCost returns the cost of a decode at the candidate, without the
+// transfer of KV cache.
 func (c *Candidate) decodeCost(p *Prompt) time.Duration {
-	full := float64(c.Load.Streams) / float64(c.Places())
-	cost := time.Duration(full * full * float64(fullCost.of(p)))
-	cost += time.Duration(c.Rate * float64(failCost.of(p)))
-	if full >= 1 {
-		cost += time.Duration((full - 1) * float64(overCost.of(p)))
+	occupancy := float64(c.Load.Streams) / float64(c.StreamLimit())
+	cost := time.Duration(occupancy * occupancy * float64(occupancyCost.duration(p)))
+	cost += time.Duration(c.FailureRate * float64(failureCost.duration(p)))
+	if occupancy >= 1 {
+		cost += time.Duration((occupancy - 1) * float64(overloadCost.duration(p)))
 	}
-	cost += c.slower(slowCost.of(p)) - slowCost.of(p)
-	return cost + c.dial(p)
+	cost += c.adjusted(slowdownCost.duration(p)) - slowdownCost.duration(p)
+	return cost + c.connCost(p)
 }
 
-// Move is the time to move the KV cache of that many tokens.
-func Move(e *route.Engine, tokens int, sameZone bool) time.Duration {
+// TransferTime returns the time to transfer the KV cache of that many
+// tokens.
+func TransferTime(e *route.Engine, tokens int, sameZone bool) time.Duration {
 	if e.LinkBytes <= 0 {
 		return 0
 	}
 	s := float64(tokens) * float64(e.KVTokenBytes) / e.LinkBytes
 	if !sameZone {
-		s *= zoneFactor
+		s *= crossZoneFactor
 	}
 	return time.Duration(s * float64(time.Second))
 }
--- a/request/placement/home.go
+++ b/request/placement/home.go
@@ -8,54 +8,56 @@
 )
 
 const (
-	// manyEngines is the number of engines from which on the daemons know too
-	// little of each other's prompts: reports take some 0.7 s to all of 90 daemons.
-	manyEngines = 16
-	// awayShare is the part of the time to read what nobody is known to keep
-	// that an engine other than the home costs on top.
-	awayShare = 0.5
+	// minEnginesForHome is the number of engines from which on prompts get
+	// a home. In fleets of this size daemons learn of each other's prompts
+	// too late: reports take some 0.7 s to reach all of 90 daemons.
+	minEnginesForHome = 16
+	// awayCostShare is the cost of an engine other than the home, as a
+	// fraction of the time to prefill the shared tokens that no engine is
+	// known to hold.
+	awayCostShare = 0.5
 )
 
-// home is where prompts with equal leading parts meet while nobody is known to
-// keep those parts: the engine that their hash names. Each daemon names the
-// same one without a message.
+// home is the engine that all daemons prefer for prompts with equal leading
+// parts while no engine is known to hold those parts. It follows from a
+// hash, so daemons choose the same engine without communication.
 //
-// The failure it stops: the first prompts with a new part come to several
-// daemons within the time that reports take, and each has another engine read
-// it. Of 85 million prompt tokens read on a day of 90 daemons and 140 engines
-// 24 million were read so again.
+// Without it, the first prompts with a new part reach several daemons before
+// reports do, and each daemon has a different engine prefill the part. On a
+// day of 90 daemons and 140 engines, 24 of 85 million prefilled prompt
+// tokens were such duplicates.
 type home struct {
-	p       *Prompt
-	at      int // index of the candidate, -1: none is needed
-	source  int // the same engine's index among the sources
-	unknown int // shared prompt tokens that nobody is known to keep
+	p              *Prompt
+	index          int // index of the candidate, -1: no home is needed
+	source         int // index of the same engine among the sources, -1: it isn't one
+	uncachedTokens int // shared prompt tokens that no engine is known to hold
 }
 
 func newHome(p Prompt, cands, sources []Candidate, holder int, f speed.Figures) home {
-	h := home{p: &p, at: -1, source: -1, unknown: p.Shared}
+	h := home{p: &p, index: -1, source: -1, uncachedTokens: p.SharedTokens}
 	if holder >= 0 {
-		h.unknown -= sources[holder].Load.Ready
+		h.uncachedTokens -= sources[holder].Load.Ready
 	}
-	if len(cands) < manyEngines || f.Read(p.Tokens, h.unknown) < leastFetch.of(&p) {
+	if len(cands) < minEnginesForHome || f.Read(p.Tokens, h.uncachedTokens) < minFetchSaving.duration(&p) {
 		return h
 	}
-	least := 0.0
+	minHash := 0.0
 	for i := range cands {
 		c := &cands[i]
-		if c.Private || c.Rate >= soundRate || c.Pace > slowFrom {
+		if c.LocalOnly || c.FailureRate >= maxSourceFailureRate || c.Slowdown > slowdownThreshold {
 			continue
 		}
-		if u := unit(p.Seed ^ engines.Hash(c.Entry.ID)); h.at < 0 || u < least {
-			h.at, least = i, u
+		if u := hashFraction(p.Seed ^ engines.Hash(c.Entry.ID)); h.index < 0 || u < minHash {
+			h.index, minHash = i, u
 		}
 	}
-	if h.at >= 0 {
-		h.source = find(sources, cands[h.at].Entry.ID)
+	if h.index >= 0 {
+		h.source = indexByID(sources, cands[h.index].Entry.ID)
 	}
 	return h
 }
 
-func find(list []Candidate, id string) int {
+func indexByID(list []Candidate, id string) int {
 	for i := range list {
 		if list[i].Entry.ID == id {
 			return i
@@ -64,18 +66,19 @@
 	return -1
 }
 
-// cost is what it costs to have candidate i read the prompt away from home.
+// cost returns the cost of a prefill at candidate i if it isn't the home.
 func (h *home) cost(i int, f speed.Figures) time.Duration {
-	if h.at < 0 || i == h.at {
+	if h.index < 0 || i == h.index {
 		return 0
 	}
-	return time.Duration(awayShare * float64(f.Read(h.p.Tokens, h.unknown)))
+	return time.Duration(awayCostShare * float64(f.Read(h.p.Tokens, h.uncachedTokens)))
 }
 
-// guess has an engine away from home fetch from there what others may have had
-// read there meanwhile. A fetch of nothing costs nothing.
-func (h *home) guess(ch *Choice) {
-	if h.at >= 0 && ch.At != h.at && ch.Fetch < 0 && h.source >= 0 {
-		ch.Fetch, ch.Guessed = h.source, true
+// addSpeculativeFetch lets an engine other than the home fetch from the
+// home, which may have prefilled the shared parts meanwhile for other
+// daemons. A fetch that finds nothing costs nothing.
+func (h *home) addSpeculativeFetch(ch *Choice) {
+	if h.index >= 0 && ch.Index != h.index && ch.Source < 0 && h.source >= 0 {
+		ch.Source, ch.Speculative = h.source, true
 	}
 }
--- a/request/placement/home_test.go
+++ b/request/placement/home_test.go
@@ -10,89 +10,91 @@
 	"github.com/pomelospool/pomelospool/version/route"
 )
 
-// fleet returns engines in a random order with little work each, as one of many
-// daemons sees them.
-func fleet(r *rand.Rand, n int) []Candidate {
+// randomEngines returns engines with small random queues in a random order,
+// as one of many daemons sees them.
+func randomEngines(r *rand.Rand, n int) []Candidate {
 	out := make([]Candidate, n)
 	for i := range out {
-		out[i] = cand(fmt.Sprintf("e%d", i), "a", busy(r.IntN(40)))
+		out[i] = newCandidate(fmt.Sprintf("e%d", i), "a", waitOf(r.IntN(40)))
 	}
 	r.Shuffle(n, func(i, j int) { out[i], out[j] = out[j], out[i] })
 	return out
 }
 
-// A part that nobody has read before comes to several daemons within the time
-// that news takes. Each sees other loads and has another engine read all of it.
-func TestNewPartsMeet(t *testing.T) {
+// Guards against a new prompt part that several engines compute. It happens
+// when the part reaches several daemons before reports do and each daemon
+// sees other loads.
+func TestEqualNewPromptsGoToOneHome(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	e := &route.Engine{KVTokenBytes: 163_840, LinkBytes: 212e9}
 	for seed := range uint64(20) {
-		p := Prompt{Tokens: 17_000, Shared: 13_300, Seed: seed * 0x9e3779b97f4a7c15}
-		at := make(map[string]int)
+		p := Prompt{Tokens: 17_000, SharedTokens: 13_300, Seed: seed * 0x9e3779b97f4a7c15}
+		engineCounts := make(map[string]int)
 		for range 10 {
-			cands := fleet(r, 50)
-			at[cands[Prefill(p, cands, cands, e, figures).At].Entry.ID]++
+			cands := randomEngines(r, 50)
+			engineCounts[cands[Prefill(p, cands, cands, e, figures).Index].Entry.ID]++
 		}
-		if len(at) != 1 {
-			t.Errorf("seed %d: read by %v", seed, at)
+		if len(engineCounts) != 1 {
+			t.Errorf("seed %d: prefilled by %v", seed, engineCounts)
 		}
 	}
 }
 
-// The engine that all choose for a new part has a long queue: another one
-// reads the prompt, and fetches what the first has read meanwhile.
-func TestAwayFromABusyHome(t *testing.T) {
+// If the home of a new part has a long queue, another engine does the
+// prefill and fetches what the home has computed meanwhile.
+func TestBusyHomeIsAvoided(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
-	p := Prompt{Tokens: 17_000, Shared: 13_300, Seed: 7}
-	cands := fleet(r, 50)
-	sources := append([]Candidate{cand("decodes", "a", engines.Load{})}, cands...)
-	home := Prefill(p, cands, sources, nil, figures).At
+	p := Prompt{Tokens: 17_000, SharedTokens: 13_300, Seed: 7}
+	cands := randomEngines(r, 50)
+	sources := append([]Candidate{newCandidate("decodes", "a", engines.Load{})}, cands...)
+	home := Prefill(p, cands, sources, nil, figures).Index
 	cands[home].Load.Wait = 2 * time.Second
 	got := Prefill(p, cands, sources, nil, figures)
-	if got.At == home || !got.Guessed || got.Fetch != home+1 || got.Fetched != 0 || got.Missing != p.Tokens {
+	if got.Index == home || !got.Speculative || got.Source != home+1 || got.FetchedTokens != 0 || got.MissingTokens != p.Tokens {
 		t.Errorf("%+v, home %d", got, home)
 	}
-	cands[home].Load.Wait, cands[home].Rate = 0, 0.9
-	if got := Prefill(p, cands, sources, nil, figures); got.At == home {
+	cands[home].Load.Wait, cands[home].FailureRate = 0, 0.9
+	if got := Prefill(p, cands, sources, nil, figures); got.Index == home {
 		t.Error("went to a failing home")
 	}
 }
 
-// What is known to be kept is fetched from there, wherever the hash points.
-func TestKnownPartsNeedNoHome(t *testing.T) {
+// Cached parts are fetched from the engine that holds them, whatever the
+// home is.
+func TestKnownPartsAreFetchedFromTheirHolder(t *testing.T) {
 	e := &route.Engine{KVTokenBytes: 163_840, LinkBytes: 212e9}
-	p := Prompt{Tokens: 17_000, Shared: 13_300, Seed: 7}
-	cands := fleet(rand.New(rand.NewPCG(1, 1)), 50)
+	p := Prompt{Tokens: 17_000, SharedTokens: 13_300, Seed: 7}
+	cands := randomEngines(rand.New(rand.NewPCG(1, 1)), 50)
 	for i := range cands {
 		cands[i].Load.Wait = time.Second
 	}
 	cands[3].Load.Cached, cands[3].Load.Ready, cands[4].Load.Wait = 13_300, 13_300, 0
-	if got := Prefill(p, cands, cands, e, figures); got.At != 4 || got.Fetch != 3 || got.Guessed {
+	if got := Prefill(p, cands, cands, e, figures); got.Index != 4 || got.Source != 3 || got.Speculative {
 		t.Errorf("%+v", got)
 	}
 }
 
-// Ninety daemons open a connection for nearly each request, and each is paid
-// for. Among engines that are alike the one with an idle connection is taken.
-func TestIdleConnectionsAreUsed(t *testing.T) {
+// Guards against a new connection for nearly each request, which is billed.
+// Among equally good engines the one with an idle connection is chosen.
+func TestIdleConnectionsArePreferred(t *testing.T) {
 	e := &route.Engine{KVTokenBytes: 163_840, LinkBytes: 212e9}
 	for seed := range uint64(50) {
-		cands := fleet(rand.New(rand.NewPCG(seed, 1)), 20)
+		cands := randomEngines(rand.New(rand.NewPCG(seed, 1)), 20)
 		for i := range cands {
 			cands[i].Load = engines.Load{Streams: 2}
 		}
-		warm := int(seed) % len(cands)
-		cands[warm].Warm = true
+		connected := int(seed) % len(cands)
+		cands[connected].HasIdleConn = true
 		p := Prompt{Tokens: 1460, Seed: seed}
-		if got := Prefill(p, cands, cands, e, figures); got.At != warm {
-			t.Errorf("seed %d: reads at %d, warm is %d", seed, got.At, warm)
+		if got := Prefill(p, cands, cands, e, figures); got.Index != connected {
+			t.Errorf("seed %d: prefill at %d, connected to %d", seed, got.Index, connected)
 		}
-		if got := Decode(p, cands, e, "a"); got != warm {
-			t.Errorf("seed %d: decodes at %d, warm is %d", seed, got, warm)
+		if got := Decode(p, cands, e, "a"); got != connected {
+			t.Errorf("seed %d: decode at %d, connected to %d", seed, got, connected)
 		}
-		cands[warm].Load.Streams = 60
-		if Decode(p, cands, e, "a") == warm {
-			t.Errorf("seed %d: decodes at a full engine for its connection", seed)
+		cands[connected].Load.Streams = 60
+		if Decode(p, cands, e, "a") == connected {
+			t.Errorf("seed %d: decode at a full engine because of its connection", seed)
 		}
 	}
 }
--- a/request/placement/prefill.go
+++ b/request/placement/prefill.go
@@ -12,157 +12,163 @@
 
 // Candidate is an engine that may take the request.
 type Candidate struct {
-	Entry port.TargetEntry
-	Load  engines.Load
-	Rate  float64 // share of its requests that failed lately
-	Pace  float64 // how many times longer than predicted it takes, 1: as predicted
-	Warm  bool    // this process has an idle connection to it
-	// Private says that other daemons don't look at it: prompts don't meet there.
-	Private bool
-	Most    int // streams at which the longest answers of the route still end in time; 0: not known
+	Entry       port.TargetEntry
+	Load        engines.Load
+	FailureRate float64 // fraction of its recent requests that failed
+	Slowdown    float64 // ratio of measured to predicted time
+	HasIdleConn bool    // this process has an idle connection to it
+	// LocalOnly means that other daemons may not consider the engine, so it
+	// can't be the home of a prompt.
+	LocalOnly  bool
+	MaxStreams int // number of streams up to which the longest answers of the route end in time; 0: unknown
 }
 
-// slower gives the time that the candidate is likely to take for one predicted.
-func (c *Candidate) slower(d time.Duration) time.Duration {
-	if c.Pace <= slowFrom {
+// adjusted scales a predicted time by the candidate's slowdown.
+func (c *Candidate) adjusted(d time.Duration) time.Duration {
+	if c.Slowdown <= slowdownThreshold {
 		return d
 	}
-	return time.Duration(float64(d) * c.Pace)
+	return time.Duration(float64(d) * c.Slowdown)
 }
 
-// slowFrom is the pace up to which a target counts as any other: prediction
-// alone is off by that much.
-const slowFrom = 2.5
+// slowdownThreshold is the slowdown up to which an engine counts as normal,
+// since predictions are inaccurate by that factor.
+const slowdownThreshold = 2.5
 
-// Prompt is what placement knows of a request.
+// Prompt describes a request for placement.
 type Prompt struct {
-	Tokens int
-	Shared int    // of these, the leading ones that other prompts may begin with too
-	Zone   string // availability zone of the deciding daemon
-	Seed   uint64 // of the prompt's first part: equal prompts go to one engine
-	Draw   uint64 // random, of the request
+	Tokens       int
+	SharedTokens int    // leading tokens that other prompts may share
+	Zone         string // availability zone of the deciding daemon
+	Seed         uint64 // id of the shared prefix; prompts with equal seeds go to the same engine
+	RandomSeed   uint64 // random number of the request
 	// Objective is the time within which the caller wants the first event.
 	Objective time.Duration
 }
 
-// Choice is where a prompt is read.
+// Choice is an engine for the prefill and its prediction.
 type Choice struct {
-	At      int // index of the candidate, -1: none
-	Missing int // prompt tokens that the engine has to read
-	Wait    time.Duration
-	Read    time.Duration // the fetch included
-	Moved   time.Duration // of it, the fetch
-	Fetch   int           // index of the source to fetch from, -1: none
-	Fetched int           // prompt tokens that are fetched
-	Cost    time.Duration // by which choices are compared
-	Guessed bool          // nobody said that the source keeps more of the prompt
+	Index         int // index of the candidate, -1: none
+	MissingTokens int // prompt tokens that the engine has to compute
+	PredictedWait time.Duration
+	PrefillTime   time.Duration // includes FetchTime
+	FetchTime     time.Duration // time to fetch KV cache from the source
+	Source        int           // index of the source to fetch from, -1: none
+	FetchedTokens int           // prompt tokens whose KV cache is fetched
+	Cost          time.Duration // choices with a lower cost are better
+	Speculative   bool          // the source isn't known to hold more of the prompt
 }
 
 const (
-	// readAgain is the weight of the time to read what another engine keeps
-	// already, on top of the time itself: it is taken from later requests.
-	readAgain = 0.9
-	// failCost is what a failure rate of one costs.
-	failCost share = 1.6
-	// tieCost is the most that the prompt's hash adds to an engine's cost.
-	tieCost share = 0.008
+	// recomputeWeight is the additional weight of the prefill time: an
+	// engine that computes more delays later requests.
+	recomputeWeight = 0.9
+	// failureCost is the cost of a failure rate of 1.
+	failureCost objectiveShare = 1.6
+	// prefillTieCost is the largest cost that the prompt's hash adds to an
+	// engine.
+	prefillTieCost objectiveShare = 0.008
 )
 
 const (
-	// leastFetch is the least time to read that a fetch is worth: it is a call
-	// between two engines, and paid for.
-	leastFetch share = 0.02
-	// fetchWeight counts the time of a fetch again, since moves are paid for.
+	// minFetchSaving is the least prefill time that a fetch must save,
+	// since a fetch is a call between two engines and billed.
+	minFetchSaving objectiveShare = 0.02
+	// fetchWeight is the weight of the fetch time, which also counts
+	// because transfers are billed.
 	fetchWeight = 2
 )
 
-// Prefill chooses the engine that reads the prompt: the one that is done first,
-// with what it has to read counted again in part. An engine that lacks what
-// another one keeps fetches it: 13,000 tokens take 10 to 20 ms to fetch and
-// 300 ms to read. sources are the engines that can be fetched from.
+// Prefill chooses the engine for the prefill: the one that finishes first,
+// with an extra weight on the time that it computes. An engine fetches KV
+// cache that it lacks and another engine holds: 13,000 tokens take 10 to 20
+// ms to fetch and 300 ms to compute. sources are the engines that can be
+// fetched from.
 func Prefill(p Prompt, cands, sources []Candidate, e *route.Engine, f speed.Figures) Choice {
-	o := newOutlook(p, cands, sources, e, f)
-	best := Choice{At: -1, Fetch: -1}
+	ev := newEvaluation(p, cands, sources, e, f)
+	best := Choice{Index: -1, Source: -1}
 	for i := range cands {
-		if ch := o.choice(i); best.At < 0 || ch.Cost < best.Cost {
+		if ch := ev.choice(i); best.Index < 0 || ch.Cost < best.Cost {
 			best = ch
 		}
 	}
-	o.home.guess(&best)
+	ev.home.addSpeculativeFetch(&best)
 	return best
 }
 
-// outlook is what all choices of a prompt have in common.
-type outlook struct {
+// evaluation holds what is common to all choices for a prompt.
+type evaluation struct {
 	p              Prompt
 	cands, sources []Candidate
-	e              *route.Engine
-	f              speed.Figures
-	holder         int // index of the source that keeps most, -1: none
-	near           int // candidates in the daemon's zone
+	engine         *route.Engine
+	figures        speed.Figures
+	holder         int // index of the source that holds the most tokens, -1: none
+	inZone         int // number of candidates in the daemon's zone
 	home           home
 }
 
-func newOutlook(p Prompt, cands, sources []Candidate, e *route.Engine, f speed.Figures) *outlook {
-	o := &outlook{p: p, cands: cands, sources: sources, e: e, f: f, holder: holdsMost(sources), near: inZone(cands, p.Zone)}
-	o.home = newHome(o.p, cands, sources, o.holder, f)
-	return o
+func newEvaluation(p Prompt, cands, sources []Candidate, e *route.Engine, f speed.Figures) *evaluation {
+	ev := &evaluation{p: p, cands: cands, sources: sources, engine: e, figures: f, holder: largestHolder(sources), inZone: countInZone(cands, p.Zone)}
+	ev.home = newHome(ev.p, cands, sources, ev.holder, f)
+	return ev
 }
 
-// choice is that of candidate i.
-func (o *outlook) choice(i int) Choice {
-	c := &o.cands[i]
-	ch := o.p.read(c, o.sources, o.holder, o.e, o.f)
-	ch.At = i
-	if o.near >= manyNear && c.Entry.Zone != o.p.Zone {
-		ch.Cost += farCost.of(&o.p)
+// choice returns the choice of candidate i with its total cost.
+func (ev *evaluation) choice(i int) Choice {
+	c := &ev.cands[i]
+	ch := ev.p.evaluate(c, ev.sources, ev.holder, ev.engine, ev.figures)
+	ch.Index = i
+	if ev.inZone >= minInZone && c.Entry.Zone != ev.p.Zone {
+		ch.Cost += otherZoneCost.duration(&ev.p)
 	}
-	ch.Cost += time.Duration(c.Rate * float64(failCost.of(&o.p)))
-	ch.Cost += time.Duration(unit(o.p.Seed^engines.Hash(c.Entry.ID)) * float64(tieCost.of(&o.p)))
-	ch.Cost += o.home.cost(i, o.f)
-	ch.Cost += c.dial(&o.p)
+	ch.Cost += time.Duration(c.FailureRate * float64(failureCost.duration(&ev.p)))
+	ch.Cost += time.Duration(hashFraction(ev.p.Seed^engines.Hash(c.Entry.ID)) * float64(prefillTieCost.duration(&ev.p)))
+	ch.Cost += ev.home.cost(i, ev.figures)
+	ch.Cost += c.connCost(&ev.p)
 	return ch
 }
 
-// read is the choice of an engine, with the cost of its time.
-func (p *Prompt) read(c *Candidate, sources []Candidate, holder int, e *route.Engine, f speed.Figures) Choice {
-	ch := Choice{Fetch: -1, Wait: c.slower(c.Load.Wait)}
-	kept := c.Load.Cached
-	if holder >= 0 && worthFetch(p, f, kept, sources[holder].Load.Ready) {
+// evaluate returns the choice of an engine with the cost of its queue,
+// prefill and fetch.
+func (p *Prompt) evaluate(c *Candidate, sources []Candidate, holder int, e *route.Engine, f speed.Figures) Choice {
+	ch := Choice{Source: -1, PredictedWait: c.adjusted(c.Load.Wait)}
+	cached := c.Load.Cached
+	if holder >= 0 && worthFetch(p, f, cached, sources[holder].Load.Ready) {
 		src := &sources[holder]
-		ch.Fetch, ch.Fetched = holder, src.Load.Ready-kept
-		kept = src.Load.Ready
-		ch.Moved = Move(e, ch.Fetched, src.Entry.Zone == c.Entry.Zone)
+		ch.Source, ch.FetchedTokens = holder, src.Load.Ready-cached
+		cached = src.Load.Ready
+		ch.FetchTime = TransferTime(e, ch.FetchedTokens, src.Entry.Zone == c.Entry.Zone)
 	}
-	ch.Missing = max(p.Tokens-kept, 1)
-	read := c.slower(f.Read(p.Tokens, ch.Missing))
-	ch.Read = read + ch.Moved
-	ch.Cost = ch.Wait + read + time.Duration(readAgain*float64(read)) + fetchWeight*ch.Moved
+	ch.MissingTokens = max(p.Tokens-cached, 1)
+	prefill := c.adjusted(f.Read(p.Tokens, ch.MissingTokens))
+	ch.PrefillTime = prefill + ch.FetchTime
+	ch.Cost = ch.PredictedWait + prefill + time.Duration(recomputeWeight*float64(prefill)) + fetchWeight*ch.FetchTime
 	return ch
 }
 
-// dialCost is what a new connection costs: a round trip and the target's
-// acceptance take 3 ms, and connections are paid for. With it 90 daemons open
-// 7,508 connections for 44,778 requests, 13,975 without.
-const dialCost share = 0.016
+// newConnCost is the cost of a new connection. A round trip and the target's
+// acceptance take 3 ms, and connections are billed. With this cost 90
+// daemons opened 7,508 connections for 44,778 requests, against 13,975
+// without it.
+const newConnCost objectiveShare = 0.016
 
-func (c *Candidate) dial(p *Prompt) time.Duration {
-	if c.Warm {
+func (c *Candidate) connCost(p *Prompt) time.Duration {
+	if c.HasIdleConn {
 		return 0
 	}
-	return dialCost.of(p)
+	return newConnCost.duration(p)
 }
 
 const (
-	// manyNear is the number of engines in the daemon's availability zone from
-	// which on it keeps to them: of these it knows the others' work sooner, and
-	// bytes between zones are paid for.
-	manyNear = 8
-	// farCost is what another zone's engine costs then.
-	farCost share = 0.02
+	// minInZone is the number of candidates in the daemon's availability
+	// zone from which on the daemon prefers them. It learns of load in its
+	// own zone sooner, and transfers between zones are billed.
+	minInZone = 8
+	// otherZoneCost is the cost of an engine in another zone in that case.
+	otherZoneCost objectiveShare = 0.02
 )
 
-func inZone(cands []Candidate, zone string) int {
+func countInZone(cands []Candidate, zone string) int {
 	n := 0
 	for i := range cands {
 		if cands[i].Entry.Zone == zone {
@@ -172,34 +178,35 @@
 	return n
 }
 
-// worthFetch reports whether the tokens that another engine keeps on top are
-// worth being fetched.
-func worthFetch(p *Prompt, f speed.Figures, kept, elsewhere int) bool {
-	if elsewhere <= kept {
+// worthFetch reports whether fetching the tokens that another engine holds
+// beyond the cached ones saves enough prefill time.
+func worthFetch(p *Prompt, f speed.Figures, cached, elsewhere int) bool {
+	if elsewhere <= cached {
 		return false
 	}
-	saved := f.Read(p.Tokens, p.Tokens-kept) - f.Read(p.Tokens, p.Tokens-elsewhere)
-	return saved >= leastFetch.of(p)
+	saved := f.Read(p.Tokens, p.Tokens-cached) - f.Read(p.Tokens, p.Tokens-elsewhere)
+	return saved >= minFetchSaving.duration(p)
 }
 
-// holdsMost is the index of the source that can give most of the prompt now.
-func holdsMost(sources []Candidate) int {
+// largestHolder returns the index of the reliable source that can provide
+// the most tokens of the prompt now, or -1.
+func largestHolder(sources []Candidate) int {
 	best := -1
 	for i := range sources {
 		s := &sources[i]
-		if s.Load.Ready > 0 && s.Rate < soundRate && (best < 0 || s.Load.Ready > sources[best].Load.Ready) {
+		if s.Load.Ready > 0 && s.FailureRate < maxSourceFailureRate && (best < 0 || s.Load.Ready > sources[best].Load.Ready) {
 			best = i
 		}
 	}
 	return best
 }
 
-// soundRate is the failure rate from which on nothing is fetched from an
-// engine.
-const soundRate = 0.3
+// maxSourceFailureRate is the failure rate from which on an engine is no
+// source for fetches.
+const maxSourceFailureRate = 0.3
 
-// unit maps a hash to [0,1).
-func unit(x uint64) float64 {
+// hashFraction maps a hash to [0,1).
+func hashFraction(x uint64) float64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
