--- a/process/roles/plan.go
+++ b/process/roles/plan.go
@@ -8,48 +8,48 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// Engine is what the plan knows of one engine.
+// Engine is the state of one engine as the plan sees it.
 type Engine struct {
 	Entry    port.TargetEntry
-	Changing bool          // carries out an order
-	Streams  int           // requests that decode there
-	Wait     time.Duration // until it has read the prompts sent to it
-	Refused  bool          // didn't take an order lately
-	Impaired bool          // serves so badly that it can't be counted on
+	Changing bool          // is changing its role after an order
+	Streams  int           // requests that are decoding on it
+	Wait     time.Duration // until it has done the prefill of the prompts sent to it
+	Refused  bool          // rejected or didn't answer a recent order
+	Impaired bool          // is unreachable or unhealthy
 }
 
-// Move is one order that the plan wants.
+// Move is a change of one engine's role that the plan asks for.
 type Move struct {
 	Target string
 	Role   port.Role
-	Why    string
+	Reason    string
 }
 
 const (
-	// leastDecoders keeps the service up when one decoding engine dies: a
-	// change of role takes seconds.
-	leastDecoders = 2
+	// minDecoders keeps the service available when one decoding engine fails,
+	// since a change of role takes seconds.
+	minDecoders = 2
 )
 
-// Plan says which engines change their role. It is a pure function.
+// Plan returns the engines that are to change their role. It is a pure function.
 func Plan(engines []Engine, d Demand) []Move {
-	live := usable(engines)
+	live := usableEngines(engines)
 	if len(live) < 2 {
 		return nil
 	}
-	decoders, readers := split(live)
-	want := wanted(len(live), slotsOf(live), len(decoders), slices.ContainsFunc(live, Engine.working), d)
+	decoders, prefillers := splitByRole(live)
+	want := wantedDecoders(len(live), slotsOf(live), len(decoders), slices.ContainsFunc(live, Engine.busy), d)
 	switch {
 	case len(decoders) < want:
-		return toDecode(readers, decoders, want-len(decoders))
+		return movesToDecode(prefillers, decoders, want-len(decoders))
 	case len(decoders) > want:
-		return toPrefill(decoders, len(decoders)-want)
+		return movesToPrefill(decoders, len(decoders)-want)
 	}
 	return nil
 }
 
-// usable returns the engines that stay and can be counted on.
-func usable(engines []Engine) []Engine {
+// usableEngines returns the engines that are neither leaving nor impaired.
+func usableEngines(engines []Engine) []Engine {
 	var out []Engine
 	for _, e := range engines {
 		if !e.Entry.Leaving && !e.Impaired {
@@ -59,17 +59,18 @@
 	return out
 }
 
-// working reports whether the engine has requests.
-func (e Engine) working() bool { return e.Streams > 0 || e.Wait > 0 }
+// busy reports whether the engine has requests in progress.
+func (e Engine) busy() bool { return e.Streams > 0 || e.Wait > 0 }
 
-// wanted is the number of decoding engines. While engines work whose demand
-// isn't known, as to a daemon that has just started, the split stays.
-func wanted(live, slots, now int, working bool, d Demand) int {
-	if len(d) > 0 || !working {
-		return d.best(live, max(slots, 1), now)
+// wantedDecoders returns the number of engines that are to decode. While engines are
+// busy and their demand is unknown, as in a daemon that has just started, the current
+// number stays.
+func wantedDecoders(live, slots, current int, busy bool, d Demand) int {
+	if len(d) > 0 || !busy {
+		return d.bestDecoders(live, max(slots, 1), current)
 	}
-	low, high := floors(live)
-	return min(max(now, low), high)
+	low, high := decoderBounds(live)
+	return min(max(current, low), high)
 }
 
 func slotsOf(live []Engine) int {
@@ -79,51 +80,53 @@
 	return live[0].Entry.Slots
 }
 
-// plenty reports whether there are as many engines of each role as daemons. Nothing
-// that is asked first then waits for a change of roles, and orders for what may
-// never be asked are paid for.
-func plenty(list []Engine, daemons int) bool {
-	decoders, readers := split(usable(list))
-	return len(decoders) >= daemons && len(readers) >= daemons
+// enoughOfEachRole reports whether each role has at least as many engines as there
+// are daemons. The first requests then need no change of roles, and changes for
+// demand that may never come would only cost.
+func enoughOfEachRole(engines []Engine, daemons int) bool {
+	decoders, prefillers := splitByRole(usableEngines(engines))
+	return len(decoders) >= daemons && len(prefillers) >= daemons
 }
 
-func split(live []Engine) (decoders, readers []Engine) {
+func splitByRole(live []Engine) (decoders, prefillers []Engine) {
 	for _, e := range live {
 		if e.Entry.Role == port.RoleDecode {
 			decoders = append(decoders, e)
 		} else {
-			readers = append(readers, e)
+			prefillers = append(prefillers, e)
 		}
 	}
-	return decoders, readers
+	return decoders, prefillers
 }
 
-// toPrefill moves the decoding engines that the others can best do without:
-// those of the availability zone with the most, and among them the idlest.
-func toPrefill(decoders []Engine, n int) []Move {
+// movesToPrefill returns moves of up to n decoding engines to prefill. It takes
+// engines from the availability zone with the most decoding engines first, and
+// there the one with the fewest streams.
+func movesToPrefill(decoders []Engine, n int) []Move {
 	var out []Move
 	left := slices.Clone(decoders)
 	for range n {
-		zones := perZone(left)
+		zones := countByZone(left)
 		best := -1
 		for i, e := range left {
 			if e.Changing || e.Refused {
 				continue
 			}
-			if best < 0 || before(e, left[best], zones) {
+			if best < 0 || preferToMove(e, left[best], zones) {
 				best = i
 			}
 		}
 		if best < 0 {
 			return out
 		}
-		out = append(out, Move{Target: left[best].Entry.ID, Role: port.RolePrefill, Why: "more engines decode than the streams ask for"})
+		out = append(out, Move{Target: left[best].Entry.ID, Role: port.RolePrefill, Reason: "more engines decode than the streams ask for"})
 		left = slices.Delete(left, best, best+1)
 	}
 	return out
 }
 
-func before(a, b Engine, zones map[string]int) bool {
+// preferToMove reports whether a is to be moved to prefill rather than b.
+func preferToMove(a, b Engine, zones map[string]int) bool {
 	if za, zb := zones[a.Entry.Zone], zones[b.Entry.Zone]; za != zb {
 		return za > zb
 	}
@@ -133,7 +136,7 @@
 	return a.Entry.ID < b.Entry.ID
 }
 
-func perZone(engines []Engine) map[string]int {
+func countByZone(engines []Engine) map[string]int {
 	zones := make(map[string]int)
 	for _, e := range engines {
 		zones[e.Entry.Zone]++
@@ -141,15 +144,16 @@
 	return zones
 }
 
-// toDecode moves reading engines: to the availability zones with the fewest
-// decoders first, and the idlest first.
-func toDecode(readers, decoders []Engine, n int) []Move {
+// movesToDecode returns moves of up to n prefill engines to decoding. It takes
+// engines from the availability zone with the fewest decoding engines first, and
+// there the one with the shortest wait.
+func movesToDecode(prefillers, decoders []Engine, n int) []Move {
 	var out []Move
-	zones := perZone(decoders)
-	left := slices.Clone(readers)
+	zones := countByZone(decoders)
+	left := slices.Clone(prefillers)
 	for range n {
 		left = slices.DeleteFunc(left, func(e Engine) bool { return e.Changing || e.Refused })
-		if len(left) == 0 || len(readers)-len(out) <= 1 {
+		if len(left) == 0 || len(prefillers)-len(out) <= 1 {
 			return out
 		}
 		e := slices.MinFunc(left, func(a, b Engine) int {
@@ -160,7 +164,7 @@
 			)
 		})
 		zones[e.Entry.Zone]++
-		out = append(out, Move{Target: e.Entry.ID, Role: port.RoleDecode, Why: "the streams ask for more engines that decode"})
+		out = append(out, Move{Target: e.Entry.ID, Role: port.RoleDecode, Reason: "the streams ask for more engines that decode"})
 		left = slices.DeleteFunc(left, func(x Engine) bool { return x.Entry.ID == e.Entry.ID })
 	}
 	return out
--- a/process/roles/planner.go
+++ b/process/roles/planner.go
@@ -1,7 +1,7 @@
-// Package roles gives each engine of a service its role: to read prompts or to
-// make answers. One daemon at a time gives the orders. The failure it guards
-// against is orders that contradict each other, from two daemons or from one
-// that was paused and doesn't know that another took over.
+// Package roles assigns each engine of a service its role: prefill or decoding.
+// Only one daemon at a time sends orders. A claim with a fencing number guards
+// against contradicting orders from two daemons, or from a daemon that was paused
+// and doesn't know that another took over.
 package roles
 
 import (
@@ -28,38 +28,41 @@
 )
 
 const (
-	// lookEvery is the time between two looks at the engines.
-	lookEvery = 100 * time.Millisecond
-	// settled is how long no new target may have appeared before a plan is
-	// made: a plan on a list that still fills up orders what it takes back.
-	settled = 1200 * time.Millisecond
-	// mostGrowing is how long a plan waits for that: a fleet that starts shows
-	// all its targets within some heartbeats.
-	mostGrowing = 4 * time.Second
-	// orderLimit bounds one order.
-	orderLimit = 700 * time.Millisecond
-	// refusedFor is how long an engine that didn't take an order is left
-	// alone. Orders may be carried out up to 12 s after they got no answer.
-	refusedFor = 13 * time.Second
-	// switchGrace is added to the time that a change of role takes, before an
-	// engine that doesn't show the new role counts as unchanged.
+	// planInterval is the time between two plans.
+	planInterval = 100 * time.Millisecond
+	// settleTime is how long no new target must have appeared before a plan is
+	// made. A plan on an incomplete list leads to orders that the next plan
+	// reverts.
+	settleTime = 1200 * time.Millisecond
+	// maxSettleWait is the longest time that a plan waits for settleTime. All
+	// targets of a starting fleet appear within some heartbeats.
+	maxSettleWait = 4 * time.Second
+	// orderTimeout is the timeout of one order, its report request included.
+	orderTimeout = 700 * time.Millisecond
+	// refusalBackoff is how long an engine gets no orders after it rejected or
+	// didn't answer one. An engine may carry out an order up to 12 s after the
+	// order timed out.
+	refusalBackoff = 13 * time.Second
+	// switchGrace is added to the service's switch time, before an engine that
+	// doesn't show the new role counts as unchanged.
 	switchGrace = 3 * time.Second
-	// drainGrace is added for an engine that leaves decoding: it ends its
-	// streams first, the longest of them in some ten seconds.
+	// drainGrace is added for an engine that leaves decoding. It finishes its
+	// streams first, of which the longest take about ten seconds.
 	drainGrace = 12 * time.Second
-	// looksPerSecond is how often the demand is noted.
-	looksPerSecond = 2
-	// kept is how many notes of the demand are kept: two of the long half lives.
-	kept = 2 * longHalfLife
-	// takeover is how long a daemon leads before its first order. What it
-	// knows may be from before a cut: the others' words of orders under way,
-	// and of the demand, come within some beats. Without it a holder back from
-	// a cut took three engines away from decoding that the holder between had
-	// ordered in place of three others, and none decoded for seconds.
-	takeover = 1500 * time.Millisecond
+	// samplesPerSecond is the number of demand samples per second.
+	samplesPerSecond = 2
+	// maxSamples is the number of demand samples to keep: two long half-lives.
+	maxSamples = 2 * longHalfLife
+	// takeoverDelay is how long a daemon leads before its first order. Its state
+	// may date from before a network partition. The other daemons' updates about
+	// pending orders and demand arrive within some heartbeats. Without the delay,
+	// a leader that returned from a partition took three engines from decoding
+	// that the interim leader had ordered in place of three others, and no engine
+	// decoded for seconds.
+	takeoverDelay = 1500 * time.Millisecond
 )
 
-// Options of a Planner. All are needed but Clock.
+// Options configures a Planner. All fields but Clock are required.
 type Options struct {
 	Self    string // this VM's name
 	Store   port.Store
@@ -72,11 +75,11 @@
 	Demand  *demand.Book
 	Speed   *speed.Book
 	Lease   time.Duration
-	Clock   clock.Clock // clock.Boot
+	Clock   clock.Clock // default: clock.Boot
 	Seen    *claim.Sightings
 }
 
-// Planner gives orders while this daemon is the first of those that can.
+// Planner sends role orders while this daemon is the leader.
 type Planner struct {
 	o      Options
 	tomb   tomb.Tomb
@@ -85,57 +88,57 @@
 	mu       sync.Mutex
 	released bool
 
-	// of the planner's goroutine
-	sighted  map[string]bool // services whose claim was read since this daemon may lead
-	leads    time.Duration   // since when this daemon may lead; below 0: it may not
-	changing map[string]change
-	refused  map[string]time.Duration // until
-	asked    map[string]*asked
-	ordered  map[string]time.Duration // when the last plan was carried out
-	growing  map[string]time.Duration // since when targets appear without a pause, by service that waits for one
+	// The fields below are used by the planner's goroutine only.
+	claimRead    map[string]bool // by service; the claim was read since this daemon began to lead
+	leadingSince time.Duration   // when this daemon began to lead; negative: it doesn't
+	changing     map[string]change
+	refusedUntil map[string]time.Duration // by target; no order before
+	history      map[string]*demandHistory
+	lastPlanned  map[string]time.Duration // by service; when the last plan was sent that all engines accepted
+	growingSince map[string]time.Duration // by service; since when its plan waits for the list of targets to settle
 }
 
-// change is an order that an engine carries out.
+// change is an order that an engine is carrying out.
 type change struct {
 	role  port.Role
 	until time.Duration
 }
 
-// New returns a Planner that doesn't run yet.
+// New returns a Planner that isn't running yet.
 func New(o Options) *Planner {
 	if o.Clock == nil {
 		o.Clock = clock.Boot{}
 	}
 	return &Planner{
-		o:        o,
-		claims:   claim.New(claim.Options{Self: o.Self, Store: o.Store, Lease: o.Lease, Clock: o.Clock, Seen: o.Seen}),
-		sighted:  make(map[string]bool),
-		changing: make(map[string]change),
-		refused:  make(map[string]time.Duration),
-		asked:    make(map[string]*asked),
-		ordered:  make(map[string]time.Duration),
-		growing:  make(map[string]time.Duration),
-		leads:    -1,
+		o:            o,
+		claims:       claim.New(claim.Options{Self: o.Self, Store: o.Store, Lease: o.Lease, Clock: o.Clock, Seen: o.Seen}),
+		claimRead:    make(map[string]bool),
+		changing:     make(map[string]change),
+		refusedUntil: make(map[string]time.Duration),
+		history:      make(map[string]*demandHistory),
+		lastPlanned:  make(map[string]time.Duration),
+		growingSince: make(map[string]time.Duration),
+		leadingSince: -1,
 	}
 }
 
-// Start begins to plan.
+// Start runs the planner in a goroutine of its own.
 func (p *Planner) Start() { p.tomb.Go(p.loop) }
 
-// Stop ends the planning.
+// Stop ends the planner and waits for its goroutine.
 func (p *Planner) Stop() error {
 	p.tomb.Kill(nil)
 	return p.tomb.Wait()
 }
 
-// Release has this daemon give no further orders: it leaves.
+// Release makes the planner send no further orders, since this daemon is leaving.
 func (p *Planner) Release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.released = true
 }
 
-func (p *Planner) gone() bool {
+func (p *Planner) isReleased() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.released
@@ -143,7 +146,7 @@
 
 func (p *Planner) loop() error {
 	ctx := p.tomb.Context(context.Background())
-	tick := time.NewTicker(lookEvery)
+	tick := time.NewTicker(planInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -152,53 +155,53 @@
 		case <-tick.C:
 		}
 		cfg := p.o.Config.Load()
-		if cfg == nil || p.gone() {
+		if cfg == nil || p.isReleased() {
 			continue
 		}
-		p.lead()
+		p.updateLeadership()
 		for _, svc := range cfg.Services {
 			if svc.Engine != nil {
-				p.look(ctx, svc)
+				p.planService(ctx, svc)
 			}
 		}
 	}
 }
 
-// lead notes since when this daemon is the one to give orders.
-func (p *Planner) lead() {
+// updateLeadership records when this daemon began to lead, or that it doesn't.
+func (p *Planner) updateLeadership() {
 	switch {
 	case !p.o.Roster.MayLead():
-		p.leads = -1
-		clear(p.sighted)
-	case p.leads < 0:
-		p.leads = p.o.Clock.Now()
+		p.leadingSince = -1
+		clear(p.claimRead)
+	case p.leadingSince < 0:
+		p.leadingSince = p.o.Clock.Now()
 	}
 }
 
-// look makes one plan for a service, and carries it out if this daemon is the
-// first of those that can.
-func (p *Planner) look(ctx context.Context, svc *route.Service) {
+// planService samples a service's demand. On the leader it also makes a plan and
+// sends its orders.
+func (p *Planner) planService(ctx context.Context, svc *route.Service) {
 	snap := p.o.Targets.Snapshot()
-	demand := p.demand(svc.Name)
-	if p.leads < 0 && len(p.changing) == 0 {
-		return // thousands of engines concern the one that leads
+	demand := p.sampleDemand(svc.Name)
+	if p.leadingSince < 0 && len(p.changing) == 0 {
+		return // avoids a pass over thousands of engines on daemons that don't lead
 	}
 	list := p.engines(snap.Targets[svc.Name].All().All())
-	if !snap.Whole || p.leads < 0 {
+	if !snap.Whole || p.leadingSince < 0 {
 		return
 	}
-	p.sight(ctx, svc.Name)
-	if !p.whole(svc.Name, time.Since(snap.Since)) || p.o.Clock.Now()-p.leads < takeover {
+	p.readClaim(ctx, svc.Name)
+	if !p.listSettled(svc.Name, time.Since(snap.Since)) || p.o.Clock.Now()-p.leadingSince < takeoverDelay {
 		return
 	}
-	if len(demand) == 0 && plenty(list, len(p.o.Roster.Members())) {
+	if len(demand) == 0 && enoughOfEachRole(list, len(p.o.Roster.Members())) {
 		return
 	}
 	moves := Plan(list, demand)
 	if len(demand) > 0 && !p.o.Speed.Figures(svc.Name).StreamsSettled() {
-		moves = onlyToDecode(moves)
+		moves = keepMovesToDecode(moves)
 	}
-	if len(moves) == 0 || p.underWay(svc, list) {
+	if len(moves) == 0 || p.planInProgress(svc, list) {
 		return
 	}
 	held, err := p.claims.Get(ctx, svc.Name)
@@ -206,75 +209,76 @@
 		return
 	}
 	if err != nil {
-		log.WithError(err).WithField("service", svc.Name).Warn("roles: not claimed")
+		log.WithError(err).WithField("service", svc.Name).Warn("roles: can't acquire the service's claim")
 		return
 	}
 	p.logPlan(svc.Name, list, demand, moves)
-	p.carryOut(ctx, svc, moves, held)
+	p.sendOrders(ctx, svc, moves, held)
 }
 
-// whole reports whether the list of targets is whole enough for a plan, the
-// newest target being that old. A list that still fills up isn't, so that few
-// targets aren't planned as if they were all.
+// listSettled reports whether the list of targets is complete enough for a plan.
+// newestAge is the age of the newest target. The check keeps a plan from taking the
+// first targets of a starting fleet for all of them.
 //
-// The guard on the guard: while targets are replaced one after the other a new
-// one appears each second, in the role that it starts in, and no plan was made
-// until all were: of 257 engines 89 decoded, where 30 had been enough before.
-func (p *Planner) whole(service string, newest time.Duration) bool {
-	if newest >= settled {
-		delete(p.growing, service)
+// The wait is bounded because a rolling replacement adds a target each second, in
+// its start role. Without the bound no plan was made until all were replaced: 89 of
+// 257 engines decoded where 30 had been enough before.
+func (p *Planner) listSettled(service string, newestAge time.Duration) bool {
+	if newestAge >= settleTime {
+		delete(p.growingSince, service)
 		return true
 	}
 	now := p.o.Clock.Now()
-	since, waits := p.growing[service]
-	if !waits {
-		p.growing[service] = now
+	since, waiting := p.growingSince[service]
+	if !waiting {
+		p.growingSince[service] = now
 		return false
 	}
-	return now-since >= mostGrowing
+	return now-since >= maxSettleWait
 }
 
-// underWay reports whether the last plan's engines still change and enough others
-// decode: what engines become shows in what is served only at the end.
-func (p *Planner) underWay(svc *route.Service, list []Engine) bool {
-	decoders, _ := split(usable(list))
-	at, ordered := p.ordered[svc.Name]
-	return ordered && len(decoders) >= leastDecoders && p.o.Clock.Now()-at < svc.Engine.SwitchTime+settled
+// planInProgress reports whether the engines of the last plan may still be changing
+// while enough others decode. The effect of a change shows only at its end.
+func (p *Planner) planInProgress(svc *route.Service, list []Engine) bool {
+	decoders, _ := splitByRole(usableEngines(list))
+	at, ordered := p.lastPlanned[svc.Name]
+	return ordered && len(decoders) >= minDecoders && p.o.Clock.Now()-at < svc.Engine.SwitchTime+settleTime
 }
 
-// logPlan writes what decided a plan.
+// logPlan logs a plan and the demand behind it.
 func (p *Planner) logPlan(service string, list []Engine, d Demand, moves []Move) {
 	fields := log.Fields{"service": service, "engines": len(list), "moves": len(moves), "notes": len(d)}
-	decoders, _ := split(list)
+	decoders, _ := splitByRole(list)
 	fields["decoders"] = len(decoders)
-	if len(usable(list)) < len(list) {
+	if len(usableEngines(list)) < len(list) {
 		fields["unusable"] = true
 	}
 	if len(d) > 0 {
 		last := d[len(d)-1]
 		fields["asked_reading"], fields["asked_streams"], fields["asked_urgent"] = last.Reading, last.Streams, last.Urgent
 	}
-	log.WithFields(fields).Info("roles: planned")
+	log.WithFields(fields).Info("roles: made a plan")
 }
 
-// sight reads a service's claim once each time that this daemon begins to lead.
-func (p *Planner) sight(ctx context.Context, service string) {
-	if p.sighted[service] {
+// readClaim reads a service's claim once after this daemon has begun to lead.
+func (p *Planner) readClaim(ctx context.Context, service string) {
+	if p.claimRead[service] {
 		return
 	}
-	p.sighted[service] = true
+	p.claimRead[service] = true
 	if err := p.claims.Sight(ctx, service); err != nil {
-		log.WithError(err).WithField("service", service).Info("roles: claim not read, it is when orders are needed")
+		log.WithError(err).WithField("service", service).Info("roles: can't read claim in advance; it will be read before the next order")
 	}
 }
 
-// engines joins the entries with what the daemons have there.
+// engines combines the target entries with the engines' load, health and pending
+// changes.
 func (p *Planner) engines(entries []*port.TargetEntry) []Engine {
 	now := p.o.Clock.Now()
 	out := make([]Engine, 0, len(entries))
 	for _, e := range entries {
 		l := p.o.Engines.Load(e.ID, nil)
-		one := Engine{Entry: *e, Streams: l.Streams, Wait: l.Wait, Refused: now < p.refused[e.ID], Impaired: l.Unreachable() || p.o.Health.Impaired(e.ID)}
+		one := Engine{Entry: *e, Streams: l.Streams, Wait: l.Wait, Refused: now < p.refusedUntil[e.ID], Impaired: l.Unreachable() || p.o.Health.Impaired(e.ID)}
 		if c, ok := p.changing[e.ID]; ok {
 			if e.Role == c.role || now >= c.until {
 				delete(p.changing, e.ID)
@@ -283,7 +287,8 @@
 				one.Entry.Role, one.Changing = c.role, true
 			}
 		} else if l.Becomes != "" {
-			// By an order of another daemon's: the list shows the role at its end.
+			// Another daemon ordered the change; the entry shows the new role only at
+			// its end.
 			one.Entry.Role, one.Changing = l.Becomes, true
 		}
 		out = append(out, one)
@@ -291,81 +296,80 @@
 	return out
 }
 
-// result is what became of one order.
-type result struct {
+// orderResult is the outcome of one order.
+type orderResult struct {
 	Move
 	err error
 }
 
-// carryOut sends the orders, all at once: one whose answer is lost would hold
-// up the others for its whole time. Where engines don't obey, the next plan isn't
-// held up by this one: it asks others in their place.
-func (p *Planner) carryOut(ctx context.Context, svc *route.Service, moves []Move, held claim.Claim) {
+// sendOrders sends the orders concurrently, since one without an answer would delay
+// the others by its timeout. If an engine doesn't obey, the next plan may follow at
+// once and move other engines instead.
+func (p *Planner) sendOrders(ctx context.Context, svc *route.Service, moves []Move, held claim.Claim) {
 	begun := p.o.Clock.Now()
-	results := make(chan result, len(moves))
+	results := make(chan orderResult, len(moves))
 	for _, m := range moves {
 		e, ok := p.o.Targets.Lookup(m.Target)
 		if !ok {
-			results <- result{Move: m, err: errGone}
+			results <- orderResult{Move: m, err: errTargetNotFound}
 			continue
 		}
-		go func() { results <- result{Move: m, err: p.order(ctx, e, m.Role, held)} }()
+		go func() { results <- orderResult{Move: m, err: p.sendOrder(ctx, e, m.Role, held)} }()
 	}
 	all := true
 	for range moves {
-		all = p.note(svc, <-results, held) && all
+		all = p.recordResult(svc, <-results, held) && all
 	}
 	if all {
-		p.ordered[svc.Name] = begun
+		p.lastPlanned[svc.Name] = begun
 	} else {
-		delete(p.ordered, svc.Name)
+		delete(p.lastPlanned, svc.Name)
 	}
 }
 
-var errGone = errors.New("roles: the engine is gone")
+var errTargetNotFound = errors.New("roles: engine is no longer in the list of targets")
 
-// note records the result of one order. It reports whether the engine counts as
-// if it obeyed.
+// recordResult records the result of one order. It reports whether the engine counts
+// as obeying.
 //
-// The failure it stops is a service without a decoding engine. A daemon that
-// has just started doesn't know which engines carry out orders of before, and
-// one whose order got no answer doesn't know whether it will be carried out.
-// Ordering others in their place takes all of them away. So an engine that is
-// busy, or may have been taken from decoding, counts as if it had obeyed until
-// it shows the contrary. Only a missing decoding engine is asked for elsewhere
-// at once: one too many does no harm.
-func (p *Planner) note(svc *route.Service, r result, held claim.Claim) bool {
-	fields := log.Fields{"service": svc.Name, "target": r.Target, "role": r.Role, "fence": held.Fence, "why": r.Why}
+// It guards against a service without decoding engines. A daemon that has just started
+// doesn't know which engines are carrying out earlier orders, and an order without an
+// answer may still be carried out. Moving other engines instead could take all of them
+// from decoding. An engine that is busy, or that may have left decoding, therefore
+// counts as obeying until its change times out. Only an order to decode is replaced at
+// once, since one decoding engine too many does no harm.
+func (p *Planner) recordResult(svc *route.Service, r orderResult, held claim.Claim) bool {
+	fields := log.Fields{"service": svc.Name, "target": r.Target, "role": r.Role, "fence": held.Fence, "why": r.Reason}
 	now := p.o.Clock.Now()
-	obeys := change{role: r.Role, until: now + svc.Engine.SwitchTime + switchGrace}
-	obeyed := false
+	pending := change{role: r.Role, until: now + svc.Engine.SwitchTime + switchGrace}
+	obeying := false
 	switch {
 	case r.err == nil:
-		log.WithFields(fields).Info("roles: ordered")
+		log.WithFields(fields).Info("roles: engine accepted the order")
 		if r.Role == port.RolePrefill {
-			obeys.until += drainGrace
+			pending.until += drainGrace
 		}
-		p.changing[r.Target] = obeys
+		p.changing[r.Target] = pending
 		p.o.Engines.Changing(r.Target, r.Role)
 		return true
 	case errors.Is(r.err, port.ErrFenced):
 		p.claims.Drop(svc.Name)
-		p.refused[r.Target] = now + refusedFor
+		p.refusedUntil[r.Target] = now + refusalBackoff
 	case errors.Is(r.err, port.ErrBusy), r.Role == port.RolePrefill:
-		p.changing[r.Target] = obeys
-		obeyed = true
+		p.changing[r.Target] = pending
+		obeying = true
 	default:
-		p.refused[r.Target] = now + refusedFor
+		p.refusedUntil[r.Target] = now + refusalBackoff
 	}
-	log.WithFields(fields).WithError(r.err).Warn("roles: order not taken")
-	return obeyed
+	log.WithFields(fields).WithError(r.err).Warn("roles: engine rejected or didn't answer the order")
+	return obeying
 }
 
-// order asks the engine for the orders that it accepted, and gives it the next
-// one on that condition: an order that is carried out late then has no effect
-// after a newer one.
-func (p *Planner) order(ctx context.Context, e port.TargetEntry, role port.Role, held claim.Claim) error {
-	ctx, cancel := context.WithTimeout(ctx, orderLimit)
+// sendOrder reads the number of orders that the engine has accepted, and sends the
+// order on the condition that the number is unchanged. An order that arrives late
+// then has no effect after a newer one.
+func (p *Planner) sendOrder(ctx context.Context, e port.TargetEntry, role port.Role, held claim.Claim) error {
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	report, err := p.o.Control.Report(ctx, e.Addr, e.ID)
 	if err != nil {
@@ -386,48 +390,48 @@
 	})
 }
 
-// asked is a service's demand over the last notes.
-type asked struct {
-	notes Demand
-	at    time.Duration // of the newest one
+// demandHistory holds a service's latest demand samples.
+type demandHistory struct {
+	samples    Demand
+	lastSample time.Duration // of the newest one
 }
 
-// onlyToDecode leaves out the moves from decoding. Long streams end last: as
-// long as too few have ended, the demand for places is more than what is seen.
-func onlyToDecode(moves []Move) []Move {
+// keepMovesToDecode drops the moves from decoding. Long streams end last, so until
+// enough streams have ended, the demand for slots is higher than the estimate.
+func keepMovesToDecode(moves []Move) []Move {
 	return slices.DeleteFunc(moves, func(m Move) bool { return m.Role != port.RoleDecode })
 }
 
-// demand notes what is asked of a service, and returns what was lately. As
-// long as the engines' reading isn't known, nothing is known of the demand. The
-// streams that run are asked for at least: with streams of seconds some ten
-// seconds pass until enough of them have ended to predict others.
-func (p *Planner) demand(service string) Demand {
-	a := p.asked[service]
-	if a == nil {
-		a = &asked{at: -time.Second}
-		p.asked[service] = a
+// sampleDemand adds a sample of a service's demand when one is due, and returns the
+// recent samples. Without an estimate of the engines' prefill speed the demand is
+// unknown. The demand for streams is at least the number of running streams, since
+// some ten seconds pass until enough streams have ended to predict others.
+func (p *Planner) sampleDemand(service string) Demand {
+	h := p.history[service]
+	if h == nil {
+		h = &demandHistory{lastSample: -time.Second}
+		p.history[service] = h
 	}
 	now := p.o.Clock.Now()
-	if now-a.at < time.Second/looksPerSecond || !p.o.Speed.Figures(service).ReadsSettled() {
-		return a.known()
+	if now-h.lastSample < time.Second/samplesPerSecond || !p.o.Speed.Figures(service).ReadsSettled() {
+		return h.recent()
 	}
-	a.at = now
+	h.lastSample = now
 	l := p.o.Demand.Total(service)
 	all := p.o.Targets.Snapshot().Targets[service].All()
 	running := p.o.Engines.Streams(func(hash uint64) bool { return all.Lookup(hash) != nil })
 	l.Streams = max(l.Streams, float64(running))
-	a.notes = append(a.notes, l)
-	if len(a.notes) > kept {
-		a.notes = a.notes[1:]
+	h.samples = append(h.samples, l)
+	if len(h.samples) > maxSamples {
+		h.samples = h.samples[1:]
 	}
-	return a.known()
+	return h.recent()
 }
 
-// known is the demand once enough of it was noted.
-func (a *asked) known() Demand {
-	if len(a.notes) < leastNotes {
+// recent returns the samples, or nil while there are too few for a plan.
+func (h *demandHistory) recent() Demand {
+	if len(h.samples) < minSamples {
 		return nil
 	}
-	return a.notes
+	return h.samples
 }
--- a/process/roles/roles_test.go
+++ b/process/roles/roles_test.go
@@ -25,8 +25,9 @@
 	m.Run()
 }
 
-// fleet makes engines by role, spread over three zones.
-func fleet(prefill, decode int) []Engine {
+// newFleet returns engines with the given number of each role, spread over three
+// availability zones.
+func newFleet(prefill, decode int) []Engine {
 	var out []Engine
 	for i := range prefill + decode {
 		role := port.RolePrefill
@@ -40,11 +41,11 @@
 	return out
 }
 
-// steady is the same demand for some seconds.
-func steady(reading, streams float64) Demand {
+// constantDemand returns maxSamples samples of the same load.
+func constantDemand(prefill, streams float64) Demand {
 	var d Demand
-	for range kept {
-		d = append(d, demand.Load{Reading: reading, Streams: streams})
+	for range maxSamples {
+		d = append(d, demand.Load{Reading: prefill, Streams: streams})
 	}
 	return d
 }
@@ -57,18 +58,18 @@
 		moves   int
 		to      port.Role
 	}{
-		{"as they start", fleet(3, 6), nil, 4, port.RolePrefill},
-		{"as wanted", fleet(6, 3), steady(4, 60), 0, ""},
-		{"many streams", fleet(7, 2), steady(4, 150), 1, port.RoleDecode},
-		{"one too many that is missed by none", fleet(6, 3), steady(4, 60), 0, ""},
-		{"one too many, and readers are missed", fleet(6, 3), steady(8, 60), 1, port.RolePrefill},
-		{"all that is needed at once", fleet(10, 2), steady(2, 300), 3, port.RoleDecode},
-		{"large", fleet(21, 39), nil, 22, port.RolePrefill},
-		{"no decoder", fleet(5, 0), nil, 2, port.RoleDecode},
-		{"no decoder, and only prompts", fleet(5, 0), steady(5, 1), 2, port.RoleDecode},
-		{"no reader, and only streams", fleet(0, 8), steady(0.1, 5000), 4, port.RolePrefill},
-		{"two engines", fleet(0, 2), nil, 1, port.RolePrefill},
-		{"one engine", fleet(0, 1), nil, 0, ""},
+		{"as they start", newFleet(3, 6), nil, 4, port.RolePrefill},
+		{"as wanted", newFleet(6, 3), constantDemand(4, 60), 0, ""},
+		{"many streams", newFleet(7, 2), constantDemand(4, 150), 1, port.RoleDecode},
+		{"one too many that is missed by none", newFleet(6, 3), constantDemand(4, 60), 0, ""},
+		{"one too many, and readers are missed", newFleet(6, 3), constantDemand(8, 60), 1, port.RolePrefill},
+		{"all that is needed at once", newFleet(10, 2), constantDemand(2, 300), 3, port.RoleDecode},
+		{"large", newFleet(21, 39), nil, 22, port.RolePrefill},
+		{"no decoder", newFleet(5, 0), nil, 2, port.RoleDecode},
+		{"no decoder, and only prompts", newFleet(5, 0), constantDemand(5, 1), 2, port.RoleDecode},
+		{"no reader, and only streams", newFleet(0, 8), constantDemand(0.1, 5000), 4, port.RolePrefill},
+		{"two engines", newFleet(0, 2), nil, 1, port.RolePrefill},
+		{"one engine", newFleet(0, 1), nil, 0, ""},
 		{"none", nil, nil, 0, ""},
 	}
 	for _, tc := range cases {
@@ -81,13 +82,13 @@
 	}
 }
 
-// Up to nine in ten requests are refused for seconds. Prompts and long answers
-// come by turns, at twice their mean for 3 s each over halves of the day that
-// ask more of one or the other; the plan followed each turn, 21 orders a day,
-// and had the engines changing or in the wrong role most of the time. Orders
-// must be few, and less refused than with any split that is kept all day.
-func TestMixesThatTurn(t *testing.T) {
-	asked := func(s float64) demand.Load {
+// Guards against plans that follow each phase of a workload that alternates between
+// prompts and long answers, each at twice its mean for 3 s. Such plans sent 21 orders
+// a day, engines were changing or in the wrong role most of the time, and up to nine in
+// ten requests were refused for seconds. Orders must be few, and the loss must be at
+// most 1.2 times that of the best fixed split.
+func TestAlternatingWorkload(t *testing.T) {
+	load := func(s float64) demand.Load {
 		long, short := 1.8, 0.5
 		if s >= 15 {
 			long, short = 0.45, 1.8
@@ -97,27 +98,27 @@
 		}
 		return demand.Load{Reading: 3.5 * short * 1.7, Streams: 80 * long * 0.57}
 	}
-	const change = 3.0 // seconds that an engine is away
-	play := func(decoders int, plan bool) (lost float64, orders int) {
-		now := decoders
+	const change = 3.0 // seconds that a change of role takes
+	simulate := func(decoders int, plan bool) (lost float64, orders int) {
+		current := decoders
 		var d Demand
 		until, away := 0.0, 0
-		for s := 0.0; s < 30; s += 1.0 / looksPerSecond {
-			l := asked(s)
+		for s := 0.0; s < 30; s += 1.0 / samplesPerSecond {
+			l := load(s)
 			d = append(d, l)
-			readers, decode := 12-now, now
+			prefill, decode := 12-current, current
 			if s < until {
 				if away > 0 {
 					decode -= away
 				} else {
-					readers += away
+					prefill += away
 				}
 			}
-			lost += refusedOf(l.Reading, float64(readers)) + refusedOf(l.Streams, float64(64*decode))
+			lost += overloadLoss(l.Reading, float64(prefill)) + overloadLoss(l.Streams, float64(64*decode))
 			if plan && s >= until {
-				if want := d.best(12, 64, now); want != now {
-					orders += max(want-now, now-want)
-					away, now, until = want-now, want, s+change
+				if want := d.bestDecoders(12, 64, current); want != current {
+					orders += max(want-current, current-want)
+					away, current, until = want-current, want, s+change
 				}
 			}
 		}
@@ -125,67 +126,68 @@
 	}
 	least := math.Inf(1)
 	for n := 2; n <= 9; n++ {
-		lost, _ := play(n, false)
+		lost, _ := simulate(n, false)
 		least = min(least, lost)
 	}
-	lost, orders := play(4, true)
+	lost, orders := simulate(4, true)
 	if orders > 8 || lost > 1.2*least {
-		t.Errorf("%d orders, lost %.2f, %.2f with the best split kept", orders, lost, least)
+		t.Errorf("%d orders, loss %.2f, want at most 8 and 1.2 times %.2f, that of the best fixed split", orders, lost, least)
 	}
 }
 
-// Prompts that take a fifth of their objective to be read are late, though
-// none is refused: of 60 engines 17 decode for 55 streams at a time, as was
-// assumed before anything was asked, and the other 43 read at three quarters of
-// their time. The engines that decode for nobody are to read, soon and once;
-// where prompts take a fourteenth of their objective it isn't worth as much.
-func TestIdleDecodersReadWhereReadingIsLate(t *testing.T) {
-	d := steady(32, 55)
+// Guards against late prompts while decoding engines idle. 17 of 60 engines decode for 55
+// streams, as the initial split has it, and the other 43 have a prefill utilization of
+// three quarters. No prompt is refused, but prompts whose prefill takes a fifth of their
+// objective are late. The idle decoding engines must move to prefill, in one step. Where
+// the prefill takes a fourteenth of the objective, the gain is smaller.
+func TestIdleDecodersMoveToPrefillWhenPromptsAreLate(t *testing.T) {
+	d := constantDemand(32, 55)
 	for i := range d {
 		d[i].Weighty, d[i].Moving = 0.2*d[i].Reading, 1.4
 	}
-	got := d.best(60, 64, 17)
+	got := d.bestDecoders(60, 64, 17)
 	if got < 4 || got > 8 {
-		t.Errorf("%d engines decode, want 4 to 8: two for the places, twice as many for a turn", got)
+		t.Errorf("%d engines decode, want 4 to 8: two for the slots, twice as many for a shift", got)
 	}
-	if again := d.best(60, 64, got); again != got {
-		t.Errorf("%d engines, then %d", got, again)
+	if again := d.bestDecoders(60, 64, got); again != got {
+		t.Errorf("%d decoding engines, then %d under the same demand", got, again)
 	}
-	// Links that are busy with KV cache need engines, too.
+	// Transfers of KV cache over busy links need decoding engines, too.
 	for i := range d {
 		d[i].Moving = 8
 	}
-	if got := d.best(60, 64, 17); got < 12 {
-		t.Errorf("%d engines decode, whose links would be full", got)
+	if got := d.bestDecoders(60, 64, 17); got < 12 {
+		t.Errorf("%d engines decode, want 12 or more: their links are overloaded", got)
 	}
 }
 
-// No engine decodes for seconds. A daemon that leads again after a cut doesn't
-// know that engines carry out orders of the one that led meanwhile, which the
-// list of targets shows only at their end, and takes others in their place.
-func TestOrdersOfOthersCount(t *testing.T) {
+// Guards against seconds without decoding engines after a network partition. A returning
+// leader doesn't see in the list of targets that engines are carrying out orders of the
+// interim leader, and moves other engines in their place.
+func TestOrdersOfOtherDaemonsCount(t *testing.T) {
 	now := time.Duration(0)
 	book := engines.New(time.Now, func(engines.Work) {})
-	p := New(Options{Self: "a", Clock: fixed(func() time.Duration { return now }), Engines: book, Health: health.New(time.Now, nil)})
+	p := New(Options{Self: "a", Clock: fakeClock(func() time.Duration { return now }), Engines: book, Health: health.New(time.Now, nil)})
 	var entries []port.TargetEntry
-	for _, e := range fleet(4, 6) {
+	for _, e := range newFleet(4, 6) {
 		entries = append(entries, e.Entry)
 	}
 	book.Merge("peer", []engines.Work{
 		{Target: engines.Hash("e004"), Becomes: port.RolePrefill}, {Target: engines.Hash("e005"), Becomes: port.RolePrefill},
 		{Target: engines.Hash("e006"), Becomes: port.RolePrefill}, {Target: engines.Hash("e007"), Becomes: port.RolePrefill},
 	}, nil)
-	for _, m := range Plan(p.engines(pointers(entries)), nil) {
+	for _, m := range Plan(p.engines(entryPointers(entries)), nil) {
 		if m.Role == port.RolePrefill {
-			t.Errorf("takes more engines from decoding: %+v", m)
+			t.Errorf("moves another engine from decoding: %+v", m)
 		}
 	}
 }
 
-// Every answer stops for seconds when one engine dies, if the two that decode
-// stand in one zone, or if the one that is left isn't joined at once.
-func TestPlanAfterDeaths(t *testing.T) {
-	e := fleet(7, 2)
+// Guards against seconds without any decoding engine when one fails. This happens if
+// both decoding engines are in one availability zone, or if a lost one isn't replaced at
+// once.
+func TestPlanReplacesLostDecoders(t *testing.T) {
+	e := newFleet(7, 2)
 	e[8].Impaired = true
 	if moves := Plan(e, nil); len(moves) != 1 || moves[0].Role != port.RoleDecode {
 		t.Fatalf("an impaired decoder isn't replaced: %+v", moves)
@@ -198,13 +200,13 @@
 	}
 	for _, one := range e {
 		if one.Entry.ID == moves[0].Target && one.Entry.Zone == e[7].Entry.Zone {
-			t.Error("the new decoder stands in the zone of the other one")
+			t.Error("the new decoder is in the zone of the other one")
 		}
 	}
 }
 
-func TestPlanLeavesRefusingEnginesAlone(t *testing.T) {
-	e := fleet(5, 0)
+func TestPlanSkipsRefusingEngines(t *testing.T) {
+	e := newFleet(5, 0)
 	for i := range e {
 		e[i].Refused = i != 3
 	}
@@ -213,40 +215,40 @@
 	}
 }
 
-// All streams stop for seconds. A daemon starts while two of four decoding
-// engines carry out orders to read prompts, which the list of targets doesn't
-// show yet. It orders the same two, is told that they are busy, and orders the
-// other two in their place.
+// Guards against seconds without decoding engines after a daemon has started. Two of four
+// decoding engines are carrying out orders to prefill, which the list of targets doesn't
+// show yet. The daemon's orders to these two are rejected as busy or get no answer, and
+// it must not order the other two instead.
 func TestBusyEnginesAreNotReplaced(t *testing.T) {
 	for name, err := range map[string]error{"busy": port.ErrBusy, "no answer": context.DeadlineExceeded} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Duration(0)
 			book := engines.New(time.Now, func(engines.Work) {})
-			p := New(Options{Self: "a", Clock: fixed(func() time.Duration { return now }), Engines: book, Health: health.New(time.Now, nil)})
+			p := New(Options{Self: "a", Clock: fakeClock(func() time.Duration { return now }), Engines: book, Health: health.New(time.Now, nil)})
 			svc := &route.Service{Name: "s", Engine: &route.Engine{SwitchTime: 3 * time.Second}}
 			var entries []port.TargetEntry
-			for _, e := range fleet(4, 4) {
+			for _, e := range newFleet(4, 4) {
 				entries = append(entries, e.Entry)
 			}
-			moves := Plan(p.engines(pointers(entries)), nil)
+			moves := Plan(p.engines(entryPointers(entries)), nil)
 			if len(moves) != 2 {
 				t.Fatalf("moves %+v", moves)
 			}
 			for _, m := range moves {
-				p.note(svc, result{Move: m, err: err}, claim.Claim{})
+				p.recordResult(svc, orderResult{Move: m, err: err}, claim.Claim{})
 			}
-			if again := Plan(p.engines(pointers(entries)), nil); len(again) != 0 {
-				t.Errorf("others are ordered in their place: %+v", again)
+			if again := Plan(p.engines(entryPointers(entries)), nil); len(again) != 0 {
+				t.Errorf("other engines are ordered in their place: %+v", again)
 			}
 			now += svc.Engine.SwitchTime + switchGrace
-			if again := Plan(p.engines(pointers(entries)), nil); len(again) != 2 {
+			if again := Plan(p.engines(entryPointers(entries)), nil); len(again) != 2 {
 				t.Errorf("engines that never obeyed aren't ordered again: %+v", again)
 			}
 		})
 	}
 }
 
-// deadEngines is an engine control that some engines don't answer.
+// deadEngines is a port.EngineControl that can't reach some engines.
 type deadEngines struct {
 	port.EngineControl
 	dead func(id string) bool
@@ -261,40 +263,40 @@
 
 func (c deadEngines) Order(context.Context, port.RoleOrder) error { return nil }
 
-// Guards against seconds without decoding engines after an outage of the store:
-// the plan chose engines that had died in it, which look idle, and waited for
-// them to change.
-func TestPlanGoesOnPastDeadEngines(t *testing.T) {
+// Guards against seconds without decoding engines after an outage of the store. The plan
+// chose engines that had failed during the outage, which look idle, and waited for their
+// change of role.
+func TestPlanSkipsUnreachableEngines(t *testing.T) {
 	now := time.Duration(0)
 	registry := discovery.New(discovery.Options{Decode: func(r port.KeyedRecord) (port.TargetEntry, bool, error) {
 		return port.TargetEntry{ID: r.Key, Service: "s", Addr: "10.0.0.1:1", Slots: 64}, true, nil
 	}})
 	var records []port.KeyedRecord
 	var entries []port.TargetEntry
-	for _, e := range fleet(12, 2) {
+	for _, e := range newFleet(12, 2) {
 		records = append(records, port.KeyedRecord{Key: e.Entry.ID})
 		entries = append(entries, e.Entry)
 	}
 	registry.Reset(records, 0)
 	p := New(Options{
-		Self: "a", Clock: fixed(func() time.Duration { return now }), Targets: registry,
+		Self: "a", Clock: fakeClock(func() time.Duration { return now }), Targets: registry,
 		Engines: engines.New(time.Now, func(engines.Work) {}), Health: health.New(time.Now, nil),
 		Control: deadEngines{dead: func(id string) bool { return id < "e006" }},
 	})
 	svc := &route.Service{Name: "s", Engine: &route.Engine{SwitchTime: 3 * time.Second}}
 	for round := 1; ; round++ {
-		list := p.engines(pointers(entries))
-		moves := Plan(list, steady(1, 400))
+		list := p.engines(entryPointers(entries))
+		moves := Plan(list, constantDemand(1, 400))
 		if len(moves) == 0 {
 			break
 		}
-		if p.underWay(svc, list) || round > 6 {
-			t.Fatalf("round %d waits for dead engines", round)
+		if p.planInProgress(svc, list) || round > 6 {
+			t.Fatalf("round %d waits for unreachable engines", round)
 		}
-		p.ordered[svc.Name] = now
-		p.carryOut(t.Context(), svc, moves, claim.Claim{Until: time.Hour})
+		p.lastPlanned[svc.Name] = now
+		p.sendOrders(t.Context(), svc, moves, claim.Claim{Until: time.Hour})
 	}
-	decoders, _ := split(p.engines(pointers(entries)))
+	decoders, _ := splitByRole(p.engines(entryPointers(entries)))
 	for _, e := range decoders {
 		if e.Entry.ID < "e006" {
 			t.Errorf("%s counts as decoding", e.Entry.ID)
@@ -302,62 +304,61 @@
 	}
 }
 
-// A missing decoding engine is asked for elsewhere when an order gets no
-// answer.
-func TestUnansweredOrderToDecodeGoesElsewhere(t *testing.T) {
+// Checks that another engine is ordered to decode when the first order gets no answer.
+func TestUnansweredDecodeOrderIsReplaced(t *testing.T) {
 	now := time.Duration(0)
-	p := New(Options{Self: "a", Clock: fixed(func() time.Duration { return now }), Engines: engines.New(time.Now, func(engines.Work) {}), Health: health.New(time.Now, nil)})
+	p := New(Options{Self: "a", Clock: fakeClock(func() time.Duration { return now }), Engines: engines.New(time.Now, func(engines.Work) {}), Health: health.New(time.Now, nil)})
 	svc := &route.Service{Name: "s", Engine: &route.Engine{SwitchTime: 3 * time.Second}}
 	var entries []port.TargetEntry
-	for _, e := range fleet(8, 1) {
+	for _, e := range newFleet(8, 1) {
 		entries = append(entries, e.Entry)
 	}
-	first := Plan(p.engines(pointers(entries)), nil)
-	p.note(svc, result{Move: first[0], err: context.DeadlineExceeded}, claim.Claim{})
-	second := Plan(p.engines(pointers(entries)), nil)
+	first := Plan(p.engines(entryPointers(entries)), nil)
+	p.recordResult(svc, orderResult{Move: first[0], err: context.DeadlineExceeded}, claim.Claim{})
+	second := Plan(p.engines(entryPointers(entries)), nil)
 	if len(second) != 1 || second[0].Target == first[0].Target {
 		t.Errorf("first %+v, then %+v", first, second)
 	}
 }
 
-// Targets are replaced one after the other for ten seconds. Each new engine
-// starts in the role that its operator gave it, mostly to decode, and prompts
-// are late and refused for want of readers: the plan waited for a pause.
-func TestPlanDoesNotWaitForTheEndOfARelease(t *testing.T) {
+// Guards against a rolling replacement that delays all plans. Each new engine starts in
+// its configured role, mostly decoding, and prompts were late or refused for lack of
+// prefill engines while the plan waited for the list of targets to settle.
+func TestPlanDuringRollingReplacement(t *testing.T) {
 	now := time.Duration(0)
-	p := New(Options{Clock: fixed(func() time.Duration { return now })})
-	for ; now < mostGrowing; now += 500 * time.Millisecond {
-		if p.whole("s", 300*time.Millisecond) {
-			t.Fatalf("planned after %v on a list that fills up", now)
+	p := New(Options{Clock: fakeClock(func() time.Duration { return now })})
+	for ; now < maxSettleWait; now += 500 * time.Millisecond {
+		if p.listSettled("s", 300*time.Millisecond) {
+			t.Fatalf("planned after %v on a list that is still growing", now)
 		}
 	}
-	if !p.whole("s", 300*time.Millisecond) {
-		t.Errorf("still waits after %v", now)
+	if !p.listSettled("s", 300*time.Millisecond) {
+		t.Errorf("still waiting after %v", now)
 	}
-	if !p.whole("s", settled) {
-		t.Error("a list that has settled is waited for")
+	if !p.listSettled("s", settleTime) {
+		t.Error("waits for a list that has settled")
 	}
-	if p.whole("s", 0) {
-		t.Error("the next growth isn't waited for")
+	if p.listSettled("s", 0) {
+		t.Error("doesn't wait when the list grows again")
 	}
 }
 
-// fixed is a clock that tests move.
-type fixed func() time.Duration
+// fakeClock is a clock that tests set.
+type fakeClock func() time.Duration
 
 // Now implements clock.Clock.
-func (f fixed) Now() time.Duration { return f() }
+func (f fakeClock) Now() time.Duration { return f() }
 
-// refusedOf is the squared share of what is asked that is over what there is,
-// and a little for how full that is: what a play of a load loses, whatever the
-// plan's own sum says.
-func refusedOf(asked, there float64) float64 {
-	over := max(asked-there, 0) / asked
-	full := min(asked/max(there, math.SmallestNonzeroFloat64), 1)
-	return over*over + evenness*full*full
+// overloadLoss is the loss of the simulation, independent of the plan's cost: the
+// squared share of the demand that exceeds the capacity, and a small term for
+// utilization.
+func overloadLoss(demanded, capacity float64) float64 {
+	excess := max(demanded-capacity, 0) / demanded
+	utilization := min(demanded/max(capacity, math.SmallestNonzeroFloat64), 1)
+	return excess*excess + utilizationWeight*utilization*utilization
 }
 
-func pointers(entries []port.TargetEntry) []*port.TargetEntry {
+func entryPointers(entries []port.TargetEntry) []*port.TargetEntry {
 	var out []*port.TargetEntry
 	for i := range entries {
 		out = append(out, &entries[i])
@@ -365,9 +366,9 @@
 	return out
 }
 
-// Guards against a daemon that joins thousands of engines with what is known of
-// each, ten times a second, though another one gives the orders.
-func TestOnlyTheLeaderLooksAtEachEngine(t *testing.T) {
+// Guards against a daemon that combines the state of thousands of engines ten times a
+// second although another daemon leads.
+func TestNonLeaderSkipsEngines(t *testing.T) {
 	registry := discovery.New(discovery.Options{Decode: func(r port.KeyedRecord) (port.TargetEntry, bool, error) {
 		return port.TargetEntry{ID: r.Key, Service: "llm", Role: port.RolePrefill, Slots: 64}, true, nil
 	}})
@@ -377,19 +378,19 @@
 	}
 	registry.Reset(records, int64(len(records)))
 	p := New(Options{
-		Self: "a", Clock: fixed(func() time.Duration { return time.Minute }), Targets: registry, Speed: speed.NewBook(),
+		Self: "a", Clock: fakeClock(func() time.Duration { return time.Minute }), Targets: registry, Speed: speed.NewBook(),
 		Engines: engines.New(time.Now, func(engines.Work) {}), Health: health.New(time.Now, nil), Demand: demand.New(time.Now),
 	})
 	svc := &route.Service{Name: "llm", Engine: &route.Engine{}}
-	if n := testing.AllocsPerRun(10, func() { p.look(t.Context(), svc) }); n > 10 {
-		t.Errorf("%v allocations for a look", n)
+	if n := testing.AllocsPerRun(10, func() { p.planService(t.Context(), svc) }); n > 10 {
+		t.Errorf("%v allocations for one pass", n)
 	}
 }
 
-// Guards against thousands of orders in a fleet whose engines have next to nothing
-// to do, for a mix that nobody asks for.
-func TestIdleFleetIsLeftAsItIs(t *testing.T) {
-	list := fleet(4000, 5675)
+// Guards against thousands of orders in an almost idle fleet, for an assumed workload shift
+// without any demand behind it.
+func TestIdleFleetIsUnchanged(t *testing.T) {
+	list := newFleet(4000, 5675)
 	var d Demand
 	for range 20 {
 		d = append(d, demand.Load{Reading: 95, Weighty: 30, Streams: 140, Moving: 10})
@@ -398,8 +399,8 @@
 		t.Errorf("%d moves", len(moves))
 	}
 	for daemons, want := range map[int]bool{985: true, 4001: false} {
-		if got := plenty(list, daemons); got != want {
-			t.Errorf("%d daemons: plenty is %v", daemons, got)
+		if got := enoughOfEachRole(list, daemons); got != want {
+			t.Errorf("%d daemons: enoughOfEachRole is %v", daemons, got)
 		}
 	}
 }
--- a/process/roles/split.go
+++ b/process/roles/split.go
@@ -7,78 +7,85 @@
 )
 
 const (
-	// fullReading and fullDecoding are the shares of the engines' time and of
-	// their places that can be used: engines are never busy all alike.
-	fullReading  = 0.9
-	fullDecoding = 0.85
-	// halfLife is the age at which what was asked counts half, in looks at the
-	// demand, once over 2 s and once over 15 s. The short one follows a mix that
-	// stays, the long one keeps what mixes that turn within seconds will ask
-	// again.
-	shortHalfLife = 2 * looksPerSecond
-	longHalfLife  = 15 * looksPerSecond
-	// turnWeight is the weight of a mix that turns against the mix that was
-	// seen. The store may be away as it turns, and roles can't change then: with
-	// two decoding engines of twelve left by a load of prompts the worth of a
-	// day on which that happens was 0.449, with four kept 0.605.
-	turnWeight = 0.25
-	// turnReading and turnDecoding are what such a mix asks, as shares of all
-	// engines.
-	turnReading  = 0.65
-	turnDecoding = 0.2
-	// startReading and startDecoding are what is assumed before anything is
-	// asked. Nothing is kept then, and streams are still to come.
-	startReading  = 0.65
-	startDecoding = 0.18
-	// leastNotes is the number of looks that a plan needs: 3 s.
-	leastNotes = 3 * looksPerSecond
-	// changeCost is what a change of all engines' roles must gain, in squared
-	// shares of what is asked: a change takes an engine away for some seconds.
-	// Over nine loads of a model with 12 engines (turning mixes both ways,
-	// steps, steady ones) 0.001 to 0.02 for one engine were tried: 0.008 loses
-	// least, 0.033 of what is asked, with half the orders of 0.002.
+	// usablePrefillShare and usableSlotShare are the usable shares of the prefill
+	// engines' time and of the decoding slots. Load is never spread evenly over
+	// engines, so that the rest can't be used.
+	usablePrefillShare = 0.9
+	usableSlotShare    = 0.85
+	// shortHalfLife and longHalfLife are the half-lives of a demand sample's
+	// weight, in samples: 2 s and 15 s. The short one follows a lasting change of
+	// the workload. The long one retains both phases of a workload that alternates
+	// within seconds.
+	shortHalfLife = 2 * samplesPerSecond
+	longHalfLife  = 15 * samplesPerSecond
+	// shiftWeight is the weight of an assumed workload shift against the observed
+	// demand. Roles can't change while the store is unavailable, and the workload
+	// may shift during such an outage. With 12 engines, a prompt-heavy load that
+	// left two decoding engines before the outage scored 0.449 for the day; four
+	// decoding engines scored 0.605.
+	shiftWeight = 0.25
+	// shiftPrefillShare and shiftSlotShare are the demand after such a shift, as
+	// shares of all engines' time and of all slots.
+	shiftPrefillShare = 0.65
+	shiftSlotShare    = 0.2
+	// initialPrefillShare and initialSlotShare are the demand that is assumed
+	// before the first samples. No prefixes are cached and no streams run then.
+	initialPrefillShare = 0.65
+	initialSlotShare    = 0.18
+	// minSamples is the number of demand samples that a plan needs: 3 s.
+	minSamples = 3 * samplesPerSecond
+	// changeCost is the reduction of the cost that a change of all engines' roles
+	// must bring; a change of fewer engines needs its share of it. An engine serves
+	// nothing for some seconds while it changes its role. In simulations of nine
+	// workloads (alternating, stepped and steady) on 12 engines, a cost per engine
+	// of 0.008 lost the least of the range from 0.001 to 0.02: 0.033 of the demand,
+	// with half the orders of 0.002.
 	changeCost = 0.1
-	// evenness weighs how full both sides are: it decides where nothing else does.
-	evenness = 0.01
-	// lateFrom is the share of what can be used from which on
-	// prompts wait for each other, since they come in crowds.
-	lateFrom = 0.5
-	// lateWeight weighs that against what is refused, for a prompt whose reading
-	// takes all of its objective: waits are as long as what is waited for.
-	lateWeight = 2.5
-	// fullMoving is the share of the links' time that can be used without long
-	// waits: moves come in crowds, too.
-	fullMoving = 0.6
-	// turnFactor bounds what a mix that turns asks for, against the most that was
-	// asked for in the last seconds. Mixes turn by up to 3.4 times their mean on the loads known.
-	// Without the bound 17 of 60 engines decode for 55 streams all day, and the
-	// prompts that the others read are late; and of 9,675 engines 5,800 change
-	// their role for prompts that 100 can read.
-	turnFactor = 2
+	// utilizationWeight is the weight of the utilization. It is small, so that it
+	// only decides between splits that are otherwise equal.
+	utilizationWeight = 0.01
+	// queueingThreshold is the utilization above which prompts queue, since they
+	// arrive in bursts.
+	queueingThreshold = 0.5
+	// queueingWeight is the weight of queueing against refusals, for a prompt whose
+	// prefill takes all of its objective. Prompts that take long to prefill also
+	// wait long for each other.
+	queueingWeight = 2.5
+	// usableLinkShare is the share of the network links' time that can be used
+	// without long waits: transfers of KV cache arrive in bursts, too.
+	usableLinkShare = 0.6
+	// maxShiftFactor bounds the assumed demand after a shift to a multiple of the
+	// highest recent demand. In known workloads demand rises up to 3.4 times its
+	// mean. Without the bound, 17 of 60 engines decode all day for 55 streams while
+	// the prompts on the others are late; and 5,800 of 9,675 engines change their
+	// role for prompts that 100 engines could prefill.
+	maxShiftFactor = 2
 )
 
-// Demand is what was asked of the engines lately, the newest last; empty:
-// nothing is known.
+// Demand holds the recent demand samples, the newest last. It is empty while the
+// demand is unknown.
 type Demand []demand.Load
 
-// best is the number of decoding engines, of live ones with that many places
-// each, that would have served the demand best, or now where another number
-// isn't enough better for the changes that it takes.
+// bestDecoders returns the number of decoding engines that would have served the
+// demand at the lowest cost, given the number of live engines and the slots of
+// each. It returns the current number if no other is better by more than the
+// cost of the changes.
 //
-// The load that it answers: long prompts and long answers by turns, each at
-// twice its mean for some seconds. A plan by the streams that ran gave engines
-// away that refusals had left idle, asked for them one at a time as the streams
-// came, and took them back as the prompts came: 21 orders on a quiet day, up to
-// nine in ten requests refused at the turns.
-func (d Demand) best(live, slots, now int) int {
-	low, high := floors(live)
-	at := min(max(now, low), high)
-	lowest := d.cost(live, slots, at)
-	best := at
+// The cost is computed from demand, not from running streams, because of workloads
+// that alternate between long prompts and long answers, each at twice its mean for
+// some seconds. A plan based on running streams released engines that were idle
+// because of refusals, requested them back one by one as streams arrived, and
+// released them again as prompts arrived: 21 orders on a quiet day, and up to nine
+// in ten requests refused at the shifts.
+func (d Demand) bestDecoders(live, slots, current int) int {
+	low, high := decoderBounds(live)
+	start := min(max(current, low), high)
+	lowest := d.cost(live, slots, start)
+	best := start
 	for n := low; n <= high; n++ {
 		c := d.cost(live, slots, n)
 		if len(d) > 0 {
-			c += changeCost * math.Abs(float64(n-at)) / float64(live)
+			c += changeCost * math.Abs(float64(n-start)) / float64(live)
 		}
 		if c < lowest {
 			best, lowest = n, c
@@ -87,67 +94,72 @@
 	return best
 }
 
-// floors are the fewest and the most decoding engines: whatever is asked, a
-// quarter of the engines reads, and two decode, so that one that dies leaves
-// another.
-func floors(live int) (low, high int) {
+// decoderBounds returns the lowest and the highest number of decoding engines.
+// Whatever the demand, a quarter of the engines does prefill, and two decode, so
+// that one is left when the other fails.
+func decoderBounds(live int) (low, high int) {
 	high = max(live-max(live/4, 1), 1)
-	return min(leastDecoders, high), high
+	return min(minDecoders, high), high
 }
 
-// cost is the weighted mean of what of the demand would have been refused or
-// late.
+// cost returns the weighted mean loss with the given number of decoding engines,
+// over the recent demand and an assumed shift of the workload.
 func (d Demand) cost(live, slots, decoders int) float64 {
 	if len(d) == 0 {
-		return loss(share(live, slots, startReading, startDecoding), live, slots, decoders)
+		return loss(loadOfShares(live, slots, initialPrefillShare, initialSlotShare), live, slots, decoders)
 	}
-	seen := (d.faded(live, slots, decoders, shortHalfLife) + d.faded(live, slots, decoders, longHalfLife)) / 2
-	return (1-turnWeight)*seen + turnWeight*loss(d.turned(live, slots), live, slots, decoders)
+	observed := (d.decayedLoss(live, slots, decoders, shortHalfLife) + d.decayedLoss(live, slots, decoders, longHalfLife)) / 2
+	return (1-shiftWeight)*observed + shiftWeight*loss(d.shiftedLoad(live, slots), live, slots, decoders)
 }
 
-// share is the demand of shares of all engines.
-func share(live, slots int, reading, decoding float64) demand.Load {
-	return demand.Load{Reading: reading * float64(live), Streams: decoding * float64(live*slots)}
+// loadOfShares returns the load that takes the given shares of all engines' time
+// and of all slots.
+func loadOfShares(live, slots int, prefill, decode float64) demand.Load {
+	return demand.Load{Reading: prefill * float64(live), Streams: decode * float64(live*slots)}
 }
 
-// turned is the demand of a mix that turns: shares of all engines, but no more than
-// some times the most seen.
-func (d Demand) turned(live, slots int) demand.Load {
-	l := share(live, slots, turnReading, turnDecoding)
-	var most, mostReading, reading, weighty float64
-	for _, one := range d {
-		most = max(most, one.Streams)
-		mostReading = max(mostReading, one.Reading)
-		reading += one.Reading
-		weighty += one.Weighty
+// shiftedLoad returns the assumed load after a shift of the workload: fixed shares
+// of all engines, bounded by a multiple of the highest recent load.
+func (d Demand) shiftedLoad(live, slots int) demand.Load {
+	l := loadOfShares(live, slots, shiftPrefillShare, shiftSlotShare)
+	var maxStreams, maxPrefill, prefill, weighted float64
+	for _, s := range d {
+		maxStreams = max(maxStreams, s.Streams)
+		maxPrefill = max(maxPrefill, s.Reading)
+		prefill += s.Reading
+		weighted += s.Weighty
 	}
-	l.Streams = min(l.Streams, turnFactor*most)
-	l.Reading = min(l.Reading, turnFactor*(mostReading+most/float64(slots)))
-	if reading > 0 {
-		l.Weighty = l.Reading * weighty / reading
+	l.Streams = min(l.Streams, maxShiftFactor*maxStreams)
+	l.Reading = min(l.Reading, maxShiftFactor*(maxPrefill+maxStreams/float64(slots)))
+	if prefill > 0 {
+		l.Weighty = l.Reading * weighted / prefill
 	}
 	return l
 }
 
-// loss is what of a demand is refused or late.
+// loss estimates how much of a load would be refused or late with the given number
+// of decoding engines.
 func loss(l demand.Load, live, slots, decoders int) float64 {
-	slow := 0.0
+	// objectiveShare is the mean share of its objective that a prompt's prefill takes.
+	objectiveShare := 0.0
 	if l.Reading > 0 {
-		slow = min(l.Weighty/l.Reading, 1)
+		objectiveShare = min(l.Weighty/l.Reading, 1)
 	}
-	places, links := float64(slots*decoders), fullMoving*float64(decoders)
-	return lost(l.Reading, float64(live-decoders), fullReading, slow) +
-		lost(l.Streams, places, fullDecoding, slow) + lost(l.Moving, links, 1, slow)
+	decodeSlots, links := float64(slots*decoders), usableLinkShare*float64(decoders)
+	return resourceLoss(l.Reading, float64(live-decoders), usablePrefillShare, objectiveShare) +
+		resourceLoss(l.Streams, decodeSlots, usableSlotShare, objectiveShare) + resourceLoss(l.Moving, links, 1, objectiveShare)
 }
 
-func (d Demand) faded(live, slots, decoders int, halfLife float64) float64 {
+// decayedLoss returns the mean loss over the samples, with exponentially decaying
+// weights.
+func (d Demand) decayedLoss(live, slots, decoders int, halfLife float64) float64 {
 	var sum, weights float64
 	weight := 1.0
-	fade := math.Exp2(-1.0 / halfLife)
+	decay := math.Exp2(-1.0 / halfLife)
 	for i := len(d) - 1; i >= 0; i-- {
 		sum += weight * loss(d[i], live, slots, decoders)
 		weights += weight
-		weight *= fade
+		weight *= decay
 	}
 	if weights == 0 {
 		return 0
@@ -155,20 +167,21 @@
 	return sum / weights
 }
 
-// lost is the squared share of what is asked that is over what can be used of
-// what there is, what of the rest is late, and a little for how full that is.
+// resourceLoss returns the loss at one resource. It is the sum of the squared share
+// of the demand that exceeds the usable capacity, of a term for queueing, and of a
+// small term for utilization.
 //
-// The load that it answers: prompts that take a fifth of their objective to be
-// read are late long before any is refused. With refusals alone in the sum,
-// readers that were 0.8 busy were as good as idle ones, and engines that
-// decoded for nobody stayed.
-func lost(asked, there, usable, slow float64) float64 {
-	if asked <= 0 {
+// The queueing term is needed because prompts whose prefill takes a fifth of their
+// objective are late long before any is refused. With refusals alone, prefill
+// engines at a utilization of 0.8 counted as much as idle ones, and idle decoding
+// engines kept their role.
+func resourceLoss(demanded, capacity, usable, objectiveShare float64) float64 {
+	if demanded <= 0 {
 		return 0
 	}
-	there = max(usable*there, math.SmallestNonzeroFloat64)
-	over := max(asked-there, 0) / asked
-	full := min(asked/there, 1)
-	late := max(full-lateFrom, 0)
-	return over*over + lateWeight*slow*late*late + evenness*full*full
+	capacity = max(usable*capacity, math.SmallestNonzeroFloat64)
+	excess := max(demanded-capacity, 0) / demanded
+	utilization := min(demanded/capacity, 1)
+	queueing := max(utilization-queueingThreshold, 0)
+	return excess*excess + queueingWeight*objectiveShare*queueing*queueing + utilizationWeight*utilization*utilization
 }
