--- a/connection/demand/demand.go
+++ b/connection/demand/demand.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// slot is the resolution of the books.
-	slot = 100 * time.Millisecond
-	// span is the time over which demand is averaged: about that of a change of
+	// bucketDuration is the resolution of the books.
+	bucketDuration = 100 * time.Millisecond
+	// window is the time over which demand is averaged: about that of a change of
 	// role, since what is over sooner can't be answered by one.
-	span = 30 * slot
-	// believedFor is how long another daemon's update counts.
-	believedFor = 2 * time.Second
+	window = 30 * bucketDuration
+	// peerTimeout is how long another daemon's update counts.
+	peerTimeout = 2 * time.Second
 )
 
 // Load is what is asked of a service's engines.
@@ -31,7 +31,7 @@
 	Moving  float64 // engines whose links would move KV cache all the time
 }
 
-func (l Load) plus(o Load) Load {
+func (l Load) add(o Load) Load {
 	return Load{
 		Reading: l.Reading + o.Reading, Streams: l.Streams + o.Streams, Urgent: l.Urgent + o.Urgent,
 		Weighty: l.Weighty + o.Weighty, Moving: l.Moving + o.Moving,
@@ -42,11 +42,11 @@
 type Update struct {
 	_       struct{} `cbor:",toarray"`
 	Service uint64   // hash of its name
-	Reading float32
+	Reading float32  `cbor:"Reading"`
 	Streams float32
 	Urgent  float32
-	Weighty float32
-	Moving  float32
+	Weighty float32 `cbor:"Weighty"`
+	Moving  float32 `cbor:"Moving"`
 }
 
 // Offer is one request, as it is estimated at its arrival.
@@ -64,7 +64,7 @@
 	now func() time.Time
 
 	mu     sync.Mutex
-	own    map[uint64]*ring
+	local  map[uint64]*ring
 	peers  map[string]peer
 	oldest time.Time // no update in peers is older
 }
@@ -76,7 +76,7 @@
 
 // New returns an empty Book.
 func New(now func() time.Time) *Book {
-	return &Book{now: now, own: make(map[uint64]*ring), peers: make(map[string]peer), oldest: now()}
+	return &Book{now: now, local: make(map[uint64]*ring), peers: make(map[string]peer), oldest: now()}
 }
 
 // Note takes one request in.
@@ -84,10 +84,10 @@
 	now := b.now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r := b.own[engines.Hash(service)]
+	r := b.local[engines.Hash(service)]
 	if r == nil {
 		r = newRing(now)
-		b.own[engines.Hash(service)] = r
+		b.local[engines.Hash(service)] = r
 	}
 	r.add(now, o)
 }
@@ -96,8 +96,8 @@
 func (b *Book) MostUrgent(service string, priority int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r := b.own[engines.Hash(service)]
-	return r == nil || priority <= r.top
+	r := b.local[engines.Hash(service)]
+	return r == nil || priority <= r.mostUrgent
 }
 
 // Total is what all daemons together are asked.
@@ -107,13 +107,13 @@
 	defer b.mu.Unlock()
 	b.expire(now)
 	var sum Load
-	if r := b.own[k]; r != nil {
+	if r := b.local[k]; r != nil {
 		sum = r.load(now)
 	}
 	for _, p := range b.peers {
 		for _, w := range p.updates {
 			if w.Service == k {
-				sum = sum.plus(w.load())
+				sum = sum.add(w.load())
 			}
 		}
 	}
@@ -144,8 +144,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.expire(now)
-	sums := make(map[uint64]Load, len(b.own))
-	for k, r := range b.own {
+	sums := make(map[uint64]Load, len(b.local))
+	for k, r := range b.local {
 		sums[k] = r.load(now)
 	}
 	for name, p := range b.peers {
@@ -153,7 +153,7 @@
 			continue
 		}
 		for _, w := range p.updates {
-			sums[w.Service] = sums[w.Service].plus(w.load())
+			sums[w.Service] = sums[w.Service].add(w.load())
 		}
 	}
 	out := make([]Update, 0, len(sums))
@@ -201,12 +201,12 @@
 // expire takes out the updates of unresponsive daemons.
 // Callers hold b.mu.
 func (b *Book) expire(now time.Time) {
-	if now.Sub(b.oldest) <= believedFor {
+	if now.Sub(b.oldest) <= peerTimeout {
 		return
 	}
 	b.oldest = now
 	for name, p := range b.peers {
-		if now.Sub(p.at) > believedFor {
+		if now.Sub(p.at) > peerTimeout {
 			delete(b.peers, name)
 		} else if p.at.Before(b.oldest) {
 			b.oldest = p.at
--- a/connection/demand/demand_test.go
+++ b/connection/demand/demand_test.go
@@ -10,26 +10,26 @@
 type clock struct{ at time.Time }
 
 func (c *clock) now() time.Time           { return c.at }
-func (c *clock) pass(d time.Duration)     { c.at = c.at.Add(d) }
-func begin() *clock                       { return &clock{at: time.Unix(1_790_000_000, 0)} }
+func (c *clock) advance(d time.Duration)  { c.at = c.at.Add(d) }
+func newClock() *clock                    { return &clock{at: time.Unix(1_790_000_000, 0)} }
 func near(got, want, within float64) bool { return math.Abs(got-want) <= within }
 
 // Refused requests were no demand: the plan of the engines' roles saw only the
 // streams that ran, and gave engines away that refusals had left idle. Steady
 // arrivals of any rate show as reading and as streams that would run.
 func TestSteadyArrivals(t *testing.T) {
-	c := begin()
+	c := newClock()
 	b := New(c.now)
 	for range 500 {
 		b.Note("llm", Offer{Reading: 30 * time.Millisecond, Lasts: 2 * time.Second, Priority: 1})
 		b.Note("llm", Offer{Lasts: 400 * time.Millisecond, Priority: 2})
-		c.pass(10 * time.Millisecond)
+		c.advance(10 * time.Millisecond)
 	}
 	l := b.Total("llm")
 	if !near(l.Reading, 3, 0.1) || !near(l.Streams, 240, 6) || !near(l.Urgent, 200, 5) {
 		t.Errorf("%+v", l)
 	}
-	c.pass(time.Minute)
+	c.advance(time.Minute)
 	if !b.MostUrgent("llm", 1) || b.MostUrgent("llm", 2) {
 		t.Error("the most urgent priority isn't known")
 	}
@@ -40,11 +40,11 @@
 
 // A daemon that fell silent no longer counts: its callers ask the others.
 func TestDaemonsAreSummed(t *testing.T) {
-	c := begin()
+	c := newClock()
 	a, b := New(c.now), New(c.now)
 	a.Note("llm", Offer{Lasts: 10 * time.Second})
 	b.Note("llm", Offer{Lasts: 10 * time.Second})
-	c.pass(span - slot/2)
+	c.advance(window - bucketDuration/2)
 	one := b.Total("llm").Streams
 	b.Merge("a", a.Report())
 	if l := b.Total("llm"); !near(l.Streams, 2*one, 0.01) {
@@ -54,7 +54,7 @@
 		t.Errorf("another service %+v", l)
 	}
 	b.Note("llm", Offer{Lasts: 10 * time.Second})
-	c.pass(believedFor + slot)
+	c.advance(peerTimeout + bucketDuration)
 	if l := b.Total("llm"); !near(l.Streams, one, 0.2) {
 		t.Errorf("after its silence %+v, one alone %v", l, one)
 	}
@@ -62,10 +62,10 @@
 
 // The time of day is set back on some VMs.
 func TestClockSetBack(t *testing.T) {
-	c := begin()
+	c := newClock()
 	b := New(c.now)
 	b.Note("llm", Offer{Reading: time.Second, Lasts: 10 * time.Second})
-	c.pass(-5 * time.Second)
+	c.advance(-5 * time.Second)
 	b.Note("llm", Offer{Lasts: time.Second})
 	if l := b.Total("llm"); l.Streams == 0 || l.Reading != 0 {
 		t.Errorf("%+v", l)
--- a/connection/demand/ring.go
+++ b/connection/demand/ring.go
@@ -5,85 +5,85 @@
 	"time"
 )
 
-const spanSlots = int(span / slot)
+const bucketCount = int(window / bucketDuration)
 
 // ring is one service's book over the last slots.
 type ring struct {
-	at    int64 // number of the slot that now is in
-	begun int64
-	top   int // the most urgent priority asked for so far
-	sums  [spanSlots]sum
+	current    int64 // number of the slot that now is in
+	first      int64
+	mostUrgent int // the most urgent priority asked for so far
+	buckets    [bucketCount]bucket
 }
 
-// sum is what was asked in one slot: time of engines and of places.
-type sum struct {
-	reading time.Duration
-	lasts   time.Duration
-	urgent  time.Duration // of lasts
-	moving  time.Duration
-	weighty float64 // nanoseconds of reading
+// bucket is what was asked in one slot: time of engines and of places.
+type bucket struct {
+	prefill         time.Duration
+	streams         time.Duration
+	urgent          time.Duration // of lasts
+	transfer        time.Duration
+	weightedPrefill float64 // nanoseconds of reading
 }
 
 func newRing(now time.Time) *ring {
-	at := number(now)
-	return &ring{at: at, begun: at, top: math.MaxInt}
+	at := bucketNumber(now)
+	return &ring{current: at, first: at, mostUrgent: math.MaxInt}
 }
 
-func number(now time.Time) int64 { return now.UnixNano() / int64(slot) }
+func bucketNumber(now time.Time) int64 { return now.UnixNano() / int64(bucketDuration) }
 
 func (r *ring) add(now time.Time, o Offer) {
 	r.advance(now)
-	s := &r.sums[r.at%int64(spanSlots)]
-	s.reading += o.Reading
-	s.lasts += o.Lasts
-	s.moving += o.Moving
+	s := &r.buckets[r.current%int64(bucketCount)]
+	s.prefill += o.Reading
+	s.streams += o.Lasts
+	s.transfer += o.Moving
 	if o.Objective > 0 {
-		s.weighty += float64(o.Reading) * float64(o.Reading) / float64(o.Objective)
+		s.weightedPrefill += float64(o.Reading) * float64(o.Reading) / float64(o.Objective)
 	}
-	if o.Priority < r.top {
+	if o.Priority < r.mostUrgent {
 		// What was noted as the most urgent isn't.
-		r.top = o.Priority
-		for i := range r.sums {
-			r.sums[i].urgent = 0
+		r.mostUrgent = o.Priority
+		for i := range r.buckets {
+			r.buckets[i].urgent = 0
 		}
 	}
-	if o.Priority == r.top {
+	if o.Priority == r.mostUrgent {
 		s.urgent += o.Lasts
 	}
 }
 
 // advance empties the slots up to now.
 func (r *ring) advance(now time.Time) {
-	to := number(now)
-	if to-r.at > int64(spanSlots) || to < r.at {
+	to := bucketNumber(now)
+	if to-r.current > int64(bucketCount) || to < r.current {
 		// All of it is over, or the clock was set back.
-		*r = ring{at: to, begun: min(r.begun, to), top: r.top}
+		*r = ring{current: to, first: min(r.first, to), mostUrgent: r.mostUrgent}
 		return
 	}
-	for r.at < to {
-		r.at++
-		r.sums[r.at%int64(spanSlots)] = sum{}
+	for r.current < to {
+		r.current++
+		r.buckets[r.current%int64(bucketCount)] = bucket{}
 	}
 }
 
 // load is what is asked now: time asked for in each second.
 func (r *ring) load(now time.Time) Load {
 	r.advance(now)
-	var all sum
-	for _, s := range r.sums {
-		all.reading += s.reading
-		all.lasts += s.lasts
+	var all bucket
+	for _, s := range r.buckets {
+		all.prefill += s.prefill
+		all.streams += s.streams
 		all.urgent += s.urgent
-		all.moving += s.moving
-		all.weighty += s.weighty
+		all.transfer += s.transfer
+		all.weightedPrefill += s.weightedPrefill
 	}
-	slots := min(max(r.at-r.begun, 1), int64(spanSlots))
-	seconds := (slot*time.Duration(slots) - slot/2).Seconds() // the newest slot is half over on the mean
+	slots := min(max(r.current-r.first, 1), int64(bucketCount))
+	seconds := (bucketDuration*time.Duration(slots) - bucketDuration/2).Seconds() // the newest slot is half over on the mean
 	return Load{
-		Reading: all.reading.Seconds() / seconds,
-		Streams: all.lasts.Seconds() / seconds,
+		Reading: all.prefill.Seconds() / seconds,
+		Streams: all.streams.Seconds() / seconds,
 		Urgent:  all.urgent.Seconds() / seconds,
-		Weighty: time.Duration(all.weighty).Seconds() / seconds,
-		Moving:  all.moving.Seconds() / seconds,
+		Weighty: time.Duration(all.weightedPrefill).Seconds() / seconds,
+		Moving:  all.transfer.Seconds() / seconds,
 	}
 }
--- a/connection/speed/fit.go
+++ b/connection/speed/fit.go
@@ -3,34 +3,34 @@
 import "time"
 
 const (
-	// memory is what is left of a prompt's weight after the next one: about the
+	// promptDecay is what is left of a prompt's weight after the next one: about the
 	// last 150 count, so that engines that change are followed within them.
-	memory = 1 - 1.0/150
-	// queuedWeight is by how much a prompt counts less that waited, for each
+	promptDecay = 1 - 1.0/150
+	// queuedPenalty is by how much a prompt counts less that waited, for each
 	// time that it waited as long as it was read: its wait was predicted only.
-	queuedWeight = 2.0
-	// clip bounds the time of a prompt, in times of what was predicted. Others'
+	queuedPenalty = 2.0
+	// outlierFactor bounds the time of a prompt, in times of what was predicted. Others'
 	// work that wasn't heard of makes single ones much longer.
-	clip = 1.7
+	outlierFactor = 1.7
 	// ridge holds the fit where prompts are alike, as a share of the weights.
 	ridge = 1e-4
 )
 
-// terms are the regressors: one, thousands of tokens, millions of pairs.
-const terms = 3
+// termCount are the regressors: one, thousands of tokens, millions of pairs.
+const termCount = 3
 
 // fit is a least squares fit of the time of prompts over their missing tokens
 // and pairs, with weights that fade. A term that comes out negative is left
 // out: no engine reads in less than no time.
 type fit struct {
-	xx    [terms][terms]float64
-	xy    [terms]float64
+	xx    [termCount][termCount]float64
+	xy    [termCount]float64
 	n     int
-	coeff [terms]float64 // milliseconds
+	coeff [termCount]float64 // milliseconds
 }
 
-func regressors(p Sample) [terms]float64 {
-	return [terms]float64{1, float64(p.Missing) / 1e3, pairs(p.Prompt, p.Missing) / 1e3}
+func regressors(p Sample) [termCount]float64 {
+	return [termCount]float64{1, float64(p.Missing) / 1e3, pairs(p.Prompt, p.Missing) / 1e3}
 }
 
 func (f *fit) add(p Sample) {
@@ -38,15 +38,15 @@
 	predicted := f.coeff[0] + f.coeff[1]*x[1] + f.coeff[2]*x[2]
 	y := max(float64(p.Took-p.Before)/float64(time.Millisecond), 0)
 	weight := 1.0
-	if f.n >= knownFrom && predicted > 0 {
-		y = min(y, clip*predicted)
-		weight = 1 / (1 + queuedWeight*p.Before.Seconds()*1e3/predicted)
+	if f.n >= minPrompts && predicted > 0 {
+		y = min(y, outlierFactor*predicted)
+		weight = 1 / (1 + queuedPenalty*p.Before.Seconds()*1e3/predicted)
 	}
-	for i := range terms {
-		for j := range terms {
-			f.xx[i][j] = memory*f.xx[i][j] + weight*x[i]*x[j]
+	for i := range termCount {
+		for j := range termCount {
+			f.xx[i][j] = promptDecay*f.xx[i][j] + weight*x[i]*x[j]
 		}
-		f.xy[i] = memory*f.xy[i] + weight*x[i]*y
+		f.xy[i] = promptDecay*f.xy[i] + weight*x[i]*y
 	}
 	f.n++
 	f.solve()
@@ -54,11 +54,11 @@
 
 // solve fits all terms, then without the ones that came out negative.
 func (f *fit) solve() {
-	use := [terms]bool{true, true, true}
-	for range terms {
+	use := [termCount]bool{true, true, true}
+	for range termCount {
 		c := f.solveWith(use)
 		worst := -1
-		for i := range terms {
+		for i := range termCount {
 			if use[i] && c[i] < 0 && (worst < 0 || c[i] < c[worst]) {
 				worst = i
 			}
@@ -72,30 +72,30 @@
 }
 
 // solveWith solves the normal equations by elimination over the terms in use.
-func (f *fit) solveWith(use [terms]bool) (c [terms]float64) {
+func (f *fit) solveWith(use [termCount]bool) (c [termCount]float64) {
 	a, b := f.xx, f.xy
-	for i := range terms {
+	for i := range termCount {
 		a[i][i] += ridge * (a[i][i] + 1e-9)
 		if use[i] {
 			continue
 		}
-		for j := range terms {
+		for j := range termCount {
 			a[i][j], a[j][i] = 0, 0
 		}
 		a[i][i], b[i] = 1, 0
 	}
-	for i := range terms {
-		for r := i + 1; r < terms; r++ {
+	for i := range termCount {
+		for r := i + 1; r < termCount; r++ {
 			m := a[r][i] / a[i][i]
-			for j := i; j < terms; j++ {
+			for j := i; j < termCount; j++ {
 				a[r][j] -= m * a[i][j]
 			}
 			b[r] -= m * b[i]
 		}
 	}
-	for i := terms - 1; i >= 0; i-- {
+	for i := termCount - 1; i >= 0; i-- {
 		c[i] = b[i]
-		for j := i + 1; j < terms; j++ {
+		for j := i + 1; j < termCount; j++ {
 			c[i] -= a[i][j] * c[j]
 		}
 		c[i] /= a[i][i]
@@ -103,7 +103,7 @@
 	return c
 }
 
-func (f *fit) figures() Figures {
+func (f *fit) estimates() Figures {
 	const perMs = float64(time.Millisecond)
 	return Figures{
 		PerToken: f.coeff[1] * perMs / 1e3,
--- a/connection/speed/pace.go
+++ b/connection/speed/pace.go
@@ -17,32 +17,32 @@
 }
 
 const (
-	// paceKnownFrom is the number of samples from which on a pace is used.
-	paceKnownFrom = 40
-	// paceMemory is what is left of a sample's weight after the next one.
-	paceMemory = 1 - 1.0/3000
-	// paceClip bounds a sample, in times of what was predicted: a stream that was
+	// minPaceSamples is the number of samples from which on a pace is used.
+	minPaceSamples = 40
+	// paceDecay is what is left of a sample's weight after the next one.
+	paceDecay = 1 - 1.0/3000
+	// paceOutlierFactor bounds a sample, in times of what was predicted: a stream that was
 	// preempted says nothing of the others.
-	paceClip = 2.0
-	// engineWeight is the least weight of the newest sample in an engine's own
+	paceOutlierFactor = 2.0
+	// minSlownessWeight is the least weight of the newest sample in an engine's own
 	// slowness: the last 50.
-	engineWeight = 0.02
-	// ratioKnownFrom is the number of samples from which on it counts.
-	ratioKnownFrom = 10
+	minSlownessWeight = 0.02
+	// minSlownessSamples is the number of samples from which on it counts.
+	minSlownessSamples = 10
 	// maxSlowness bounds it.
 	maxSlowness = 4.0
-	// forgetEngine is how long an engine that gives no samples is remembered.
-	forgetEngine = time.Minute
+	// slownessTTL is how long an engine that gives no samples is remembered.
+	slownessTTL = time.Minute
 )
 
 // Known reports whether enough was seen, and more streams were slower.
-func (p Pace) Known() bool { return p.Samples >= paceKnownFrom && p.Each > 0 }
+func (p Pace) Known() bool { return p.Samples >= minPaceSamples && p.Each > 0 }
 
 // Gap is the time between two events while an engine runs that many streams.
-func (p Pace) Gap(streams int) time.Duration { return time.Duration(p.at(float64(streams))) }
+func (p Pace) Gap(streams int) time.Duration { return time.Duration(p.gapAt(float64(streams))) }
 
-// at is the same for a mean number of streams, in nanoseconds.
-func (p Pace) at(streams float64) float64 { return float64(p.Alone) + streams*float64(p.Each) }
+// gapAt is the same for a mean number of streams, in nanoseconds.
+func (p Pace) gapAt(streams float64) float64 { return float64(p.Alone) + streams*float64(p.Each) }
 
 // Streams is the largest number of streams whose events come at most that far
 // apart, one at least.
@@ -60,30 +60,30 @@
 // slowness is how many times slower than the service's line an engine is.
 type slowness struct {
 	mean[float64]
-	seen time.Time
+	lastSample time.Time
 }
 
-// noteEngine takes in a sample of one engine.
-func (f *paceFit) noteEngine(target string, streams float64, gap time.Duration) {
-	predicted := f.pace.at(streams)
+// addEngineSample takes in a sample of one engine.
+func (f *paceFit) addEngineSample(target string, streams float64, gap time.Duration) {
+	predicted := f.pace.gapAt(streams)
 	if !f.pace.Known() || predicted <= 0 {
 		return
 	}
 	now := time.Now()
 	e := f.engines[target]
 	if e == nil {
-		maps.DeleteFunc(f.engines, func(_ string, o *slowness) bool { return now.Sub(o.seen) > forgetEngine })
+		maps.DeleteFunc(f.engines, func(_ string, o *slowness) bool { return now.Sub(o.lastSample) > slownessTTL })
 		e = &slowness{}
 		f.engines[target] = e
 	}
-	e.seen = now
-	e.add(min(float64(gap)/predicted, maxSlowness), engineWeight)
+	e.lastSample = now
+	e.add(min(float64(gap)/predicted, maxSlowness), minSlownessWeight)
 }
 
-// of returns the pace of one engine.
-func (f *paceFit) of(target string) Pace {
+// engine returns the pace of one engine.
+func (f *paceFit) engine(target string) Pace {
 	p := f.pace
-	if e := f.engines[target]; e != nil && e.n >= ratioKnownFrom {
+	if e := f.engines[target]; e != nil && e.n >= minSlownessSamples {
 		p.Alone = time.Duration(e.value * float64(p.Alone))
 		p.Each = time.Duration(e.value * float64(p.Each))
 	}
@@ -93,13 +93,13 @@
 func (f *paceFit) add(streams float64, gap time.Duration) {
 	y := float64(gap)
 	if f.pace.Known() {
-		y = min(y, paceClip*f.pace.at(streams))
+		y = min(y, paceOutlierFactor*f.pace.gapAt(streams))
 	}
-	f.w = paceMemory*f.w + 1
-	f.x = paceMemory*f.x + streams
-	f.y = paceMemory*f.y + y
-	f.xx = paceMemory*f.xx + streams*streams
-	f.xy = paceMemory*f.xy + streams*y
+	f.w = paceDecay*f.w + 1
+	f.x = paceDecay*f.x + streams
+	f.y = paceDecay*f.y + y
+	f.xx = paceDecay*f.xx + streams*streams
+	f.xy = paceDecay*f.xy + streams*y
 	f.n++
 	f.pace = f.solve()
 }
@@ -121,7 +121,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f := &b.get(engines.Hash(name)).pace
-	f.noteEngine(target, streams, gap)
+	f.addEngineSample(target, streams, gap)
 	f.add(streams, gap)
 }
 
@@ -129,5 +129,5 @@
 func (b *Book) Pace(name, target string) Pace {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.get(engines.Hash(name)).pace.of(target)
+	return b.get(engines.Hash(name)).pace.engine(target)
 }
--- a/connection/speed/pace_test.go
+++ b/connection/speed/pace_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// samples feeds n gaps of engines of a line; slow makes those of one longer.
-func samples(b *Book, n int, slow float64) {
+// feedGaps feeds n gaps of engines of a line; slow makes those of one longer.
+func feedGaps(b *Book, n int, slow float64) {
 	r := rand.New(rand.NewPCG(3, 1))
 	for range n {
 		streams := float64(5 + r.IntN(60))
@@ -19,11 +19,11 @@
 
 func TestPaceBoundsTheStreams(t *testing.T) {
 	b := NewBook()
-	samples(b, 10, 1)
+	feedGaps(b, 10, 1)
 	if p := b.Pace("llm", "usual"); p.Known() {
 		t.Errorf("known from 20 samples: %+v", p)
 	}
-	samples(b, 300, 1)
+	feedGaps(b, 300, 1)
 	// 36 + 0.7 * 40 ms
 	if n := b.Pace("llm", "usual").Streams(64 * time.Millisecond); n < 36 || n > 44 {
 		t.Errorf("%d streams at 64 ms, want about 40", n)
@@ -35,7 +35,7 @@
 
 func TestSlowEngineTakesFewerStreams(t *testing.T) {
 	b := NewBook()
-	samples(b, 300, 1.3)
+	feedGaps(b, 300, 1.3)
 	const gap = 64 * time.Millisecond
 	usual, slow := b.Pace("llm", "usual").Streams(gap), b.Pace("llm", "slow").Streams(gap)
 	// 1.3 * (36 + 0.7 * 19) ms
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestLoadsAllAlikeGiveNoPace(t *testing.T) {
+func TestIdenticalLoadsGiveNoPace(t *testing.T) {
 	b := NewBook()
 	for range 200 {
 		b.Gap("llm", "a", 30, 57*time.Millisecond)
--- a/connection/speed/speed.go
+++ b/connection/speed/speed.go
@@ -27,7 +27,7 @@
 }
 
 // Known reports whether enough prompts were seen to predict others.
-func (f Figures) Known() bool { return f.Reads >= knownFrom }
+func (f Figures) Known() bool { return f.Reads >= minPrompts }
 
 // assumedPerToken is the time to read a prompt token, in nanoseconds, that is
 // assumed of engines that nothing is known of: what published figures of large
@@ -44,10 +44,10 @@
 }
 
 // ReadsSettled reports whether what a prompt asks of the engines is known.
-func (f Figures) ReadsSettled() bool { return f.Reads >= ownFrom }
+func (f Figures) ReadsSettled() bool { return f.Reads >= minLocalSamples }
 
 // StreamsSettled reports whether what an answer asks of them is known, too.
-func (f Figures) StreamsSettled() bool { return f.Streams >= ownFrom }
+func (f Figures) StreamsSettled() bool { return f.Streams >= minLocalSamples }
 
 // Read is the time that an engine takes to read the last missing tokens of a
 // prompt.
@@ -71,15 +71,15 @@
 }
 
 const (
-	// knownFrom is the number of prompts from which on figures are used: twice
+	// minPrompts is the number of prompts from which on figures are used: twice
 	// and more the three that the fit finds.
-	knownFrom = 8
-	// ownFrom is the number of own prompts from which on a process trusts its
+	minPrompts = 8
+	// minLocalSamples is the number of own prompts from which on a process trusts its
 	// own figures more than another's: with 30 the fit of prompts that are off
 	// by a fifth each is off by a tenth.
-	ownFrom = 30
-	// firstWeight is the least weight of the newest first event: the last 20.
-	firstWeight = 0.05
+	minLocalSamples = 30
+	// minFirstEventWeight is the least weight of the newest first event: the last 20.
+	minFirstEventWeight = 0.05
 )
 
 // Book learns the figures of each service. It is safe for concurrent use.
@@ -89,16 +89,16 @@
 }
 
 type service struct {
-	fit    fit
-	first  mean[time.Duration]
-	length ratio
-	pace   paceFit
-	stay   mean[time.Duration]
-	less   mean[time.Duration]
-	spread time.Duration
-	own    Figures // of this process's own prompts
-	told   Figures // another process's, of the most prompts
-	error  float64 // smoothed share by which the prediction is off
+	fit                fit
+	firstEvent         mean[time.Duration]
+	perOutputToken     decayingRatio
+	pace               paceFit
+	slotTime           mean[time.Duration]
+	lessUrgentSlotTime mean[time.Duration]
+	queuedError        time.Duration
+	local              Figures // of this process's own prompts
+	remote             Figures // another process's, of the most prompts
+	relativeError      float64 // smoothed share by which the prediction is off
 }
 
 // NewBook returns an empty Book.
@@ -118,29 +118,29 @@
 func (b *Book) Figures(name string) Figures {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.get(engines.Hash(name)).figures()
+	return b.get(engines.Hash(name)).estimates()
 }
 
-// figures are the own ones once they come from enough prompts, else another
+// estimates are the own ones once they come from enough prompts, else another
 // process's: a process that has just started predicts like the others at once.
-func (s *service) figures() Figures {
-	f := s.own
-	if s.own.Reads < ownFrom && s.told.Reads > s.own.Reads {
-		f = s.told
-		if s.first.n > 0 {
-			f.First = s.first.value
+func (s *service) estimates() Figures {
+	f := s.local
+	if s.local.Reads < minLocalSamples && s.remote.Reads > s.local.Reads {
+		f = s.remote
+		if s.firstEvent.n > 0 {
+			f.First = s.firstEvent.value
 		}
 	}
-	f.Spread = s.spread
+	f.Spread = s.queuedError
 	return f
 }
 
-// refresh puts the own figures together from what was learnt.
-func (s *service) refresh() {
-	s.own = s.fit.figures()
-	s.own.First = s.first.value
-	s.own.PerOutput, s.own.Streams = s.length.value(), s.length.n
-	s.own.Stay, s.own.StayLess = s.stay.value, s.less.value
+// updateLocal puts the own figures together from what was learnt.
+func (s *service) updateLocal() {
+	s.local = s.fit.estimates()
+	s.local.First = s.firstEvent.value
+	s.local.PerOutput, s.local.Streams = s.perOutputToken.value(), s.perOutputToken.n
+	s.local.Stay, s.local.StayLess = s.slotTime.value, s.lessUrgentSlotTime.value
 }
 
 // Read notes a prompt that was read.
@@ -149,8 +149,8 @@
 	defer b.mu.Unlock()
 	s := b.get(engines.Hash(name))
 	s.fit.add(p)
-	s.off(p)
-	s.refresh()
+	s.recordError(p)
+	s.updateLocal()
 }
 
 const (
@@ -160,18 +160,18 @@
 	maxError = 5.0
 )
 
-// off notes by how much the prediction of a prompt was off.
-func (s *service) off(p Sample) {
-	f := s.figures()
+// recordError notes by how much the prediction of a prompt was off.
+func (s *service) recordError(p Sample) {
+	f := s.estimates()
 	if !f.Known() || p.Took <= 0 {
 		return
 	}
 	predicted := p.Before + f.Start + f.Read(p.Prompt, p.Missing)
 	if p.Before > 0 {
-		s.spread += time.Duration(errorWeight * float64((predicted-p.Took).Abs()-s.spread))
+		s.queuedError += time.Duration(errorWeight * float64((predicted-p.Took).Abs()-s.queuedError))
 	}
 	share := (predicted - p.Took).Abs().Seconds() / p.Took.Seconds()
-	s.error += errorWeight * (min(share, maxError) - s.error)
+	s.relativeError += errorWeight * (min(share, maxError) - s.relativeError)
 }
 
 // First notes the time to the first event, without the move of KV cache.
@@ -179,32 +179,32 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.get(engines.Hash(name))
-	s.first.add(max(seen, 0), firstWeight)
-	s.refresh()
+	s.firstEvent.add(max(seen, 0), minFirstEventWeight)
+	s.updateLocal()
 }
 
-// ratio is the time of streams over the output tokens that they stated, with
+// decayingRatio is the time of streams over the output tokens that they stated, with
 // weights that fade.
-type ratio struct {
+type decayingRatio struct {
 	time, tokens float64
 	n            int
 }
 
-func (r *ratio) add(took time.Duration, tokens int) {
-	r.time = memory*r.time + float64(took)
-	r.tokens = memory*r.tokens + float64(tokens)
+func (r *decayingRatio) add(took time.Duration, tokens int) {
+	r.time = promptDecay*r.time + float64(took)
+	r.tokens = promptDecay*r.tokens + float64(tokens)
 	r.n++
 }
 
-func (r *ratio) value() time.Duration {
+func (r *decayingRatio) value() time.Duration {
 	if r.tokens <= 0 {
 		return 0
 	}
 	return time.Duration(r.time / r.tokens)
 }
 
-// stayWeight is the least weight of the newest stream's stay: the last 50.
-const stayWeight = 0.02
+// minSlotTimeWeight is the least weight of the newest stream's stay: the last 50.
+const minSlotTimeWeight = 0.02
 
 // mean is a mean whose weights fade.
 type mean[T time.Duration | float64] struct {
@@ -225,12 +225,12 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.get(engines.Hash(name))
-	s.length.add(took, output)
-	s.stay.add(stay, stayWeight)
+	s.perOutputToken.add(took, output)
+	s.slotTime.add(stay, minSlotTimeWeight)
 	if !mostUrgent {
-		s.less.add(stay, stayWeight)
+		s.lessUrgentSlotTime.add(stay, minSlotTimeWeight)
 	}
-	s.refresh()
+	s.updateLocal()
 }
 
 // Lasts is how long a stream will run that states so many output tokens.
@@ -253,20 +253,20 @@
 	Streams  uint32
 }
 
-// maxReads bounds the number told: of two processes that both know well, none
+// maxReportedCount bounds the number told: of two processes that both know well, none
 // is preferred.
-const maxReads = 1000
+const maxReportedCount = 1000
 
 // Report returns the figures of this process's own prompts.
-func (b *Book) Report() []Update { return b.updates(func(s *service) Figures { return s.own }) }
+func (b *Book) Report() []Update { return b.updates(func(s *service) Figures { return s.local }) }
 
 // Best returns the figures of the most prompts that this process knows of.
 func (b *Book) Best() []Update {
 	return b.updates(func(s *service) Figures {
-		if s.told.Reads > s.own.Reads {
-			return s.told
+		if s.remote.Reads > s.local.Reads {
+			return s.remote
 		}
-		return s.own
+		return s.local
 	})
 }
 
@@ -283,7 +283,7 @@
 			Service: key, PerToken: float32(f.PerToken), PerPair: float32(f.PerPair),
 			StartUs: uint32(f.Start.Microseconds()), FirstUs: uint32(f.First.Microseconds()),
 			OutputUs: uint32(f.PerOutput.Microseconds()), StayUs: uint32(f.Stay.Microseconds()), LessUs: uint32(f.StayLess.Microseconds()),
-			Reads: uint32(min(f.Reads, maxReads)), Streams: uint32(min(f.Streams, maxReads)),
+			Reads: uint32(min(f.Reads, maxReportedCount)), Streams: uint32(min(f.Streams, maxReportedCount)),
 		})
 	}
 	return out
@@ -295,10 +295,10 @@
 	defer b.mu.Unlock()
 	for _, w := range updates {
 		s := b.get(w.Service)
-		if int(w.Reads) < s.told.Reads {
+		if int(w.Reads) < s.remote.Reads {
 			continue
 		}
-		s.told = Figures{
+		s.remote = Figures{
 			PerToken: float64(w.PerToken), PerPair: float64(w.PerPair),
 			Start: time.Duration(w.StartUs) * time.Microsecond, First: time.Duration(w.FirstUs) * time.Microsecond,
 			PerOutput: time.Duration(w.OutputUs) * time.Microsecond, Stay: time.Duration(w.StayUs) * time.Microsecond, StayLess: time.Duration(w.LessUs) * time.Microsecond,
@@ -312,5 +312,5 @@
 func (b *Book) Error(name string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.get(engines.Hash(name)).error
+	return b.get(engines.Hash(name)).relativeError
 }
--- a/connection/speed/speed_test.go
+++ b/connection/speed/speed_test.go
@@ -16,9 +16,9 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// prompts feeds n prompts of a mix; noise is the share by which their times
+// feedPrompts feeds n prompts of a mix; noise is the share by which their times
 // differ, and one in ten waits behind another daemon's that nobody told of.
-func prompts(b *Book, e engine, r *rand.Rand, n int) {
+func feedPrompts(b *Book, e engine, r *rand.Rand, n int) {
 	for range n {
 		prompt := 200 + r.IntN(17_000)
 		missing := max(prompt/(1+r.IntN(4)), 20)
@@ -30,7 +30,7 @@
 	}
 }
 
-func off(f Figures, e engine) float64 {
+func maxRelativeError(f Figures, e engine) float64 {
 	worst := 0.0
 	for _, p := range [][2]int{{1000, 1000}, {9000, 3000}, {17_000, 4000}, {17_000, 17_000}} {
 		want := float64(e.read(p[0], p[1]))
@@ -43,7 +43,7 @@
 // or given up, since their times are predicted by another engine's figures.
 // Engines from a fifth of one's time to ten times it are predicted within a
 // quarter after 40 prompts.
-func TestAnySpeedIsLearnt(t *testing.T) {
+func TestEstimatesAnySpeed(t *testing.T) {
 	for _, x := range []float64{0.2, 1, 3, 10} {
 		t.Run(fmt.Sprint(x), func(t *testing.T) {
 			e := engine{perToken: 0.02 * x, perPairM: 0.25 * x, start: 30 * x}
@@ -51,8 +51,8 @@
 			if f := b.Figures("llm"); f.Known() || f.Read(1000, 1000) != 0 {
 				t.Errorf("before any prompt: %+v", f)
 			}
-			prompts(b, e, rand.New(rand.NewPCG(uint64(x*10), 1)), 40)
-			if got := off(b.Figures("llm"), e); got > 0.25 {
+			feedPrompts(b, e, rand.New(rand.NewPCG(uint64(x*10), 1)), 40)
+			if got := maxRelativeError(b.Figures("llm"), e); got > 0.25 {
 				t.Errorf("off by %.2f: %+v", got, b.Figures("llm"))
 			}
 		})
@@ -60,13 +60,13 @@
 }
 
 // Engines are replaced by slower ones in the middle of a day.
-func TestAChangeIsFollowed(t *testing.T) {
+func TestFollowsSpeedChange(t *testing.T) {
 	r := rand.New(rand.NewPCG(5, 1))
 	b := NewBook()
-	prompts(b, engine{perToken: 0.005, perPairM: 0.1, start: 3}, r, 400)
+	feedPrompts(b, engine{perToken: 0.005, perPairM: 0.1, start: 3}, r, 400)
 	slow := engine{perToken: 0.02, perPairM: 0.4, start: 12}
-	prompts(b, slow, r, 500)
-	if got := off(b.Figures("llm"), slow); got > 0.25 {
+	feedPrompts(b, slow, r, 500)
+	if got := maxRelativeError(b.Figures("llm"), slow); got > 0.25 {
 		t.Errorf("off by %.2f: %+v", got, b.Figures("llm"))
 	}
 	if e := b.Error("llm"); e > 0.5 {
@@ -76,7 +76,7 @@
 
 // Prompts that are all alike give no slope; the time of such a prompt must be
 // right all the same, and no term may be negative.
-func TestPromptsThatAreAlike(t *testing.T) {
+func TestIdenticalPrompts(t *testing.T) {
 	b := NewBook()
 	for range 50 {
 		b.Read("llm", Sample{Prompt: 1000, Missing: 500, Took: 20 * time.Millisecond})
@@ -91,22 +91,22 @@
 // A daemon that has just started refuses nothing and places by nothing, or
 // waits for its own sights. It takes the others' update at once, and its own once
 // that rests on enough.
-func TestFiguresAreShared(t *testing.T) {
+func TestEstimatesAreShared(t *testing.T) {
 	e := engine{perToken: 0.02, perPairM: 0.25, start: 30}
 	old, fresh := NewBook(), NewBook()
-	prompts(old, e, rand.New(rand.NewPCG(3, 1)), 200)
+	feedPrompts(old, e, rand.New(rand.NewPCG(3, 1)), 200)
 	old.First("llm", 40*time.Millisecond)
 	fresh.Merge(old.Report())
 	f := fresh.Figures("llm")
-	if !f.Known() || off(f, e) > 0.25 || f.First.Round(time.Millisecond) != 40*time.Millisecond {
+	if !f.Known() || maxRelativeError(f, e) > 0.25 || f.First.Round(time.Millisecond) != 40*time.Millisecond {
 		t.Errorf("heard %+v", f)
 	}
 	if report := fresh.Report(); len(report) != 0 {
 		t.Errorf("passes on what it heard: %+v", report)
 	}
 	other := engine{perToken: 0.1, start: 1}
-	prompts(fresh, other, rand.New(rand.NewPCG(4, 1)), 200)
-	if got := off(fresh.Figures("llm"), other); got > 0.25 {
+	feedPrompts(fresh, other, rand.New(rand.NewPCG(4, 1)), 200)
+	if got := maxRelativeError(fresh.Figures("llm"), other); got > 0.25 {
 		t.Errorf("own sights don't count: off by %.2f", got)
 	}
 }
--- a/process/planner/capacity.go
+++ b/process/planner/capacity.go
@@ -23,12 +23,12 @@
 // take time from the streams.
 func (r *Rates) fits(f fleet, m Mix) bool {
 	rest := max(m.Prefill-f.prefill*r.Prefill, 0)
-	busy := r.busy()
+	busy := r.usableStepShare()
 	most := f.mixed*busy*r.Prefill + f.decode*spillTokens/r.limit
 	if rest > most {
 		return false
 	}
-	if m.Decode > (f.decode+f.mixed)*r.decode(m) {
+	if m.Decode > (f.decode+f.mixed)*r.decodeRate(m) {
 		return false
 	}
 	used := rest/r.Prefill + m.Decode*r.PerStream
@@ -37,11 +37,11 @@
 
 // Bounds of the search for the largest mix that fits.
 const (
-	maxHeadroom  = 4
-	minHeadroom  = 0.01
-	bisections   = 18
-	easy         = 0.75 // use of the fleet below which all requests are on time
-	lossWhenFull = 0.08 // share that is late when use is 1
+	maxHeadroom     = 4
+	minHeadroom     = 0.01
+	bisections      = 18
+	easyUtilization = 0.75 // use of the fleet below which all requests are on time
+	lateWhenFull    = 0.08 // share that is late when use is 1
 )
 
 // headroom is the largest factor by which the mix could grow and still fit.
@@ -69,18 +69,18 @@
 // mix while use is easy, a little less towards full use, and no more than
 // fits beyond that.
 func (r *Rates) onTime(f fleet, m Mix) float64 {
-	work := m.Prefill/r.Prefill + m.Decode/r.decode(m)
+	work := m.Prefill/r.Prefill + m.Decode/r.decodeRate(m)
 	use := 1 / max(r.headroom(f, m), 1/float64(100))
-	return work * served(use)
+	return work * onTimeShare(use)
 }
 
-func served(use float64) float64 {
-	if use <= easy {
+func onTimeShare(use float64) float64 {
+	if use <= easyUtilization {
 		return 1
 	}
 	if use <= 1 {
-		x := (use - easy) / (1 - easy)
-		return 1 - lossWhenFull*x*x
+		x := (use - easyUtilization) / (1 - easyUtilization)
+		return 1 - lateWhenFull*x*x
 	}
-	return (1 - lossWhenFull) / use
+	return (1 - lateWhenFull) / use
 }
--- a/process/planner/demand.go
+++ b/process/planner/demand.go
@@ -8,13 +8,13 @@
 // Demand estimates what callers ask for, over a fast and a slow horizon, and
 // learns from past shifts of the mix how long a new one is to be trusted.
 type Demand struct {
-	Fast, Slow Mix
-	Shift      Shift
-	Lifetime   time.Duration // how long a shift lasts, by experience
-	requests   float64
-	prefill    float64
-	decode     float64
-	seen       time.Duration // time covered by observations
+	Fast, Slow   Mix
+	Shift        Shift
+	Lifetime     time.Duration // how long a shift lasts, by experience
+	requests     float64
+	prefill      float64
+	decode       float64
+	observedTime time.Duration // time covered by observations
 }
 
 // Mix is demand per second.
@@ -36,30 +36,30 @@
 const (
 	fastHorizon     = 12 * time.Second
 	slowHorizon     = 120 * time.Second
-	firstLifetime   = 120 * time.Second // until a shift has been seen to end
+	initialLifetime = 120 * time.Second // until a shift has been seen to end
 	minLifetime     = 10 * time.Second
 	maxLifetime     = 10 * time.Minute
 	lifetimeWeight  = 0.35             // of the newest shift
-	shiftBegins     = 0.08             // departure in prefill share
+	shiftThreshold  = 0.08             // departure in prefill share
 	maxObservedStep = 10 * time.Second // a longer gap tells nothing of the present
 )
 
 func (d Demand) observe(now, step time.Duration, o *Observation, r *Rates) Demand {
 	req, pre, dec := o.Requests-d.requests, o.Prefill-d.prefill, o.Decode-d.decode
-	first := d.requests == 0 && d.seen == 0
+	first := d.requests == 0 && d.observedTime == 0
 	d.requests, d.prefill, d.decode = o.Requests, o.Prefill, o.Decode
 	if first || step <= 0 || step > maxObservedStep || req < 0 || pre < 0 || dec < 0 {
 		return d
 	}
 	perSecond := float64(max(o.Processes, 1)) / step.Seconds()
 	m := Mix{req, pre, dec}.scaled(perSecond)
-	d.Fast = d.Fast.blend(m, weight(step, fastHorizon, d.seen))
-	d.Slow = d.Slow.blend(m, weight(step, slowHorizon, d.seen))
-	d.seen += step
+	d.Fast = d.Fast.blend(m, weight(step, fastHorizon, d.observedTime))
+	d.Slow = d.Slow.blend(m, weight(step, slowHorizon, d.observedTime))
+	d.observedTime += step
 	if d.Lifetime == 0 {
-		d.Lifetime = firstLifetime
+		d.Lifetime = initialLifetime
 	}
-	return d.followShift(now, r)
+	return d.trackShift(now, r)
 }
 
 // weight of a new value that covers step. At first it is the plain mean's.
@@ -76,23 +76,23 @@
 	}
 }
 
-// share is the part of the work that is prefill.
-func (m Mix) share(r *Rates) float64 {
+// prefillShare is the part of the work that is prefill.
+func (m Mix) prefillShare(r *Rates) float64 {
 	p := m.Prefill / r.Prefill
-	d := m.Decode / r.decode(m)
+	d := m.Decode / r.decodeRate(m)
 	if p+d <= 0 {
 		return 0
 	}
 	return p / (p + d)
 }
 
-// followShift notes when shifts of the mix begin and end. A shift lasts until
+// trackShift notes when shifts of the mix begin and end. A shift lasts until
 // the mix is half-way back to where it came from. (Its lasting until the slow
 // estimate caught up was tried: swings then seem to last for minutes.)
-func (d Demand) followShift(now time.Duration, r *Rates) Demand {
-	fast, slow := d.Fast.share(r), d.Slow.share(r)
+func (d Demand) trackShift(now time.Duration, r *Rates) Demand {
+	fast, slow := d.Fast.prefillShare(r), d.Slow.prefillShare(r)
 	if d.Shift.Sign == 0 {
-		if diff := fast - slow; math.Abs(diff) > shiftBegins {
+		if diff := fast - slow; math.Abs(diff) > shiftThreshold {
 			d.Shift = Shift{Sign: sign(diff), Since: now, Origin: slow, Peak: fast}
 		}
 		return d
@@ -112,8 +112,8 @@
 	return d
 }
 
-// trust is how long the fast estimate is expected to hold from now on.
-func (d Demand) trust(now time.Duration) time.Duration {
+// trustHorizon is how long the fast estimate is expected to hold from now on.
+func (d Demand) trustHorizon(now time.Duration) time.Duration {
 	if d.Shift.Sign == 0 {
 		return d.Lifetime
 	}
--- a/process/planner/limits.go
+++ b/process/planner/limits.go
@@ -13,7 +13,7 @@
 	minPrefill, minDecode int
 }
 
-func limitsOf(o *Observation, doc *document.Document) limits {
+func newLimits(o *Observation, doc *document.Document) limits {
 	l := limits{minPrefill: max(doc.Roles.MinPrefill, 1), minDecode: max(doc.Roles.MinDecode, 1)}
 	for i := range o.Engines {
 		e := &o.Engines[i]
@@ -30,8 +30,8 @@
 	return l
 }
 
-// mayLeave reports whether the service lives on while an engine of the role is away.
-func (l limits) mayLeave(role port.Role) bool {
+// canTakeFrom reports whether the service lives on while an engine of the role is away.
+func (l limits) canTakeFrom(role port.Role) bool {
 	prefill, decode := l.prefill, l.decode
 	if role != port.RoleDecode {
 		prefill--
@@ -42,8 +42,8 @@
 	return prefill >= l.minPrefill && decode >= l.minDecode
 }
 
-// mayBecome reports whether it lives on after the change.
-func (l limits) mayBecome(from, to port.Role) bool {
+// canChange reports whether it lives on after the change.
+func (l limits) canChange(from, to port.Role) bool {
 	prefill, decode := l.prefill, l.decode
 	if from != port.RoleDecode {
 		prefill--
--- a/process/planner/plan.go
+++ b/process/planner/plan.go
@@ -11,14 +11,14 @@
 
 // Defaults for what a document leaves out, and the bounds of a decision.
 const (
-	defaultWeight = 0.5
-	defaultChange = 10 * time.Second
-	defaultDwell  = 60 * time.Second
-	minWeight     = 0.05
-	warmUp        = 40 * time.Second // of observations before the first change
-	tail          = 60 * time.Second // how long the usual mix counts after the trust horizon
-	priceFactor   = 2
-	minGain       = 8 // engine-seconds, whatever the weight
+	defaultWeight     = 0.5
+	defaultChangeTime = 10 * time.Second
+	defaultDwell      = 60 * time.Second
+	minWeight         = 0.05
+	warmUp            = 40 * time.Second // of observations before the first change
+	usualMixHorizon   = 60 * time.Second // how long the usual mix counts after the trust horizon
+	priceFactor       = 2
+	minGain           = 8 // engine-seconds, whatever the weight
 )
 
 // Plan takes in an observation and returns the changes of role to order now:
@@ -31,19 +31,19 @@
 // all groups would answer the same shift at once.
 func Plan(now time.Duration, obs Observation, doc *document.Document, prev State) (State, []Change) {
 	s := prev
-	if !s.begun {
-		s = State{begun: true, Started: now, Last: now, Away: changeTime(doc)}
+	if !s.initialized {
+		s = State{initialized: true, Started: now, Last: now, ChangeTime: changeTime(doc)}
 	}
 	step := now - s.Last
 	s.Last = now
 	s.Rates = s.Rates.observe(&obs, doc.Objectives.BetweenTokens)
 	s.Demand = s.Demand.observe(now, step, &obs, &s.Rates)
-	s.remember(now, &obs)
-	c, ok := s.best(now, &obs, doc)
+	s.updateEngines(now, &obs)
+	c, ok := s.bestChange(now, &obs, doc)
 	if !ok || !mayOrder(&obs, c.Engine) {
 		return s, nil
 	}
-	i, _ := findMemory(s.Engines, c.Engine)
+	i, _ := findEngineState(s.Engines, c.Engine)
 	s.Engines[i].Pending = c.To
 	s.Engines[i].Ordered = now
 	s.Changed = now
@@ -54,7 +54,7 @@
 	if doc.Roles.ChangeTime > 0 {
 		return doc.Roles.ChangeTime
 	}
-	return defaultChange
+	return defaultChangeTime
 }
 
 // mayOrder reports whether the engine is in a group of this process.
@@ -70,21 +70,21 @@
 	return group == o.Group
 }
 
-// best returns the change that gains most, if one pays.
-func (s *State) best(now time.Duration, o *Observation, doc *document.Document) (Change, bool) {
-	if s.Demand.seen < warmUp || s.changing(o) >= max(doc.Roles.MaxChanging, 1) {
+// bestChange returns the change that gains most, if one pays.
+func (s *State) bestChange(now time.Duration, o *Observation, doc *document.Document) (Change, bool) {
+	if s.Demand.observedTime < warmUp || s.changing(o) >= max(doc.Roles.MaxChanging, 1) {
 		return Change{}, false
 	}
 	f := s.fleet(o)
-	limits := limitsOf(o, doc)
+	limits := newLimits(o, doc)
 	var best Change
 	for _, from := range roles {
 		e := s.candidate(now, o, doc, from)
-		if e == nil || !limits.mayLeave(from) {
+		if e == nil || !limits.canTakeFrom(from) {
 			continue
 		}
 		for _, to := range roles {
-			if to == from || !limits.mayBecome(from, to) {
+			if to == from || !limits.canChange(from, to) {
 				continue
 			}
 			if gain := s.gain(now, f, e, to); gain > best.Gain {
@@ -92,11 +92,11 @@
 			}
 		}
 	}
-	if best.Gain <= s.price(doc) {
+	if best.Gain <= s.requiredGain(doc) {
 		return Change{}, false
 	}
 	best.Reason = fmt.Sprintf("prefill share %.2f, usually %.2f, trusted for %v: %.0f engine-seconds gained",
-		s.Demand.Fast.share(&s.Rates), s.Demand.Slow.share(&s.Rates), s.Demand.trust(now).Round(time.Second), best.Gain)
+		s.Demand.Fast.prefillShare(&s.Rates), s.Demand.Slow.prefillShare(&s.Rates), s.Demand.trustHorizon(now).Round(time.Second), best.Gain)
 	return best, true
 }
 
@@ -106,7 +106,7 @@
 func (s *State) changing(o *Observation) int {
 	n := 0
 	for i := range o.Engines {
-		j, _ := findMemory(s.Engines, o.Engines[i].Name)
+		j, _ := findEngineState(s.Engines, o.Engines[i].Name)
 		if o.Engines[i].Changing || s.Engines[j].Pending != "" {
 			n++
 		}
@@ -138,21 +138,21 @@
 		if e.Role != role || !e.Live || e.Changing || e.Pinned {
 			continue
 		}
-		j, _ := findMemory(s.Engines, e.Name)
+		j, _ := findEngineState(s.Engines, e.Name)
 		m := &s.Engines[j]
 		settled := m.Since == s.Started || now-m.Since >= dwell
 		if !settled || now < m.NotBefore {
 			continue
 		}
-		if best == nil || s.unfinished(e) < s.unfinished(best) {
+		if best == nil || s.unfinishedSeconds(e) < s.unfinishedSeconds(best) {
 			best = e
 		}
 	}
 	return best
 }
 
-// unfinished is the seconds of work at an engine.
-func (s *State) unfinished(e *Engine) float64 {
+// unfinishedSeconds is the seconds of work at an engine.
+func (s *State) unfinishedSeconds(e *Engine) float64 {
 	return float64(e.Load.QueuedPrefill)/s.Rates.Prefill + float64(e.Load.DecodeRemaining)*s.Rates.PerStream
 }
 
@@ -163,20 +163,20 @@
 	without := f.with(e.Role, -1)
 	after := without.with(to, 1)
 	r, fast, slow := &s.Rates, s.Demand.Fast, s.Demand.Slow
-	away := s.Away.Seconds()
+	away := s.ChangeTime.Seconds()
 	lost := (r.onTime(f, fast) - r.onTime(without, fast)) * away
-	trusted := max(s.Demand.trust(now).Seconds()-away, 0)
+	trusted := max(s.Demand.trustHorizon(now).Seconds()-away, 0)
 	gained := (r.onTime(after, fast) - r.onTime(f, fast)) * trusted
-	usual := (r.onTime(after, slow) - r.onTime(f, slow)) * tail.Seconds()
+	usual := (r.onTime(after, slow) - r.onTime(f, slow)) * usualMixHorizon.Seconds()
 	return gained + usual - lost
 }
 
-// price is the gain, in engine-seconds, below which a change isn't worth it.
-func (s *State) price(doc *document.Document) float64 {
+// requiredGain is the gain, in engine-seconds, below which a change isn't worth it.
+func (s *State) requiredGain(doc *document.Document) float64 {
 	w := doc.Roles.GoodputWeight
 	if w == 0 {
 		w = defaultWeight
 	}
 	w = min(max(w, minWeight), 1)
-	return minGain + priceFactor*(1-w)/w*s.Away.Seconds()
+	return minGain + priceFactor*(1-w)/w*s.ChangeTime.Seconds()
 }
--- a/process/planner/plan_test.go
+++ b/process/planner/plan_test.go
@@ -19,36 +19,36 @@
 	crashes
 )
 
-// world runs Plan each second over engines that report ideal rates.
-type world struct {
-	doc    *document.Document
-	obs    Observation
-	states map[string]State // by group; "" plans all
-	does   outcome
-	away   map[string]int // seconds that an engine stays away
-	next   map[string]port.Role
-	now    time.Duration
-	log    []Change
-	least  [2]int // fewest engines able to prefill and to decode so far
-	most   int    // most engines away at once
+// simulation runs Plan each second over engines that report ideal rates.
+type simulation struct {
+	doc         *document.Document
+	obs         Observation
+	states      map[string]State // by group; "" plans all
+	outcome     outcome
+	changing    map[string]int // seconds that an engine stays away
+	newRole     map[string]port.Role
+	now         time.Duration
+	changes     []Change
+	minAble     [2]int // fewest engines able to prefill and to decode so far
+	maxChanging int    // most engines away at once
 }
 
 const (
-	awaySeconds = 8
-	testPrefill = 22_000.0
-	testDecode  = 2_000.0
+	changeSeconds = 8
+	testPrefill   = 22_000.0
+	testDecode    = 2_000.0
 )
 
-func newWorld(prefill, mixed, decode int) *world {
-	w := &world{
+func newSimulation(prefill, mixed, decode int) *simulation {
+	w := &simulation{
 		doc: &document.Document{
 			Objectives: document.Objectives{BetweenTokens: 36 * time.Millisecond},
 			Roles:      document.Roles{GoodputWeight: 0.8, MinPrefill: 1, MinDecode: 2, MaxChanging: 1, MinDwell: 30 * time.Second},
 		},
-		states: map[string]State{"": {}},
-		away:   map[string]int{},
-		next:   map[string]port.Role{},
-		least:  [2]int{99, 99},
+		states:   map[string]State{"": {}},
+		changing: map[string]int{},
+		newRole:  map[string]port.Role{},
+		minAble:  [2]int{99, 99},
 	}
 	for i := range prefill + mixed + decode {
 		role := port.RoleDecode
@@ -66,13 +66,13 @@
 }
 
 // run lets seconds pass with a mix given in engines' worth of work.
-func (w *world) run(seconds int, prefill, decode float64) {
+func (w *simulation) run(seconds int, prefill, decode float64) {
 	for range seconds {
 		w.now += time.Second
 		w.obs.Requests += 30
 		w.obs.Prefill += prefill * testPrefill
 		w.obs.Decode += decode * testDecode
-		w.carryOut()
+		w.finishChanges()
 		var changes []Change
 		for group, s := range w.states {
 			o := w.obs
@@ -82,11 +82,11 @@
 			changes = append(changes, cs...)
 		}
 		w.order(changes)
-		w.count()
+		w.recordExtremes()
 	}
 }
 
-func (w *world) engine(name string) *Engine {
+func (w *simulation) engine(name string) *Engine {
 	for i := range w.obs.Engines {
 		if w.obs.Engines[i].Name == name {
 			return &w.obs.Engines[i]
@@ -95,42 +95,42 @@
 	return nil
 }
 
-func (w *world) order(changes []Change) {
+func (w *simulation) order(changes []Change) {
 	for _, c := range changes {
-		w.log = append(w.log, c)
-		if w.does == refuses {
+		w.changes = append(w.changes, c)
+		if w.outcome == refuses {
 			continue
 		}
 		w.engine(c.Engine).Changing = true
-		w.away[c.Engine] = awaySeconds
-		w.next[c.Engine] = c.To
+		w.changing[c.Engine] = changeSeconds
+		w.newRole[c.Engine] = c.To
 	}
 }
 
-func (w *world) carryOut() {
-	for name, left := range w.away {
+func (w *simulation) finishChanges() {
+	for name, left := range w.changing {
 		if left > 1 {
-			w.away[name] = left - 1
+			w.changing[name] = left - 1
 			continue
 		}
-		delete(w.away, name)
+		delete(w.changing, name)
 		e := w.engine(name)
 		e.Changing = false
-		if w.does == crashes {
+		if w.outcome == crashes {
 			e.Incarnation += "'"
 			continue
 		}
-		e.Role = w.next[name]
+		e.Role = w.newRole[name]
 	}
 }
 
-func (w *world) count() {
-	l := limitsOf(&w.obs, w.doc)
-	w.least = [2]int{min(w.least[0], l.prefill), min(w.least[1], l.decode)}
-	w.most = max(w.most, len(w.away))
+func (w *simulation) recordExtremes() {
+	l := newLimits(&w.obs, w.doc)
+	w.minAble = [2]int{min(w.minAble[0], l.prefill), min(w.minAble[1], l.decode)}
+	w.maxChanging = max(w.maxChanging, len(w.changing))
 }
 
-func (w *world) roles() map[port.Role]int {
+func (w *simulation) roles() map[port.Role]int {
 	n := map[port.Role]int{}
 	for _, e := range w.obs.Engines {
 		n[e.Role]++
@@ -140,31 +140,31 @@
 
 // TestPlan has one row for each promise of the planner.
 func TestPlan(t *testing.T) {
-	toPrefill := func(w *world) { w.run(60, 2.5, 4.0); w.run(200, 5.5, 2.0) }
+	toPrefill := func(w *simulation) { w.run(60, 2.5, 4.0); w.run(200, 5.5, 2.0) }
 	cases := []struct {
 		name     string
 		engines  [3]int // prefill, mixed, decode
-		set      func(*world)
-		play     func(*world)
+		set      func(*simulation)
+		play     func(*simulation)
 		min, max int // changes
 	}{
-		{"steady and easy", [3]int{3, 2, 4}, nil, func(w *world) { w.run(600, 2, 3) }, 0, 0},
+		{"steady and easy", [3]int{3, 2, 4}, nil, func(w *simulation) { w.run(600, 2, 3) }, 0, 0},
 		{"follows a lasting step", [3]int{3, 0, 6}, nil, toPrefill, 1, 4},
-		{"a step that few changes are worth", [3]int{3, 0, 6}, func(w *world) { w.doc.Roles.GoodputWeight = 0.01 }, toPrefill, 0, 1},
-		{"nothing asked", [3]int{3, 2, 4}, nil, func(w *world) { w.run(300, 0, 0) }, 0, 0},
-		{"pinned", [3]int{3, 0, 6}, func(w *world) {
+		{"a step that few changes are worth", [3]int{3, 0, 6}, func(w *simulation) { w.doc.Roles.GoodputWeight = 0.01 }, toPrefill, 0, 1},
+		{"nothing asked", [3]int{3, 2, 4}, nil, func(w *simulation) { w.run(300, 0, 0) }, 0, 0},
+		{"pinned", [3]int{3, 0, 6}, func(w *simulation) {
 			for i := range w.obs.Engines {
 				w.obs.Engines[i].Pinned = true
 			}
 		}, toPrefill, 0, 0},
-		{"keeps enough to decode", [3]int{1, 0, 3}, nil, func(w *world) { w.run(400, 3.5, 0.1) }, 1, 1},
-		{"oscillation faster than a change pays", [3]int{3, 2, 4}, nil, func(w *world) {
+		{"keeps enough to decode", [3]int{1, 0, 3}, nil, func(w *simulation) { w.run(400, 3.5, 0.1) }, 1, 1},
+		{"oscillation faster than a change pays", [3]int{3, 2, 4}, nil, func(w *simulation) {
 			for range 20 {
 				w.run(15, 4.0, 3.0)
 				w.run(15, 2.6, 4.4)
 			}
 		}, 0, 4},
-		{"counts that begin anew", [3]int{3, 2, 4}, nil, func(w *world) {
+		{"counts that begin anew", [3]int{3, 2, 4}, nil, func(w *simulation) {
 			w.run(100, 2, 3)
 			w.obs.Requests, w.obs.Prefill, w.obs.Decode = 0, 0, 0
 			w.run(100, 2, 3)
@@ -172,16 +172,16 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(c.engines[0], c.engines[1], c.engines[2])
+			w := newSimulation(c.engines[0], c.engines[1], c.engines[2])
 			if c.set != nil {
 				c.set(w)
 			}
 			c.play(w)
-			if n := len(w.log); n < c.min || n > c.max {
-				t.Errorf("%d changes, want %d to %d: %+v", n, c.min, c.max, w.log)
+			if n := len(w.changes); n < c.min || n > c.max {
+				t.Errorf("%d changes, want %d to %d: %+v", n, c.min, c.max, w.changes)
 			}
-			if w.least[0] < 1 || w.least[1] < 2 || w.most > 1 {
-				t.Errorf("fewest able to prefill and decode %v, most away %d", w.least, w.most)
+			if w.minAble[0] < 1 || w.minAble[1] < 2 || w.maxChanging > 1 {
+				t.Errorf("fewest able to prefill and decode %v, most away %d", w.minAble, w.maxChanging)
 			}
 		})
 	}
@@ -193,12 +193,12 @@
 // planner that forgets what its last order came to.
 func TestFailedChangeBacksOff(t *testing.T) {
 	for _, does := range []outcome{refuses, crashes} {
-		w := newWorld(3, 0, 6)
-		w.does = does
+		w := newSimulation(3, 0, 6)
+		w.outcome = does
 		w.run(60, 2.5, 4.0)
 		w.run(600, 5.5, 2.0)
 		asked := map[string]int{}
-		for _, c := range w.log {
+		for _, c := range w.changes {
 			asked[c.Engine]++
 		}
 		for name, n := range asked {
@@ -206,8 +206,8 @@
 				t.Errorf("outcome %d: %s asked %d times", does, name, n)
 			}
 		}
-		if len(w.log) < 2 {
-			t.Errorf("outcome %d: gave up after %d orders", does, len(w.log))
+		if len(w.changes) < 2 {
+			t.Errorf("outcome %d: gave up after %d orders", does, len(w.changes))
 		}
 	}
 }
@@ -215,19 +215,19 @@
 // Roles jump too far, and back, at each shift.
 // Every availability zone has its own planner; all see the same shift and each
 // orders it. The cause is that none leaves it to the zone of the best engine.
-func TestGroupsDontActTogether(t *testing.T) {
-	one := newWorld(3, 0, 6)
-	three := newWorld(3, 0, 6)
+func TestGroupsDontOrderTogether(t *testing.T) {
+	one := newSimulation(3, 0, 6)
+	three := newSimulation(3, 0, 6)
 	three.states = map[string]State{"g0": {}, "g1": {}, "g2": {}}
-	for _, w := range []*world{one, three} {
+	for _, w := range []*simulation{one, three} {
 		w.run(60, 2.5, 4.0)
 		w.run(200, 5.5, 2.0)
 	}
 	if one.roles()[port.RolePrefill] == 3 {
 		t.Fatal("one planner changed nothing")
 	}
-	if !reflect.DeepEqual(one.roles(), three.roles()) || len(three.log) > len(one.log) || three.most > 1 {
-		t.Errorf("three planners: %v in %d changes, %d at once; one: %v in %d", three.roles(), len(three.log), three.most, one.roles(), len(one.log))
+	if !reflect.DeepEqual(one.roles(), three.roles()) || len(three.changes) > len(one.changes) || three.maxChanging > 1 {
+		t.Errorf("three planners: %v in %d changes, %d at once; one: %v in %d", three.roles(), len(three.changes), three.maxChanging, one.roles(), len(one.changes))
 	}
 }
 
@@ -235,15 +235,15 @@
 // Each process knows its own callers only and takes them for one in so many.
 // Were the running counts scaled, not what was added to them, a new number of
 // processes would look like an hour's requests within a second.
-func TestProcessesComeAndGo(t *testing.T) {
-	w := newWorld(3, 2, 4)
+func TestNumberOfProcessesChanges(t *testing.T) {
+	w := newSimulation(3, 2, 4)
 	for _, n := range []int{8, 7, 8, 9, 8} {
 		w.obs.Processes = n
 		w.run(120, 2.0/float64(n), 3.0/float64(n))
 	}
 	m := w.states[""].Demand.Fast
-	if m.Prefill > 2.1*testPrefill || m.Decode > 3.1*testDecode || len(w.log) > 0 {
-		t.Errorf("demand %+v, changes %+v", m, w.log)
+	if m.Prefill > 2.1*testPrefill || m.Decode > 3.1*testDecode || len(w.changes) > 0 {
+		t.Errorf("demand %+v, changes %+v", m, w.changes)
 	}
 }
 
@@ -251,16 +251,16 @@
 // It planned while it held no group, took each change that it couldn't order
 // for a refused one, and backs off from all engines.
 func TestNoGroupNoOrders(t *testing.T) {
-	w := newWorld(3, 0, 6)
+	w := newSimulation(3, 0, 6)
 	w.obs.Groups = []string{}
 	w.run(60, 2.5, 4.0)
 	w.run(60, 5.5, 2.0)
-	if len(w.log) > 0 {
-		t.Fatalf("ordered %+v", w.log)
+	if len(w.changes) > 0 {
+		t.Fatalf("ordered %+v", w.changes)
 	}
 	w.obs.Groups = []string{"g0", "g1", "g2"}
 	w.run(5, 5.5, 2.0)
-	if len(w.log) == 0 {
+	if len(w.changes) == 0 {
 		t.Error("nothing ordered after the takeover")
 	}
 }
@@ -269,7 +269,7 @@
 // With a light load they take small steps and report low rates. Believed to be
 // slow, they get company, and each has still less to do.
 func TestIdleEnginesDontLookSlow(t *testing.T) {
-	w := newWorld(3, 0, 6)
+	w := newSimulation(3, 0, 6)
 	for i := range w.obs.Engines {
 		w.obs.Engines[i].Load.PrefillRate = testPrefill / 4
 	}
@@ -277,13 +277,13 @@
 	if r := w.states[""].Rates.Prefill; r < testPrefill {
 		t.Errorf("believes %.0f tokens/s", r)
 	}
-	if len(w.log) > 0 {
-		t.Errorf("changes %+v", w.log)
+	if len(w.changes) > 0 {
+		t.Errorf("changes %+v", w.changes)
 	}
 }
 
 func TestLearnsRates(t *testing.T) {
-	w := newWorld(3, 2, 4)
+	w := newSimulation(3, 2, 4)
 	for i := range w.obs.Engines {
 		l := &w.obs.Engines[i].Load
 		l.Running = 10 + 18*max(i-5, 0)
@@ -303,11 +303,11 @@
 // TestPlanIsPure holds Plan to giving the same answer again and to leaving its
 // arguments as they were.
 func TestPlanIsPure(t *testing.T) {
-	w := newWorld(3, 0, 6)
+	w := newSimulation(3, 0, 6)
 	w.run(60, 2.5, 4.0)
 	w.run(10, 5.5, 2.0)
 	prev := w.states[""]
-	kept := append([]EngineMemory(nil), prev.Engines...)
+	kept := append([]EngineState(nil), prev.Engines...)
 	for range 30 {
 		a, ca := Plan(w.now+time.Second, w.obs, w.doc, prev)
 		b, cb := Plan(w.now+time.Second, w.obs, w.doc, prev)
@@ -322,7 +322,7 @@
 
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range []int{12, 100, 710} {
-		w := newWorld(n/3, n/3, n-2*(n/3))
+		w := newSimulation(n/3, n/3, n-2*(n/3))
 		w.run(60, float64(n)/4, float64(n)/3)
 		prev := w.states[""]
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/process/planner/rates.go
+++ b/process/planner/rates.go
@@ -75,18 +75,18 @@
 		if !e.Live || e.Changing {
 			continue
 		}
-		r.learn(e)
+		r.update(e)
 	}
 	r.Base, r.PerStream = r.fit.line()
 	return r
 }
 
-func (r *Rates) learn(e *Engine) {
+func (r *Rates) update(e *Engine) {
 	l := &e.Load
 	if l.KVCapacity > 0 {
 		r.KVCapacity = float64(l.KVCapacity)
 	}
-	if r.pressed(e) {
+	if r.saturated(e) {
 		r.Prefill += rateWeight * (l.PrefillRate - r.Prefill)
 	}
 	pure := e.Role == port.RoleDecode && l.QueuedPrefill == 0
@@ -97,25 +97,25 @@
 	}
 }
 
-// pressed reports whether an engine's prefill rate shows what it can do.
+// saturated reports whether an engine's prefill rate shows what it can do.
 //
 // The failure it stops: an engine with little to do takes small steps and reports
 // a low rate. Taken for its capacity, that calls for more prefill engines,
 // which then have still less to do, until few are left to decode.
-func (r *Rates) pressed(e *Engine) bool {
-	waits := float64(e.Load.QueuedPrefill) > pressedSeconds*r.Prefill
+func (r *Rates) saturated(e *Engine) bool {
+	waits := float64(e.Load.QueuedPrefill) > saturatedQueueSeconds*r.Prefill
 	return e.Role == port.RolePrefill && e.Load.PrefillRate > 0 && waits
 }
 
-// pressedSeconds is the least work in the queue of a pressed engine.
-const pressedSeconds = 0.3
+// saturatedQueueSeconds is the least work in the queue of a pressed engine.
+const saturatedQueueSeconds = 0.3
 
-// busy is the share of a decode step that is left for streams and prompts
+// usableStepShare is the share of a decode step that is left for streams and prompts
 // when the step takes as long as the objective allows.
-func (r *Rates) busy() float64 { return max(1-r.Base/r.limit, 0.05) }
+func (r *Rates) usableStepShare() float64 { return max(1-r.Base/r.limit, 0.05) }
 
-// streams is how many streams one engine can run within the objective and its memory.
-func (r *Rates) streams(m Mix) float64 {
+// streamsPerEngine is how many streams one engine can run within the objective and its memory.
+func (r *Rates) streamsPerEngine(m Mix) float64 {
 	n := (r.limit - r.Base) / r.PerStream
 	if r.KVCapacity > 0 && m.Requests > 0 {
 		perStream := (m.Prefill + m.Decode) / m.Requests
@@ -124,8 +124,8 @@
 	return min(max(n, 1), maxStreams)
 }
 
-// decode is the output tokens/s of one engine that only decodes.
-func (r *Rates) decode(m Mix) float64 {
-	n := r.streams(m)
+// decodeRate is the output tokens/s of one engine that only decodes.
+func (r *Rates) decodeRate(m Mix) float64 {
+	n := r.streamsPerEngine(m)
 	return n / (r.Base + n*r.PerStream)
 }
--- a/process/planner/types.go
+++ b/process/planner/types.go
@@ -47,18 +47,18 @@
 // State is what Plan remembers. The zero value starts anew. It holds no
 // pointer into an Observation, and Plan never writes to a State it was given.
 type State struct {
-	Started time.Duration
-	Last    time.Duration
-	Changed time.Duration // when the last change was ordered
-	Demand  Demand
-	Rates   Rates
-	Away    time.Duration // measured time from an order to work in the new role
-	Engines []EngineMemory
-	begun   bool
+	Started     time.Duration
+	Last        time.Duration
+	Changed     time.Duration // when the last change was ordered
+	Demand      Demand
+	Rates       Rates
+	ChangeTime  time.Duration // measured time from an order to work in the new role
+	Engines     []EngineState
+	initialized bool
 }
 
-// EngineMemory is what is remembered of one engine.
-type EngineMemory struct {
+// EngineState is what is remembered of one engine.
+type EngineState struct {
 	Name        string
 	Incarnation string
 	Since       time.Duration
--- a/process/scale/plan.go
+++ b/process/scale/plan.go
@@ -29,9 +29,9 @@
 	return sum
 }
 
-// afterReclaim is the number of reclaimable targets that are left when the
+// spotAfterReclaim is the number of reclaimable targets that are left when the
 // availability zone with the most loses all of its own.
-func (c Counts) afterReclaim() int {
+func (c Counts) spotAfterReclaim() int {
 	most := 0
 	for _, one := range c {
 		most = max(most, one.Spot)
@@ -39,11 +39,11 @@
 	return c.total().Spot - most
 }
 
-// Best returns the cheapest targets of a service that leave its capacity when
+// Cheapest returns the cheapest targets of a service that leave its capacity when
 // any one availability zone loses its reclaimable targets. Where reclaimable
 // targets save nothing, all are on demand. Zones that are dry have no more
 // reclaimable targets at the moment; the others then get as many as fit.
-func Best(capacity int, zones []string, dry map[string]bool, s *route.Scaling) Counts {
+func Cheapest(capacity int, zones []string, dry map[string]bool, s *route.Scaling) Counts {
 	all := spread(capacity, zones, s.Max)
 	if s.SpotPrice <= 0 || len(zones) < 2 {
 		return all
@@ -55,12 +55,12 @@
 		for zone, one := range c {
 			one.Spot = min(perZone, s.Max-one.OnDemand)
 			if len(dry) > 0 && !dry[zone] {
-				one.Spot = min(replacing(perZone, len(zones), dry), s.Max-one.OnDemand)
+				one.Spot = min(spotPerRemainingZone(perZone, len(zones), dry), s.Max-one.OnDemand)
 			}
 			c[zone] = one
 		}
 		t := c.total()
-		if t.OnDemand+c.afterReclaim() < capacity {
+		if t.OnDemand+c.spotAfterReclaim() < capacity {
 			continue
 		}
 		if len(dry) == 0 && float64(t.OnDemand)+s.SpotPrice*float64(t.Spot) >= float64(capacity) {
@@ -71,10 +71,10 @@
 	return all
 }
 
-// replacing is the number of reclaimable targets in a zone that isn't dry, so
+// spotPerRemainingZone is the number of reclaimable targets in a zone that isn't dry, so
 // that these zones together have as many as all zones had, and one more zone's
 // may be lost.
-func replacing(perZone, zones int, dry map[string]bool) int {
+func spotPerRemainingZone(perZone, zones int, dry map[string]bool) int {
 	left := max(zones-len(dry), 1)
 	return perZone * (zones - 1) / max(left-1, 1)
 }
@@ -99,7 +99,7 @@
 func Next(present, best Counts, capacity int, s *route.Scaling) Counts {
 	out := make(Counts, len(best))
 	have := present.total()
-	least := max(best.total().OnDemand, capacity-present.afterReclaim())
+	least := max(best.total().OnDemand, capacity-present.spotAfterReclaim())
 	onDemand := have.OnDemand
 	switch {
 	case onDemand > least:
--- a/process/scale/plan_test.go
+++ b/process/scale/plan_test.go
@@ -9,11 +9,11 @@
 
 var zones = []string{"a", "b", "c"}
 
-func scaling() *route.Scaling {
+func newScaling() *route.Scaling {
 	return &route.Scaling{Min: 1, Max: 94, SpotPrice: 0.18, ZonePrice: map[string]float64{"a": 0.85, "b": 1.2, "c": 1}}
 }
 
-func TestBest(t *testing.T) {
+func TestCheapest(t *testing.T) {
 	for name, tc := range map[string]struct {
 		capacity int
 		zones    []string
@@ -31,16 +31,16 @@
 		"smallest":                {3, zones, nil, 3, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := scaling()
+			s := newScaling()
 			if tc.change != nil {
 				tc.change(s)
 			}
-			best := Best(tc.capacity, tc.zones, nil, s)
+			best := Cheapest(tc.capacity, tc.zones, nil, s)
 			got := best.total()
 			if got.OnDemand != tc.onDemand || got.Spot != tc.spot {
 				t.Errorf("%+v", best)
 			}
-			if left := got.OnDemand + best.afterReclaim(); left < tc.capacity {
+			if left := got.OnDemand + best.spotAfterReclaim(); left < tc.capacity {
 				t.Errorf("%d of %d are left after a reclaim", left, tc.capacity)
 			}
 			for zone, one := range best {
@@ -52,8 +52,8 @@
 	}
 }
 
-// evenly makes the same number of targets in each zone.
-func evenly(onDemand, spot int) Counts {
+// countsPerZone makes the same number of targets in each zone.
+func countsPerZone(onDemand, spot int) Counts {
 	out := make(Counts)
 	for _, zone := range zones {
 		out[zone] = Count{OnDemand: onDemand, Spot: spot}
@@ -64,9 +64,9 @@
 // Guards against a service that is short of targets on the way to cheaper ones.
 func TestNextKeepsTheCapacity(t *testing.T) {
 	const capacity = 141
-	s := scaling()
-	present := evenly(47, 0)
-	best := Best(capacity, zones, nil, s)
+	s := newScaling()
+	present := countsPerZone(47, 0)
+	best := Cheapest(capacity, zones, nil, s)
 	for round := range 10 {
 		want := Next(present, best, capacity, s)
 		// Those that leave are gone before any new one serves.
@@ -91,8 +91,8 @@
 
 func TestNextAfterAReclaim(t *testing.T) {
 	const capacity = 141
-	s := scaling()
-	best := Best(capacity, zones, nil, s)
+	s := newScaling()
+	best := Cheapest(capacity, zones, nil, s)
 	present := Next(best, best, capacity, s)
 	lose := func(zone string) {
 		one := present[zone]
@@ -103,7 +103,7 @@
 	if want := Next(present, best, capacity, s); want.total().OnDemand != best.total().OnDemand || want["a"].Spot != best["a"].Spot {
 		t.Errorf("one zone lost: %+v", want)
 	}
-	dry := Best(capacity, zones, map[string]bool{"a": true}, s)
+	dry := Cheapest(capacity, zones, map[string]bool{"a": true}, s)
 	if left := dry.total().OnDemand + dry["b"].Spot; left < 100 {
 		t.Errorf("one zone dry: %+v", dry)
 	}
--- a/process/scale/scaler.go
+++ b/process/scale/scaler.go
@@ -25,36 +25,36 @@
 )
 
 const (
-	// lookEvery is the time between two looks at the targets.
-	lookEvery = 250 * time.Millisecond
-	// takeover is how long a daemon leads before its first order: its list of
+	// scaleInterval is the time between two looks at the targets.
+	scaleInterval = 250 * time.Millisecond
+	// takeoverDelay is how long a daemon leads before its first order: its list of
 	// targets may be from before a cut.
-	takeover = 1500 * time.Millisecond
-	// settled is how long no target may have appeared before a service's capacity
+	takeoverDelay = 1500 * time.Millisecond
+	// settleTime is how long no target may have appeared before a service's capacity
 	// is taken from its targets: the list of a fleet that starts fills up.
-	settled = 1200 * time.Millisecond
-	// steadyFor is how long an on-demand difference must last before it is
+	settleTime = 1200 * time.Millisecond
+	// onDemandDelay is how long an on-demand difference must last before it is
 	// ordered: targets are replaced, and start again, all the time.
-	steadyFor = 2 * time.Second
-	// surplusFor is the same for reclaimable targets that are too many. They cost
+	onDemandDelay = 2 * time.Second
+	// spotSurplusDelay is the same for reclaimable targets that are too many. They cost
 	// little, and take their prefix caches with them.
-	surplusFor = 20 * time.Second
-	// transition is the share of the on-demand targets below which a lower number
+	spotSurplusDelay = 20 * time.Second
+	// fluctuationShare is the share of the on-demand targets below which a lower number
 	// is no fluctuation.
-	transition = 0.8
-	// orderEvery is the least time between two orders of a kind.
-	orderEvery = time.Second
+	fluctuationShare = 0.8
+	// minOrderInterval is the least time between two orders of a kind.
+	minOrderInterval = time.Second
 	// bootMargin is added to the time that targets take to start before the same
 	// number is ordered again.
 	bootMargin = 3 * time.Second
-	// refusedFor is the pause after an order that was refused.
-	refusedFor = 2 * time.Second
+	// refusalBackoff is the pause after an order that was refused.
+	refusalBackoff = 2 * time.Second
 	// callTimeout bounds one order.
 	callTimeout = time.Second
 )
 
-// subject is what a claim to order is for.
-const subject = "/scale"
+// claimSubject is what a claim to order is for.
+const claimSubject = "/scale"
 
 var stats = expvar.NewMap("scale")
 
@@ -79,28 +79,28 @@
 	tomb tomb.Tomb
 
 	// of the scaler's goroutine
-	leads    time.Duration // since when; below 0: it doesn't
-	capacity map[string]int
-	kinds    map[kind]*state
+	leadingSince time.Duration // since when; below 0: it doesn't
+	capacity     map[string]int
+	orders       map[orderKey]*orderState
 }
 
-// kind is the targets that one number is ordered of.
-type kind struct {
+// orderKey is the targets that one number is ordered of.
+type orderKey struct {
 	service, zone string
 	spot          bool
 }
 
-// state is what was ordered of a kind.
-type state struct {
-	differs time.Duration // since when present and wanted differ; below 0: they don't
-	ordered int           // last; below 0: nothing
-	next    time.Duration // no order before
-	again   time.Duration // no order of the same number before
+// orderState is what was ordered of a kind.
+type orderState struct {
+	differsSince    time.Duration // since when present and wanted differ; below 0: they don't
+	lastOrdered     int           // last; below 0: nothing
+	notBefore       time.Duration // no order before
+	repeatNotBefore time.Duration // no order of the same number before
 }
 
 // New returns a Scaler that doesn't run yet.
 func New(o Options) *Scaler {
-	return &Scaler{o: o, leads: -1, capacity: make(map[string]int), kinds: make(map[kind]*state)}
+	return &Scaler{o: o, leadingSince: -1, capacity: make(map[string]int), orders: make(map[orderKey]*orderState)}
 }
 
 // Start begins to order.
@@ -114,7 +114,7 @@
 
 func (s *Scaler) loop() error {
 	ctx := s.tomb.Context(context.Background())
-	tick := time.NewTicker(lookEvery)
+	tick := time.NewTicker(scaleInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -122,31 +122,31 @@
 			return nil
 		case <-tick.C:
 		}
-		if cfg := s.o.Config.Load(); cfg != nil && s.mayAct() {
+		if cfg := s.o.Config.Load(); cfg != nil && s.mayOrder() {
 			for _, svc := range cfg.Services {
-				s.look(ctx, svc)
+				s.scaleService(ctx, svc)
 			}
 		}
 	}
 }
 
-// mayAct reports whether this daemon has led for long enough.
-func (s *Scaler) mayAct() bool {
+// mayOrder reports whether this daemon has led for long enough.
+func (s *Scaler) mayOrder() bool {
 	if !s.o.Roster.MayLead() {
-		s.leads = -1
+		s.leadingSince = -1
 		clear(s.capacity)
-		clear(s.kinds)
+		clear(s.orders)
 		return false
 	}
-	if s.leads < 0 {
-		s.leads = s.o.Clock.Now()
+	if s.leadingSince < 0 {
+		s.leadingSince = s.o.Clock.Now()
 	}
-	return s.o.Clock.Now()-s.leads >= takeover
+	return s.o.Clock.Now()-s.leadingSince >= takeoverDelay
 }
 
-// look orders what a service lacks or has too much of. Until its capacity is
+// scaleService orders what a service lacks or has too much of. Until its capacity is
 // known, reclaimable targets are ordered for those that have been seen.
-func (s *Scaler) look(ctx context.Context, svc *route.Service) {
+func (s *Scaler) scaleService(ctx context.Context, svc *route.Service) {
 	snap := s.o.Targets.Snapshot()
 	if svc.Scaling == nil || !snap.Whole {
 		return
@@ -157,19 +157,19 @@
 		log.WithError(err).WithField("service", svc.Name).Warn("scale: capacity not known")
 		return
 	}
-	zones := zonesOf(present, svc.Scaling)
+	zones := allowedZones(present, svc.Scaling)
 	if capacity == 0 {
 		seen := present.total().OnDemand
-		s.orderSpot(ctx, svc, zones, present, Next(present, Best(seen, zones, nil, svc.Scaling), seen, svc.Scaling))
+		s.orderSpot(ctx, svc, zones, present, Next(present, Cheapest(seen, zones, nil, svc.Scaling), seen, svc.Scaling))
 		return
 	}
-	want := Next(present, Best(capacity, zones, nil, svc.Scaling), capacity, svc.Scaling)
+	want := Next(present, Cheapest(capacity, zones, nil, svc.Scaling), capacity, svc.Scaling)
 	if dry := s.orderSpot(ctx, svc, zones, present, want); len(dry) > 0 {
-		want = Next(present, Best(capacity, zones, dry, svc.Scaling), capacity, svc.Scaling)
+		want = Next(present, Cheapest(capacity, zones, dry, svc.Scaling), capacity, svc.Scaling)
 		s.orderSpot(ctx, svc, zones, present, want)
 	}
 	for _, zone := range zones {
-		s.want(ctx, svc, kind{svc.Name, zone, false}, present[zone].OnDemand, want[zone].OnDemand)
+		s.reconcile(ctx, svc, orderKey{svc.Name, zone, false}, present[zone].OnDemand, want[zone].OnDemand)
 	}
 }
 
@@ -177,7 +177,7 @@
 func (s *Scaler) orderSpot(ctx context.Context, svc *route.Service, zones []string, present, want Counts) map[string]bool {
 	dry := make(map[string]bool)
 	for _, zone := range zones {
-		if s.want(ctx, svc, kind{svc.Name, zone, true}, present[zone].Spot, want[zone].Spot) {
+		if s.reconcile(ctx, svc, orderKey{svc.Name, zone, true}, present[zone].Spot, want[zone].Spot) {
 			dry[zone] = true
 		}
 	}
@@ -202,8 +202,8 @@
 	return out
 }
 
-// zonesOf returns the availability zones in which the service may run.
-func zonesOf(present Counts, s *route.Scaling) []string {
+// allowedZones returns the availability zones in which the service may run.
+func allowedZones(present Counts, s *route.Scaling) []string {
 	var out []string
 	for zone := range s.ZonePrice {
 		out = append(out, zone)
@@ -244,7 +244,7 @@
 		return rec.Capacity, nil
 	}
 	t := present.total()
-	if newest < settled || t.OnDemand+t.Spot == 0 {
+	if newest < settleTime || t.OnDemand+t.Spot == 0 {
 		return 0, nil
 	}
 	value, err := json.Marshal(capacityRecord{Capacity: t.OnDemand + t.Spot})
@@ -259,34 +259,34 @@
 	return s.capacity[service], nil
 }
 
-// want orders a number of targets if it differs from what is present for long
+// reconcile orders a number of targets if it differs from what is present for long
 // enough. It reports whether the order was refused.
-func (s *Scaler) want(ctx context.Context, svc *route.Service, k kind, present, wanted int) bool {
-	st := s.kinds[k]
+func (s *Scaler) reconcile(ctx context.Context, svc *route.Service, k orderKey, present, wanted int) bool {
+	st := s.orders[k]
 	if st == nil {
-		st = &state{differs: -1, ordered: -1}
-		s.kinds[k] = st
+		st = &orderState{differsSince: -1, lastOrdered: -1}
+		s.orders[k] = st
 	}
 	now := s.o.Clock.Now()
 	if present == wanted {
-		st.differs = -1
+		st.differsSince = -1
 		return false
 	}
-	if st.differs < 0 {
-		st.differs = now
+	if st.differsSince < 0 {
+		st.differsSince = now
 	}
-	if now-st.differs < st.patience(k, present, wanted) || now < st.next || now < st.again && wanted == st.ordered {
+	if now-st.differsSince < st.requiredDelay(k, present, wanted) || now < st.notBefore || now < st.repeatNotBefore && wanted == st.lastOrdered {
 		return false
 	}
-	err := s.order(ctx, k, wanted)
+	err := s.sendOrder(ctx, k, wanted)
 	if errors.Is(err, claim.ErrHeld) || errors.Is(err, port.ErrConflict) {
 		return false
 	}
-	st.ordered, st.next, st.again = wanted, now+orderEvery, now+svc.Scaling.Boot+bootMargin
+	st.lastOrdered, st.notBefore, st.repeatNotBefore = wanted, now+minOrderInterval, now+svc.Scaling.Boot+bootMargin
 	fields := log.Fields{"service": k.service, "zone": k.zone, "spot": k.spot, "present": present, "wanted": wanted}
 	if err != nil {
 		stats.Add("failed", 1)
-		st.again = now + refusedFor
+		st.repeatNotBefore = now + refusalBackoff
 		log.WithError(err).WithFields(fields).Warn("scale: not ordered")
 		return errors.Is(err, port.ErrRefused)
 	}
@@ -295,21 +295,21 @@
 	return false
 }
 
-// patience is how long a difference must last before it is ordered.
-func (st *state) patience(k kind, present, wanted int) time.Duration {
+// requiredDelay is how long a difference must last before it is ordered.
+func (st *orderState) requiredDelay(k orderKey, present, wanted int) time.Duration {
 	switch {
 	case k.spot && wanted > present:
 		return 0
 	case k.spot:
-		return surplusFor
-	case st.ordered < 0, float64(wanted) < transition*float64(present):
+		return spotSurplusDelay
+	case st.lastOrdered < 0, float64(wanted) < fluctuationShare*float64(present):
 		return 0
 	}
-	return steadyFor
+	return onDemandDelay
 }
 
-func (s *Scaler) order(ctx context.Context, k kind, wanted int) error {
-	held, err := s.o.Claims.Get(ctx, subject)
+func (s *Scaler) sendOrder(ctx context.Context, k orderKey, wanted int) error {
+	held, err := s.o.Claims.Get(ctx, claimSubject)
 	if err != nil {
 		return err
 	}
@@ -320,7 +320,7 @@
 	})
 	if errors.Is(err, port.ErrRefused) {
 		// It may be for a newer holder's fencing number.
-		s.o.Claims.Drop(subject)
+		s.o.Claims.Drop(claimSubject)
 	}
 	return err
 }
--- a/process/scale/scaler_test.go
+++ b/process/scale/scaler_test.go
@@ -34,24 +34,24 @@
 	drain = 3 * time.Second
 )
 
-// cloud is a platform that starts and stops the targets of a service, and the
+// fakePlatform is a platform that starts and stops the targets of a service, and the
 // store that lists them.
-type cloud struct {
+type fakePlatform struct {
 	storetest.Store
-	mu       sync.Mutex
-	registry *discovery.Registry
-	targets  map[string]port.TargetEntry
-	next     int
-	fence    int64
-	stale    int // orders with an old fencing number
-	calls    int
-	dry      map[string]bool // availability zones without reclaimable targets
-	fail     error
-	least    int // fewest targets that served at a time, once there were some
+	mu          sync.Mutex
+	registry    *discovery.Registry
+	targets     map[string]port.TargetEntry
+	nextID      int
+	fence       int64
+	staleOrders int // orders with an old fencing number
+	calls       int
+	exhausted   map[string]bool // availability zones without reclaimable targets
+	err         error
+	minServing  int // fewest targets that served at a time, once there were some
 }
 
-func newCloud() *cloud {
-	c := &cloud{targets: make(map[string]port.TargetEntry), dry: make(map[string]bool), least: 1 << 30}
+func newFakePlatform() *fakePlatform {
+	c := &fakePlatform{targets: make(map[string]port.TargetEntry), exhausted: make(map[string]bool), minServing: 1 << 30}
 	c.registry = discovery.New(discovery.Options{Decode: decodeEntry})
 	return c
 }
@@ -66,15 +66,15 @@
 }
 
 // add starts targets at once.
-func (c *cloud) add(zone string, spot bool, n int) {
+func (c *fakePlatform) add(zone string, spot bool, n int) {
 	for range n {
-		id := fmt.Sprintf("e%03d", c.next)
-		c.next++
+		id := fmt.Sprintf("e%03d", c.nextID)
+		c.nextID++
 		c.set(port.TargetEntry{ID: id, Service: "llm", Addr: "10.0.0.1:1", Zone: zone, Slots: 64, Spot: spot})
 	}
 }
 
-func (c *cloud) set(e port.TargetEntry) {
+func (c *fakePlatform) set(e port.TargetEntry) {
 	c.targets[e.ID] = e
 	value, err := json.Marshal(e)
 	if err != nil {
@@ -83,13 +83,13 @@
 	c.registry.Apply([]port.KeyedRecord{{Key: e.ID, Value: value}})
 }
 
-func (c *cloud) remove(id string) {
+func (c *fakePlatform) remove(id string) {
 	delete(c.targets, id)
 	c.registry.Apply([]port.KeyedRecord{{Key: id}})
 }
 
-// of returns the ids of a kind that stay, in order.
-func (c *cloud) of(zone string, spot bool) []string {
+// staying returns the ids of a kind that stay, in order.
+func (c *fakePlatform) staying(zone string, spot bool) []string {
 	var out []string
 	for _, id := range slices.Sorted(maps.Keys(c.targets)) {
 		if e := c.targets[id]; e.Zone == zone && e.Spot == spot && !e.Leaving {
@@ -99,7 +99,7 @@
 	return out
 }
 
-func (c *cloud) count() Counts {
+func (c *fakePlatform) count() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var entries []*port.TargetEntry
@@ -109,32 +109,32 @@
 	return count(entries)
 }
 
-func (c *cloud) ReportUsage(context.Context, port.DutyCall, int64, map[string]uint32) error {
+func (c *fakePlatform) ReportUsage(context.Context, port.DutyCall, int64, map[string]uint32) error {
 	return errors.New("not used")
 }
 
 // Scale implements port.Duties. Targets start after boot and leave after drain.
-func (c *cloud) Scale(_ context.Context, call port.DutyCall, o port.ScaleOrder) error {
+func (c *fakePlatform) Scale(_ context.Context, call port.DutyCall, o port.ScaleOrder) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls++
-	if c.fail != nil {
-		return c.fail
+	if c.err != nil {
+		return c.err
 	}
 	if call.Fence < c.fence {
-		c.stale++
+		c.staleOrders++
 		return port.ErrRefused
 	}
 	c.fence = call.Fence
-	if o.Spot && c.dry[o.Zone] {
+	if o.Spot && c.exhausted[o.Zone] {
 		return port.ErrRefused
 	}
-	have := c.of(o.Zone, o.Spot)
+	have := c.staying(o.Zone, o.Spot)
 	if n := o.Desired - len(have); n > 0 {
 		time.AfterFunc(boot, func() {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			c.add(o.Zone, o.Spot, min(n, o.Desired-len(c.of(o.Zone, o.Spot))))
+			c.add(o.Zone, o.Spot, min(n, o.Desired-len(c.staying(o.Zone, o.Spot))))
 		})
 	}
 	for len(have) > o.Desired {
@@ -149,48 +149,48 @@
 			c.remove(id)
 		})
 	}
-	c.least = min(c.least, len(c.of("a", true))+len(c.of("b", true))+len(c.of("c", true))+len(c.of("a", false))+len(c.of("b", false))+len(c.of("c", false)))
+	c.minServing = min(c.minServing, len(c.staying("a", true))+len(c.staying("b", true))+len(c.staying("c", true))+len(c.staying("a", false))+len(c.staying("b", false))+len(c.staying("c", false)))
 	return nil
 }
 
 // reclaim takes all reclaimable targets of a zone.
-func (c *cloud) reclaim(zone string, dry bool) {
+func (c *fakePlatform) reclaim(zone string, dry bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.dry[zone] = dry
-	for _, id := range c.of(zone, true) {
+	c.exhausted[zone] = dry
+	for _, id := range c.staying(zone, true) {
 		c.remove(id)
 	}
 }
 
-// leader leads or not.
-type leader struct {
+// fakeRoster leads or not.
+type fakeRoster struct {
 	mu sync.Mutex
 	on bool
 }
 
-func (l *leader) MayLead() bool {
+func (l *fakeRoster) MayLead() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.on
 }
 
-func (l *leader) set(on bool) {
+func (l *fakeRoster) set(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.on = on
 }
 
-// scaler starts a daemon's Scaler.
-func (c *cloud) scaler(t *testing.T, name string, steady clock.Clock, on bool) *leader {
+// startScaler starts a daemon's Scaler.
+func (c *fakePlatform) startScaler(t *testing.T, name string, steady clock.Clock, on bool) *fakeRoster {
 	holder := inforce.New(func(port.KeyedRecord) (*route.Config, bool, error) {
-		sc := scaling()
+		sc := newScaling()
 		sc.Boot = boot
 		services := []*route.Service{{Name: "llm", Engine: &route.Engine{Slots: 64}, Scaling: sc}, {Name: "app"}}
 		return route.New(1, nil, services, route.Limits{}, nil), true, nil
 	})
 	holder.Apply([]port.KeyedRecord{{}})
-	l := &leader{on: on}
+	l := &fakeRoster{on: on}
 	s := New(Options{
 		Self: name, Clock: steady, Roster: l, Store: c, Duties: c, Targets: c.registry, Config: holder,
 		Claims: claim.New(claim.Options{Self: name, Store: c, Lease: lease, Clock: steady, Seen: claim.NewSightings(steady)}),
@@ -200,9 +200,9 @@
 	return l
 }
 
-func withCloud(t *testing.T, test func(t *testing.T, c *cloud, steady clock.Clock)) {
+func withPlatform(t *testing.T, test func(t *testing.T, c *fakePlatform, steady clock.Clock)) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCloud()
+		c := newFakePlatform()
 		c.registry.Reset(nil, 0)
 		for _, zone := range zones {
 			c.add(zone, false, 47)
@@ -212,14 +212,14 @@
 }
 
 func TestFleetBecomesReclaimable(t *testing.T) {
-	withCloud(t, func(t *testing.T, c *cloud, steady clock.Clock) {
-		c.scaler(t, "vm-1", steady, true)
+	withPlatform(t, func(t *testing.T, c *fakePlatform, steady clock.Clock) {
+		c.startScaler(t, "vm-1", steady, true)
 		time.Sleep(time.Minute)
-		if got, want := c.count(), Best(141, zones, nil, scaling()); fmt.Sprint(got) != fmt.Sprint(want) {
+		if got, want := c.count(), Cheapest(141, zones, nil, newScaling()); fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Errorf("%+v, want %+v", got, want)
 		}
-		if c.least < 141 {
-			t.Errorf("%d targets of 141 on the way", c.least)
+		if c.minServing < 141 {
+			t.Errorf("%d targets of 141 on the way", c.minServing)
 		}
 		calls := c.calls
 		time.Sleep(time.Minute)
@@ -231,9 +231,9 @@
 
 // Guards against a zone that stays empty after its reclaimable targets were
 // taken, and against a storm of orders while none are to be had.
-func TestZoneIsReclaimed(t *testing.T) {
-	withCloud(t, func(t *testing.T, c *cloud, steady clock.Clock) {
-		c.scaler(t, "vm-1", steady, true)
+func TestReclaimOfAZone(t *testing.T) {
+	withPlatform(t, func(t *testing.T, c *fakePlatform, steady clock.Clock) {
+		c.startScaler(t, "vm-1", steady, true)
 		time.Sleep(time.Minute)
 		calls := c.calls
 		c.reclaim("b", true)
@@ -242,10 +242,10 @@
 			t.Errorf("%d orders in 20 s", n)
 		}
 		c.mu.Lock()
-		c.dry["b"] = false
+		c.exhausted["b"] = false
 		c.mu.Unlock()
-		time.Sleep(surplusFor + 20*time.Second)
-		if got, want := c.count(), Best(141, zones, nil, scaling()); fmt.Sprint(got) != fmt.Sprint(want) {
+		time.Sleep(spotSurplusDelay + 20*time.Second)
+		if got, want := c.count(), Cheapest(141, zones, nil, newScaling()); fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Errorf("%+v, want %+v", got, want)
 		}
 	})
@@ -254,28 +254,28 @@
 // Guards against two daemons that order in turn, and against a new leader that
 // takes what is present during a reclaim for the service's capacity.
 func TestLeaderChangesDuringAReclaim(t *testing.T) {
-	withCloud(t, func(t *testing.T, c *cloud, steady clock.Clock) {
-		first := c.scaler(t, "vm-1", steady, true)
-		second := c.scaler(t, "vm-2", steady, false)
+	withPlatform(t, func(t *testing.T, c *fakePlatform, steady clock.Clock) {
+		first := c.startScaler(t, "vm-1", steady, true)
+		second := c.startScaler(t, "vm-2", steady, false)
 		time.Sleep(time.Minute)
 		first.set(false)
 		c.reclaim("a", false)
 		second.set(true)
 		time.Sleep(40 * time.Second)
-		if got, want := c.count(), Best(141, zones, nil, scaling()); fmt.Sprint(got) != fmt.Sprint(want) {
+		if got, want := c.count(), Cheapest(141, zones, nil, newScaling()); fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Errorf("%+v, want %+v", got, want)
 		}
-		if c.stale > 0 {
-			t.Errorf("%d orders with an old fencing number", c.stale)
+		if c.staleOrders > 0 {
+			t.Errorf("%d orders with an old fencing number", c.staleOrders)
 		}
 	})
 }
 
 // Guards against a new leader that takes away what stands in for a dry zone.
-func TestNewLeaderKeepsStandIns(t *testing.T) {
-	withCloud(t, func(t *testing.T, c *cloud, steady clock.Clock) {
-		first := c.scaler(t, "vm-1", steady, true)
-		second := c.scaler(t, "vm-2", steady, false)
+func TestNewLeaderKeepsReplacements(t *testing.T) {
+	withPlatform(t, func(t *testing.T, c *fakePlatform, steady clock.Clock) {
+		first := c.startScaler(t, "vm-1", steady, true)
+		second := c.startScaler(t, "vm-2", steady, false)
 		time.Sleep(time.Minute)
 		c.reclaim("a", true)
 		time.Sleep(2 * boot)
@@ -291,20 +291,20 @@
 
 // Guards against stand-ins that are ordered when the dry zone has targets again:
 // the zone with the most is the worst one to lose next.
-func TestZoneThatIsNoLongerDry(t *testing.T) {
-	withCloud(t, func(t *testing.T, c *cloud, steady clock.Clock) {
-		c.scaler(t, "vm-1", steady, true)
+func TestZoneIsNoLongerExhausted(t *testing.T) {
+	withPlatform(t, func(t *testing.T, c *fakePlatform, steady clock.Clock) {
+		c.startScaler(t, "vm-1", steady, true)
 		time.Sleep(time.Minute)
 		for _, zone := range zones {
-			c.dry[zone] = true
+			c.exhausted[zone] = true
 		}
 		c.reclaim("a", true)
 		time.Sleep(3 * time.Second)
 		c.mu.Lock()
-		clear(c.dry)
+		clear(c.exhausted)
 		c.mu.Unlock()
-		time.Sleep(2*refusedFor + boot)
-		best := Best(141, zones, nil, scaling())
+		time.Sleep(2*refusalBackoff + boot)
+		best := Cheapest(141, zones, nil, newScaling())
 		for zone, one := range c.count() {
 			if one.Spot > best[zone].Spot {
 				t.Errorf("zone %s: %+v, want %+v", zone, one, best[zone])
@@ -313,19 +313,19 @@
 	})
 }
 
-func TestOutageOfThePlatform(t *testing.T) {
-	withCloud(t, func(t *testing.T, c *cloud, steady clock.Clock) {
-		c.fail = port.ErrUnavailable
-		c.scaler(t, "vm-1", steady, true)
+func TestPlatformOutage(t *testing.T) {
+	withPlatform(t, func(t *testing.T, c *fakePlatform, steady clock.Clock) {
+		c.err = port.ErrUnavailable
+		c.startScaler(t, "vm-1", steady, true)
 		time.Sleep(20 * time.Second)
 		if c.calls == 0 || c.calls > 60 {
 			t.Errorf("%d calls in 20 s", c.calls)
 		}
 		c.mu.Lock()
-		c.fail = nil
+		c.err = nil
 		c.mu.Unlock()
 		time.Sleep(time.Minute)
-		if got, want := c.count(), Best(141, zones, nil, scaling()); fmt.Sprint(got) != fmt.Sprint(want) {
+		if got, want := c.count(), Cheapest(141, zones, nil, newScaling()); fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Errorf("%+v, want %+v", got, want)
 		}
 	})
