--- a/connection/demand/demand.go
+++ b/connection/demand/demand.go
@@ -22,45 +22,45 @@
 
 // Load is what is asked of a service's engines.
 type Load struct {
-	Reading float64 // engines that would be busy reading all the time
+	Prefill float64 // engines that would be busy reading all the time
 	Streams float64 // streams that would run at a time, were all served
 	Urgent  float64 // of these, streams of the most urgent priority asked for
-	// Weighty is Reading with each prompt weighed by its share of its objective:
+	// WeightedPrefill is Prefill with each prompt weighed by its share of its objective:
 	// what waiting costs.
-	Weighty float64
-	Moving  float64 // engines whose links would move KV cache all the time
+	WeightedPrefill float64
+	Transfer        float64 // engines whose links would move KV cache all the time
 }
 
 func (l Load) add(o Load) Load {
 	return Load{
-		Reading: l.Reading + o.Reading, Streams: l.Streams + o.Streams, Urgent: l.Urgent + o.Urgent,
-		Weighty: l.Weighty + o.Weighty, Moving: l.Moving + o.Moving,
+		Prefill: l.Prefill + o.Prefill, Streams: l.Streams + o.Streams, Urgent: l.Urgent + o.Urgent,
+		WeightedPrefill: l.WeightedPrefill + o.WeightedPrefill, Transfer: l.Transfer + o.Transfer,
 	}
 }
 
 // Update is what one daemon sends the others of one service.
 type Update struct {
-	_       struct{} `cbor:",toarray"`
-	Service uint64   // hash of its name
-	Reading float32  `cbor:"Reading"`
-	Streams float32
-	Urgent  float32
-	Weighty float32 `cbor:"Weighty"`
-	Moving  float32 `cbor:"Moving"`
-}
-
-// Offer is one request, as it is estimated at its arrival.
-type Offer struct {
-	Reading time.Duration // of an engine's prefill
-	Lasts   time.Duration // that its stream will run
-	Moving  time.Duration // that its KV cache takes to the engine that decodes
+	_               struct{} `cbor:",toarray"`
+	Service         uint64   // hash of its name
+	Prefill         float32  `cbor:"Reading"`
+	Streams         float32
+	Urgent          float32
+	WeightedPrefill float32 `cbor:"Weighty"`
+	Transfer        float32 `cbor:"Moving"`
+}
+
+// Request is one request, as it is estimated at its arrival.
+type Request struct {
+	Prefill        time.Duration // of an engine's prefill
+	StreamDuration time.Duration // that its stream will run
+	Transfer       time.Duration // that its KV cache takes to the engine that decodes
 	// Objective is the time in which the caller wants the first event, 0: none.
 	Objective time.Duration
 	Priority  int // of its route, 0 is the most urgent
 }
 
-// Book is safe for concurrent use.
-type Book struct {
+// Tracker is safe for concurrent use.
+type Tracker struct {
 	now func() time.Time
 
 	mu     sync.Mutex
@@ -74,13 +74,13 @@
 	updates []Update
 }
 
-// New returns an empty Book.
-func New(now func() time.Time) *Book {
-	return &Book{now: now, local: make(map[uint64]*ring), peers: make(map[string]peer), oldest: now()}
+// New returns an empty Tracker.
+func New(now func() time.Time) *Tracker {
+	return &Tracker{now: now, local: make(map[uint64]*ring), peers: make(map[string]peer), oldest: now()}
 }
 
-// Note takes one request in.
-func (b *Book) Note(service string, o Offer) {
+// Observe takes one request in.
+func (b *Tracker) Observe(service string, o Request) {
 	now := b.now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -93,7 +93,7 @@
 }
 
 // MostUrgent reports whether no request of the service was more urgent so far.
-func (b *Book) MostUrgent(service string, priority int) bool {
+func (b *Tracker) MostUrgent(service string, priority int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.local[engines.Hash(service)]
@@ -101,7 +101,7 @@
 }
 
 // Total is what all daemons together are asked.
-func (b *Book) Total(service string) Load {
+func (b *Tracker) Total(service string) Load {
 	now, k := b.now(), engines.Hash(service)
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -122,24 +122,24 @@
 
 func (w Update) load() Load {
 	return Load{
-		Reading: float64(w.Reading), Streams: float64(w.Streams), Urgent: float64(w.Urgent),
-		Weighty: float64(w.Weighty), Moving: float64(w.Moving),
+		Prefill: float64(w.Prefill), Streams: float64(w.Streams), Urgent: float64(w.Urgent),
+		WeightedPrefill: float64(w.WeightedPrefill), Transfer: float64(w.Transfer),
 	}
 }
 
 func newUpdate(service uint64, l Load) Update {
 	return Update{
-		Service: service, Reading: float32(l.Reading), Streams: float32(l.Streams), Urgent: float32(l.Urgent),
-		Weighty: float32(l.Weighty), Moving: float32(l.Moving),
+		Service: service, Prefill: float32(l.Prefill), Streams: float32(l.Streams), Urgent: float32(l.Urgent),
+		WeightedPrefill: float32(l.WeightedPrefill), Transfer: float32(l.Transfer),
 	}
 }
 
 // Report returns what this process is asked.
-func (b *Book) Report() []Update { return b.SumOf(func(string) bool { return false }) }
+func (b *Tracker) Report() []Update { return b.SumOf(func(string) bool { return false }) }
 
 // SumOf is the sum of what this process is asked and of the updates whose names
 // it is given.
-func (b *Book) SumOf(names func(name string) bool) []Update {
+func (b *Tracker) SumOf(names func(name string) bool) []Update {
 	now := b.now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -165,15 +165,15 @@
 	return out
 }
 
-// Less is what is left of a sum without a part of it, which may have been sent
+// Subtract is what is left of a sum without a part of it, which may have been sent
 // a little earlier.
-func Less(sum, part []Update) []Update {
+func Subtract(sum, part []Update) []Update {
 	out := make([]Update, 0, len(sum))
 	for _, w := range sum {
 		for _, p := range part {
 			if p.Service == w.Service {
-				w.Reading, w.Streams, w.Urgent = max(w.Reading-p.Reading, 0), max(w.Streams-p.Streams, 0), max(w.Urgent-p.Urgent, 0)
-				w.Weighty, w.Moving = max(w.Weighty-p.Weighty, 0), max(w.Moving-p.Moving, 0)
+				w.Prefill, w.Streams, w.Urgent = max(w.Prefill-p.Prefill, 0), max(w.Streams-p.Streams, 0), max(w.Urgent-p.Urgent, 0)
+				w.WeightedPrefill, w.Transfer = max(w.WeightedPrefill-p.WeightedPrefill, 0), max(w.Transfer-p.Transfer, 0)
 			}
 		}
 		out = append(out, w)
@@ -183,7 +183,7 @@
 
 // Merge takes the update of another daemon, or of several in sum, in place of
 // the last one under that name.
-func (b *Book) Merge(from string, updates []Update) {
+func (b *Tracker) Merge(from string, updates []Update) {
 	now := b.now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -192,7 +192,7 @@
 }
 
 // Forget takes out what all other daemons said.
-func (b *Book) Forget() {
+func (b *Tracker) Forget() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	clear(b.peers)
@@ -200,7 +200,7 @@
 
 // expire takes out the updates of unresponsive daemons.
 // Callers hold b.mu.
-func (b *Book) expire(now time.Time) {
+func (b *Tracker) expire(now time.Time) {
 	if now.Sub(b.oldest) <= peerTimeout {
 		return
 	}
--- a/connection/demand/demand_test.go
+++ b/connection/demand/demand_test.go
@@ -21,12 +21,12 @@
 	c := newClock()
 	b := New(c.now)
 	for range 500 {
-		b.Note("llm", Offer{Reading: 30 * time.Millisecond, Lasts: 2 * time.Second, Priority: 1})
-		b.Note("llm", Offer{Lasts: 400 * time.Millisecond, Priority: 2})
+		b.Observe("llm", Request{Prefill: 30 * time.Millisecond, StreamDuration: 2 * time.Second, Priority: 1})
+		b.Observe("llm", Request{StreamDuration: 400 * time.Millisecond, Priority: 2})
 		c.advance(10 * time.Millisecond)
 	}
 	l := b.Total("llm")
-	if !near(l.Reading, 3, 0.1) || !near(l.Streams, 240, 6) || !near(l.Urgent, 200, 5) {
+	if !near(l.Prefill, 3, 0.1) || !near(l.Streams, 240, 6) || !near(l.Urgent, 200, 5) {
 		t.Errorf("%+v", l)
 	}
 	c.advance(time.Minute)
@@ -42,8 +42,8 @@
 func TestDaemonsAreSummed(t *testing.T) {
 	c := newClock()
 	a, b := New(c.now), New(c.now)
-	a.Note("llm", Offer{Lasts: 10 * time.Second})
-	b.Note("llm", Offer{Lasts: 10 * time.Second})
+	a.Observe("llm", Request{StreamDuration: 10 * time.Second})
+	b.Observe("llm", Request{StreamDuration: 10 * time.Second})
 	c.advance(window - bucketDuration/2)
 	one := b.Total("llm").Streams
 	b.Merge("a", a.Report())
@@ -53,7 +53,7 @@
 	if l := b.Total("other"); l != (Load{}) {
 		t.Errorf("another service %+v", l)
 	}
-	b.Note("llm", Offer{Lasts: 10 * time.Second})
+	b.Observe("llm", Request{StreamDuration: 10 * time.Second})
 	c.advance(peerTimeout + bucketDuration)
 	if l := b.Total("llm"); !near(l.Streams, one, 0.2) {
 		t.Errorf("after its silence %+v, one alone %v", l, one)
@@ -64,10 +64,10 @@
 func TestClockSetBack(t *testing.T) {
 	c := newClock()
 	b := New(c.now)
-	b.Note("llm", Offer{Reading: time.Second, Lasts: 10 * time.Second})
+	b.Observe("llm", Request{Prefill: time.Second, StreamDuration: 10 * time.Second})
 	c.advance(-5 * time.Second)
-	b.Note("llm", Offer{Lasts: time.Second})
-	if l := b.Total("llm"); l.Streams == 0 || l.Reading != 0 {
+	b.Observe("llm", Request{StreamDuration: time.Second})
+	if l := b.Total("llm"); l.Streams == 0 || l.Prefill != 0 {
 		t.Errorf("%+v", l)
 	}
 }
--- a/connection/demand/ring.go
+++ b/connection/demand/ring.go
@@ -31,14 +31,14 @@
 
 func bucketNumber(now time.Time) int64 { return now.UnixNano() / int64(bucketDuration) }
 
-func (r *ring) add(now time.Time, o Offer) {
+func (r *ring) add(now time.Time, o Request) {
 	r.advance(now)
 	s := &r.buckets[r.current%int64(bucketCount)]
-	s.prefill += o.Reading
-	s.streams += o.Lasts
-	s.transfer += o.Moving
+	s.prefill += o.Prefill
+	s.streams += o.StreamDuration
+	s.transfer += o.Transfer
 	if o.Objective > 0 {
-		s.weightedPrefill += float64(o.Reading) * float64(o.Reading) / float64(o.Objective)
+		s.weightedPrefill += float64(o.Prefill) * float64(o.Prefill) / float64(o.Objective)
 	}
 	if o.Priority < r.mostUrgent {
 		// What was noted as the most urgent isn't.
@@ -48,7 +48,7 @@
 		}
 	}
 	if o.Priority == r.mostUrgent {
-		s.urgent += o.Lasts
+		s.urgent += o.StreamDuration
 	}
 }
 
@@ -80,10 +80,10 @@
 	slots := min(max(r.current-r.first, 1), int64(bucketCount))
 	seconds := (bucketDuration*time.Duration(slots) - bucketDuration/2).Seconds() // the newest slot is half over on the mean
 	return Load{
-		Reading: all.prefill.Seconds() / seconds,
-		Streams: all.streams.Seconds() / seconds,
-		Urgent:  all.urgent.Seconds() / seconds,
-		Weighty: time.Duration(all.weightedPrefill).Seconds() / seconds,
-		Moving:  all.transfer.Seconds() / seconds,
+		Prefill:         all.prefill.Seconds() / seconds,
+		Streams:         all.streams.Seconds() / seconds,
+		Urgent:          all.urgent.Seconds() / seconds,
+		WeightedPrefill: time.Duration(all.weightedPrefill).Seconds() / seconds,
+		Transfer:        all.transfer.Seconds() / seconds,
 	}
 }
--- a/connection/speed/fit.go
+++ b/connection/speed/fit.go
@@ -36,11 +36,11 @@
 func (f *fit) add(p Sample) {
 	x := regressors(p)
 	predicted := f.coeff[0] + f.coeff[1]*x[1] + f.coeff[2]*x[2]
-	y := max(float64(p.Took-p.Before)/float64(time.Millisecond), 0)
+	y := max(float64(p.Duration-p.PredictedWait)/float64(time.Millisecond), 0)
 	weight := 1.0
 	if f.n >= minPrompts && predicted > 0 {
 		y = min(y, outlierFactor*predicted)
-		weight = 1 / (1 + queuedPenalty*p.Before.Seconds()*1e3/predicted)
+		weight = 1 / (1 + queuedPenalty*p.PredictedWait.Seconds()*1e3/predicted)
 	}
 	for i := range termCount {
 		for j := range termCount {
@@ -103,12 +103,12 @@
 	return c
 }
 
-func (f *fit) estimates() Figures {
+func (f *fit) estimates() Estimates {
 	const perMs = float64(time.Millisecond)
-	return Figures{
-		PerToken: f.coeff[1] * perMs / 1e3,
-		PerPair:  f.coeff[2] * perMs / 1e3,
-		Start:    time.Duration(f.coeff[0] * perMs),
-		Reads:    f.n,
+	return Estimates{
+		PerToken:       f.coeff[1] * perMs / 1e3,
+		PerPair:        f.coeff[2] * perMs / 1e3,
+		PromptOverhead: time.Duration(f.coeff[0] * perMs),
+		Prompts:        f.n,
 	}
 }
--- a/connection/speed/pace.go
+++ b/connection/speed/pace.go
@@ -11,9 +11,9 @@
 // events of all its streams together, the more the slower. The zero value
 // predicts nothing.
 type Pace struct {
-	Alone   time.Duration // of an engine without streams
-	Each    time.Duration // for each stream
-	Samples int
+	Base      time.Duration // of an engine without streams
+	PerStream time.Duration // for each stream
+	Samples   int
 }
 
 const (
@@ -36,17 +36,17 @@
 )
 
 // Known reports whether enough was seen, and more streams were slower.
-func (p Pace) Known() bool { return p.Samples >= minPaceSamples && p.Each > 0 }
+func (p Pace) Known() bool { return p.Samples >= minPaceSamples && p.PerStream > 0 }
 
 // Gap is the time between two events while an engine runs that many streams.
 func (p Pace) Gap(streams int) time.Duration { return time.Duration(p.gapAt(float64(streams))) }
 
 // gapAt is the same for a mean number of streams, in nanoseconds.
-func (p Pace) gapAt(streams float64) float64 { return float64(p.Alone) + streams*float64(p.Each) }
+func (p Pace) gapAt(streams float64) float64 { return float64(p.Base) + streams*float64(p.PerStream) }
 
-// Streams is the largest number of streams whose events come at most that far
+// MaxStreams is the largest number of streams whose events come at most that far
 // apart, one at least.
-func (p Pace) Streams(gap time.Duration) int { return max(int((gap-p.Alone)/p.Each), 1) }
+func (p Pace) MaxStreams(gap time.Duration) int { return max(int((gap-p.Base)/p.PerStream), 1) }
 
 // paceFit is a least squares line of gaps over streams, with weights that fade,
 // and by how much each engine is slower.
@@ -84,8 +84,8 @@
 func (f *paceFit) engine(target string) Pace {
 	p := f.pace
 	if e := f.engines[target]; e != nil && e.n >= minSlownessSamples {
-		p.Alone = time.Duration(e.value * float64(p.Alone))
-		p.Each = time.Duration(e.value * float64(p.Each))
+		p.Base = time.Duration(e.value * float64(p.Base))
+		p.PerStream = time.Duration(e.value * float64(p.PerStream))
 	}
 	return p
 }
@@ -112,12 +112,12 @@
 	}
 	each := (f.w*f.xy - f.x*f.y) / spread
 	alone := (f.y - each*f.x) / f.w
-	return Pace{Alone: time.Duration(max(alone, 0)), Each: time.Duration(max(each, 0)), Samples: f.n}
+	return Pace{Base: time.Duration(max(alone, 0)), PerStream: time.Duration(max(each, 0)), Samples: f.n}
 }
 
-// Gap notes the mean time between events of a stream while its engine ran that
+// ObserveGap notes the mean time between events of a stream while its engine ran that
 // many streams.
-func (b *Book) Gap(name, target string, streams float64, gap time.Duration) {
+func (b *Tracker) ObserveGap(name, target string, streams float64, gap time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f := &b.get(engines.Hash(name)).pace
@@ -126,7 +126,7 @@
 }
 
 // Pace returns how fast an engine of a service makes events.
-func (b *Book) Pace(name, target string) Pace {
+func (b *Tracker) Pace(name, target string) Pace {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.get(engines.Hash(name)).pace.engine(target)
--- a/connection/speed/pace_test.go
+++ b/connection/speed/pace_test.go
@@ -7,37 +7,37 @@
 )
 
 // feedGaps feeds n gaps of engines of a line; slow makes those of one longer.
-func feedGaps(b *Book, n int, slow float64) {
+func feedGaps(b *Tracker, n int, slow float64) {
 	r := rand.New(rand.NewPCG(3, 1))
 	for range n {
 		streams := float64(5 + r.IntN(60))
 		gap := (36 + 0.7*streams) * (0.85 + 0.3*r.Float64())
-		b.Gap("llm", "usual", streams, time.Duration(gap*float64(time.Millisecond)))
-		b.Gap("llm", "slow", streams, time.Duration(slow*gap*float64(time.Millisecond)))
+		b.ObserveGap("llm", "usual", streams, time.Duration(gap*float64(time.Millisecond)))
+		b.ObserveGap("llm", "slow", streams, time.Duration(slow*gap*float64(time.Millisecond)))
 	}
 }
 
 func TestPaceBoundsTheStreams(t *testing.T) {
-	b := NewBook()
+	b := NewTracker()
 	feedGaps(b, 10, 1)
 	if p := b.Pace("llm", "usual"); p.Known() {
 		t.Errorf("known from 20 samples: %+v", p)
 	}
 	feedGaps(b, 300, 1)
 	// 36 + 0.7 * 40 ms
-	if n := b.Pace("llm", "usual").Streams(64 * time.Millisecond); n < 36 || n > 44 {
+	if n := b.Pace("llm", "usual").MaxStreams(64 * time.Millisecond); n < 36 || n > 44 {
 		t.Errorf("%d streams at 64 ms, want about 40", n)
 	}
-	if n := b.Pace("llm", "usual").Streams(time.Millisecond); n != 1 {
+	if n := b.Pace("llm", "usual").MaxStreams(time.Millisecond); n != 1 {
 		t.Errorf("%d streams at a gap that no engine keeps, want 1", n)
 	}
 }
 
 func TestSlowEngineTakesFewerStreams(t *testing.T) {
-	b := NewBook()
+	b := NewTracker()
 	feedGaps(b, 300, 1.3)
 	const gap = 64 * time.Millisecond
-	usual, slow := b.Pace("llm", "usual").Streams(gap), b.Pace("llm", "slow").Streams(gap)
+	usual, slow := b.Pace("llm", "usual").MaxStreams(gap), b.Pace("llm", "slow").MaxStreams(gap)
 	// 1.3 * (36 + 0.7 * 19) ms
 	if usual < 34 || usual > 46 || slow < 14 || slow > 24 {
 		t.Errorf("%d streams at the usual engine and %d at the slow one, want about 40 and 19", usual, slow)
@@ -45,9 +45,9 @@
 }
 
 func TestIdenticalLoadsGiveNoPace(t *testing.T) {
-	b := NewBook()
+	b := NewTracker()
 	for range 200 {
-		b.Gap("llm", "a", 30, 57*time.Millisecond)
+		b.ObserveGap("llm", "a", 30, 57*time.Millisecond)
 	}
 	if p := b.Pace("llm", "a"); p.Known() {
 		t.Errorf("a line through one point: %+v", p)
--- a/connection/speed/speed.go
+++ b/connection/speed/speed.go
@@ -11,47 +11,47 @@
 	"github.com/pomelospool/pomelospool/connection/engines"
 )
 
-// Figures predict an engine's times. The zero value predicts nothing: it stands
+// Estimates predict an engine's times. The zero value predicts nothing: it stands
 // for engines of which nothing was seen.
-type Figures struct {
-	PerToken  float64       // nanoseconds to read one prompt token
-	PerPair   float64       // nanoseconds for a thousand pairs of a token and one before it
-	Start     time.Duration // of each prompt on top, network included; the engine reads others meanwhile
-	First     time.Duration // from the request to the decoding engine to its first event, without the move of KV cache
-	PerOutput time.Duration // that a stream takes for each output token stated, from its first event on
-	Stay      time.Duration // that a stream holds its place, on the mean over streams
-	StayLess  time.Duration // the same of streams that aren't of the most urgent routes
-	Spread    time.Duration // by which the time of prompts that waited is off on the mean
-	Streams   int           // whole streams that PerOutput comes from
-	Reads     int           // prompts that these figures come from
+type Estimates struct {
+	PerToken           float64       // nanoseconds to read one prompt token
+	PerPair            float64       // nanoseconds for a thousand pairs of a token and one before it
+	PromptOverhead     time.Duration // of each prompt on top, network included; the engine reads others meanwhile
+	FirstEvent         time.Duration // from the request to the decoding engine to its first event, without the move of KV cache
+	PerOutputToken     time.Duration // that a stream takes for each output token stated, from its first event on
+	SlotTime           time.Duration // that a stream holds its place, on the mean over streams
+	LessUrgentSlotTime time.Duration // the same of streams that aren't of the most urgent routes
+	QueuedError        time.Duration // by which the time of prompts that waited is off on the mean
+	Streams            int           // whole streams that PerOutput comes from
+	Prompts            int           // prompts that these figures come from
 }
 
 // Known reports whether enough prompts were seen to predict others.
-func (f Figures) Known() bool { return f.Reads >= minPrompts }
+func (f Estimates) Known() bool { return f.Prompts >= minPrompts }
 
 // assumedPerToken is the time to read a prompt token, in nanoseconds, that is
 // assumed of engines that nothing is known of: what published figures of large
 // models on one or a few accelerators lie around, from 4 to 40 µs.
 const assumedPerToken = 10e3
 
-// OrAssumed returns the figures, or while they aren't known some that prompts
+// OrDefault returns the figures, or while they aren't known some that prompts
 // can be weighed against each other with. No time may be promised by these.
-func (f Figures) OrAssumed() Figures {
+func (f Estimates) OrDefault() Estimates {
 	if !f.Known() {
 		f.PerToken, f.PerPair = assumedPerToken, 0
 	}
 	return f
 }
 
-// ReadsSettled reports whether what a prompt asks of the engines is known.
-func (f Figures) ReadsSettled() bool { return f.Reads >= minLocalSamples }
+// PrefillSettled reports whether what a prompt asks of the engines is known.
+func (f Estimates) PrefillSettled() bool { return f.Prompts >= minLocalSamples }
 
 // StreamsSettled reports whether what an answer asks of them is known, too.
-func (f Figures) StreamsSettled() bool { return f.Streams >= minLocalSamples }
+func (f Estimates) StreamsSettled() bool { return f.Streams >= minLocalSamples }
 
-// Read is the time that an engine takes to read the last missing tokens of a
+// ObservePrompt is the time that an engine takes to read the last missing tokens of a
 // prompt.
-func (f Figures) Read(prompt, missing int) time.Duration {
+func (f Estimates) PrefillTime(prompt, missing int) time.Duration {
 	t := float64(missing)*f.PerToken + pairs(prompt, missing)*f.PerPair
 	return time.Duration(t)
 }
@@ -64,10 +64,10 @@
 
 // Sample is one prompt that was read.
 type Sample struct {
-	Prompt  int           // its tokens
-	Missing int           // of these, those that had to be read
-	Before  time.Duration // predicted until the engine began with it, fetches included
-	Took    time.Duration // from the request to its answer
+	Prompt        int           // its tokens
+	Missing       int           // of these, those that had to be read
+	PredictedWait time.Duration // predicted until the engine began with it, fetches included
+	Duration      time.Duration // from the request to its answer
 }
 
 const (
@@ -82,8 +82,8 @@
 	minFirstEventWeight = 0.05
 )
 
-// Book learns the figures of each service. It is safe for concurrent use.
-type Book struct {
+// Tracker learns the figures of each service. It is safe for concurrent use.
+type Tracker struct {
 	mu       sync.Mutex
 	services map[uint64]*service
 }
@@ -96,16 +96,16 @@
 	slotTime           mean[time.Duration]
 	lessUrgentSlotTime mean[time.Duration]
 	queuedError        time.Duration
-	local              Figures // of this process's own prompts
-	remote             Figures // another process's, of the most prompts
-	relativeError      float64 // smoothed share by which the prediction is off
+	local              Estimates // of this process's own prompts
+	remote             Estimates // another process's, of the most prompts
+	relativeError      float64   // smoothed share by which the prediction is off
 }
 
-// NewBook returns an empty Book.
-func NewBook() *Book { return &Book{services: make(map[uint64]*service)} }
+// NewTracker returns an empty Tracker.
+func NewTracker() *Tracker { return &Tracker{services: make(map[uint64]*service)} }
 
 // get returns what is known of a service. Callers hold b.mu.
-func (b *Book) get(key uint64) *service {
+func (b *Tracker) get(key uint64) *service {
 	s := b.services[key]
 	if s == nil {
 		s = &service{pace: paceFit{engines: make(map[string]*slowness)}}
@@ -114,8 +114,8 @@
 	return s
 }
 
-// Figures returns what is known of a service's engines now.
-func (b *Book) Figures(name string) Figures {
+// Estimates returns what is known of a service's engines now.
+func (b *Tracker) Estimates(name string) Estimates {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.get(engines.Hash(name)).estimates()
@@ -123,28 +123,28 @@
 
 // estimates are the own ones once they come from enough prompts, else another
 // process's: a process that has just started predicts like the others at once.
-func (s *service) estimates() Figures {
+func (s *service) estimates() Estimates {
 	f := s.local
-	if s.local.Reads < minLocalSamples && s.remote.Reads > s.local.Reads {
+	if s.local.Prompts < minLocalSamples && s.remote.Prompts > s.local.Prompts {
 		f = s.remote
 		if s.firstEvent.n > 0 {
-			f.First = s.firstEvent.value
+			f.FirstEvent = s.firstEvent.value
 		}
 	}
-	f.Spread = s.queuedError
+	f.QueuedError = s.queuedError
 	return f
 }
 
 // updateLocal puts the own figures together from what was learnt.
 func (s *service) updateLocal() {
 	s.local = s.fit.estimates()
-	s.local.First = s.firstEvent.value
-	s.local.PerOutput, s.local.Streams = s.perOutputToken.value(), s.perOutputToken.n
-	s.local.Stay, s.local.StayLess = s.slotTime.value, s.lessUrgentSlotTime.value
+	s.local.FirstEvent = s.firstEvent.value
+	s.local.PerOutputToken, s.local.Streams = s.perOutputToken.value(), s.perOutputToken.n
+	s.local.SlotTime, s.local.LessUrgentSlotTime = s.slotTime.value, s.lessUrgentSlotTime.value
 }
 
-// Read notes a prompt that was read.
-func (b *Book) Read(name string, p Sample) {
+// ObservePrompt notes a prompt that was read.
+func (b *Tracker) ObservePrompt(name string, p Sample) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.get(engines.Hash(name))
@@ -163,19 +163,19 @@
 // recordError notes by how much the prediction of a prompt was off.
 func (s *service) recordError(p Sample) {
 	f := s.estimates()
-	if !f.Known() || p.Took <= 0 {
+	if !f.Known() || p.Duration <= 0 {
 		return
 	}
-	predicted := p.Before + f.Start + f.Read(p.Prompt, p.Missing)
-	if p.Before > 0 {
-		s.queuedError += time.Duration(errorWeight * float64((predicted-p.Took).Abs()-s.queuedError))
+	predicted := p.PredictedWait + f.PromptOverhead + f.PrefillTime(p.Prompt, p.Missing)
+	if p.PredictedWait > 0 {
+		s.queuedError += time.Duration(errorWeight * float64((predicted-p.Duration).Abs()-s.queuedError))
 	}
-	share := (predicted - p.Took).Abs().Seconds() / p.Took.Seconds()
+	share := (predicted - p.Duration).Abs().Seconds() / p.Duration.Seconds()
 	s.relativeError += errorWeight * (min(share, maxError) - s.relativeError)
 }
 
-// First notes the time to the first event, without the move of KV cache.
-func (b *Book) First(name string, seen time.Duration) {
+// ObserveFirstEvent notes the time to the first event, without the move of KV cache.
+func (b *Tracker) ObserveFirstEvent(name string, seen time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.get(engines.Hash(name))
@@ -219,9 +219,9 @@
 	m.value += T(weight * float64(v-m.value))
 }
 
-// Stream notes how long a whole stream took from its first event on, and how
+// ObserveStream notes how long a whole stream took from its first event on, and how
 // long it held its place.
-func (b *Book) Stream(name string, output int, took, stay time.Duration, mostUrgent bool) {
+func (b *Tracker) ObserveStream(name string, output int, took, stay time.Duration, mostUrgent bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.get(engines.Hash(name))
@@ -233,9 +233,9 @@
 	s.updateLocal()
 }
 
-// Lasts is how long a stream will run that states so many output tokens.
-func (f Figures) Lasts(output int) time.Duration {
-	return f.First + f.PerOutput*time.Duration(output)
+// StreamDuration is how long a stream will run that states so many output tokens.
+func (f Estimates) StreamDuration(output int) time.Duration {
+	return f.FirstEvent + f.PerOutputToken*time.Duration(output)
 }
 
 // Update is what one process sends the others of a service's engines.
@@ -258,19 +258,19 @@
 const maxReportedCount = 1000
 
 // Report returns the figures of this process's own prompts.
-func (b *Book) Report() []Update { return b.updates(func(s *service) Figures { return s.local }) }
+func (b *Tracker) Report() []Update { return b.updates(func(s *service) Estimates { return s.local }) }
 
 // Best returns the figures of the most prompts that this process knows of.
-func (b *Book) Best() []Update {
-	return b.updates(func(s *service) Figures {
-		if s.remote.Reads > s.local.Reads {
+func (b *Tracker) Best() []Update {
+	return b.updates(func(s *service) Estimates {
+		if s.remote.Prompts > s.local.Prompts {
 			return s.remote
 		}
 		return s.local
 	})
 }
 
-func (b *Book) updates(which func(s *service) Figures) []Update {
+func (b *Tracker) updates(which func(s *service) Estimates) []Update {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []Update
@@ -281,35 +281,35 @@
 		}
 		out = append(out, Update{
 			Service: key, PerToken: float32(f.PerToken), PerPair: float32(f.PerPair),
-			StartUs: uint32(f.Start.Microseconds()), FirstUs: uint32(f.First.Microseconds()),
-			OutputUs: uint32(f.PerOutput.Microseconds()), StayUs: uint32(f.Stay.Microseconds()), LessUs: uint32(f.StayLess.Microseconds()),
-			Reads: uint32(min(f.Reads, maxReportedCount)), Streams: uint32(min(f.Streams, maxReportedCount)),
+			StartUs: uint32(f.PromptOverhead.Microseconds()), FirstUs: uint32(f.FirstEvent.Microseconds()),
+			OutputUs: uint32(f.PerOutputToken.Microseconds()), StayUs: uint32(f.SlotTime.Microseconds()), LessUs: uint32(f.LessUrgentSlotTime.Microseconds()),
+			Reads: uint32(min(f.Prompts, maxReportedCount)), Streams: uint32(min(f.Streams, maxReportedCount)),
 		})
 	}
 	return out
 }
 
 // Merge takes another process's update.
-func (b *Book) Merge(updates []Update) {
+func (b *Tracker) Merge(updates []Update) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, w := range updates {
 		s := b.get(w.Service)
-		if int(w.Reads) < s.remote.Reads {
+		if int(w.Reads) < s.remote.Prompts {
 			continue
 		}
-		s.remote = Figures{
+		s.remote = Estimates{
 			PerToken: float64(w.PerToken), PerPair: float64(w.PerPair),
-			Start: time.Duration(w.StartUs) * time.Microsecond, First: time.Duration(w.FirstUs) * time.Microsecond,
-			PerOutput: time.Duration(w.OutputUs) * time.Microsecond, Stay: time.Duration(w.StayUs) * time.Microsecond, StayLess: time.Duration(w.LessUs) * time.Microsecond,
-			Reads:   int(w.Reads),
+			PromptOverhead: time.Duration(w.StartUs) * time.Microsecond, FirstEvent: time.Duration(w.FirstUs) * time.Microsecond,
+			PerOutputToken: time.Duration(w.OutputUs) * time.Microsecond, SlotTime: time.Duration(w.StayUs) * time.Microsecond, LessUrgentSlotTime: time.Duration(w.LessUs) * time.Microsecond,
+			Prompts: int(w.Reads),
 			Streams: int(w.Streams),
 		}
 	}
 }
 
-// Error is by which share the prediction of prompts has been off, smoothed.
-func (b *Book) Error(name string) float64 {
+// PredictionError is by which share the prediction of prompts has been off, smoothed.
+func (b *Tracker) PredictionError(name string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.get(engines.Hash(name)).relativeError
--- a/process/front/front.go
+++ b/process/front/front.go
@@ -73,8 +73,8 @@
 	pool        *h1.Pool
 	engines     *engines.Book
 	health      *health.Book
-	speed       *speed.Book
-	demand      *demand.Book
+	speed       *speed.Tracker
+	demand      *demand.Tracker
 	budget      *budget.Fleet
 	control     port.EngineControl
 	roster      *roster.Roster
@@ -109,7 +109,7 @@
 		config: inforce.New(platform.DecodeConfig),
 		pool:   h1.New(h1.Options{}),
 		claims: claim.NewSightings(clock.Boot{}),
-		speed:  speed.NewBook(),
+		speed:  speed.NewTracker(),
 		demand: demand.New(time.Now),
 		rate:   newRateMeter(time.Now),
 	}
--- a/process/front/metrics.go
+++ b/process/front/metrics.go
@@ -90,13 +90,13 @@
 }
 
 // estimates shows what is estimated of engines, and the error.
-func (m *metrics) estimates(c *route.Config, b *speed.Book) {
+func (m *metrics) estimates(c *route.Config, b *speed.Tracker) {
 	for name, svc := range c.Services {
 		if svc.Engine == nil {
 			continue
 		}
-		m.perToken.WithLabelValues(name).Set(b.Figures(name).PerToken / float64(time.Second))
-		m.off.WithLabelValues(name).Set(b.Error(name))
+		m.perToken.WithLabelValues(name).Set(b.Estimates(name).PerToken / float64(time.Second))
+		m.off.WithLabelValues(name).Set(b.PredictionError(name))
 	}
 }
 
--- a/process/relay/fleet_test.go
+++ b/process/relay/fleet_test.go
@@ -264,7 +264,7 @@
 			VM: fmt.Sprintf("vm%05d", n), Incarnation: 1, Zone: fmt.Sprint("z", n%fleetZones),
 			CallerAddr: d.addr, PeerAddr: d.addr, LinkMbps: link,
 		},
-		Claims: noClaims{}, Speeds: speed.NewBook(), Demand: demand.New(time.Now),
+		Claims: noClaims{}, Speeds: speed.NewTracker(), Demand: demand.New(time.Now),
 		Book:  engines.New(time.Now, func(engines.Work) {}),
 		Store: f.store, TTL: time.Second, Conn: d.end, Rooted: true,
 		StoreAway:  func() bool { return d.lost() || reach.Away() },
--- a/process/roles/planner.go
+++ b/process/roles/planner.go
@@ -72,8 +72,8 @@
 	Roster  *roster.Roster
 	Engines *engines.Book
 	Health  *health.Book
-	Demand  *demand.Book
-	Speed   *speed.Book
+	Demand  *demand.Tracker
+	Speed   *speed.Tracker
 	Lease   time.Duration
 	Clock   clock.Clock // default: clock.Boot
 	Seen    *claim.Sightings
@@ -198,7 +198,7 @@
 		return
 	}
 	moves := Plan(list, demand)
-	if len(demand) > 0 && !p.o.Speed.Figures(svc.Name).StreamsSettled() {
+	if len(demand) > 0 && !p.o.Speed.Estimates(svc.Name).StreamsSettled() {
 		moves = keepMovesToDecode(moves)
 	}
 	if len(moves) == 0 || p.planInProgress(svc, list) {
@@ -255,7 +255,7 @@
 	}
 	if len(d) > 0 {
 		last := d[len(d)-1]
-		fields["asked_reading"], fields["asked_streams"], fields["asked_urgent"] = last.Reading, last.Streams, last.Urgent
+		fields["asked_reading"], fields["asked_streams"], fields["asked_urgent"] = last.Prefill, last.Streams, last.Urgent
 	}
 	log.WithFields(fields).Info("roles: made a plan")
 }
@@ -413,7 +413,7 @@
 		p.history[service] = h
 	}
 	now := p.o.Clock.Now()
-	if now-h.lastSample < time.Second/samplesPerSecond || !p.o.Speed.Figures(service).ReadsSettled() {
+	if now-h.lastSample < time.Second/samplesPerSecond || !p.o.Speed.Estimates(service).PrefillSettled() {
 		return h.recent()
 	}
 	h.lastSample = now
--- a/process/roles/roles_test.go
+++ b/process/roles/roles_test.go
@@ -45,7 +45,7 @@
 func constantDemand(prefill, streams float64) Demand {
 	var d Demand
 	for range maxSamples {
-		d = append(d, demand.Load{Reading: prefill, Streams: streams})
+		d = append(d, demand.Load{Prefill: prefill, Streams: streams})
 	}
 	return d
 }
@@ -94,9 +94,9 @@
 			long, short = 0.45, 1.8
 		}
 		if int(s/2.8)%2 == 0 {
-			return demand.Load{Reading: 3.5 * short * 0.57, Streams: 80 * long * 1.7}
+			return demand.Load{Prefill: 3.5 * short * 0.57, Streams: 80 * long * 1.7}
 		}
-		return demand.Load{Reading: 3.5 * short * 1.7, Streams: 80 * long * 0.57}
+		return demand.Load{Prefill: 3.5 * short * 1.7, Streams: 80 * long * 0.57}
 	}
 	const change = 3.0 // seconds that a change of role takes
 	simulate := func(decoders int, plan bool) (lost float64, orders int) {
@@ -114,7 +114,7 @@
 					prefill += away
 				}
 			}
-			lost += overloadLoss(l.Reading, float64(prefill)) + overloadLoss(l.Streams, float64(64*decode))
+			lost += overloadLoss(l.Prefill, float64(prefill)) + overloadLoss(l.Streams, float64(64*decode))
 			if plan && s >= until {
 				if want := d.bestDecoders(12, 64, current); want != current {
 					orders += max(want-current, current-want)
@@ -143,7 +143,7 @@
 func TestIdleDecodersMoveToPrefillWhenPromptsAreLate(t *testing.T) {
 	d := constantDemand(32, 55)
 	for i := range d {
-		d[i].Weighty, d[i].Moving = 0.2*d[i].Reading, 1.4
+		d[i].WeightedPrefill, d[i].Transfer = 0.2*d[i].Prefill, 1.4
 	}
 	got := d.bestDecoders(60, 64, 17)
 	if got < 4 || got > 8 {
@@ -154,7 +154,7 @@
 	}
 	// Transfers of KV cache over busy links need decoding engines, too.
 	for i := range d {
-		d[i].Moving = 8
+		d[i].Transfer = 8
 	}
 	if got := d.bestDecoders(60, 64, 17); got < 12 {
 		t.Errorf("%d engines decode, want 12 or more: their links are overloaded", got)
@@ -378,7 +378,7 @@
 	}
 	registry.Reset(records, int64(len(records)))
 	p := New(Options{
-		Self: "a", Clock: fakeClock(func() time.Duration { return time.Minute }), Targets: registry, Speed: speed.NewBook(),
+		Self: "a", Clock: fakeClock(func() time.Duration { return time.Minute }), Targets: registry, Speed: speed.NewTracker(),
 		Engines: engines.New(time.Now, func(engines.Work) {}), Health: health.New(time.Now, nil), Demand: demand.New(time.Now),
 	})
 	svc := &route.Service{Name: "llm", Engine: &route.Engine{}}
@@ -393,7 +393,7 @@
 	list := newFleet(4000, 5675)
 	var d Demand
 	for range 20 {
-		d = append(d, demand.Load{Reading: 95, Weighty: 30, Streams: 140, Moving: 10})
+		d = append(d, demand.Load{Prefill: 95, WeightedPrefill: 30, Streams: 140, Transfer: 10})
 	}
 	if moves := Plan(list, d); len(moves) != 0 {
 		t.Errorf("%d moves", len(moves))
--- a/process/roles/split.go
+++ b/process/roles/split.go
@@ -115,7 +115,7 @@
 // loadOfShares returns the load that takes the given shares of all engines' time
 // and of all slots.
 func loadOfShares(live, slots int, prefill, decode float64) demand.Load {
-	return demand.Load{Reading: prefill * float64(live), Streams: decode * float64(live*slots)}
+	return demand.Load{Prefill: prefill * float64(live), Streams: decode * float64(live*slots)}
 }
 
 // shiftedLoad returns the assumed load after a shift of the workload: fixed shares
@@ -125,14 +125,14 @@
 	var maxStreams, maxPrefill, prefill, weighted float64
 	for _, s := range d {
 		maxStreams = max(maxStreams, s.Streams)
-		maxPrefill = max(maxPrefill, s.Reading)
-		prefill += s.Reading
-		weighted += s.Weighty
+		maxPrefill = max(maxPrefill, s.Prefill)
+		prefill += s.Prefill
+		weighted += s.WeightedPrefill
 	}
 	l.Streams = min(l.Streams, maxShiftFactor*maxStreams)
-	l.Reading = min(l.Reading, maxShiftFactor*(maxPrefill+maxStreams/float64(slots)))
+	l.Prefill = min(l.Prefill, maxShiftFactor*(maxPrefill+maxStreams/float64(slots)))
 	if prefill > 0 {
-		l.Weighty = l.Reading * weighted / prefill
+		l.WeightedPrefill = l.Prefill * weighted / prefill
 	}
 	return l
 }
@@ -142,12 +142,12 @@
 func loss(l demand.Load, live, slots, decoders int) float64 {
 	// objectiveShare is the mean share of its objective that a prompt's prefill takes.
 	objectiveShare := 0.0
-	if l.Reading > 0 {
-		objectiveShare = min(l.Weighty/l.Reading, 1)
+	if l.Prefill > 0 {
+		objectiveShare = min(l.WeightedPrefill/l.Prefill, 1)
 	}
 	decodeSlots, links := float64(slots*decoders), usableLinkShare*float64(decoders)
-	return resourceLoss(l.Reading, float64(live-decoders), usablePrefillShare, objectiveShare) +
-		resourceLoss(l.Streams, decodeSlots, usableSlotShare, objectiveShare) + resourceLoss(l.Moving, links, 1, objectiveShare)
+	return resourceLoss(l.Prefill, float64(live-decoders), usablePrefillShare, objectiveShare) +
+		resourceLoss(l.Streams, decodeSlots, usableSlotShare, objectiveShare) + resourceLoss(l.Transfer, links, 1, objectiveShare)
 }
 
 // decayedLoss returns the mean loss over the samples, with exponentially decaying
--- a/process/roster/digest.go
+++ b/process/roster/digest.go
@@ -144,7 +144,7 @@
 		r.mergeLoads(d, &own)
 	}
 	if d.Asked {
-		r.o.Demand.Merge(summaryName(d.Zone), demand.Less(d.Demand, own.demand))
+		r.o.Demand.Merge(summaryName(d.Zone), demand.Subtract(d.Demand, own.demand))
 	}
 	if fresh := r.o.Book.MergeReads(d.Reads); others {
 		r.relayReads(fresh, false)
--- a/process/roster/roster_test.go
+++ b/process/roster/roster_test.go
@@ -104,7 +104,7 @@
 			VM: fmt.Sprintf("vm%03d", vm), Incarnation: incarnation, Zone: d.zone(vm),
 			CallerAddr: fmt.Sprintf("10.0.%d.%d:80", vm/250, vm%250), PeerAddr: addr, LinkMbps: linkMbps,
 		},
-		Claims: claims, Speeds: speed.NewBook(), Demand: demand.New(time.Now),
+		Claims: claims, Speeds: speed.NewTracker(), Demand: demand.New(time.Now),
 		Store: d.store, Book: book, TTL: time.Second, StoreAway: d.away.Load, Conn: end,
 	})
 	if err != nil {
@@ -342,7 +342,7 @@
 	}
 	book := &claimBook{}
 	r := &Roster{
-		o:     Options{Book: engines.New(time.Now, func(engines.Work) {}), Claims: book, Speeds: speed.NewBook(), Demand: demand.New(time.Now)},
+		o:     Options{Book: engines.New(time.Now, func(engines.Work) {}), Claims: book, Speeds: speed.NewTracker(), Demand: demand.New(time.Now)},
 		peers: map[string]*peer{}, tokens: map[uint32]string{}, updates: make(chan struct{}, 1),
 	}
 	if err := r.handleDatagram(data, &net.UDPAddr{}); err != nil {
--- a/request/dispatch/call.go
+++ b/request/dispatch/call.go
@@ -84,8 +84,8 @@
 	Budget  *budget.Fleet
 	Control port.EngineControl
 	Queues  Queues
-	Speed   *speed.Book
-	Demand  *demand.Book
+	Speed   *speed.Tracker
+	Demand  *demand.Tracker
 	Zone    string // availability zone of this process
 	Self    string // name of this process's VM: the targets that it prefers follow from it
 }
--- a/request/dispatch/consider_test.go
+++ b/request/dispatch/consider_test.go
@@ -62,7 +62,7 @@
 				if near < regulars {
 					t.Errorf("%d in the zone asked for", near)
 				}
-				ch := placement.Prefill(p.Prompt, cands, cands, u.c.Service.Engine, r.speed.Figures("llm"))
+				ch := placement.Prefill(p.Prompt, cands, cands, u.c.Service.Engine, r.speed.Estimates("llm"))
 				homes[cands[ch.At].Entry.ID]++
 			}
 			if len(homes) != 1 {
@@ -122,7 +122,7 @@
 			r.manyEngines(n)
 			u := r.runOf("vm1")
 			p := u.prompt()
-			f := r.speed.Figures("llm")
+			f := r.speed.Estimates("llm")
 			b.ReportAllocs()
 			for b.Loop() {
 				cands := u.candidates(p, port.RolePrefill, "a")
--- a/request/dispatch/decode.go
+++ b/request/dispatch/decode.go
@@ -83,7 +83,7 @@
 // events sends the call to a decoding engine and relays the answer.
 func (u *run) events(ctx context.Context, cand *placement.Candidate, p prompt, from prefilled, out Stream) *failed {
 	to := cand.Entry
-	usual := u.opts.Speed.Figures(u.c.Service.Name).First
+	usual := u.opts.Speed.Estimates(u.c.Service.Name).FirstEvent
 	predicted := usual
 	if from.kv != nil {
 		predicted += placement.Move(u.c.Service.Engine, p.Tokens, from.zone == to.Zone)
@@ -109,7 +109,7 @@
 		seen := firstAt.Sub(begun)
 		if cand.Load.Streams < to.Slots {
 			// Beyond its places it would be the wait for one that is learnt.
-			u.opts.Speed.First(u.c.Service.Name, usual+seen-predicted)
+			u.opts.Speed.ObserveFirstEvent(u.c.Service.Name, usual+seen-predicted)
 		}
 		if usual > 0 {
 			u.opts.Health.NotePace(to.ID, u.pace(predicted, seen))
@@ -119,7 +119,7 @@
 	f = u.relay(ctx, to.ID, resp, v, out, watch{first: first, batch: m.passed})
 	m.ended(f == nil)
 	if f == nil && u.c.Ask.Output > 0 {
-		u.opts.Speed.Stream(u.c.Service.Name, u.c.Ask.Output, time.Since(firstAt), time.Since(begun), u.mostUrgent())
+		u.opts.Speed.ObserveStream(u.c.Service.Name, u.c.Ask.Output, time.Since(firstAt), time.Since(begun), u.mostUrgent())
 	}
 	return f
 }
--- a/request/dispatch/engine.go
+++ b/request/dispatch/engine.go
@@ -102,16 +102,16 @@
 func (u *run) admit(ctx context.Context) (prompt, error) {
 	p := u.prompt()
 	u.answerLength(u.c.Route.Name).arrived(u.c.Ask.Hint, u.c.Ask.Output, time.Until(u.c.GiveUp))
-	f := u.opts.Speed.Figures(u.c.Service.Name)
+	f := u.opts.Speed.Estimates(u.c.Service.Name)
 	ch := u.choosePrefill(ctx, p, f)
 	u.first = &ch
-	u.trace.Lasts = f.Lasts(u.c.Ask.Output)
+	u.trace.Lasts = f.StreamDuration(u.c.Ask.Output)
 	err := u.admitTo(&p, f, ch)
 	u.offer(p, f, ch, err != nil)
 	return p, err
 }
 
-func (u *run) admitTo(p *prompt, f speed.Figures, ch reading) error {
+func (u *run) admitTo(p *prompt, f speed.Estimates, ch reading) error {
 	queue, err := u.place(f, ch.decoders)
 	if err != nil {
 		return err
@@ -119,13 +119,13 @@
 	if ch.At < 0 {
 		return nil // decode engines may read it, or nothing can: not for here
 	}
-	alone := f.Start + ch.Read + f.First
+	alone := f.PromptOverhead + ch.Read + f.FirstEvent
 	wait := ch.Wait + queue
 	u.trace.Predicted = wait + alone
 	objective := u.c.Route.Objective
 	usual := u.usual(u.c.Service.Name)
 	usual.Note(p.Tokens, ch.Read)
-	if objective <= 0 || usual.Counts(wait, p.Tokens, ch.Read, f.Spread)+alone <= objective {
+	if objective <= 0 || usual.Counts(wait, p.Tokens, ch.Read, f.QueuedError)+alone <= objective {
 		return nil
 	}
 	if alone > objective {
@@ -168,18 +168,18 @@
 
 // offer notes what the call asks of the engines, whether it is taken or not:
 // the plan of their roles answers what is asked, not what was served.
-func (u *run) offer(p prompt, f speed.Figures, ch reading, refused bool) {
-	o := demand.Offer{
-		Reading: ch.Read, Lasts: f.Lasts(u.c.Ask.Output), Moving: u.moving(p, ch),
+func (u *run) offer(p prompt, f speed.Estimates, ch reading, refused bool) {
+	o := demand.Request{
+		Prefill: ch.Read, StreamDuration: f.StreamDuration(u.c.Ask.Output), Transfer: u.moving(p, ch),
 		Objective: u.c.Route.Objective, Priority: u.c.Priority,
 	}
 	if ch.At < 0 {
-		o.Reading = f.Read(p.Tokens, p.Tokens)
+		o.Prefill = f.PrefillTime(p.Tokens, p.Tokens)
 	}
 	if refused {
-		o.Reading, o.Lasts, o.Moving = o.Reading/refusedCount, o.Lasts/refusedCount, o.Moving/refusedCount
+		o.Prefill, o.StreamDuration, o.Transfer = o.Prefill/refusedCount, o.StreamDuration/refusedCount, o.Transfer/refusedCount
 	}
-	u.opts.Demand.Note(u.c.Service.Name, o)
+	u.opts.Demand.Observe(u.c.Service.Name, o)
 }
 
 // moving is how long the prompt's KV cache will take to an engine that decodes,
@@ -192,7 +192,7 @@
 // place predicts how long the call waits for a place at a decoding engine. It
 // refuses a call that none would take, before its prompt is read for nothing.
 // Engines that refuse lately get one call in some, so that their recovery shows.
-func (u *run) place(f speed.Figures, cands []placement.Candidate) (time.Duration, error) {
+func (u *run) place(f speed.Estimates, cands []placement.Candidate) (time.Duration, error) {
 	room := u.room(f, cands)
 	free, full, doubts := 0, 0, 0
 	least := maxComeBack
@@ -226,14 +226,14 @@
 }
 
 // room is how the decoding engines' places are shared out to the call.
-func (u *run) room(f speed.Figures, cands []placement.Candidate) placement.Room {
-	r := placement.Room{Stay: f.Stay, CanRetry: u.canRetry(cands)}
+func (u *run) room(f speed.Estimates, cands []placement.Candidate) placement.Room {
+	r := placement.Room{Stay: f.SlotTime, CanRetry: u.canRetry(cands)}
 	if len(cands) == 0 || u.mostUrgent() {
 		return r
 	}
 	// The places that are freed meanwhile by more urgent requests are taken by
 	// others of them.
-	r.Stay = f.StayLess
+	r.Stay = f.LessUrgentSlotTime
 	urgent := u.opts.Demand.Total(u.c.Service.Name).Urgent
 	r.Reserved = placement.Reserve(urgent, u.decoding(cands), cands[0].Entry.Slots)
 	return r
--- a/request/dispatch/engine_test.go
+++ b/request/dispatch/engine_test.go
@@ -243,7 +243,7 @@
 // only assumed.
 func TestPromptsSpreadBeforeAnySpeedIsKnown(t *testing.T) {
 	withRig(t, 0, func(t *testing.T, r *rig) {
-		r.runner.opts.Speed = speed.NewBook()
+		r.runner.opts.Speed = speed.NewTracker()
 		var readers []*standin.Target
 		for range 3 {
 			p := r.add("llm", port.RolePrefill)
--- a/request/dispatch/pace.go
+++ b/request/dispatch/pace.go
@@ -28,7 +28,7 @@
 	for i := range decoders {
 		c := &decoders[i]
 		if pace := u.opts.Speed.Pace(u.c.Service.Name, c.Entry.ID); pace.Known() {
-			c.Most = pace.Streams(gap)
+			c.Most = pace.MaxStreams(gap)
 		}
 	}
 }
@@ -89,7 +89,7 @@
 	}
 	streams := m.streams
 	m.restart(now)
-	m.run.opts.Speed.Gap(m.run.c.Service.Name, m.target, float64(streams+m.streams)/2, span/time.Duration(n))
+	m.run.opts.Speed.ObserveGap(m.run.c.Service.Name, m.target, float64(streams+m.streams)/2, span/time.Duration(n))
 }
 
 func (m *paceMeter) restart(now time.Time) {
--- a/request/dispatch/prefill.go
+++ b/request/dispatch/prefill.go
@@ -43,7 +43,7 @@
 
 // reading returns the choice that the call was admitted with, or a new one for
 // another round.
-func (u *run) reading(ctx context.Context, p prompt, f speed.Figures) reading {
+func (u *run) reading(ctx context.Context, p prompt, f speed.Estimates) reading {
 	if ch := u.first; ch != nil {
 		u.first = nil
 		return *ch
@@ -58,7 +58,7 @@
 // counts as no work at all: in the first seconds of a fleet, and after all of it
 // lost its power, engines look alike whatever waits there, some hold 2.7 s of
 // prompts and others are idle, and nothing is fetched that is kept elsewhere.
-func (u *run) choosePrefill(ctx context.Context, p prompt, f speed.Figures) reading {
+func (u *run) choosePrefill(ctx context.Context, p prompt, f speed.Estimates) reading {
 	cands := u.candidates(p, port.RolePrefill, u.opts.Zone)
 	for i := range cands {
 		cands[i].Rate += u.opts.Health.Rate(kvOf(cands[i].Entry.ID))
@@ -67,7 +67,7 @@
 	// Engines that read come first, of those that keep as much: requests that
 	// run fill the memory of those that decode, and push out what they keep.
 	sources := slices.Concat(cands, decoders)
-	ch := reading{decoders: decoders, Choice: u.choose(ctx, p, cands, sources, f.OrAssumed())}
+	ch := reading{decoders: decoders, Choice: u.choose(ctx, p, cands, sources, f.OrDefault())}
 	ch.work, ch.ahead = ch.Read, ch.Wait
 	if !f.Known() {
 		ch.Read, ch.Wait = 0, 0
@@ -83,7 +83,7 @@
 
 // choose chooses among the candidates by the books, or by the queues that
 // others know better.
-func (u *run) choose(ctx context.Context, p prompt, cands, sources []placement.Candidate, f speed.Figures) placement.Choice {
+func (u *run) choose(ctx context.Context, p prompt, cands, sources []placement.Candidate, f speed.Estimates) placement.Choice {
 	e := u.c.Service.Engine
 	if !u.opts.Queues.Asks() {
 		return placement.Prefill(p.Prompt, cands, sources, e, f)
@@ -132,15 +132,15 @@
 // prefill has the prompt read. Without an engine for that the decoding engine
 // reads it itself, at half the speed.
 func (u *run) prefill(ctx context.Context, p prompt) (prefilled, *failed) {
-	figures := u.opts.Speed.Figures(u.c.Service.Name)
+	figures := u.opts.Speed.Estimates(u.c.Service.Name)
 	ch := u.reading(ctx, p, figures)
 	if ch.At < 0 {
 		return prefilled{}, nil
 	}
 	to := ch.to
-	done := u.opts.Engines.Prefill(to.ID, u.c.Service.Engine.KVTokens, p.parts, figures.Start+ch.ahead, ch.work)
+	done := u.opts.Engines.Prefill(to.ID, u.c.Service.Engine.KVTokens, p.parts, figures.PromptOverhead+ch.ahead, ch.work)
 	defer done()
-	predicted := figures.Start + ch.Wait + ch.Read
+	predicted := figures.PromptOverhead + ch.Wait + ch.Read
 	u.trace.Prefill = Prefill{Prompt: p.Tokens, Shared: p.Shared, Missing: ch.Missing, Fetched: ch.Fetched, Guessed: ch.Guessed, Wait: ch.Wait, Read: ch.Read}
 	begun := time.Now()
 	resp, v, f := u.send(ctx, sending{
@@ -168,8 +168,8 @@
 	u.trace.Prefill.Took = took
 	if !ch.Guessed {
 		// What a guess fetched was predicted as read: it would teach a wrong pace.
-		u.opts.Speed.Read(u.c.Service.Name, speed.Sample{
-			Prompt: p.Tokens, Missing: ch.Missing, Before: ch.Wait + ch.Moved, Took: took,
+		u.opts.Speed.ObservePrompt(u.c.Service.Name, speed.Sample{
+			Prompt: p.Tokens, Missing: ch.Missing, PredictedWait: ch.Wait + ch.Moved, Duration: took,
 		})
 		if figures.Known() {
 			u.opts.Health.NotePace(to.ID, u.pace(predicted, took))
@@ -180,7 +180,7 @@
 }
 
 // prefillSilence is how long an engine may take to read a prompt.
-func (u *run) prefillSilence(f speed.Figures, predicted time.Duration) time.Duration {
+func (u *run) prefillSilence(f speed.Estimates, predicted time.Duration) time.Duration {
 	if !f.Known() {
 		return time.Duration(unknownPatience * float64(time.Until(u.c.GiveUp)))
 	}
--- a/request/ingress/ingress_test.go
+++ b/request/ingress/ingress_test.go
@@ -107,7 +107,7 @@
 		Config: holder, Wire: platform.Wire{}, Observe: func(o Observation) { r.seen <- o },
 		Runner: dispatch.New(dispatch.Options{
 			Wire: platform.Wire{}, Pool: pool, Targets: r, Control: noControl{},
-			Engines: engines.New(time.Now, func(engines.Work) {}), Health: health.New(time.Now, nil), Speed: speed.NewBook(), Queues: noQueues{}, Demand: demand.New(time.Now),
+			Engines: engines.New(time.Now, func(engines.Work) {}), Health: health.New(time.Now, nil), Speed: speed.NewTracker(), Queues: noQueues{}, Demand: demand.New(time.Now),
 			Budget: budget.NewFleet(budget.FleetOptions{Slack: 10, Window: 10 * time.Second, Daemons: func() int { return 1 }, Now: time.Now}),
 		}),
 	})
--- a/request/placement/home.go
+++ b/request/placement/home.go
@@ -31,12 +31,12 @@
 	unknown int // shared prompt tokens that nobody is known to keep
 }
 
-func newHome(p Prompt, cands, sources []Candidate, holder int, f speed.Figures) home {
+func newHome(p Prompt, cands, sources []Candidate, holder int, f speed.Estimates) home {
 	h := home{p: &p, at: -1, source: -1, unknown: p.Shared}
 	if holder >= 0 {
 		h.unknown -= sources[holder].Load.Ready
 	}
-	if len(cands) < manyEngines || f.Read(p.Tokens, h.unknown) < leastFetch.of(&p) {
+	if len(cands) < manyEngines || f.PrefillTime(p.Tokens, h.unknown) < leastFetch.of(&p) {
 		return h
 	}
 	least := 0.0
@@ -65,11 +65,11 @@
 }
 
 // cost is what it costs to have candidate i read the prompt away from home.
-func (h *home) cost(i int, f speed.Figures) time.Duration {
+func (h *home) cost(i int, f speed.Estimates) time.Duration {
 	if h.at < 0 || i == h.at {
 		return 0
 	}
-	return time.Duration(awayShare * float64(f.Read(h.p.Tokens, h.unknown)))
+	return time.Duration(awayShare * float64(f.PrefillTime(h.p.Tokens, h.unknown)))
 }
 
 // guess has an engine away from home fetch from there what others may have had
--- a/request/placement/placement_test.go
+++ b/request/placement/placement_test.go
@@ -12,7 +12,7 @@
 
 // figures are those of an engine with 70 billion parameters, by least squares
 // over 1,300 prompts.
-var figures = speed.Figures{PerToken: 23e3, PerPair: 257, Start: 50 * time.Millisecond, First: 40 * time.Millisecond, Reads: 1300}
+var figures = speed.Estimates{PerToken: 23e3, PerPair: 257, PromptOverhead: 50 * time.Millisecond, FirstEvent: 40 * time.Millisecond, Prompts: 1300}
 
 func cand(id, zone string, load engines.Load) Candidate {
 	return Candidate{Entry: port.TargetEntry{ID: id, Zone: zone, Slots: 64}, Load: load, Pace: 1}
--- a/request/placement/prefill.go
+++ b/request/placement/prefill.go
@@ -80,7 +80,7 @@
 // with what it has to read counted again in part. An engine that lacks what
 // another one keeps fetches it: 13,000 tokens take 10 to 20 ms to fetch and
 // 300 ms to read. sources are the engines that can be fetched from.
-func Prefill(p Prompt, cands, sources []Candidate, e *route.Engine, f speed.Figures) Choice {
+func Prefill(p Prompt, cands, sources []Candidate, e *route.Engine, f speed.Estimates) Choice {
 	o := newOutlook(p, cands, sources, e, f)
 	best := Choice{At: -1, Fetch: -1}
 	for i := range cands {
@@ -97,13 +97,13 @@
 	p              Prompt
 	cands, sources []Candidate
 	e              *route.Engine
-	f              speed.Figures
+	f              speed.Estimates
 	holder         int // index of the source that keeps most, -1: none
 	near           int // candidates in the daemon's zone
 	home           home
 }
 
-func newOutlook(p Prompt, cands, sources []Candidate, e *route.Engine, f speed.Figures) *outlook {
+func newOutlook(p Prompt, cands, sources []Candidate, e *route.Engine, f speed.Estimates) *outlook {
 	o := &outlook{p: p, cands: cands, sources: sources, e: e, f: f, holder: holdsMost(sources), near: inZone(cands, p.Zone)}
 	o.home = newHome(o.p, cands, sources, o.holder, f)
 	return o
@@ -125,7 +125,7 @@
 }
 
 // read is the choice of an engine, with the cost of its time.
-func (p *Prompt) read(c *Candidate, sources []Candidate, holder int, e *route.Engine, f speed.Figures) Choice {
+func (p *Prompt) read(c *Candidate, sources []Candidate, holder int, e *route.Engine, f speed.Estimates) Choice {
 	ch := Choice{Fetch: -1, Wait: c.slower(c.Load.Wait)}
 	kept := c.Load.Cached
 	if holder >= 0 && worthFetch(p, f, kept, sources[holder].Load.Ready) {
@@ -135,7 +135,7 @@
 		ch.Moved = Move(e, ch.Fetched, src.Entry.Zone == c.Entry.Zone)
 	}
 	ch.Missing = max(p.Tokens-kept, 1)
-	read := c.slower(f.Read(p.Tokens, ch.Missing))
+	read := c.slower(f.PrefillTime(p.Tokens, ch.Missing))
 	ch.Read = read + ch.Moved
 	ch.Cost = ch.Wait + read + time.Duration(readAgain*float64(read)) + fetchWeight*ch.Moved
 	return ch
@@ -174,11 +174,11 @@
 
 // worthFetch reports whether the tokens that another engine keeps on top are
 // worth being fetched.
-func worthFetch(p *Prompt, f speed.Figures, kept, elsewhere int) bool {
+func worthFetch(p *Prompt, f speed.Estimates, kept, elsewhere int) bool {
 	if elsewhere <= kept {
 		return false
 	}
-	saved := f.Read(p.Tokens, p.Tokens-kept) - f.Read(p.Tokens, p.Tokens-elsewhere)
+	saved := f.PrefillTime(p.Tokens, p.Tokens-kept) - f.PrefillTime(p.Tokens, p.Tokens-elsewhere)
 	return saved >= leastFetch.of(p)
 }
 
--- a/request/placement/shortlist.go
+++ b/request/placement/shortlist.go
@@ -26,7 +26,7 @@
 // idle since. With a random engine among those that are asked for, what is
 // chosen differs from daemon to daemon, and a queue that is known right now
 // decides.
-func Shortlist(p Prompt, cands, sources []Candidate, e *route.Engine, f speed.Figures) []Choice {
+func Shortlist(p Prompt, cands, sources []Candidate, e *route.Engine, f speed.Estimates) []Choice {
 	if len(cands) == 0 {
 		return nil
 	}
--- a/request/placement/shortlist_test.go
+++ b/request/placement/shortlist_test.go
@@ -28,7 +28,7 @@
 // wait is how long prompts wait on the mean, chosen by choose.
 func (h *herd) wait(choose func(now time.Duration, p Prompt, cands []Candidate) int) time.Duration {
 	p := Prompt{Tokens: 8000, Objective: 800 * time.Millisecond}
-	read := figures.Read(p.Tokens, p.Tokens)
+	read := figures.PrefillTime(p.Tokens, p.Tokens)
 	gap := time.Duration(float64(read) / herdUse / float64(len(h.ids)))
 	var sum, now, told time.Duration
 	n := 0
@@ -65,7 +65,7 @@
 // that it takes to be read, whatever the number of engines.
 func TestHerdOnOldNews(t *testing.T) {
 	for _, n := range []int{6, 60, 171, 700} {
-		read := figures.Read(8000, 8000)
+		read := figures.PrefillTime(8000, 8000)
 		old := newHerd(n).wait(func(_ time.Duration, p Prompt, cands []Candidate) int {
 			return Prefill(p, cands, nil, nil, figures).At
 		})
@@ -117,7 +117,7 @@
 	if opened > prompts/3 {
 		t.Errorf("%d connections opened for %d prompts", opened, prompts)
 	}
-	if read := figures.Read(8000, 8000); wait > read/4 {
+	if read := figures.PrefillTime(8000, 8000); wait > read/4 {
 		t.Errorf("a prompt waits %v of %v", wait, read)
 	}
 }
