--- a/connection/demand/demand.go
+++ b/connection/demand/demand.go
@@ -1,6 +1,6 @@
-// Package demand measures what callers ask of a service's engines, whether it
-// is served or refused: reading of prompts, and places for streams. Daemons
-// exchange it, so that the daemon that plans sees all of it.
+// Package demand measures the callers' demand for a service's engines: prefill of
+// prompts and decoding slots for streams. Refused requests count, too. Daemons
+// exchange their measurements, so that the planning daemon has the total.
 package demand
 
 import (
@@ -11,24 +11,24 @@
 )
 
 const (
-	// bucketDuration is the resolution of the books.
+	// bucketDuration is the time that one bucket of a ring covers.
 	bucketDuration = 100 * time.Millisecond
-	// window is the time over which demand is averaged: about that of a change of
-	// role, since what is over sooner can't be answered by one.
+	// window is the time over which demand is averaged. It is about the time of a
+	// change of role, since a shorter peak can't be served by one.
 	window = 30 * bucketDuration
-	// peerTimeout is how long another daemon's update counts.
+	// peerTimeout is how long an update of another daemon is valid.
 	peerTimeout = 2 * time.Second
 )
 
-// Load is what is asked of a service's engines.
+// Load is the demand for a service's engines.
 type Load struct {
-	Prefill float64 // engines that would be busy reading all the time
-	Streams float64 // streams that would run at a time, were all served
-	Urgent  float64 // of these, streams of the most urgent priority asked for
-	// WeightedPrefill is Prefill with each prompt weighed by its share of its objective:
-	// what waiting costs.
+	Prefill float64 // number of engines that prefill would keep busy
+	Streams float64 // number of concurrent streams if all requests were served
+	Urgent  float64 // of these, streams of the most urgent priority requested so far
+	// WeightedPrefill is Prefill with each prompt weighted by the share of its
+	// objective that its prefill takes. It measures the cost of waiting.
 	WeightedPrefill float64
-	Transfer        float64 // engines whose links would move KV cache all the time
+	Transfer        float64 // number of engines whose links KV cache transfers would keep busy
 }
 
 func (l Load) add(o Load) Load {
@@ -38,10 +38,10 @@
 	}
 }
 
-// Update is what one daemon sends the others of one service.
+// Update is the demand for one service that a daemon sends to others.
 type Update struct {
 	_               struct{} `cbor:",toarray"`
-	Service         uint64   // hash of its name
+	Service         uint64   // hash of the service's name
 	Prefill         float32  `cbor:"Reading"`
 	Streams         float32
 	Urgent          float32
@@ -49,24 +49,25 @@
 	Transfer        float32 `cbor:"Moving"`
 }
 
-// Request is one request, as it is estimated at its arrival.
+// Request is the estimated demand of one request at its arrival.
 type Request struct {
-	Prefill        time.Duration // of an engine's prefill
-	StreamDuration time.Duration // that its stream will run
-	Transfer       time.Duration // that its KV cache takes to the engine that decodes
-	// Objective is the time in which the caller wants the first event, 0: none.
+	Prefill        time.Duration // of an engine
+	StreamDuration time.Duration // for which its stream will run
+	Transfer       time.Duration // of its KV cache to the decoding engine
+	// Objective is the time within which the caller expects the first event; 0: none.
 	Objective time.Duration
-	Priority  int // of its route, 0 is the most urgent
+	Priority  int // of its route; 0 is the most urgent
 }
 
-// Tracker is safe for concurrent use.
+// Tracker measures the demand at this daemon and holds the updates of others. It is
+// safe for concurrent use.
 type Tracker struct {
 	now func() time.Time
 
 	mu     sync.Mutex
 	local  map[uint64]*ring
 	peers  map[string]peer
-	oldest time.Time // no update in peers is older
+	oldest time.Time // lower bound of the times in peers
 }
 
 type peer struct {
@@ -79,38 +80,39 @@
 	return &Tracker{now: now, local: make(map[uint64]*ring), peers: make(map[string]peer), oldest: now()}
 }
 
-// Observe takes one request in.
-func (b *Tracker) Observe(service string, o Request) {
-	now := b.now()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r := b.local[engines.Hash(service)]
+// Observe adds one request.
+func (t *Tracker) Observe(service string, o Request) {
+	now := t.now()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := t.local[engines.Hash(service)]
 	if r == nil {
 		r = newRing(now)
-		b.local[engines.Hash(service)] = r
+		t.local[engines.Hash(service)] = r
 	}
 	r.add(now, o)
 }
 
-// MostUrgent reports whether no request of the service was more urgent so far.
-func (b *Tracker) MostUrgent(service string, priority int) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r := b.local[engines.Hash(service)]
+// MostUrgent reports whether no request of the service so far was more urgent than
+// priority.
+func (t *Tracker) MostUrgent(service string, priority int) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := t.local[engines.Hash(service)]
 	return r == nil || priority <= r.mostUrgent
 }
 
-// Total is what all daemons together are asked.
-func (b *Tracker) Total(service string) Load {
-	now, k := b.now(), engines.Hash(service)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.expire(now)
+// Total returns the demand at all daemons.
+func (t *Tracker) Total(service string) Load {
+	now, k := t.now(), engines.Hash(service)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.expire(now)
 	var sum Load
-	if r := b.local[k]; r != nil {
+	if r := t.local[k]; r != nil {
 		sum = r.load(now)
 	}
-	for _, p := range b.peers {
+	for _, p := range t.peers {
 		for _, w := range p.updates {
 			if w.Service == k {
 				sum = sum.add(w.load())
@@ -134,21 +136,21 @@
 	}
 }
 
-// Report returns what this process is asked.
-func (b *Tracker) Report() []Update { return b.SumOf(func(string) bool { return false }) }
+// Report returns the demand at this process, by service.
+func (t *Tracker) Report() []Update { return t.SumOf(func(string) bool { return false }) }
 
-// SumOf is the sum of what this process is asked and of the updates whose names
-// it is given.
-func (b *Tracker) SumOf(names func(name string) bool) []Update {
-	now := b.now()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.expire(now)
-	sums := make(map[uint64]Load, len(b.local))
-	for k, r := range b.local {
+// SumOf returns the sum of the demand at this process and of the updates whose names
+// are accepted by names.
+func (t *Tracker) SumOf(names func(name string) bool) []Update {
+	now := t.now()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.expire(now)
+	sums := make(map[uint64]Load, len(t.local))
+	for k, r := range t.local {
 		sums[k] = r.load(now)
 	}
-	for name, p := range b.peers {
+	for name, p := range t.peers {
 		if !names(name) {
 			continue
 		}
@@ -165,8 +167,8 @@
 	return out
 }
 
-// Subtract is what is left of a sum without a part of it, which may have been sent
-// a little earlier.
+// Subtract returns a sum of updates without a part of it. No result is negative, as
+// it could be if the part was sent earlier than the sum.
 func Subtract(sum, part []Update) []Update {
 	out := make([]Update, 0, len(sum))
 	for _, w := range sum {
@@ -181,35 +183,34 @@
 	return out
 }
 
-// Merge takes the update of another daemon, or of several in sum, in place of
-// the last one under that name.
-func (b *Tracker) Merge(from string, updates []Update) {
-	now := b.now()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.peers[from] = peer{at: now, updates: updates}
-	b.expire(now)
+// Merge stores the update of another daemon, or the sum of several. It replaces the
+// last update under the same name.
+func (t *Tracker) Merge(from string, updates []Update) {
+	now := t.now()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.peers[from] = peer{at: now, updates: updates}
+	t.expire(now)
 }
 
-// Forget takes out what all other daemons said.
-func (b *Tracker) Forget() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	clear(b.peers)
+// Forget removes the updates of all other daemons.
+func (t *Tracker) Forget() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	clear(t.peers)
 }
 
-// expire takes out the updates of unresponsive daemons.
-// Callers hold b.mu.
-func (b *Tracker) expire(now time.Time) {
-	if now.Sub(b.oldest) <= peerTimeout {
+// expire removes updates older than peerTimeout. Callers hold t.mu.
+func (t *Tracker) expire(now time.Time) {
+	if now.Sub(t.oldest) <= peerTimeout {
 		return
 	}
-	b.oldest = now
-	for name, p := range b.peers {
+	t.oldest = now
+	for name, p := range t.peers {
 		if now.Sub(p.at) > peerTimeout {
-			delete(b.peers, name)
-		} else if p.at.Before(b.oldest) {
-			b.oldest = p.at
+			delete(t.peers, name)
+		} else if p.at.Before(t.oldest) {
+			t.oldest = p.at
 		}
 	}
 }
--- a/connection/demand/demand_test.go
+++ b/connection/demand/demand_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// clock is a time that a test sets.
+// clock is a clock that tests set.
 type clock struct{ at time.Time }
 
 func (c *clock) now() time.Time           { return c.at }
@@ -14,9 +14,9 @@
 func newClock() *clock                    { return &clock{at: time.Unix(1_790_000_000, 0)} }
 func near(got, want, within float64) bool { return math.Abs(got-want) <= within }
 
-// Refused requests were no demand: the plan of the engines' roles saw only the
-// streams that ran, and gave engines away that refusals had left idle. Steady
-// arrivals of any rate show as reading and as streams that would run.
+// Guards against demand that omits refused requests. The planner of the engines' roles
+// only counted running streams, and released engines that were idle because of refusals.
+// Steady arrivals must show as prefill and as the streams that would run.
 func TestSteadyArrivals(t *testing.T) {
 	c := newClock()
 	b := New(c.now)
@@ -31,14 +31,15 @@
 	}
 	c.advance(time.Minute)
 	if !b.MostUrgent("llm", 1) || b.MostUrgent("llm", 2) {
-		t.Error("the most urgent priority isn't known")
+		t.Error("wrong most urgent priority")
 	}
 	if l := b.Total("llm"); l != (Load{}) {
 		t.Errorf("a minute later: %+v", l)
 	}
 }
 
-// A daemon that fell silent no longer counts: its callers ask the others.
+// Checks that an unresponsive daemon no longer counts. Its callers then send their requests
+// to other daemons.
 func TestDaemonsAreSummed(t *testing.T) {
 	c := newClock()
 	a, b := New(c.now), New(c.now)
@@ -56,11 +57,11 @@
 	b.Observe("llm", Request{StreamDuration: 10 * time.Second})
 	c.advance(peerTimeout + bucketDuration)
 	if l := b.Total("llm"); !near(l.Streams, one, 0.2) {
-		t.Errorf("after its silence %+v, one alone %v", l, one)
+		t.Errorf("after the timeout %+v, want %v", l, one)
 	}
 }
 
-// The time of day is set back on some VMs.
+// Guards against wrong demand after the system clock of a VM was set back.
 func TestClockSetBack(t *testing.T) {
 	c := newClock()
 	b := New(c.now)
--- a/connection/demand/ring.go
+++ b/connection/demand/ring.go
@@ -7,21 +7,21 @@
 
 const bucketCount = int(window / bucketDuration)
 
-// ring is one service's book over the last slots.
+// ring holds the demand for one service in the latest buckets.
 type ring struct {
-	current    int64 // number of the slot that now is in
-	first      int64
-	mostUrgent int // the most urgent priority asked for so far
+	current    int64 // number of the current bucket
+	first      int64 // number of the first bucket since the ring was created
+	mostUrgent int   // most urgent priority requested so far
 	buckets    [bucketCount]bucket
 }
 
-// bucket is what was asked in one slot: time of engines and of places.
+// bucket is the demand of the requests that arrived within one bucketDuration.
 type bucket struct {
 	prefill         time.Duration
 	streams         time.Duration
-	urgent          time.Duration // of lasts
+	urgent          time.Duration // part of streams
 	transfer        time.Duration
-	weightedPrefill float64 // nanoseconds of reading
+	weightedPrefill float64 // nanoseconds of prefill
 }
 
 func newRing(now time.Time) *ring {
@@ -41,7 +41,7 @@
 		s.weightedPrefill += float64(o.Prefill) * float64(o.Prefill) / float64(o.Objective)
 	}
 	if o.Priority < r.mostUrgent {
-		// What was noted as the most urgent isn't.
+		// The earlier requests are no longer the most urgent.
 		r.mostUrgent = o.Priority
 		for i := range r.buckets {
 			r.buckets[i].urgent = 0
@@ -52,11 +52,11 @@
 	}
 }
 
-// advance empties the slots up to now.
+// advance moves the ring to now and clears the buckets in between.
 func (r *ring) advance(now time.Time) {
 	to := bucketNumber(now)
 	if to-r.current > int64(bucketCount) || to < r.current {
-		// All of it is over, or the clock was set back.
+		// All buckets are outdated, or the clock was set back.
 		*r = ring{current: to, first: min(r.first, to), mostUrgent: r.mostUrgent}
 		return
 	}
@@ -66,7 +66,7 @@
 	}
 }
 
-// load is what is asked now: time asked for in each second.
+// load returns the mean demand over the window.
 func (r *ring) load(now time.Time) Load {
 	r.advance(now)
 	var all bucket
@@ -77,8 +77,8 @@
 		all.transfer += s.transfer
 		all.weightedPrefill += s.weightedPrefill
 	}
-	slots := min(max(r.current-r.first, 1), int64(bucketCount))
-	seconds := (bucketDuration*time.Duration(slots) - bucketDuration/2).Seconds() // the newest slot is half over on the mean
+	covered := min(max(r.current-r.first, 1), int64(bucketCount))
+	seconds := (bucketDuration*time.Duration(covered) - bucketDuration/2).Seconds() // the current bucket is half over on average
 	return Load{
 		Prefill:         all.prefill.Seconds() / seconds,
 		Streams:         all.streams.Seconds() / seconds,
--- a/connection/speed/fit.go
+++ b/connection/speed/fit.go
@@ -3,25 +3,28 @@
 import "time"
 
 const (
-	// promptDecay is what is left of a prompt's weight after the next one: about the
-	// last 150 count, so that engines that change are followed within them.
+	// promptDecay is the factor by which each prompt reduces the weights of the earlier
+	// ones. About the last 150 prompts count, so that the fit follows a change of the
+	// engines within that many.
 	promptDecay = 1 - 1.0/150
-	// queuedPenalty is by how much a prompt counts less that waited, for each
-	// time that it waited as long as it was read: its wait was predicted only.
+	// queuedPenalty reduces the weight of prompts that waited, in proportion to the
+	// wait relative to the prefill time. Their prefill time is uncertain, since the
+	// wait is only predicted.
 	queuedPenalty = 2.0
-	// outlierFactor bounds the time of a prompt, in times of what was predicted. Others'
-	// work that wasn't heard of makes single ones much longer.
+	// outlierFactor bounds the time of a prompt to a multiple of the prediction. Work
+	// that other daemons haven't reported yet makes single prompts much slower.
 	outlierFactor = 1.7
-	// ridge holds the fit where prompts are alike, as a share of the weights.
+	// ridge regularizes fits of nearly identical samples, as a share of the weights.
 	ridge = 1e-4
 )
 
-// termCount are the regressors: one, thousands of tokens, millions of pairs.
+// termCount is the number of regressors: a constant, thousands of tokens, and
+// millions of pairs.
 const termCount = 3
 
-// fit is a least squares fit of the time of prompts over their missing tokens
-// and pairs, with weights that fade. A term that comes out negative is left
-// out: no engine reads in less than no time.
+// fit is a least-squares fit of the time of prompts over their missing tokens and
+// pairs, with exponentially decaying weights. Terms with negative coefficients are
+// left out, since no work takes a negative time.
 type fit struct {
 	xx    [termCount][termCount]float64
 	xy    [termCount]float64
@@ -52,7 +55,7 @@
 	f.solve()
 }
 
-// solve fits all terms, then without the ones that came out negative.
+// solve fits all terms, and repeats the fit without negative ones.
 func (f *fit) solve() {
 	use := [termCount]bool{true, true, true}
 	for range termCount {
@@ -71,7 +74,8 @@
 	}
 }
 
-// solveWith solves the normal equations by elimination over the terms in use.
+// solveWith solves the normal equations for the terms in use, by Gaussian
+// elimination.
 func (f *fit) solveWith(use [termCount]bool) (c [termCount]float64) {
 	a, b := f.xx, f.xy
 	for i := range termCount {
--- a/connection/speed/pace.go
+++ b/connection/speed/pace.go
@@ -7,49 +7,52 @@
 	"github.com/pomelospool/pomelospool/connection/engines"
 )
 
-// Pace predicts the time between two events of a stream: an engine makes the
-// events of all its streams together, the more the slower. The zero value
-// predicts nothing.
+// Pace predicts the time between two events of a stream. An engine generates the
+// events of all its streams in one batch, so the time grows with their number. The
+// zero value predicts nothing.
 type Pace struct {
-	Base      time.Duration // of an engine without streams
-	PerStream time.Duration // for each stream
+	Base      time.Duration // time without streams
+	PerStream time.Duration // additional time per stream
 	Samples   int
 }
 
 const (
-	// minPaceSamples is the number of samples from which on a pace is used.
+	// minPaceSamples is the least number of samples for a usable Pace.
 	minPaceSamples = 40
-	// paceDecay is what is left of a sample's weight after the next one.
+	// paceDecay is the factor by which each sample reduces the weights of the earlier
+	// ones.
 	paceDecay = 1 - 1.0/3000
-	// paceOutlierFactor bounds a sample, in times of what was predicted: a stream that was
-	// preempted says nothing of the others.
+	// paceOutlierFactor bounds a sample to a multiple of the prediction, since a
+	// preempted stream isn't representative of the others.
 	paceOutlierFactor = 2.0
-	// minSlownessWeight is the least weight of the newest sample in an engine's own
-	// slowness: the last 50.
+	// minSlownessWeight is the least weight of the newest sample in an engine's
+	// slowness. About the last 50 samples count.
 	minSlownessWeight = 0.02
-	// minSlownessSamples is the number of samples from which on it counts.
+	// minSlownessSamples is the least number of samples for a usable slowness.
 	minSlownessSamples = 10
-	// maxSlowness bounds it.
+	// maxSlowness bounds one sample of the slowness.
 	maxSlowness = 4.0
-	// slownessTTL is how long an engine that gives no samples is remembered.
+	// slownessTTL is how long the slowness of an engine without samples is kept.
 	slownessTTL = time.Minute
 )
 
-// Known reports whether enough was seen, and more streams were slower.
+// Known reports whether there are enough samples, and the time grows with the number
+// of streams.
 func (p Pace) Known() bool { return p.Samples >= minPaceSamples && p.PerStream > 0 }
 
-// Gap is the time between two events while an engine runs that many streams.
+// Gap returns the time between two events while an engine runs that many streams.
 func (p Pace) Gap(streams int) time.Duration { return time.Duration(p.gapAt(float64(streams))) }
 
-// gapAt is the same for a mean number of streams, in nanoseconds.
+// gapAt returns the time between two events, in nanoseconds, for a mean number of
+// streams.
 func (p Pace) gapAt(streams float64) float64 { return float64(p.Base) + streams*float64(p.PerStream) }
 
-// MaxStreams is the largest number of streams whose events come at most that far
-// apart, one at least.
+// MaxStreams returns the largest number of streams for which the time between two
+// events is at most gap. It is at least 1.
 func (p Pace) MaxStreams(gap time.Duration) int { return max(int((gap-p.Base)/p.PerStream), 1) }
 
-// paceFit is a least squares line of gaps over streams, with weights that fade,
-// and by how much each engine is slower.
+// paceFit is a least-squares line of gaps over the number of streams, with
+// exponentially decaying weights, and the slowness of each engine.
 type paceFit struct {
 	w, x, y, xx, xy float64
 	n               int
@@ -57,13 +60,13 @@
 	engines         map[string]*slowness
 }
 
-// slowness is how many times slower than the service's line an engine is.
+// slowness is the mean ratio of an engine's gaps to those of the service's line.
 type slowness struct {
 	mean[float64]
 	lastSample time.Time
 }
 
-// addEngineSample takes in a sample of one engine.
+// addEngineSample updates the slowness of one engine.
 func (f *paceFit) addEngineSample(target string, streams float64, gap time.Duration) {
 	predicted := f.pace.gapAt(streams)
 	if !f.pace.Known() || predicted <= 0 {
@@ -104,30 +107,31 @@
 	f.pace = f.solve()
 }
 
-// solve returns the line. Loads that are all alike give none.
+// solve returns the line. Nearly identical loads don't determine one; the result then
+// isn't Known.
 func (f *paceFit) solve() Pace {
 	spread := f.w*f.xx - f.x*f.x
 	if spread < ridge*f.w*f.xx {
 		return Pace{Samples: f.n}
 	}
-	each := (f.w*f.xy - f.x*f.y) / spread
-	alone := (f.y - each*f.x) / f.w
-	return Pace{Base: time.Duration(max(alone, 0)), PerStream: time.Duration(max(each, 0)), Samples: f.n}
+	perStream := (f.w*f.xy - f.x*f.y) / spread
+	base := (f.y - perStream*f.x) / f.w
+	return Pace{Base: time.Duration(max(base, 0)), PerStream: time.Duration(max(perStream, 0)), Samples: f.n}
 }
 
-// ObserveGap notes the mean time between events of a stream while its engine ran that
-// many streams.
-func (b *Tracker) ObserveGap(name, target string, streams float64, gap time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	f := &b.get(engines.Hash(name)).pace
+// ObserveGap adds a sample: the mean time between events of a stream, and the mean
+// number of streams on its engine meanwhile.
+func (t *Tracker) ObserveGap(name, target string, streams float64, gap time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	f := &t.get(engines.Hash(name)).pace
 	f.addEngineSample(target, streams, gap)
 	f.add(streams, gap)
 }
 
-// Pace returns how fast an engine of a service makes events.
-func (b *Tracker) Pace(name, target string) Pace {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.get(engines.Hash(name)).pace.engine(target)
+// Pace returns the pace of an engine of a service.
+func (t *Tracker) Pace(name, target string) Pace {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.get(engines.Hash(name)).pace.engine(target)
 }
--- a/connection/speed/pace_test.go
+++ b/connection/speed/pace_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// feedGaps feeds n gaps of engines of a line; slow makes those of one longer.
+// feedGaps adds n gaps for each of two engines. The gaps of engine "slow" are longer by
+// the factor slow.
 func feedGaps(b *Tracker, n int, slow float64) {
 	r := rand.New(rand.NewPCG(3, 1))
 	for range n {
@@ -21,7 +22,7 @@
 	b := NewTracker()
 	feedGaps(b, 10, 1)
 	if p := b.Pace("llm", "usual"); p.Known() {
-		t.Errorf("known from 20 samples: %+v", p)
+		t.Errorf("known after 20 samples: %+v", p)
 	}
 	feedGaps(b, 300, 1)
 	// 36 + 0.7 * 40 ms
@@ -29,7 +30,7 @@
 		t.Errorf("%d streams at 64 ms, want about 40", n)
 	}
 	if n := b.Pace("llm", "usual").MaxStreams(time.Millisecond); n != 1 {
-		t.Errorf("%d streams at a gap that no engine keeps, want 1", n)
+		t.Errorf("%d streams at an unreachable gap, want 1", n)
 	}
 }
 
@@ -50,6 +51,6 @@
 		b.ObserveGap("llm", "a", 30, 57*time.Millisecond)
 	}
 	if p := b.Pace("llm", "a"); p.Known() {
-		t.Errorf("a line through one point: %+v", p)
+		t.Errorf("pace from samples of a single load: %+v", p)
 	}
 }
--- a/connection/speed/speed.go
+++ b/connection/speed/speed.go
@@ -1,7 +1,7 @@
-// Package speed learns how fast a service's engines are from the requests that
-// they serve: how long a prompt takes to be read, and how long the first event
-// takes from there. It starts from nothing, so that engines of any speed are
-// predicted alike well after some tens of prompts.
+// Package speed estimates the speed of a service's engines from the requests that they
+// serve: the prefill time of a prompt, the time to the first event, and the pace of a
+// stream. It uses no configured speed, so that predictions are equally good for engines
+// of any speed after some tens of prompts.
 package speed
 
 import (
@@ -11,78 +11,82 @@
 	"github.com/pomelospool/pomelospool/connection/engines"
 )
 
-// Estimates predict an engine's times. The zero value predicts nothing: it stands
-// for engines of which nothing was seen.
+// Estimates predict an engine's times. The zero value predicts nothing; it stands for
+// engines without samples.
 type Estimates struct {
-	PerToken           float64       // nanoseconds to read one prompt token
-	PerPair            float64       // nanoseconds for a thousand pairs of a token and one before it
-	PromptOverhead     time.Duration // of each prompt on top, network included; the engine reads others meanwhile
-	FirstEvent         time.Duration // from the request to the decoding engine to its first event, without the move of KV cache
-	PerOutputToken     time.Duration // that a stream takes for each output token stated, from its first event on
-	SlotTime           time.Duration // that a stream holds its place, on the mean over streams
-	LessUrgentSlotTime time.Duration // the same of streams that aren't of the most urgent routes
-	QueuedError        time.Duration // by which the time of prompts that waited is off on the mean
-	Streams            int           // whole streams that PerOutput comes from
-	Prompts            int           // prompts that these figures come from
+	PerToken           float64       // nanoseconds of prefill per prompt token
+	PerPair            float64       // nanoseconds per thousand pairs of a token and an earlier one
+	PromptOverhead     time.Duration // additional time of each prompt, network included; the engine can prefill others meanwhile
+	FirstEvent         time.Duration // from the request to the decoding engine until its first event, without the transfer of KV cache
+	PerOutputToken     time.Duration // of a stream per requested output token, from its first event on
+	SlotTime           time.Duration // mean time for which a stream holds its slot
+	LessUrgentSlotTime time.Duration // the same for streams of all but the most urgent routes
+	QueuedError        time.Duration // mean absolute error of the predicted time of prompts that waited
+	Streams            int           // complete streams behind PerOutputToken
+	Prompts            int           // prompts behind these estimates
 }
 
-// Known reports whether enough prompts were seen to predict others.
-func (f Estimates) Known() bool { return f.Prompts >= minPrompts }
+// Known reports whether there were enough prompts to predict others.
+func (e Estimates) Known() bool { return e.Prompts >= minPrompts }
 
-// assumedPerToken is the time to read a prompt token, in nanoseconds, that is
-// assumed of engines that nothing is known of: what published figures of large
-// models on one or a few accelerators lie around, from 4 to 40 µs.
+// assumedPerToken is the assumed prefill time per prompt token of engines without
+// samples, in nanoseconds. Published times of large models on one or a few
+// accelerators range from 4 to 40 µs.
 const assumedPerToken = 10e3
 
-// OrDefault returns the figures, or while they aren't known some that prompts
-// can be weighed against each other with. No time may be promised by these.
-func (f Estimates) OrDefault() Estimates {
-	if !f.Known() {
-		f.PerToken, f.PerPair = assumedPerToken, 0
+// OrDefault returns the estimates, or defaults while they aren't known. The defaults
+// are only good for comparing prompts with each other, not for predicting a time.
+func (e Estimates) OrDefault() Estimates {
+	if !e.Known() {
+		e.PerToken, e.PerPair = assumedPerToken, 0
 	}
-	return f
+	return e
 }
 
-// PrefillSettled reports whether what a prompt asks of the engines is known.
-func (f Estimates) PrefillSettled() bool { return f.Prompts >= minLocalSamples }
+// PrefillSettled reports whether there are enough prompts to estimate the demand for
+// prefill.
+func (e Estimates) PrefillSettled() bool { return e.Prompts >= minLocalSamples }
 
-// StreamsSettled reports whether what an answer asks of them is known, too.
-func (f Estimates) StreamsSettled() bool { return f.Streams >= minLocalSamples }
+// StreamsSettled reports whether there are enough complete streams to estimate the
+// demand for slots.
+func (e Estimates) StreamsSettled() bool { return e.Streams >= minLocalSamples }
 
-// ObservePrompt is the time that an engine takes to read the last missing tokens of a
-// prompt.
-func (f Estimates) PrefillTime(prompt, missing int) time.Duration {
-	t := float64(missing)*f.PerToken + pairs(prompt, missing)*f.PerPair
+// PrefillTime returns the time that an engine takes to prefill the last missing tokens
+// of a prompt.
+func (e Estimates) PrefillTime(prompt, missing int) time.Duration {
+	t := float64(missing)*e.PerToken + pairs(prompt, missing)*e.PerPair
 	return time.Duration(t)
 }
 
-// pairs is the number, in thousands, of pairs of a missing token and one of
-// the prompt before it: what attention computes.
+// pairs returns the number, in thousands, of pairs of a missing token and an earlier
+// token of the prompt. The work of attention is proportional to it.
 func pairs(prompt, missing int) float64 {
 	return float64(missing) * (float64(prompt) - float64(missing)/2) / 1e3
 }
 
-// Sample is one prompt that was read.
+// Sample is one prompt whose prefill is complete.
 type Sample struct {
-	Prompt        int           // its tokens
-	Missing       int           // of these, those that had to be read
-	PredictedWait time.Duration // predicted until the engine began with it, fetches included
-	Duration      time.Duration // from the request to its answer
+	Prompt        int           // tokens of the prompt
+	Missing       int           // tokens that weren't cached
+	PredictedWait time.Duration // predicted time until its prefill began, fetches of KV cache included
+	Duration      time.Duration // time from the request to its answer
 }
 
 const (
-	// minPrompts is the number of prompts from which on figures are used: twice
-	// and more the three that the fit finds.
+	// minPrompts is the least number of prompts for usable estimates. It is more than
+	// twice the three coefficients of the fit.
 	minPrompts = 8
-	// minLocalSamples is the number of own prompts from which on a process trusts its
-	// own figures more than another's: with 30 the fit of prompts that are off
-	// by a fifth each is off by a tenth.
+	// minLocalSamples is the least number of samples with which a process prefers its own
+	// estimates to those of another. If each prompt deviates by a fifth, a fit of 30
+	// prompts deviates by a tenth.
 	minLocalSamples = 30
-	// minFirstEventWeight is the least weight of the newest first event: the last 20.
+	// minFirstEventWeight is the least weight of the newest first event. About the last
+	// 20 count.
 	minFirstEventWeight = 0.05
 )
 
-// Tracker learns the figures of each service. It is safe for concurrent use.
+// Tracker estimates the speed of each service's engines. It is safe for concurrent
+// use.
 type Tracker struct {
 	mu       sync.Mutex
 	services map[uint64]*service
@@ -96,33 +100,34 @@
 	slotTime           mean[time.Duration]
 	lessUrgentSlotTime mean[time.Duration]
 	queuedError        time.Duration
-	local              Estimates // of this process's own prompts
-	remote             Estimates // another process's, of the most prompts
-	relativeError      float64   // smoothed share by which the prediction is off
+	local              Estimates // from this process's own prompts
+	remote             Estimates // from the other process with the most prompts
+	relativeError      float64   // smoothed relative error of the predictions
 }
 
 // NewTracker returns an empty Tracker.
 func NewTracker() *Tracker { return &Tracker{services: make(map[uint64]*service)} }
 
-// get returns what is known of a service. Callers hold b.mu.
-func (b *Tracker) get(key uint64) *service {
-	s := b.services[key]
+// get returns the state of a service, and creates it if needed. Callers hold t.mu.
+func (t *Tracker) get(key uint64) *service {
+	s := t.services[key]
 	if s == nil {
 		s = &service{pace: paceFit{engines: make(map[string]*slowness)}}
-		b.services[key] = s
+		t.services[key] = s
 	}
 	return s
 }
 
-// Estimates returns what is known of a service's engines now.
-func (b *Tracker) Estimates(name string) Estimates {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.get(engines.Hash(name)).estimates()
+// Estimates returns the current estimates for a service's engines.
+func (t *Tracker) Estimates(name string) Estimates {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.get(engines.Hash(name)).estimates()
 }
 
-// estimates are the own ones once they come from enough prompts, else another
-// process's: a process that has just started predicts like the others at once.
+// estimates returns the local estimates if they come from enough prompts, and else
+// those of another process if these come from more. A process that has just started
+// can thus predict at once.
 func (s *service) estimates() Estimates {
 	f := s.local
 	if s.local.Prompts < minLocalSamples && s.remote.Prompts > s.local.Prompts {
@@ -135,7 +140,7 @@
 	return f
 }
 
-// updateLocal puts the own figures together from what was learnt.
+// updateLocal updates the local estimates from the samples.
 func (s *service) updateLocal() {
 	s.local = s.fit.estimates()
 	s.local.FirstEvent = s.firstEvent.value
@@ -143,24 +148,24 @@
 	s.local.SlotTime, s.local.LessUrgentSlotTime = s.slotTime.value, s.lessUrgentSlotTime.value
 }
 
-// ObservePrompt notes a prompt that was read.
-func (b *Tracker) ObservePrompt(name string, p Sample) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.get(engines.Hash(name))
+// ObservePrompt adds a prompt whose prefill is complete.
+func (t *Tracker) ObservePrompt(name string, p Sample) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.get(engines.Hash(name))
 	s.fit.add(p)
 	s.recordError(p)
 	s.updateLocal()
 }
 
 const (
-	// errorWeight is the weight of the newest prediction in the error shown.
+	// errorWeight is the weight of the newest prediction in the smoothed errors.
 	errorWeight = 0.05
-	// maxError bounds one prediction's error.
+	// maxError bounds the relative error of one prediction.
 	maxError = 5.0
 )
 
-// recordError notes by how much the prediction of a prompt was off.
+// recordError adds the error of the prediction for a prompt.
 func (s *service) recordError(p Sample) {
 	f := s.estimates()
 	if !f.Known() || p.Duration <= 0 {
@@ -174,24 +179,24 @@
 	s.relativeError += errorWeight * (min(share, maxError) - s.relativeError)
 }
 
-// ObserveFirstEvent notes the time to the first event, without the move of KV cache.
-func (b *Tracker) ObserveFirstEvent(name string, seen time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.get(engines.Hash(name))
-	s.firstEvent.add(max(seen, 0), minFirstEventWeight)
+// ObserveFirstEvent adds a time to the first event, without the transfer of KV cache.
+func (t *Tracker) ObserveFirstEvent(name string, latency time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.get(engines.Hash(name))
+	s.firstEvent.add(max(latency, 0), minFirstEventWeight)
 	s.updateLocal()
 }
 
-// decayingRatio is the time of streams over the output tokens that they stated, with
-// weights that fade.
+// decayingRatio is the time of streams per requested output token, with exponentially
+// decaying weights.
 type decayingRatio struct {
 	time, tokens float64
 	n            int
 }
 
-func (r *decayingRatio) add(took time.Duration, tokens int) {
-	r.time = promptDecay*r.time + float64(took)
+func (r *decayingRatio) add(duration time.Duration, tokens int) {
+	r.time = promptDecay*r.time + float64(duration)
 	r.tokens = promptDecay*r.tokens + float64(tokens)
 	r.n++
 }
@@ -203,42 +208,44 @@
 	return time.Duration(r.time / r.tokens)
 }
 
-// minSlotTimeWeight is the least weight of the newest stream's stay: the last 50.
+// minSlotTimeWeight is the least weight of the newest stream's slot time. About the
+// last 50 count.
 const minSlotTimeWeight = 0.02
 
-// mean is a mean whose weights fade.
+// mean is a mean with exponentially decaying weights.
 type mean[T time.Duration | float64] struct {
 	value T
 	n     int
 }
 
-// add takes in the newest value; its weight is least once there are 1/least.
-func (m *mean[T]) add(v T, least float64) {
+// add adds a value. Its weight is that in a plain mean, but at least minWeight.
+func (m *mean[T]) add(v T, minWeight float64) {
 	m.n++
-	weight := max(1/float64(m.n), least)
+	weight := max(1/float64(m.n), minWeight)
 	m.value += T(weight * float64(v-m.value))
 }
 
-// ObserveStream notes how long a whole stream took from its first event on, and how
-// long it held its place.
-func (b *Tracker) ObserveStream(name string, output int, took, stay time.Duration, mostUrgent bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.get(engines.Hash(name))
-	s.perOutputToken.add(took, output)
-	s.slotTime.add(stay, minSlotTimeWeight)
+// ObserveStream adds a complete stream: its duration from its first event on, and the
+// time for which it held its slot.
+func (t *Tracker) ObserveStream(name string, output int, duration, slotTime time.Duration, mostUrgent bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.get(engines.Hash(name))
+	s.perOutputToken.add(duration, output)
+	s.slotTime.add(slotTime, minSlotTimeWeight)
 	if !mostUrgent {
-		s.lessUrgentSlotTime.add(stay, minSlotTimeWeight)
+		s.lessUrgentSlotTime.add(slotTime, minSlotTimeWeight)
 	}
 	s.updateLocal()
 }
 
-// StreamDuration is how long a stream will run that states so many output tokens.
-func (f Estimates) StreamDuration(output int) time.Duration {
-	return f.FirstEvent + f.PerOutputToken*time.Duration(output)
+// StreamDuration returns the predicted duration of a stream with a requested number of
+// output tokens.
+func (e Estimates) StreamDuration(output int) time.Duration {
+	return e.FirstEvent + e.PerOutputToken*time.Duration(output)
 }
 
-// Update is what one process sends the others of a service's engines.
+// Update holds the estimates for one service that a process sends to others.
 type Update struct {
 	_        struct{} `cbor:",toarray"`
 	Service  uint64
@@ -253,16 +260,16 @@
 	Streams  uint32
 }
 
-// maxReportedCount bounds the number told: of two processes that both know well, none
-// is preferred.
+// maxReportedCount bounds the counts in an Update, so that none of several processes
+// with many samples is preferred.
 const maxReportedCount = 1000
 
-// Report returns the figures of this process's own prompts.
-func (b *Tracker) Report() []Update { return b.updates(func(s *service) Estimates { return s.local }) }
+// Report returns the estimates from this process's own prompts.
+func (t *Tracker) Report() []Update { return t.updates(func(s *service) Estimates { return s.local }) }
 
-// Best returns the figures of the most prompts that this process knows of.
-func (b *Tracker) Best() []Update {
-	return b.updates(func(s *service) Estimates {
+// Best returns the estimates from the most prompts, local or remote.
+func (t *Tracker) Best() []Update {
+	return t.updates(func(s *service) Estimates {
 		if s.remote.Prompts > s.local.Prompts {
 			return s.remote
 		}
@@ -270,11 +277,11 @@
 	})
 }
 
-func (b *Tracker) updates(which func(s *service) Estimates) []Update {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (t *Tracker) updates(which func(s *service) Estimates) []Update {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var out []Update
-	for key, s := range b.services {
+	for key, s := range t.services {
 		f := which(s)
 		if !f.Known() {
 			continue
@@ -289,12 +296,13 @@
 	return out
 }
 
-// Merge takes another process's update.
-func (b *Tracker) Merge(updates []Update) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Merge stores another process's updates unless the stored ones come from more
+// prompts.
+func (t *Tracker) Merge(updates []Update) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	for _, w := range updates {
-		s := b.get(w.Service)
+		s := t.get(w.Service)
 		if int(w.Reads) < s.remote.Prompts {
 			continue
 		}
@@ -308,9 +316,10 @@
 	}
 }
 
-// PredictionError is by which share the prediction of prompts has been off, smoothed.
-func (b *Tracker) PredictionError(name string) float64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.get(engines.Hash(name)).relativeError
+// PredictionError returns the smoothed relative error of the predicted times of
+// prompts.
+func (t *Tracker) PredictionError(name string) float64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.get(engines.Hash(name)).relativeError
 }
--- a/connection/speed/speed_test.go
+++ b/connection/speed/speed_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// engine emulates an engine's times, in milliseconds.
+// engine holds the times of an emulated engine, in milliseconds.
 type engine struct{ perToken, perPairM, start float64 }
 
 func (e engine) read(prompt, missing int) time.Duration {
@@ -16,8 +16,8 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// feedPrompts feeds n prompts of a mix; noise is the share by which their times
-// differ, and one in ten waits behind another daemon's that nobody told of.
+// feedPrompts adds n prompts of mixed sizes. Their times deviate by up to a tenth, and
+// one in ten waits behind an unreported prompt of another daemon.
 func feedPrompts(b *Tracker, e engine, r *rand.Rand, n int) {
 	for range n {
 		prompt := 200 + r.IntN(17_000)
@@ -30,6 +30,8 @@
 	}
 }
 
+// maxRelativeError returns the largest relative error of the predictions for some
+// prompts.
 func maxRelativeError(f Estimates, e engine) float64 {
 	worst := 0.0
 	for _, p := range [][2]int{{1000, 1000}, {9000, 3000}, {17_000, 4000}, {17_000, 17_000}} {
@@ -39,10 +41,9 @@
 	return worst
 }
 
-// Prompts of a service with engines of a speed that nobody stated are refused
-// or given up, since their times are predicted by another engine's figures.
-// Engines from a fifth of one's time to ten times it are predicted within a
-// quarter after 40 prompts.
+// Guards against refused or aborted prompts because times are predicted from the
+// speed of another engine. For engines that take from a fifth to ten times the usual
+// time, predictions must be within a quarter after 40 prompts.
 func TestEstimatesAnySpeed(t *testing.T) {
 	for _, x := range []float64{0.2, 1, 3, 10} {
 		t.Run(fmt.Sprint(x), func(t *testing.T) {
@@ -59,7 +60,8 @@
 	}
 }
 
-// Engines are replaced by slower ones in the middle of a day.
+// Guards against estimates that stay at the speed of engines that were replaced by slower
+// ones.
 func TestFollowsSpeedChange(t *testing.T) {
 	r := rand.New(rand.NewPCG(5, 1))
 	b := NewTracker()
@@ -70,12 +72,12 @@
 		t.Errorf("off by %.2f: %+v", got, b.Estimates("llm"))
 	}
 	if e := b.PredictionError("llm"); e > 0.5 {
-		t.Errorf("error shown %.2f", e)
+		t.Errorf("prediction error %.2f", e)
 	}
 }
 
-// Prompts that are all alike give no slope; the time of such a prompt must be
-// right all the same, and no term may be negative.
+// Identical prompts don't determine a slope. The predicted time of such a prompt must
+// still be right, and no term may be negative.
 func TestIdenticalPrompts(t *testing.T) {
 	b := NewTracker()
 	for range 50 {
@@ -88,9 +90,9 @@
 	}
 }
 
-// A daemon that has just started refuses nothing and places by nothing, or
-// waits for its own sights. It takes the others' update at once, and its own once
-// that rests on enough.
+// Guards against a daemon that has no estimates for refusals and placement just after its
+// start. It must use the update of another daemon at once, and its own estimates once
+// they come from enough prompts.
 func TestEstimatesAreShared(t *testing.T) {
 	e := engine{perToken: 0.02, perPairM: 0.25, start: 30}
 	old, fresh := NewTracker(), NewTracker()
@@ -99,15 +101,15 @@
 	fresh.Merge(old.Report())
 	f := fresh.Estimates("llm")
 	if !f.Known() || maxRelativeError(f, e) > 0.25 || f.FirstEvent.Round(time.Millisecond) != 40*time.Millisecond {
-		t.Errorf("heard %+v", f)
+		t.Errorf("estimates after the update: %+v", f)
 	}
 	if report := fresh.Report(); len(report) != 0 {
-		t.Errorf("passes on what it heard: %+v", report)
+		t.Errorf("reports the estimates of another daemon: %+v", report)
 	}
 	other := engine{perToken: 0.1, start: 1}
 	feedPrompts(fresh, other, rand.New(rand.NewPCG(4, 1)), 200)
 	if got := maxRelativeError(fresh.Estimates("llm"), other); got > 0.25 {
-		t.Errorf("own sights don't count: off by %.2f", got)
+		t.Errorf("own prompts don't count: off by %.2f", got)
 	}
 }
 
