--- a/connection/demand/demand.go
+++ b/connection/demand/demand.go
@@ -113,19 +113,19 @@
 		sum = r.load(now)
 	}
 	for _, p := range t.peers {
-		for _, w := range p.updates {
-			if w.Service == k {
-				sum = sum.add(w.load())
+		for _, u := range p.updates {
+			if u.Service == k {
+				sum = sum.add(u.load())
 			}
 		}
 	}
 	return sum
 }
 
-func (w Update) load() Load {
+func (u Update) load() Load {
 	return Load{
-		Prefill: float64(w.Prefill), Streams: float64(w.Streams), Urgent: float64(w.Urgent),
-		WeightedPrefill: float64(w.WeightedPrefill), Transfer: float64(w.Transfer),
+		Prefill: float64(u.Prefill), Streams: float64(u.Streams), Urgent: float64(u.Urgent),
+		WeightedPrefill: float64(u.WeightedPrefill), Transfer: float64(u.Transfer),
 	}
 }
 
@@ -154,8 +154,8 @@
 		if !names(name) {
 			continue
 		}
-		for _, w := range p.updates {
-			sums[w.Service] = sums[w.Service].add(w.load())
+		for _, u := range p.updates {
+			sums[u.Service] = sums[u.Service].add(u.load())
 		}
 	}
 	out := make([]Update, 0, len(sums))
@@ -171,14 +171,14 @@
 // it could be if the part was sent earlier than the sum.
 func Subtract(sum, part []Update) []Update {
 	out := make([]Update, 0, len(sum))
-	for _, w := range sum {
+	for _, u := range sum {
 		for _, p := range part {
-			if p.Service == w.Service {
-				w.Prefill, w.Streams, w.Urgent = max(w.Prefill-p.Prefill, 0), max(w.Streams-p.Streams, 0), max(w.Urgent-p.Urgent, 0)
-				w.WeightedPrefill, w.Transfer = max(w.WeightedPrefill-p.WeightedPrefill, 0), max(w.Transfer-p.Transfer, 0)
+			if p.Service == u.Service {
+				u.Prefill, u.Streams, u.Urgent = max(u.Prefill-p.Prefill, 0), max(u.Streams-p.Streams, 0), max(u.Urgent-p.Urgent, 0)
+				u.WeightedPrefill, u.Transfer = max(u.WeightedPrefill-p.WeightedPrefill, 0), max(u.Transfer-p.Transfer, 0)
 			}
 		}
-		out = append(out, w)
+		out = append(out, u)
 	}
 	return out
 }
--- a/connection/speed/speed.go
+++ b/connection/speed/speed.go
@@ -251,12 +251,12 @@
 	Service  uint64
 	PerToken float32
 	PerPair  float32
-	StartUs  uint32
-	FirstUs  uint32
-	OutputUs uint32
-	StayUs   uint32
-	LessUs   uint32
-	Reads    uint32
+	StartUs  uint32 `cbor:"StartUs"`
+	FirstUs  uint32 `cbor:"FirstUs"`
+	OutputUs uint32 `cbor:"OutputUs"`
+	StayUs   uint32 `cbor:"StayUs"`
+	LessUs   uint32 `cbor:"LessUs"`
+	Reads    uint32 `cbor:"Reads"`
 	Streams  uint32
 }
 
@@ -301,17 +301,17 @@
 func (t *Tracker) Merge(updates []Update) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, w := range updates {
-		s := t.get(w.Service)
-		if int(w.Reads) < s.remote.Prompts {
+	for _, u := range updates {
+		s := t.get(u.Service)
+		if int(u.Reads) < s.remote.Prompts {
 			continue
 		}
 		s.remote = Estimates{
-			PerToken: float64(w.PerToken), PerPair: float64(w.PerPair),
-			PromptOverhead: time.Duration(w.StartUs) * time.Microsecond, FirstEvent: time.Duration(w.FirstUs) * time.Microsecond,
-			PerOutputToken: time.Duration(w.OutputUs) * time.Microsecond, SlotTime: time.Duration(w.StayUs) * time.Microsecond, LessUrgentSlotTime: time.Duration(w.LessUs) * time.Microsecond,
-			Prompts: int(w.Reads),
-			Streams: int(w.Streams),
+			PerToken: float64(u.PerToken), PerPair: float64(u.PerPair),
+			PromptOverhead: time.Duration(u.StartUs) * time.Microsecond, FirstEvent: time.Duration(u.FirstUs) * time.Microsecond,
+			PerOutputToken: time.Duration(u.OutputUs) * time.Microsecond, SlotTime: time.Duration(u.StayUs) * time.Microsecond, LessUrgentSlotTime: time.Duration(u.LessUs) * time.Microsecond,
+			Prompts: int(u.Reads),
+			Streams: int(u.Streams),
 		}
 	}
 }
--- a/connection/speed/speed_test.go
+++ b/connection/speed/speed_test.go
@@ -18,7 +18,7 @@
 
 // feedPrompts adds n prompts of mixed sizes. Their times deviate by up to a tenth, and
 // one in ten waits behind an unreported prompt of another daemon.
-func feedPrompts(b *Tracker, e engine, r *rand.Rand, n int) {
+func feedPrompts(tr *Tracker, e engine, r *rand.Rand, n int) {
 	for range n {
 		prompt := 200 + r.IntN(17_000)
 		missing := max(prompt/(1+r.IntN(4)), 20)
@@ -26,7 +26,7 @@
 		if r.IntN(10) == 0 {
 			took += float64(e.read(9000, 3000))
 		}
-		b.ObservePrompt("llm", Sample{Prompt: prompt, Missing: missing, Duration: time.Duration(took)})
+		tr.ObservePrompt("llm", Sample{Prompt: prompt, Missing: missing, Duration: time.Duration(took)})
 	}
 }
 
@@ -48,13 +48,13 @@
 	for _, x := range []float64{0.2, 1, 3, 10} {
 		t.Run(fmt.Sprint(x), func(t *testing.T) {
 			e := engine{perToken: 0.02 * x, perPairM: 0.25 * x, start: 30 * x}
-			b := NewTracker()
-			if f := b.Estimates("llm"); f.Known() || f.PrefillTime(1000, 1000) != 0 {
+			tr := NewTracker()
+			if f := tr.Estimates("llm"); f.Known() || f.PrefillTime(1000, 1000) != 0 {
 				t.Errorf("before any prompt: %+v", f)
 			}
-			feedPrompts(b, e, rand.New(rand.NewPCG(uint64(x*10), 1)), 40)
-			if got := maxRelativeError(b.Estimates("llm"), e); got > 0.25 {
-				t.Errorf("off by %.2f: %+v", got, b.Estimates("llm"))
+			feedPrompts(tr, e, rand.New(rand.NewPCG(uint64(x*10), 1)), 40)
+			if got := maxRelativeError(tr.Estimates("llm"), e); got > 0.25 {
+				t.Errorf("off by %.2f: %+v", got, tr.Estimates("llm"))
 			}
 		})
 	}
@@ -64,14 +64,14 @@
 // ones.
 func TestFollowsSpeedChange(t *testing.T) {
 	r := rand.New(rand.NewPCG(5, 1))
-	b := NewTracker()
-	feedPrompts(b, engine{perToken: 0.005, perPairM: 0.1, start: 3}, r, 400)
+	tr := NewTracker()
+	feedPrompts(tr, engine{perToken: 0.005, perPairM: 0.1, start: 3}, r, 400)
 	slow := engine{perToken: 0.02, perPairM: 0.4, start: 12}
-	feedPrompts(b, slow, r, 500)
-	if got := maxRelativeError(b.Estimates("llm"), slow); got > 0.25 {
-		t.Errorf("off by %.2f: %+v", got, b.Estimates("llm"))
+	feedPrompts(tr, slow, r, 500)
+	if got := maxRelativeError(tr.Estimates("llm"), slow); got > 0.25 {
+		t.Errorf("off by %.2f: %+v", got, tr.Estimates("llm"))
 	}
-	if e := b.PredictionError("llm"); e > 0.5 {
+	if e := tr.PredictionError("llm"); e > 0.5 {
 		t.Errorf("prediction error %.2f", e)
 	}
 }
@@ -79,11 +79,11 @@
 // Identical prompts don't determine a slope. The predicted time of such a prompt must
 // still be right, and no term may be negative.
 func TestIdenticalPrompts(t *testing.T) {
-	b := NewTracker()
+	tr := NewTracker()
 	for range 50 {
-		b.ObservePrompt("llm", Sample{Prompt: 1000, Missing: 500, Duration: 20 * time.Millisecond})
+		tr.ObservePrompt("llm", Sample{Prompt: 1000, Missing: 500, Duration: 20 * time.Millisecond})
 	}
-	f := b.Estimates("llm")
+	f := tr.Estimates("llm")
 	got := f.PromptOverhead + f.PrefillTime(1000, 500)
 	if d := (got - 20*time.Millisecond).Abs(); d > time.Millisecond || f.PerToken < 0 || f.PerPair < 0 || f.PromptOverhead < 0 {
 		t.Errorf("%v of %+v", got, f)
@@ -114,15 +114,15 @@
 }
 
 func TestFirstEvents(t *testing.T) {
-	b := NewTracker()
-	b.ObserveFirstEvent("llm", 100*time.Millisecond)
-	if got := b.Estimates("llm").FirstEvent; got != 100*time.Millisecond {
+	tr := NewTracker()
+	tr.ObserveFirstEvent("llm", 100*time.Millisecond)
+	if got := tr.Estimates("llm").FirstEvent; got != 100*time.Millisecond {
 		t.Errorf("after one: %v", got)
 	}
 	for range 100 {
-		b.ObserveFirstEvent("llm", 20*time.Millisecond)
+		tr.ObserveFirstEvent("llm", 20*time.Millisecond)
 	}
-	if got := b.Estimates("llm").FirstEvent; got > 22*time.Millisecond {
+	if got := tr.Estimates("llm").FirstEvent; got > 22*time.Millisecond {
 		t.Errorf("after a hundred: %v", got)
 	}
 }
--- a/process/planner/plan_test.go
+++ b/process/planner/plan_test.go
@@ -40,7 +40,7 @@
 )
 
 func newSimulation(prefill, mixed, decode int) *simulation {
-	w := &simulation{
+	sim := &simulation{
 		doc: &document.Document{
 			Objectives: document.Objectives{BetweenTokens: 36 * time.Millisecond},
 			Roles:      document.Roles{GoodputWeight: 0.8, MinPrefill: 1, MinDecode: 2, MaxChanging: 1, MinDwell: 30 * time.Second},
@@ -57,82 +57,82 @@
 		} else if i < prefill+mixed {
 			role = port.RoleMixed
 		}
-		w.obs.Engines = append(w.obs.Engines, Engine{
+		sim.obs.Engines = append(sim.obs.Engines, Engine{
 			Name: fmt.Sprintf("e%d", i), Group: fmt.Sprintf("g%d", i%3), Incarnation: "1", Role: role, Live: true,
 			Load: port.Load{Running: 40, PrefillRate: testPrefill, DecodeRate: 40 / (assumedBase + 40*assumedPerStream), QueuedPrefill: 0, KVCapacity: 400_000},
 		})
 	}
-	return w
+	return sim
 }
 
 // run simulates seconds of a mix, which is given in engines' worth of work.
-func (w *simulation) run(seconds int, prefill, decode float64) {
+func (sim *simulation) run(seconds int, prefill, decode float64) {
 	for range seconds {
-		w.now += time.Second
-		w.obs.Requests += 30
-		w.obs.Prefill += prefill * testPrefill
-		w.obs.Decode += decode * testDecode
-		w.finishChanges()
+		sim.now += time.Second
+		sim.obs.Requests += 30
+		sim.obs.Prefill += prefill * testPrefill
+		sim.obs.Decode += decode * testDecode
+		sim.finishChanges()
 		var changes []Change
-		for group, s := range w.states {
-			o := w.obs
+		for group, s := range sim.states {
+			o := sim.obs
 			o.Group = group
-			next, cs := Plan(w.now, o, w.doc, s)
-			w.states[group] = next
+			next, cs := Plan(sim.now, o, sim.doc, s)
+			sim.states[group] = next
 			changes = append(changes, cs...)
 		}
-		w.order(changes)
-		w.recordExtremes()
+		sim.order(changes)
+		sim.recordExtremes()
 	}
 }
 
-func (w *simulation) engine(name string) *Engine {
-	for i := range w.obs.Engines {
-		if w.obs.Engines[i].Name == name {
-			return &w.obs.Engines[i]
+func (sim *simulation) engine(name string) *Engine {
+	for i := range sim.obs.Engines {
+		if sim.obs.Engines[i].Name == name {
+			return &sim.obs.Engines[i]
 		}
 	}
 	return nil
 }
 
-func (w *simulation) order(changes []Change) {
+func (sim *simulation) order(changes []Change) {
 	for _, c := range changes {
-		w.changes = append(w.changes, c)
-		if w.outcome == refuses {
+		sim.changes = append(sim.changes, c)
+		if sim.outcome == refuses {
 			continue
 		}
-		w.engine(c.Engine).Changing = true
-		w.changing[c.Engine] = changeSeconds
-		w.newRole[c.Engine] = c.To
+		sim.engine(c.Engine).Changing = true
+		sim.changing[c.Engine] = changeSeconds
+		sim.newRole[c.Engine] = c.To
 	}
 }
 
-func (w *simulation) finishChanges() {
-	for name, left := range w.changing {
+func (sim *simulation) finishChanges() {
+	for name, left := range sim.changing {
 		if left > 1 {
-			w.changing[name] = left - 1
+			sim.changing[name] = left - 1
 			continue
 		}
-		delete(w.changing, name)
-		e := w.engine(name)
+		delete(sim.changing, name)
+		e := sim.engine(name)
 		e.Changing = false
-		if w.outcome == crashes {
+		if sim.outcome == crashes {
 			e.Incarnation += "'"
 			continue
 		}
-		e.Role = w.newRole[name]
+		e.Role = sim.newRole[name]
 	}
 }
 
-func (w *simulation) recordExtremes() {
-	l := newLimits(&w.obs, w.doc)
-	w.minAble = [2]int{min(w.minAble[0], l.prefill), min(w.minAble[1], l.decode)}
-	w.maxChanging = max(w.maxChanging, len(w.changing))
+func (sim *simulation) recordExtremes() {
+	l := newLimits(&sim.obs, sim.doc)
+	sim.minAble = [2]int{min(sim.minAble[0], l.prefill), min(sim.minAble[1], l.decode)}
+	sim.maxChanging = max(sim.maxChanging, len(sim.changing))
 }
 
-func (w *simulation) roles() map[port.Role]int {
+func (sim *simulation) roles() map[port.Role]int {
 	n := map[port.Role]int{}
-	for _, e := range w.obs.Engines {
+	for _, e := range sim.obs.Engines {
 		n[e.Role]++
 	}
 	return n
@@ -140,7 +140,7 @@
 
 // TestPlan has one case for each guarantee of the planner.
 func TestPlan(t *testing.T) {
-	toPrefill := func(w *simulation) { w.run(60, 2.5, 4.0); w.run(200, 5.5, 2.0) }
+	toPrefill := func(sim *simulation) { sim.run(60, 2.5, 4.0); sim.run(200, 5.5, 2.0) }
 	cases := []struct {
 		name     string
 		engines  [3]int // prefill, mixed, decode
@@ -148,40 +148,40 @@
 		play     func(*simulation)
 		min, max int // changes
 	}{
-		{"steady and easy", [3]int{3, 2, 4}, nil, func(w *simulation) { w.run(600, 2, 3) }, 0, 0},
+		{"steady and easy", [3]int{3, 2, 4}, nil, func(sim *simulation) { sim.run(600, 2, 3) }, 0, 0},
 		{"follows a lasting step", [3]int{3, 0, 6}, nil, toPrefill, 1, 4},
-		{"a step that few changes are worth", [3]int{3, 0, 6}, func(w *simulation) { w.doc.Roles.GoodputWeight = 0.01 }, toPrefill, 0, 1},
-		{"nothing asked", [3]int{3, 2, 4}, nil, func(w *simulation) { w.run(300, 0, 0) }, 0, 0},
-		{"pinned", [3]int{3, 0, 6}, func(w *simulation) {
-			for i := range w.obs.Engines {
-				w.obs.Engines[i].Pinned = true
+		{"a step that few changes are worth", [3]int{3, 0, 6}, func(sim *simulation) { sim.doc.Roles.GoodputWeight = 0.01 }, toPrefill, 0, 1},
+		{"nothing asked", [3]int{3, 2, 4}, nil, func(sim *simulation) { sim.run(300, 0, 0) }, 0, 0},
+		{"pinned", [3]int{3, 0, 6}, func(sim *simulation) {
+			for i := range sim.obs.Engines {
+				sim.obs.Engines[i].Pinned = true
 			}
 		}, toPrefill, 0, 0},
-		{"keeps enough to decode", [3]int{1, 0, 3}, nil, func(w *simulation) { w.run(400, 3.5, 0.1) }, 1, 1},
-		{"oscillation faster than a change pays", [3]int{3, 2, 4}, nil, func(w *simulation) {
+		{"keeps enough to decode", [3]int{1, 0, 3}, nil, func(sim *simulation) { sim.run(400, 3.5, 0.1) }, 1, 1},
+		{"oscillation faster than a change pays", [3]int{3, 2, 4}, nil, func(sim *simulation) {
 			for range 20 {
-				w.run(15, 4.0, 3.0)
-				w.run(15, 2.6, 4.4)
+				sim.run(15, 4.0, 3.0)
+				sim.run(15, 2.6, 4.4)
 			}
 		}, 0, 4},
-		{"counts that begin anew", [3]int{3, 2, 4}, nil, func(w *simulation) {
-			w.run(100, 2, 3)
-			w.obs.Requests, w.obs.Prefill, w.obs.Decode = 0, 0, 0
-			w.run(100, 2, 3)
+		{"counts that begin anew", [3]int{3, 2, 4}, nil, func(sim *simulation) {
+			sim.run(100, 2, 3)
+			sim.obs.Requests, sim.obs.Prefill, sim.obs.Decode = 0, 0, 0
+			sim.run(100, 2, 3)
 		}, 0, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			w := newSimulation(c.engines[0], c.engines[1], c.engines[2])
+			sim := newSimulation(c.engines[0], c.engines[1], c.engines[2])
 			if c.set != nil {
-				c.set(w)
+				c.set(sim)
 			}
-			c.play(w)
-			if n := len(w.changes); n < c.min || n > c.max {
-				t.Errorf("%d changes, want %d to %d: %+v", n, c.min, c.max, w.changes)
+			c.play(sim)
+			if n := len(sim.changes); n < c.min || n > c.max {
+				t.Errorf("%d changes, want %d to %d: %+v", n, c.min, c.max, sim.changes)
 			}
-			if w.minAble[0] < 1 || w.minAble[1] < 2 || w.maxChanging > 1 {
-				t.Errorf("fewest able to prefill and decode %v, most changing at once %d", w.minAble, w.maxChanging)
+			if sim.minAble[0] < 1 || sim.minAble[1] < 2 || sim.maxChanging > 1 {
+				t.Errorf("fewest able to prefill and decode %v, most changing at once %d", sim.minAble, sim.maxChanging)
 			}
 		})
 	}
@@ -192,12 +192,12 @@
 // of its last order.
 func TestFailedChangeBacksOff(t *testing.T) {
 	for _, reaction := range []outcome{refuses, crashes} {
-		w := newSimulation(3, 0, 6)
-		w.outcome = reaction
-		w.run(60, 2.5, 4.0)
-		w.run(600, 5.5, 2.0)
+		sim := newSimulation(3, 0, 6)
+		sim.outcome = reaction
+		sim.run(60, 2.5, 4.0)
+		sim.run(600, 5.5, 2.0)
 		asked := map[string]int{}
-		for _, c := range w.changes {
+		for _, c := range sim.changes {
 			asked[c.Engine]++
 		}
 		for name, n := range asked {
@@ -205,8 +205,8 @@
 				t.Errorf("outcome %d: %s asked %d times", reaction, name, n)
 			}
 		}
-		if len(w.changes) < 2 {
-			t.Errorf("outcome %d: gave up after %d orders", reaction, len(w.changes))
+		if len(sim.changes) < 2 {
+			t.Errorf("outcome %d: gave up after %d orders", reaction, len(sim.changes))
 		}
 	}
 }
@@ -218,9 +218,9 @@
 	one := newSimulation(3, 0, 6)
 	three := newSimulation(3, 0, 6)
 	three.states = map[string]State{"g0": {}, "g1": {}, "g2": {}}
-	for _, w := range []*simulation{one, three} {
-		w.run(60, 2.5, 4.0)
-		w.run(200, 5.5, 2.0)
+	for _, sim := range []*simulation{one, three} {
+		sim.run(60, 2.5, 4.0)
+		sim.run(200, 5.5, 2.0)
 	}
 	if one.roles()[port.RolePrefill] == 3 {
 		t.Fatal("a single planner made no change")
@@ -235,14 +235,14 @@
 // scaled instead of their increments, a new number of processes would look like an hour's
 // requests within a second.
 func TestNumberOfProcessesChanges(t *testing.T) {
-	w := newSimulation(3, 2, 4)
+	sim := newSimulation(3, 2, 4)
 	for _, n := range []int{8, 7, 8, 9, 8} {
-		w.obs.Processes = n
-		w.run(120, 2.0/float64(n), 3.0/float64(n))
+		sim.obs.Processes = n
+		sim.run(120, 2.0/float64(n), 3.0/float64(n))
 	}
-	m := w.states[""].Demand.Fast
-	if m.Prefill > 2.1*testPrefill || m.Decode > 3.1*testDecode || len(w.changes) > 0 {
-		t.Errorf("demand %+v, changes %+v", m, w.changes)
+	m := sim.states[""].Demand.Fast
+	if m.Prefill > 2.1*testPrefill || m.Decode > 3.1*testDecode || len(sim.changes) > 0 {
+		t.Errorf("demand %+v, changes %+v", m, sim.changes)
 	}
 }
 
@@ -250,16 +250,16 @@
 // Without a group it recorded each change that it couldn't order as refused, and backed
 // off from all engines.
 func TestNoGroupNoOrders(t *testing.T) {
-	w := newSimulation(3, 0, 6)
-	w.obs.Groups = []string{}
-	w.run(60, 2.5, 4.0)
-	w.run(60, 5.5, 2.0)
-	if len(w.changes) > 0 {
-		t.Fatalf("ordered %+v", w.changes)
+	sim := newSimulation(3, 0, 6)
+	sim.obs.Groups = []string{}
+	sim.run(60, 2.5, 4.0)
+	sim.run(60, 5.5, 2.0)
+	if len(sim.changes) > 0 {
+		t.Fatalf("ordered %+v", sim.changes)
 	}
-	w.obs.Groups = []string{"g0", "g1", "g2"}
-	w.run(5, 5.5, 2.0)
-	if len(w.changes) == 0 {
+	sim.obs.Groups = []string{"g0", "g1", "g2"}
+	sim.run(5, 5.5, 2.0)
+	if len(sim.changes) == 0 {
 		t.Error("nothing ordered after the takeover")
 	}
 }
@@ -268,31 +268,31 @@
 // small steps and report low rates. If these were taken for their capacity, the planner
 // would add prefill engines, and each would get still less load.
 func TestIdleEnginesDontLookSlow(t *testing.T) {
-	w := newSimulation(3, 0, 6)
-	for i := range w.obs.Engines {
-		w.obs.Engines[i].Load.PrefillRate = testPrefill / 4
+	sim := newSimulation(3, 0, 6)
+	for i := range sim.obs.Engines {
+		sim.obs.Engines[i].Load.PrefillRate = testPrefill / 4
 	}
-	w.run(300, 2.2, 4)
-	if r := w.states[""].Rates.Prefill; r < testPrefill {
+	sim.run(300, 2.2, 4)
+	if r := sim.states[""].Rates.Prefill; r < testPrefill {
 		t.Errorf("estimated prefill rate %.0f tokens/s is too low", r)
 	}
-	if len(w.changes) > 0 {
-		t.Errorf("changes %+v", w.changes)
+	if len(sim.changes) > 0 {
+		t.Errorf("changes %+v", sim.changes)
 	}
 }
 
 func TestLearnsRates(t *testing.T) {
-	w := newSimulation(3, 2, 4)
-	for i := range w.obs.Engines {
-		l := &w.obs.Engines[i].Load
+	sim := newSimulation(3, 2, 4)
+	for i := range sim.obs.Engines {
+		l := &sim.obs.Engines[i].Load
 		l.Running = 10 + 18*max(i-5, 0)
 		l.DecodeRate = float64(l.Running) / (0.030 + float64(l.Running)*0.0005)
-		if w.obs.Engines[i].Role == port.RolePrefill {
+		if sim.obs.Engines[i].Role == port.RolePrefill {
 			l.QueuedPrefill, l.PrefillRate = 20_000, 10_000
 		}
 	}
-	w.run(600, 1, 1)
-	r := w.states[""].Rates
+	sim.run(600, 1, 1)
+	r := sim.states[""].Rates
 	near := func(got, want float64) bool { return got > want*0.9 && got < want*1.1 }
 	if !near(r.Prefill, 10_000) || !near(r.Base, 0.030) || !near(r.PerStream, 0.0005) {
 		t.Errorf("prefill %.0f, base %.4f, per stream %.6f", r.Prefill, r.Base, r.PerStream)
@@ -301,14 +301,14 @@
 
 // TestPlanIsPure checks that Plan is deterministic and doesn't modify its arguments.
 func TestPlanIsPure(t *testing.T) {
-	w := newSimulation(3, 0, 6)
-	w.run(60, 2.5, 4.0)
-	w.run(10, 5.5, 2.0)
-	prev := w.states[""]
+	sim := newSimulation(3, 0, 6)
+	sim.run(60, 2.5, 4.0)
+	sim.run(10, 5.5, 2.0)
+	prev := sim.states[""]
 	kept := append([]EngineState(nil), prev.Engines...)
 	for range 30 {
-		a, ca := Plan(w.now+time.Second, w.obs, w.doc, prev)
-		b, cb := Plan(w.now+time.Second, w.obs, w.doc, prev)
+		a, ca := Plan(sim.now+time.Second, sim.obs, sim.doc, prev)
+		b, cb := Plan(sim.now+time.Second, sim.obs, sim.doc, prev)
 		if !reflect.DeepEqual(a, b) || !reflect.DeepEqual(ca, cb) {
 			t.Fatal("two calls with the same arguments differ")
 		}
@@ -320,13 +320,13 @@
 
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range []int{12, 100, 710} {
-		w := newSimulation(n/3, n/3, n-2*(n/3))
-		w.run(60, float64(n)/4, float64(n)/3)
-		prev := w.states[""]
+		sim := newSimulation(n/3, n/3, n-2*(n/3))
+		sim.run(60, float64(n)/4, float64(n)/3)
+		prev := sim.states[""]
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := range b.N {
-				Plan(w.now+time.Duration(i)*time.Second, w.obs, w.doc, prev)
+				Plan(sim.now+time.Duration(i)*time.Second, sim.obs, sim.doc, prev)
 			}
 		})
 	}
--- a/process/roles/planner.go
+++ b/process/roles/planner.go
@@ -94,7 +94,7 @@
 	changing     map[string]change
 	refusedUntil map[string]time.Duration // by target; no order before
 	history      map[string]*demandHistory
-	lastPlanned  map[string]time.Duration // by service; when the last plan was sent that all engines accepted
+	lastPlanned  map[string]time.Duration // by service; when the last plan was sent; removed if an engine didn't obey
 	growingSince map[string]time.Duration // by service; since when its plan waits for the list of targets to settle
 }
 
@@ -278,20 +278,20 @@
 	out := make([]Engine, 0, len(entries))
 	for _, e := range entries {
 		l := p.o.Engines.Load(e.ID, nil)
-		one := Engine{Entry: *e, Streams: l.Streams, Wait: l.Wait, Refused: now < p.refusedUntil[e.ID], Impaired: l.Unreachable() || p.o.Health.Impaired(e.ID)}
+		engine := Engine{Entry: *e, Streams: l.Streams, Wait: l.Wait, Refused: now < p.refusedUntil[e.ID], Impaired: l.Unreachable() || p.o.Health.Impaired(e.ID)}
 		if c, ok := p.changing[e.ID]; ok {
 			if e.Role == c.role || now >= c.until {
 				delete(p.changing, e.ID)
 				p.o.Engines.Changing(e.ID, "")
 			} else {
-				one.Entry.Role, one.Changing = c.role, true
+				engine.Entry.Role, engine.Changing = c.role, true
 			}
 		} else if l.Becomes != "" {
 			// Another daemon ordered the change; the entry shows the new role only at
 			// its end.
-			one.Entry.Role, one.Changing = l.Becomes, true
+			engine.Entry.Role, engine.Changing = l.Becomes, true
 		}
-		out = append(out, one)
+		out = append(out, engine)
 	}
 	return out
 }
--- a/process/roles/roles_test.go
+++ b/process/roles/roles_test.go
@@ -166,13 +166,13 @@
 // interim leader, and moves other engines in their place.
 func TestOrdersOfOtherDaemonsCount(t *testing.T) {
 	now := time.Duration(0)
-	book := engines.New(time.Now, func(engines.Work) {})
-	p := New(Options{Self: "a", Clock: fakeClock(func() time.Duration { return now }), Engines: book, Health: health.New(time.Now, nil)})
+	tracker := engines.New(time.Now, func(engines.Work) {})
+	p := New(Options{Self: "a", Clock: fakeClock(func() time.Duration { return now }), Engines: tracker, Health: health.New(time.Now, nil)})
 	var entries []port.TargetEntry
 	for _, e := range newFleet(4, 6) {
 		entries = append(entries, e.Entry)
 	}
-	book.Merge("peer", []engines.Work{
+	tracker.Merge("peer", []engines.Work{
 		{Target: engines.Hash("e004"), Becomes: port.RolePrefill}, {Target: engines.Hash("e005"), Becomes: port.RolePrefill},
 		{Target: engines.Hash("e006"), Becomes: port.RolePrefill}, {Target: engines.Hash("e007"), Becomes: port.RolePrefill},
 	}, nil)
@@ -223,8 +223,8 @@
 	for name, err := range map[string]error{"busy": port.ErrBusy, "no answer": context.DeadlineExceeded} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Duration(0)
-			book := engines.New(time.Now, func(engines.Work) {})
-			p := New(Options{Self: "a", Clock: fakeClock(func() time.Duration { return now }), Engines: book, Health: health.New(time.Now, nil)})
+			tracker := engines.New(time.Now, func(engines.Work) {})
+			p := New(Options{Self: "a", Clock: fakeClock(func() time.Duration { return now }), Engines: tracker, Health: health.New(time.Now, nil)})
 			svc := &route.Service{Name: "s", Engine: &route.Engine{SwitchTime: 3 * time.Second}}
 			var entries []port.TargetEntry
 			for _, e := range newFleet(4, 4) {
