--- a/connection/demand/demand.go
+++ b/connection/demand/demand.go
@@ -193,8 +193,8 @@
 	t.expire(now)
 }
 
-// Forget removes the updates of all other daemons.
-func (t *Tracker) Forget() {
+// RemovePeers removes the updates of all other daemons.
+func (t *Tracker) RemovePeers() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	clear(t.peers)
--- a/connection/speed/speed.go
+++ b/connection/speed/speed.go
@@ -247,17 +247,17 @@
 
 // Update holds the estimates for one service that a process sends to others.
 type Update struct {
-	_        struct{} `cbor:",toarray"`
-	Service  uint64
-	PerToken float32
-	PerPair  float32
-	StartUs  uint32 `cbor:"StartUs"`
-	FirstUs  uint32 `cbor:"FirstUs"`
-	OutputUs uint32 `cbor:"OutputUs"`
-	StayUs   uint32 `cbor:"StayUs"`
-	LessUs   uint32 `cbor:"LessUs"`
-	Reads    uint32 `cbor:"Reads"`
-	Streams  uint32
+	_                    struct{} `cbor:",toarray"`
+	Service              uint64
+	PerToken             float32
+	PerPair              float32
+	PromptOverheadUs     uint32 `cbor:"StartUs"`
+	FirstEventUs         uint32 `cbor:"FirstUs"`
+	PerOutputTokenUs     uint32 `cbor:"OutputUs"`
+	SlotTimeUs           uint32 `cbor:"StayUs"`
+	LessUrgentSlotTimeUs uint32 `cbor:"LessUs"`
+	Prompts              uint32 `cbor:"Reads"`
+	Streams              uint32
 }
 
 // maxReportedCount bounds the counts in an Update, so that none of several processes
@@ -288,9 +288,9 @@
 		}
 		out = append(out, Update{
 			Service: key, PerToken: float32(f.PerToken), PerPair: float32(f.PerPair),
-			StartUs: uint32(f.PromptOverhead.Microseconds()), FirstUs: uint32(f.FirstEvent.Microseconds()),
-			OutputUs: uint32(f.PerOutputToken.Microseconds()), StayUs: uint32(f.SlotTime.Microseconds()), LessUs: uint32(f.LessUrgentSlotTime.Microseconds()),
-			Reads: uint32(min(f.Prompts, maxReportedCount)), Streams: uint32(min(f.Streams, maxReportedCount)),
+			PromptOverheadUs: uint32(f.PromptOverhead.Microseconds()), FirstEventUs: uint32(f.FirstEvent.Microseconds()),
+			PerOutputTokenUs: uint32(f.PerOutputToken.Microseconds()), SlotTimeUs: uint32(f.SlotTime.Microseconds()), LessUrgentSlotTimeUs: uint32(f.LessUrgentSlotTime.Microseconds()),
+			Prompts: uint32(min(f.Prompts, maxReportedCount)), Streams: uint32(min(f.Streams, maxReportedCount)),
 		})
 	}
 	return out
@@ -303,14 +303,14 @@
 	defer t.mu.Unlock()
 	for _, u := range updates {
 		s := t.get(u.Service)
-		if int(u.Reads) < s.remote.Prompts {
+		if int(u.Prompts) < s.remote.Prompts {
 			continue
 		}
 		s.remote = Estimates{
 			PerToken: float64(u.PerToken), PerPair: float64(u.PerPair),
-			PromptOverhead: time.Duration(u.StartUs) * time.Microsecond, FirstEvent: time.Duration(u.FirstUs) * time.Microsecond,
-			PerOutputToken: time.Duration(u.OutputUs) * time.Microsecond, SlotTime: time.Duration(u.StayUs) * time.Microsecond, LessUrgentSlotTime: time.Duration(u.LessUs) * time.Microsecond,
-			Prompts: int(u.Reads),
+			PromptOverhead: time.Duration(u.PromptOverheadUs) * time.Microsecond, FirstEvent: time.Duration(u.FirstEventUs) * time.Microsecond,
+			PerOutputToken: time.Duration(u.PerOutputTokenUs) * time.Microsecond, SlotTime: time.Duration(u.SlotTimeUs) * time.Microsecond, LessUrgentSlotTime: time.Duration(u.LessUrgentSlotTimeUs) * time.Microsecond,
+			Prompts: int(u.Prompts),
 			Streams: int(u.Streams),
 		}
 	}
--- a/process/roster/aggregate.go
+++ b/process/roster/aggregate.go
@@ -198,7 +198,7 @@
 		p.repeat = changeRepeats
 	}
 	r.o.Book.Forget()
-	r.o.Demand.Forget()
+	r.o.Demand.RemovePeers()
 	log.WithFields(log.Fields{"zone": r.self.Zone, "on": on, "daemons": 1 + len(r.peers)}).Info("roster: aggregates its zone")
 }
 
--- a/process/roster/heartbeat.go
+++ b/process/roster/heartbeat.go
@@ -68,7 +68,7 @@
 	Report() []demand.Update
 	SumOf(names func(name string) bool) []demand.Update
 	Merge(from string, words []demand.Update)
-	Forget()
+	RemovePeers()
 }
 
 // sendHeartbeats sends heartbeats: at least every heartbeatInterval, and in a small fleet soon after
--- a/request/dispatch/rig_test.go
+++ b/request/dispatch/rig_test.go
@@ -78,7 +78,7 @@
 
 func newRig(slack float64) *rig {
 	r := &rig{net: &pipenet.Net{}, entries: map[string][]port.TargetEntry{}, freed: make(chan port.KVSource, 100), speed: speed.NewTracker()}
-	r.speed.Merge([]speed.Update{{Service: xxhash.Sum64String("llm"), PerToken: 23e3, PerPair: 257, StartUs: 50_000, FirstUs: 40_000, Reads: 1000}})
+	r.speed.Merge([]speed.Update{{Service: xxhash.Sum64String("llm"), PerToken: 23e3, PerPair: 257, PromptOverheadUs: 50_000, FirstEventUs: 40_000, Prompts: 1000}})
 	r.budget = budget.NewFleet(budget.FleetOptions{
 		Slack: (slack + 0.1) / budget.Spent, Window: 10 * time.Second, Now: time.Now,
 		Daemons: func() int { return 1 },
