--- a/process/roles/split.go
+++ b/process/roles/split.go
@@ -34,9 +34,10 @@
 	initialSlotShare    = 0.18
 	// minSamples is the number of demand samples that a plan needs: 3 s.
 	minSamples = 3 * samplesPerSecond
-	// changeCost is the reduction of the cost that a change of all engines' roles
-	// must bring; a change of fewer engines needs its share of it. An engine serves
-	// nothing for some seconds while it changes its role. In simulations of nine
+	// changeCost is the reduction of the cost, in squared shares of the demand, that a
+	// change of all engines' roles must bring; a change of fewer engines needs its
+	// share of it. An engine serves nothing for some seconds while it changes its
+	// role. In simulations of nine
 	// workloads (alternating, stepped and steady) on 12 engines, a cost per engine
 	// of 0.008 lost the least of the range from 0.001 to 0.02: 0.033 of the demand,
 	// with half the orders of 0.002.
@@ -173,7 +174,7 @@
 //
 // The queueing term is needed because prompts whose prefill takes a fifth of their
 // objective are late long before any is refused. With refusals alone, prefill
-// engines at a utilization of 0.8 counted as much as idle ones, and idle decoding
+// engines at a utilization of 0.8 were rated as high as idle ones, and idle decoding
 // engines kept their role.
 func resourceLoss(demanded, capacity, usable, objectiveShare float64) float64 {
 	if demanded <= 0 {
--- a/process/scale/plan.go
+++ b/process/scale/plan.go
@@ -32,11 +32,11 @@
 // spotAfterReclaim returns the number of reclaimable targets that remain when the
 // availability zone with the most of them loses all of its own.
 func (c Counts) spotAfterReclaim() int {
-	most := 0
-	for _, one := range c {
-		most = max(most, one.Spot)
+	largest := 0
+	for _, n := range c {
+		largest = max(largest, n.Spot)
 	}
-	return c.total().Spot - most
+	return c.total().Spot - largest
 }
 
 // Cheapest returns the cheapest numbers of targets that keep a service's capacity when
