--- a/process/roles/planner.go
+++ b/process/roles/planner.go
@@ -345,7 +345,7 @@
 	obeying := false
 	switch {
 	case r.err == nil:
-		log.WithFields(fields).Info("roles: engine accepted the order")
+		log.WithFields(fields).Info("roles: order succeeded")
 		if r.Role == port.RolePrefill {
 			pending.until += drainGrace
 		}
@@ -361,7 +361,7 @@
 	default:
 		p.refusedUntil[r.Target] = now + refusalBackoff
 	}
-	log.WithFields(fields).WithError(r.err).Warn("roles: engine rejected or didn't answer the order")
+	log.WithFields(fields).WithError(r.err).Warn("roles: order failed")
 	return obeying
 }
 
