--- a/process/planner/plan_test.go
+++ b/process/planner/plan_test.go
@@ -10,7 +10,7 @@
 	"github.com/pomelospool/pomelospool/version/document"
 )
 
-// outcome is what an engine does with an order.
+// outcome is an engine's reaction to an order.
 type outcome int
 
 const (
@@ -19,36 +19,36 @@
 	crashes
 )
 
-// world runs Plan each second over engines that report ideal rates.
-type world struct {
-	doc    *document.Document
-	obs    Observation
-	states map[string]State // by group; "" plans all
-	does   outcome
-	away   map[string]int // seconds that an engine stays away
-	next   map[string]port.Role
-	now    time.Duration
-	log    []Change
-	least  [2]int // fewest engines able to prefill and to decode so far
-	most   int    // most engines away at once
+// simulation calls Plan each second for engines that report ideal rates.
+type simulation struct {
+	doc         *document.Document
+	obs         Observation
+	states      map[string]State // by group; "" plans for all groups
+	outcome     outcome
+	changing    map[string]int // remaining seconds of an engine's change
+	newRole     map[string]port.Role
+	now         time.Duration
+	changes     []Change
+	minAble     [2]int // fewest engines so far that could prefill, and decode
+	maxChanging int    // most engines changing at once
 }
 
 const (
-	awaySeconds = 8
-	testPrefill = 22_000.0
-	testDecode  = 2_000.0
+	changeSeconds = 8
+	testPrefill   = 22_000.0
+	testDecode    = 2_000.0
 )
 
-func newWorld(prefill, mixed, decode int) *world {
-	w := &world{
+func newSimulation(prefill, mixed, decode int) *simulation {
+	sim := &simulation{
 		doc: &document.Document{
 			Objectives: document.Objectives{BetweenTokens: 36 * time.Millisecond},
 			Roles:      document.Roles{GoodputWeight: 0.8, MinPrefill: 1, MinDecode: 2, MaxChanging: 1, MinDwell: 30 * time.Second},
 		},
-		states: map[string]State{"": {}},
-		away:   map[string]int{},
-		next:   map[string]port.Role{},
-		least:  [2]int{99, 99},
+		states:   map[string]State{"": {}},
+		changing: map[string]int{},
+		newRole:  map[string]port.Role{},
+		minAble:  [2]int{99, 99},
 	}
 	for i := range prefill + mixed + decode {
 		role := port.RoleDecode
@@ -57,278 +57,276 @@
 		} else if i < prefill+mixed {
 			role = port.RoleMixed
 		}
-		w.obs.Engines = append(w.obs.Engines, Engine{
+		sim.obs.Engines = append(sim.obs.Engines, Engine{
 			Name: fmt.Sprintf("e%d", i), Group: fmt.Sprintf("g%d", i%3), Incarnation: "1", Role: role, Live: true,
 			Load: port.Load{Running: 40, PrefillRate: testPrefill, DecodeRate: 40 / (assumedBase + 40*assumedPerStream), QueuedPrefill: 0, KVCapacity: 400_000},
 		})
 	}
-	return w
+	return sim
 }
 
-// run lets seconds pass with a mix given in engines' worth of work.
-func (w *world) run(seconds int, prefill, decode float64) {
+// run simulates seconds of a mix, which is given in engines' worth of work.
+func (sim *simulation) run(seconds int, prefill, decode float64) {
 	for range seconds {
-		w.now += time.Second
-		w.obs.Requests += 30
-		w.obs.Prefill += prefill * testPrefill
-		w.obs.Decode += decode * testDecode
-		w.carryOut()
+		sim.now += time.Second
+		sim.obs.Requests += 30
+		sim.obs.Prefill += prefill * testPrefill
+		sim.obs.Decode += decode * testDecode
+		sim.finishChanges()
 		var changes []Change
-		for group, s := range w.states {
-			o := w.obs
+		for group, s := range sim.states {
+			o := sim.obs
 			o.Group = group
-			next, cs := Plan(w.now, o, w.doc, s)
-			w.states[group] = next
+			next, cs := Plan(sim.now, o, sim.doc, s)
+			sim.states[group] = next
 			changes = append(changes, cs...)
 		}
-		w.order(changes)
-		w.count()
+		sim.order(changes)
+		sim.recordExtremes()
 	}
 }
 
-func (w *world) engine(name string) *Engine {
-	for i := range w.obs.Engines {
-		if w.obs.Engines[i].Name == name {
-			return &w.obs.Engines[i]
+func (sim *simulation) engine(name string) *Engine {
+	for i := range sim.obs.Engines {
+		if sim.obs.Engines[i].Name == name {
+			return &sim.obs.Engines[i]
 		}
 	}
 	return nil
 }
 
-func (w *world) order(changes []Change) {
+func (sim *simulation) order(changes []Change) {
 	for _, c := range changes {
-		w.log = append(w.log, c)
-		if w.does == refuses {
+		sim.changes = append(sim.changes, c)
+		if sim.outcome == refuses {
 			continue
 		}
-		w.engine(c.Engine).Changing = true
-		w.away[c.Engine] = awaySeconds
-		w.next[c.Engine] = c.To
+		sim.engine(c.Engine).Changing = true
+		sim.changing[c.Engine] = changeSeconds
+		sim.newRole[c.Engine] = c.To
 	}
 }
 
-func (w *world) carryOut() {
-	for name, left := range w.away {
+func (sim *simulation) finishChanges() {
+	for name, left := range sim.changing {
 		if left > 1 {
-			w.away[name] = left - 1
+			sim.changing[name] = left - 1
 			continue
 		}
-		delete(w.away, name)
-		e := w.engine(name)
+		delete(sim.changing, name)
+		e := sim.engine(name)
 		e.Changing = false
-		if w.does == crashes {
+		if sim.outcome == crashes {
 			e.Incarnation += "'"
 			continue
 		}
-		e.Role = w.next[name]
+		e.Role = sim.newRole[name]
 	}
 }
 
-func (w *world) count() {
-	l := limitsOf(&w.obs, w.doc)
-	w.least = [2]int{min(w.least[0], l.prefill), min(w.least[1], l.decode)}
-	w.most = max(w.most, len(w.away))
+func (sim *simulation) recordExtremes() {
+	l := newLimits(&sim.obs, sim.doc)
+	sim.minAble = [2]int{min(sim.minAble[0], l.prefill), min(sim.minAble[1], l.decode)}
+	sim.maxChanging = max(sim.maxChanging, len(sim.changing))
 }
 
-func (w *world) roles() map[port.Role]int {
+func (sim *simulation) roles() map[port.Role]int {
 	n := map[port.Role]int{}
-	for _, e := range w.obs.Engines {
+	for _, e := range sim.obs.Engines {
 		n[e.Role]++
 	}
 	return n
 }
 
-// TestPlan has one row for each promise of the planner.
+// TestPlan has one case for each guarantee of the planner.
 func TestPlan(t *testing.T) {
-	toPrefill := func(w *world) { w.run(60, 2.5, 4.0); w.run(200, 5.5, 2.0) }
+	toPrefill := func(sim *simulation) { sim.run(60, 2.5, 4.0); sim.run(200, 5.5, 2.0) }
 	cases := []struct {
 		name     string
 		engines  [3]int // prefill, mixed, decode
-		set      func(*world)
-		play     func(*world)
+		set      func(*simulation)
+		play     func(*simulation)
 		min, max int // changes
 	}{
-		{"steady and easy", [3]int{3, 2, 4}, nil, func(w *world) { w.run(600, 2, 3) }, 0, 0},
+		{"steady and easy", [3]int{3, 2, 4}, nil, func(sim *simulation) { sim.run(600, 2, 3) }, 0, 0},
 		{"follows a lasting step", [3]int{3, 0, 6}, nil, toPrefill, 1, 4},
-		{"a step that few changes are worth", [3]int{3, 0, 6}, func(w *world) { w.doc.Roles.GoodputWeight = 0.01 }, toPrefill, 0, 1},
-		{"nothing asked", [3]int{3, 2, 4}, nil, func(w *world) { w.run(300, 0, 0) }, 0, 0},
-		{"pinned", [3]int{3, 0, 6}, func(w *world) {
-			for i := range w.obs.Engines {
-				w.obs.Engines[i].Pinned = true
+		{"a step that few changes are worth", [3]int{3, 0, 6}, func(sim *simulation) { sim.doc.Roles.GoodputWeight = 0.01 }, toPrefill, 0, 1},
+		{"nothing asked", [3]int{3, 2, 4}, nil, func(sim *simulation) { sim.run(300, 0, 0) }, 0, 0},
+		{"pinned", [3]int{3, 0, 6}, func(sim *simulation) {
+			for i := range sim.obs.Engines {
+				sim.obs.Engines[i].Pinned = true
 			}
 		}, toPrefill, 0, 0},
-		{"keeps enough to decode", [3]int{1, 0, 3}, nil, func(w *world) { w.run(400, 3.5, 0.1) }, 1, 1},
-		{"oscillation faster than a change pays", [3]int{3, 2, 4}, nil, func(w *world) {
+		{"keeps enough to decode", [3]int{1, 0, 3}, nil, func(sim *simulation) { sim.run(400, 3.5, 0.1) }, 1, 1},
+		{"oscillation faster than a change pays", [3]int{3, 2, 4}, nil, func(sim *simulation) {
 			for range 20 {
-				w.run(15, 4.0, 3.0)
-				w.run(15, 2.6, 4.4)
+				sim.run(15, 4.0, 3.0)
+				sim.run(15, 2.6, 4.4)
 			}
 		}, 0, 4},
-		{"counts that begin anew", [3]int{3, 2, 4}, nil, func(w *world) {
-			w.run(100, 2, 3)
-			w.obs.Requests, w.obs.Prefill, w.obs.Decode = 0, 0, 0
-			w.run(100, 2, 3)
+		{"counts that begin anew", [3]int{3, 2, 4}, nil, func(sim *simulation) {
+			sim.run(100, 2, 3)
+			sim.obs.Requests, sim.obs.Prefill, sim.obs.Decode = 0, 0, 0
+			sim.run(100, 2, 3)
 		}, 0, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(c.engines[0], c.engines[1], c.engines[2])
+			sim := newSimulation(c.engines[0], c.engines[1], c.engines[2])
 			if c.set != nil {
-				c.set(w)
+				c.set(sim)
 			}
-			c.play(w)
-			if n := len(w.log); n < c.min || n > c.max {
-				t.Errorf("%d changes, want %d to %d: %+v", n, c.min, c.max, w.log)
+			c.play(sim)
+			if n := len(sim.changes); n < c.min || n > c.max {
+				t.Errorf("%d changes, want %d to %d: %+v", n, c.min, c.max, sim.changes)
 			}
-			if w.least[0] < 1 || w.least[1] < 2 || w.most > 1 {
-				t.Errorf("fewest able to prefill and decode %v, most away %d", w.least, w.most)
+			if sim.minAble[0] < 1 || sim.minAble[1] < 2 || sim.maxChanging > 1 {
+				t.Errorf("fewest able to prefill and decode %v, most changing at once %d", sim.minAble, sim.maxChanging)
 			}
 		})
 	}
 }
 
-// A fleet is one engine short for good, and its other engines late.
-// Each time the planner asks an engine to change, it crashes, or refuses;
-// asked again as soon as it is back, it never does any work. The cause is a
-// planner that forgets what its last order came to.
+// Guards against an engine that never does any work because the planner orders it again
+// right after each crash or refusal. This happens when the planner doesn't keep the outcome
+// of its last order.
 func TestFailedChangeBacksOff(t *testing.T) {
-	for _, does := range []outcome{refuses, crashes} {
-		w := newWorld(3, 0, 6)
-		w.does = does
-		w.run(60, 2.5, 4.0)
-		w.run(600, 5.5, 2.0)
+	for _, reaction := range []outcome{refuses, crashes} {
+		sim := newSimulation(3, 0, 6)
+		sim.outcome = reaction
+		sim.run(60, 2.5, 4.0)
+		sim.run(600, 5.5, 2.0)
 		asked := map[string]int{}
-		for _, c := range w.log {
+		for _, c := range sim.changes {
 			asked[c.Engine]++
 		}
 		for name, n := range asked {
 			if n > 5 { // 30 s, then doubling: five orders in 600 s
-				t.Errorf("outcome %d: %s asked %d times", does, name, n)
+				t.Errorf("outcome %d: %s asked %d times", reaction, name, n)
 			}
 		}
-		if len(w.log) < 2 {
-			t.Errorf("outcome %d: gave up after %d orders", does, len(w.log))
+		if len(sim.changes) < 2 {
+			t.Errorf("outcome %d: gave up after %d orders", reaction, len(sim.changes))
 		}
 	}
 }
 
-// Roles jump too far, and back, at each shift.
-// Every availability zone has its own planner; all see the same shift and each
-// orders it. The cause is that none leaves it to the zone of the best engine.
-func TestGroupsDontActTogether(t *testing.T) {
-	one := newWorld(3, 0, 6)
-	three := newWorld(3, 0, 6)
+// Guards against roles that overshoot at each shift. Every availability zone has its own
+// planner and all observe the same shift, so only the one of the best engine's zone must
+// order the change.
+func TestGroupsDontOrderTogether(t *testing.T) {
+	one := newSimulation(3, 0, 6)
+	three := newSimulation(3, 0, 6)
 	three.states = map[string]State{"g0": {}, "g1": {}, "g2": {}}
-	for _, w := range []*world{one, three} {
-		w.run(60, 2.5, 4.0)
-		w.run(200, 5.5, 2.0)
+	for _, sim := range []*simulation{one, three} {
+		sim.run(60, 2.5, 4.0)
+		sim.run(200, 5.5, 2.0)
 	}
 	if one.roles()[port.RolePrefill] == 3 {
-		t.Fatal("one planner changed nothing")
+		t.Fatal("a single planner made no change")
 	}
-	if !reflect.DeepEqual(one.roles(), three.roles()) || len(three.log) > len(one.log) || three.most > 1 {
-		t.Errorf("three planners: %v in %d changes, %d at once; one: %v in %d", three.roles(), len(three.log), three.most, one.roles(), len(one.log))
+	if !reflect.DeepEqual(one.roles(), three.roles()) || len(three.changes) > len(one.changes) || three.maxChanging > 1 {
+		t.Errorf("three planners: %v in %d changes, %d at once; one: %v in %d", three.roles(), len(three.changes), three.maxChanging, one.roles(), len(one.changes))
 	}
 }
 
-// All roles change at once when an entry VM is added.
-// Each process knows its own callers only and takes them for one in so many.
-// Were the running counts scaled, not what was added to them, a new number of
-// processes would look like an hour's requests within a second.
-func TestProcessesComeAndGo(t *testing.T) {
-	w := newWorld(3, 2, 4)
+// Guards against changes of all roles when an entry VM is added. Each process scales the
+// demand of its own callers by the number of processes. If the cumulative counts were
+// scaled instead of their increments, a new number of processes would look like an hour's
+// requests within a second.
+func TestNumberOfProcessesChanges(t *testing.T) {
+	sim := newSimulation(3, 2, 4)
 	for _, n := range []int{8, 7, 8, 9, 8} {
-		w.obs.Processes = n
-		w.run(120, 2.0/float64(n), 3.0/float64(n))
+		sim.obs.Processes = n
+		sim.run(120, 2.0/float64(n), 3.0/float64(n))
 	}
-	m := w.states[""].Demand.Fast
-	if m.Prefill > 2.1*testPrefill || m.Decode > 3.1*testDecode || len(w.log) > 0 {
-		t.Errorf("demand %+v, changes %+v", m, w.log)
+	m := sim.states[""].Demand.Fast
+	if m.Prefill > 2.1*testPrefill || m.Decode > 3.1*testDecode || len(sim.changes) > 0 {
+		t.Errorf("demand %+v, changes %+v", m, sim.changes)
 	}
 }
 
-// A successor takes over a group and changes nothing for minutes.
-// It planned while it held no group, took each change that it couldn't order
-// for a refused one, and backs off from all engines.
+// Guards against a process that takes over a group and then orders nothing for minutes.
+// Without a group it recorded each change that it couldn't order as refused, and backed
+// off from all engines.
 func TestNoGroupNoOrders(t *testing.T) {
-	w := newWorld(3, 0, 6)
-	w.obs.Groups = []string{}
-	w.run(60, 2.5, 4.0)
-	w.run(60, 5.5, 2.0)
-	if len(w.log) > 0 {
-		t.Fatalf("ordered %+v", w.log)
+	sim := newSimulation(3, 0, 6)
+	sim.obs.Groups = []string{}
+	sim.run(60, 2.5, 4.0)
+	sim.run(60, 5.5, 2.0)
+	if len(sim.changes) > 0 {
+		t.Fatalf("ordered %+v", sim.changes)
 	}
-	w.obs.Groups = []string{"g0", "g1", "g2"}
-	w.run(5, 5.5, 2.0)
-	if len(w.log) == 0 {
+	sim.obs.Groups = []string{"g0", "g1", "g2"}
+	sim.run(5, 5.5, 2.0)
+	if len(sim.changes) == 0 {
 		t.Error("nothing ordered after the takeover")
 	}
 }
 
-// Answers come late though most engines idle: nearly all are prefill engines.
-// With a light load they take small steps and report low rates. Believed to be
-// slow, they get company, and each has still less to do.
+// Guards against a fleet of almost only idle prefill engines. Under light load they take
+// small steps and report low rates. If these were taken for their capacity, the planner
+// would add prefill engines, and each would get still less load.
 func TestIdleEnginesDontLookSlow(t *testing.T) {
-	w := newWorld(3, 0, 6)
-	for i := range w.obs.Engines {
-		w.obs.Engines[i].Load.PrefillRate = testPrefill / 4
+	sim := newSimulation(3, 0, 6)
+	for i := range sim.obs.Engines {
+		sim.obs.Engines[i].Load.PrefillRate = testPrefill / 4
 	}
-	w.run(300, 2.2, 4)
-	if r := w.states[""].Rates.Prefill; r < testPrefill {
-		t.Errorf("believes %.0f tokens/s", r)
+	sim.run(300, 2.2, 4)
+	if r := sim.states[""].Rates.Prefill; r < testPrefill {
+		t.Errorf("estimated prefill rate %.0f tokens/s is too low", r)
 	}
-	if len(w.log) > 0 {
-		t.Errorf("changes %+v", w.log)
+	if len(sim.changes) > 0 {
+		t.Errorf("changes %+v", sim.changes)
 	}
 }
 
 func TestLearnsRates(t *testing.T) {
-	w := newWorld(3, 2, 4)
-	for i := range w.obs.Engines {
-		l := &w.obs.Engines[i].Load
+	sim := newSimulation(3, 2, 4)
+	for i := range sim.obs.Engines {
+		l := &sim.obs.Engines[i].Load
 		l.Running = 10 + 18*max(i-5, 0)
 		l.DecodeRate = float64(l.Running) / (0.030 + float64(l.Running)*0.0005)
-		if w.obs.Engines[i].Role == port.RolePrefill {
+		if sim.obs.Engines[i].Role == port.RolePrefill {
 			l.QueuedPrefill, l.PrefillRate = 20_000, 10_000
 		}
 	}
-	w.run(600, 1, 1)
-	r := w.states[""].Rates
+	sim.run(600, 1, 1)
+	r := sim.states[""].Rates
 	near := func(got, want float64) bool { return got > want*0.9 && got < want*1.1 }
 	if !near(r.Prefill, 10_000) || !near(r.Base, 0.030) || !near(r.PerStream, 0.0005) {
 		t.Errorf("prefill %.0f, base %.4f, per stream %.6f", r.Prefill, r.Base, r.PerStream)
 	}
 }
 
-// TestPlanIsPure holds Plan to giving the same answer again and to leaving its
-// arguments as they were.
+// TestPlanIsPure checks that Plan is deterministic and doesn't modify its arguments.
 func TestPlanIsPure(t *testing.T) {
-	w := newWorld(3, 0, 6)
-	w.run(60, 2.5, 4.0)
-	w.run(10, 5.5, 2.0)
-	prev := w.states[""]
-	kept := append([]EngineMemory(nil), prev.Engines...)
+	sim := newSimulation(3, 0, 6)
+	sim.run(60, 2.5, 4.0)
+	sim.run(10, 5.5, 2.0)
+	prev := sim.states[""]
+	kept := append([]EngineState(nil), prev.Engines...)
 	for range 30 {
-		a, ca := Plan(w.now+time.Second, w.obs, w.doc, prev)
-		b, cb := Plan(w.now+time.Second, w.obs, w.doc, prev)
+		a, ca := Plan(sim.now+time.Second, sim.obs, sim.doc, prev)
+		b, cb := Plan(sim.now+time.Second, sim.obs, sim.doc, prev)
 		if !reflect.DeepEqual(a, b) || !reflect.DeepEqual(ca, cb) {
-			t.Fatal("two answers to the same question")
+			t.Fatal("two calls with the same arguments differ")
 		}
 	}
 	if !reflect.DeepEqual(kept, prev.Engines) {
-		t.Error("Plan wrote to its previous state")
+		t.Error("Plan modified its previous state")
 	}
 }
 
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range []int{12, 100, 710} {
-		w := newWorld(n/3, n/3, n-2*(n/3))
-		w.run(60, float64(n)/4, float64(n)/3)
-		prev := w.states[""]
+		sim := newSimulation(n/3, n/3, n-2*(n/3))
+		sim.run(60, float64(n)/4, float64(n)/3)
+		prev := sim.states[""]
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := range b.N {
-				Plan(w.now+time.Duration(i)*time.Second, w.obs, w.doc, prev)
+				Plan(sim.now+time.Duration(i)*time.Second, sim.obs, sim.doc, prev)
 			}
 		})
 	}
--- a/process/roster/aggregate.go
+++ b/process/roster/aggregate.go
@@ -200,7 +200,7 @@
 		p.repeatsLeft = changeRepeats
 	}
 	r.o.Book.Forget()
-	r.o.Demand.Forget()
+	r.o.Demand.RemovePeers()
 	log.WithFields(log.Fields{"zone": r.self.Zone, "on": on, "daemons": 1 + len(r.peers)}).Info("roster: zone aggregation switched on or off")
 }
 
--- a/process/roster/digest.go
+++ b/process/roster/digest.go
@@ -145,7 +145,7 @@
 		r.mergeLoads(d, &own)
 	}
 	if d.Asked {
-		r.o.Demand.Merge(summaryName(d.Zone), demand.Less(d.Demand, own.demand))
+		r.o.Demand.Merge(summaryName(d.Zone), demand.Subtract(d.Demand, own.demand))
 	}
 	if fresh := r.o.Book.MergeReads(d.Reads); otherZone {
 		r.relayReads(fresh, false)
--- a/process/scale/plan_test.go
+++ b/process/scale/plan_test.go
@@ -9,11 +9,11 @@
 
 var zones = []string{"a", "b", "c"}
 
-func scaling() *route.Scaling {
+func newScaling() *route.Scaling {
 	return &route.Scaling{Min: 1, Max: 94, SpotPrice: 0.18, ZonePrice: map[string]float64{"a": 0.85, "b": 1.2, "c": 1}}
 }
 
-func TestBest(t *testing.T) {
+func TestCheapest(t *testing.T) {
 	for name, tc := range map[string]struct {
 		capacity int
 		zones    []string
@@ -31,17 +31,17 @@
 		"smallest":                {3, zones, nil, 3, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := scaling()
+			s := newScaling()
 			if tc.change != nil {
 				tc.change(s)
 			}
-			best := Best(tc.capacity, tc.zones, nil, s)
+			best := Cheapest(tc.capacity, tc.zones, nil, s)
 			got := best.total()
 			if got.OnDemand != tc.onDemand || got.Spot != tc.spot {
 				t.Errorf("%+v", best)
 			}
-			if left := got.OnDemand + best.afterReclaim(); left < tc.capacity {
-				t.Errorf("%d of %d are left after a reclaim", left, tc.capacity)
+			if left := got.OnDemand + best.spotAfterReclaim(); left < tc.capacity {
+				t.Errorf("%d of %d targets remain after a reclaim", left, tc.capacity)
 			}
 			for zone, one := range best {
 				if one.OnDemand+one.Spot > s.Max {
@@ -52,8 +52,8 @@
 	}
 }
 
-// evenly makes the same number of targets in each zone.
-func evenly(onDemand, spot int) Counts {
+// countsPerZone returns the same numbers of targets for each zone.
+func countsPerZone(onDemand, spot int) Counts {
 	out := make(Counts)
 	for _, zone := range zones {
 		out[zone] = Count{OnDemand: onDemand, Spot: spot}
@@ -61,15 +61,16 @@
 	return out
 }
 
-// Guards against a service that is short of targets on the way to cheaper ones.
+// Guards against a service that falls below its capacity during the change to cheaper
+// targets.
 func TestNextKeepsTheCapacity(t *testing.T) {
 	const capacity = 141
-	s := scaling()
-	present := evenly(47, 0)
-	best := Best(capacity, zones, nil, s)
+	s := newScaling()
+	present := countsPerZone(47, 0)
+	best := Cheapest(capacity, zones, nil, s)
 	for round := range 10 {
 		want := Next(present, best, capacity, s)
-		// Those that leave are gone before any new one serves.
+		// Leaving targets are gone before any new one serves.
 		for zone, one := range present {
 			one.OnDemand = min(one.OnDemand, want[zone].OnDemand)
 			present[zone] = one
@@ -85,31 +86,31 @@
 		present = want
 	}
 	if fmt.Sprint(present) != fmt.Sprint(best) {
-		t.Errorf("ends at %+v, not %+v", present, best)
+		t.Errorf("ends at %+v, want %+v", present, best)
 	}
 }
 
 func TestNextAfterAReclaim(t *testing.T) {
 	const capacity = 141
-	s := scaling()
-	best := Best(capacity, zones, nil, s)
+	s := newScaling()
+	best := Cheapest(capacity, zones, nil, s)
 	present := Next(best, best, capacity, s)
-	lose := func(zone string) {
+	reclaim := func(zone string) {
 		one := present[zone]
 		one.Spot = 0
 		present[zone] = one
 	}
-	lose("a")
+	reclaim("a")
 	if want := Next(present, best, capacity, s); want.total().OnDemand != best.total().OnDemand || want["a"].Spot != best["a"].Spot {
-		t.Errorf("one zone lost: %+v", want)
+		t.Errorf("one zone reclaimed: %+v", want)
 	}
-	dry := Best(capacity, zones, map[string]bool{"a": true}, s)
-	if left := dry.total().OnDemand + dry["b"].Spot; left < 100 {
-		t.Errorf("one zone dry: %+v", dry)
+	exhausted := Cheapest(capacity, zones, map[string]bool{"a": true}, s)
+	if left := exhausted.total().OnDemand + exhausted["b"].Spot; left < 100 {
+		t.Errorf("one zone exhausted: %+v", exhausted)
 	}
-	lose("b")
+	reclaim("b")
 	want := Next(present, best, capacity, s)
 	if n := want.total().OnDemand + present.total().Spot; n < capacity {
-		t.Errorf("two zones lost: %d targets, %+v", n, want)
+		t.Errorf("two zones reclaimed: %d targets, %+v", n, want)
 	}
 }
--- a/request/dispatch/consider_test.go
+++ b/request/dispatch/consider_test.go
@@ -63,7 +63,7 @@
 				if inZone < preferredTargets {
 					t.Errorf("%d considered in the requested zone", inZone)
 				}
-				ch := placement.Prefill(p.Prompt, cands, cands, x.call.Service.Engine, h.speed.Figures("llm"))
+				ch := placement.Prefill(p.Prompt, cands, cands, x.call.Service.Engine, h.speed.Estimates("llm"))
 				homes[cands[ch.Index].Entry.ID]++
 			}
 			if len(homes) != 1 {
@@ -124,7 +124,7 @@
 			h.manyEngines(n)
 			x := h.newExecution("vm1")
 			p := x.prompt()
-			f := h.speed.Figures("llm")
+			f := h.speed.Estimates("llm")
 			b.ReportAllocs()
 			for b.Loop() {
 				cands := x.candidates(p, port.RolePrefill, "a")
--- a/request/dispatch/decode.go
+++ b/request/dispatch/decode.go
@@ -87,7 +87,7 @@
 // streamFrom sends the call to a decoding engine and relays its answer.
 func (x *execution) streamFrom(ctx context.Context, cand *placement.Candidate, p prompt, from prefilled, out Stream) *sendFailure {
 	to := cand.Entry
-	firstEvent := x.opts.Speed.Figures(x.call.Service.Name).First
+	firstEvent := x.opts.Speed.Estimates(x.call.Service.Name).FirstEvent
 	predicted := firstEvent
 	if from.kv != nil {
 		predicted += placement.TransferTime(x.call.Service.Engine, p.Tokens, from.zone == to.Zone)
@@ -113,7 +113,7 @@
 		took := firstAt.Sub(start)
 		if cand.Load.Streams < to.Slots {
 			// At a full engine the sample would include the wait for a slot.
-			x.opts.Speed.First(x.call.Service.Name, firstEvent+took-predicted)
+			x.opts.Speed.ObserveFirstEvent(x.call.Service.Name, firstEvent+took-predicted)
 		}
 		if firstEvent > 0 {
 			x.opts.Health.NotePace(to.ID, x.slowdown(predicted, took))
@@ -123,7 +123,7 @@
 	f = x.relay(ctx, to.ID, resp, v, out, streamHooks{first: first, batch: m.addEvents})
 	m.finish(f == nil)
 	if f == nil && x.call.Ask.Output > 0 {
-		x.opts.Speed.Stream(x.call.Service.Name, x.call.Ask.Output, time.Since(firstAt), time.Since(start), x.mostUrgent())
+		x.opts.Speed.ObserveStream(x.call.Service.Name, x.call.Ask.Output, time.Since(firstAt), time.Since(start), x.mostUrgent())
 	}
 	return f
 }
--- a/request/dispatch/engine_test.go
+++ b/request/dispatch/engine_test.go
@@ -244,7 +244,7 @@
 // of a time that is only assumed.
 func TestPromptsSpreadBeforeAnySpeedIsKnown(t *testing.T) {
 	withHarness(t, 0, func(t *testing.T, h *harness) {
-		h.runner.opts.Speed = speed.NewBook()
+		h.runner.opts.Speed = speed.NewTracker()
 		var prefillers []*standin.Target
 		for range 3 {
 			p := h.addTarget("llm", port.RolePrefill)
--- a/request/dispatch/pace.go
+++ b/request/dispatch/pace.go
@@ -28,7 +28,7 @@
 	for i := range decoders {
 		c := &decoders[i]
 		if pace := x.opts.Speed.Pace(x.call.Service.Name, c.Entry.ID); pace.Known() {
-			c.MaxStreams = pace.Streams(gap)
+			c.MaxStreams = pace.MaxStreams(gap)
 		}
 	}
 }
@@ -90,7 +90,7 @@
 	}
 	streams := m.streamsBefore
 	m.startSample(now)
-	m.exec.opts.Speed.Gap(m.exec.call.Service.Name, m.target, float64(streams+m.streamsBefore)/2, span/time.Duration(n))
+	m.exec.opts.Speed.ObserveGap(m.exec.call.Service.Name, m.target, float64(streams+m.streamsBefore)/2, span/time.Duration(n))
 }
 
 func (m *paceMeter) startSample(now time.Time) {
--- a/request/dispatch/prefill.go
+++ b/request/dispatch/prefill.go
@@ -44,7 +44,7 @@
 
 // takePrefillChoice returns the choice made at admission the first time, and
 // a new one after that.
-func (x *execution) takePrefillChoice(ctx context.Context, p prompt, f speed.Figures) prefillChoice {
+func (x *execution) takePrefillChoice(ctx context.Context, p prompt, f speed.Estimates) prefillChoice {
 	if ch := x.admitted; ch != nil {
 		x.admitted = nil
 		return *ch
@@ -59,7 +59,7 @@
 // counted as no work, all engines would look alike when a fleet starts or
 // recovers from a power loss: some engines had 2.7 s of prompts queued while
 // others were idle, and no cached prefix was fetched from another engine.
-func (x *execution) choosePrefill(ctx context.Context, p prompt, f speed.Figures) prefillChoice {
+func (x *execution) choosePrefill(ctx context.Context, p prompt, f speed.Estimates) prefillChoice {
 	cands := x.candidates(p, port.RolePrefill, x.opts.Zone)
 	for i := range cands {
 		cands[i].FailureRate += x.opts.Health.Rate(kvHealthKey(cands[i].Entry.ID))
@@ -68,7 +68,7 @@
 	// Among engines that hold equally much, prefill engines come first: running
 	// requests fill the memory of decoding engines, which evicts cached prefixes.
 	sources := slices.Concat(cands, decoders)
-	ch := prefillChoice{decoders: decoders, Choice: x.choose(ctx, p, cands, sources, f.OrAssumed())}
+	ch := prefillChoice{decoders: decoders, Choice: x.choose(ctx, p, cands, sources, f.OrDefault())}
 	ch.reportedPrefill, ch.reportedWait = ch.PrefillTime, ch.PredictedWait
 	if !f.Known() {
 		ch.PrefillTime, ch.PredictedWait = 0, 0
@@ -84,7 +84,7 @@
 
 // choose chooses among the candidates by the tracked load, or by queried
 // queues where these are more accurate.
-func (x *execution) choose(ctx context.Context, p prompt, cands, sources []placement.Candidate, f speed.Figures) placement.Choice {
+func (x *execution) choose(ctx context.Context, p prompt, cands, sources []placement.Candidate, f speed.Estimates) placement.Choice {
 	e := x.call.Service.Engine
 	if !x.opts.Queues.CanQueryQueues() {
 		return placement.Prefill(p.Prompt, cands, sources, e, f)
@@ -134,15 +134,15 @@
 // prefill runs the prefill of the prompt. If there is no engine for it, the
 // decoding engine prefills the prompt itself, at half the speed.
 func (x *execution) prefill(ctx context.Context, p prompt) (prefilled, *sendFailure) {
-	figures := x.opts.Speed.Figures(x.call.Service.Name)
+	figures := x.opts.Speed.Estimates(x.call.Service.Name)
 	ch := x.takePrefillChoice(ctx, p, figures)
 	if ch.Index < 0 {
 		return prefilled{}, nil
 	}
 	to := ch.engine
-	done := x.opts.Engines.Prefill(to.ID, x.call.Service.Engine.KVTokens, p.parts, figures.Start+ch.reportedWait, ch.reportedPrefill)
+	done := x.opts.Engines.Prefill(to.ID, x.call.Service.Engine.KVTokens, p.parts, figures.PromptOverhead+ch.reportedWait, ch.reportedPrefill)
 	defer done()
-	predicted := figures.Start + ch.PredictedWait + ch.PrefillTime
+	predicted := figures.PromptOverhead + ch.PredictedWait + ch.PrefillTime
 	x.trace.Prefill = Prefill{PromptTokens: p.Tokens, SharedTokens: p.SharedTokens, MissingTokens: ch.MissingTokens, FetchedTokens: ch.FetchedTokens, Speculative: ch.Speculative, PredictedWait: ch.PredictedWait, PredictedPrefill: ch.PrefillTime}
 	start := time.Now()
 	resp, v, f := x.send(ctx, outgoing{
@@ -171,8 +171,8 @@
 	if !ch.Speculative {
 		// A speculative fetch was predicted as a full prefill, so its time would
 		// distort the measured speed.
-		x.opts.Speed.Read(x.call.Service.Name, speed.Sample{
-			Prompt: p.Tokens, Missing: ch.MissingTokens, Before: ch.PredictedWait + ch.FetchTime, Took: took,
+		x.opts.Speed.ObservePrompt(x.call.Service.Name, speed.Sample{
+			Prompt: p.Tokens, Missing: ch.MissingTokens, PredictedWait: ch.PredictedWait + ch.FetchTime, Duration: took,
 		})
 		if figures.Known() {
 			x.opts.Health.NotePace(to.ID, x.slowdown(predicted, took))
@@ -183,7 +183,7 @@
 }
 
 // prefillTimeout returns how long an engine may take for a prefill.
-func (x *execution) prefillTimeout(f speed.Figures, predicted time.Duration) time.Duration {
+func (x *execution) prefillTimeout(f speed.Estimates, predicted time.Duration) time.Duration {
 	if !f.Known() {
 		return time.Duration(unpredictedTimeoutShare * float64(time.Until(x.call.Deadline)))
 	}
--- a/request/dispatch/rig_test.go
+++ b/request/dispatch/rig_test.go
@@ -38,7 +38,7 @@
 	entries  map[string][]port.TargetEntry
 	set      *targets.Set // used in place of entries if it isn't nil
 	released chan port.KVSource
-	speed    *speed.Book // has estimates for service llm
+	speed    *speed.Tracker // has estimates for service llm
 }
 
 // Targets implements Targets.
@@ -78,8 +78,8 @@
 }
 
 func newHarness(slack float64) *harness {
-	h := &harness{net: &pipenet.Net{}, entries: map[string][]port.TargetEntry{}, released: make(chan port.KVSource, 100), speed: speed.NewBook()}
-	h.speed.Merge([]speed.Update{{Service: xxhash.Sum64String("llm"), PerToken: 23e3, PerPair: 257, StartUs: 50_000, FirstUs: 40_000, Reads: 1000}})
+	h := &harness{net: &pipenet.Net{}, entries: map[string][]port.TargetEntry{}, released: make(chan port.KVSource, 100), speed: speed.NewTracker()}
+	h.speed.Merge([]speed.Update{{Service: xxhash.Sum64String("llm"), PerToken: 23e3, PerPair: 257, PromptOverheadUs: 50_000, FirstEventUs: 40_000, Prompts: 1000}})
 	h.budget = budget.NewFleet(budget.FleetOptions{
 		Slack: (slack + 0.1) / budget.SpendableShare, Window: 10 * time.Second, Now: time.Now,
 		Daemons: func() int { return 1 },
--- a/request/placement/prefill.go
+++ b/request/placement/prefill.go
@@ -84,7 +84,7 @@
 // cache that it lacks and another engine holds: 13,000 tokens take 10 to 20
 // ms to fetch and 300 ms to compute. sources are the engines that can be
 // fetched from.
-func Prefill(p Prompt, cands, sources []Candidate, e *route.Engine, f speed.Figures) Choice {
+func Prefill(p Prompt, cands, sources []Candidate, e *route.Engine, f speed.Estimates) Choice {
 	ev := newEvaluation(p, cands, sources, e, f)
 	best := Choice{Index: -1, Source: -1}
 	for i := range cands {
@@ -101,13 +101,13 @@
 	p              Prompt
 	cands, sources []Candidate
 	engine         *route.Engine
-	figures        speed.Figures
+	figures        speed.Estimates
 	holder         int // index of the source that holds the most tokens, -1: none
 	inZone         int // number of candidates in the daemon's zone
 	home           home
 }
 
-func newEvaluation(p Prompt, cands, sources []Candidate, e *route.Engine, f speed.Figures) *evaluation {
+func newEvaluation(p Prompt, cands, sources []Candidate, e *route.Engine, f speed.Estimates) *evaluation {
 	ev := &evaluation{p: p, cands: cands, sources: sources, engine: e, figures: f, holder: largestHolder(sources), inZone: countInZone(cands, p.Zone)}
 	ev.home = newHome(ev.p, cands, sources, ev.holder, f)
 	return ev
@@ -130,7 +130,7 @@
 
 // evaluate returns the choice of an engine with the cost of its queue,
 // prefill and fetch.
-func (p *Prompt) evaluate(c *Candidate, sources []Candidate, holder int, e *route.Engine, f speed.Figures) Choice {
+func (p *Prompt) evaluate(c *Candidate, sources []Candidate, holder int, e *route.Engine, f speed.Estimates) Choice {
 	ch := Choice{Source: -1, PredictedWait: c.adjusted(c.Load.Wait)}
 	cached := c.Load.Cached
 	if holder >= 0 && worthFetch(p, f, cached, sources[holder].Load.Ready) {
@@ -140,7 +140,7 @@
 		ch.FetchTime = TransferTime(e, ch.FetchedTokens, src.Entry.Zone == c.Entry.Zone)
 	}
 	ch.MissingTokens = max(p.Tokens-cached, 1)
-	prefill := c.adjusted(f.Read(p.Tokens, ch.MissingTokens))
+	prefill := c.adjusted(f.PrefillTime(p.Tokens, ch.MissingTokens))
 	ch.PrefillTime = prefill + ch.FetchTime
 	ch.Cost = ch.PredictedWait + prefill + time.Duration(recomputeWeight*float64(prefill)) + fetchWeight*ch.FetchTime
 	return ch
@@ -180,11 +180,11 @@
 
 // worthFetch reports whether fetching the tokens that another engine holds
 // beyond the cached ones saves enough prefill time.
-func worthFetch(p *Prompt, f speed.Figures, cached, elsewhere int) bool {
+func worthFetch(p *Prompt, f speed.Estimates, cached, elsewhere int) bool {
 	if elsewhere <= cached {
 		return false
 	}
-	saved := f.Read(p.Tokens, p.Tokens-cached) - f.Read(p.Tokens, p.Tokens-elsewhere)
+	saved := f.PrefillTime(p.Tokens, p.Tokens-cached) - f.PrefillTime(p.Tokens, p.Tokens-elsewhere)
 	return saved >= minFetchSaving.duration(p)
 }
 
--- a/request/placement/shortlist.go
+++ b/request/placement/shortlist.go
@@ -25,7 +25,7 @@
 // load. All choose the engine that was idle when it was reported, and none
 // chooses one that became idle since. Random engines differ from daemon to
 // daemon, and the queried queues then decide.
-func Shortlist(p Prompt, cands, sources []Candidate, e *route.Engine, f speed.Figures) []Choice {
+func Shortlist(p Prompt, cands, sources []Candidate, e *route.Engine, f speed.Estimates) []Choice {
 	if len(cands) == 0 {
 		return nil
 	}
--- a/request/placement/shortlist_test.go
+++ b/request/placement/shortlist_test.go
@@ -29,7 +29,7 @@
 // choose returns.
 func (sim *queueSim) meanWait(choose func(now time.Duration, p Prompt, cands []Candidate) int) time.Duration {
 	p := Prompt{Tokens: 8000, Objective: 800 * time.Millisecond}
-	read := figures.Read(p.Tokens, p.Tokens)
+	read := figures.PrefillTime(p.Tokens, p.Tokens)
 	gap := time.Duration(float64(read) / utilization / float64(len(sim.ids)))
 	var sum, now, nextReport time.Duration
 	n := 0
@@ -66,7 +66,7 @@
 // of engines.
 func TestQueriedQueuesAvoidHerding(t *testing.T) {
 	for _, n := range []int{6, 60, 171, 700} {
-		read := figures.Read(8000, 8000)
+		read := figures.PrefillTime(8000, 8000)
 		byReports := newQueueSim(n).meanWait(func(_ time.Duration, p Prompt, cands []Candidate) int {
 			return Prefill(p, cands, nil, nil, figures).Index
 		})
@@ -118,7 +118,7 @@
 	if opened > prompts/3 {
 		t.Errorf("%d connections opened for %d prompts", opened, prompts)
 	}
-	if read := figures.Read(8000, 8000); wait > read/4 {
+	if read := figures.PrefillTime(8000, 8000); wait > read/4 {
 		t.Errorf("a prompt waits %v of %v", wait, read)
 	}
 }
