--- a/process/relay/cutoff_test.go
+++ b/process/relay/cutoff_test.go
@@ -12,8 +12,8 @@
 	"github.com/pomelospool/pomelospool/process/clock"
 )
 
-// Guards against a daemon that reads the store itself, loses it and serves on
-// with old targets and routes although its peers have newer ones.
+// Guards against a daemon that reads the store itself, loses it, and continues
+// to serve with outdated targets and routes although its peers have newer ones.
 func TestReaderWithoutTheStoreFollowsItsPeers(t *testing.T) {
 	for name, beats := range map[string]time.Duration{"records all the time": beatEvery, "few records": time.Hour} {
 		for after := time.Duration(0); after <= readWait; after += readWait / 4 {
@@ -47,7 +47,7 @@
 		s.add(key)
 		_ = pause.For(ctx, leaveBound)
 		if !cut.knows(key) {
-			t.Errorf("target %q isn't known %v later", key, leaveBound)
+			t.Errorf("target %q isn't known after %v", key, leaveBound)
 		}
 		if age := now() - cut.store.AsOf(port.TopicTargets); age > leaveBound {
 			t.Errorf("the targets are %v old", age)
--- a/process/relay/fallback.go
+++ b/process/relay/fallback.go
@@ -13,61 +13,63 @@
 // fallback is a peer that is read instead of the store.
 type fallback struct {
 	addr  string
-	until time.Duration // by Store.now; then the store is tried again
+	until time.Duration // by Store.now; the store is tried again after it
 }
 
-// fallbackFor is how long a peer is read before the store is tried again.
-const fallbackFor = 3 * time.Second
+// fallbackDuration is how long a peer is read before the store is tried again.
+const fallbackDuration = 3 * time.Second
 
-// Cut reports whether the store fails this daemon and a peer is read instead.
+// Cut reports whether this daemon's reads of the store fail and a peer is read
+// instead.
 func (s *Store) Cut() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.fallbacks) > 0
 }
 
-// readOwn reads a topic for a daemon that has no reader: from the store, or
-// while that fails from a peer that can read it.
-func (s *Store) readOwn(ctx context.Context, t port.Topic, from int64, wait time.Duration) (port.KeyedBatch, error) {
-	s.noteReader(ownReads)
+// readWithFallback reads a topic for a daemon that has no reader. It reads from
+// the store, or from a peer that can read the store while this daemon can't.
+func (s *Store) readWithFallback(ctx context.Context, t port.Topic, from int64, wait time.Duration) (port.KeyedBatch, error) {
+	s.setReader(noReader)
 	maxAge := s.maxAge(wait)
-	peer, cut := s.fallback(t)
-	if cut && s.now() < peer.until {
+	peer, found := s.fallback(t)
+	if found && s.now() < peer.until {
 		begun := s.now()
-		b, err := s.ask(ctx, peer.addr, t, from, wait, maxAge)
-		batch, err := s.take(t, begun, b, err)
+		b, err := s.readFromDaemon(ctx, peer.addr, t, from, wait, maxAge)
+		batch, err := s.toBatch(t, begun, b, err)
 		if err == nil || errors.Is(err, port.ErrExpired) {
 			return batch, err
 		}
 	}
-	if cut {
-		wait = 0 // a probe, which must not hold up the peer's records
+	if found {
+		wait = 0 // only a probe: it must not delay the records from the peer
 	}
-	batch, err := s.direct(ctx, t, from, wait)
+	batch, err := s.readStore(ctx, t, from, wait)
 	if err == nil || ctx.Err() != nil || errors.Is(err, port.ErrExpired) {
 		s.setFallback(t, "")
 		return batch, err
 	}
-	for _, addr := range s.somePeers() {
+	for _, addr := range s.sampleStorePeers() {
 		begun := s.now()
-		b, peerErr := s.askAnother(ctx, addr, t, from, maxAge)
-		batch, peerErr := s.take(t, begun, b, peerErr)
+		b, peerErr := s.askOtherReader(ctx, addr, t, from, maxAge)
+		batch, peerErr := s.toBatch(t, begun, b, peerErr)
 		if peerErr == nil || errors.Is(peerErr, port.ErrExpired) {
 			s.setFallback(t, addr)
 			return batch, peerErr
 		}
-		log.WithError(peerErr).WithField("peer", addr).Debug("relay: peer can't be read instead of the store")
+		log.WithError(peerErr).WithField("peer", addr).Debug("relay: reading from the peer instead of the store failed")
 	}
 	s.setFallback(t, "")
 	return port.KeyedBatch{}, err
 }
 
-// somePeers picks peers that can read the store.
-func (s *Store) somePeers() []string {
+// sampleStorePeers returns a random sample of the peers that can read the
+// store.
+func (s *Store) sampleStorePeers() []string {
 	if s.Sources == nil {
 		return nil
 	}
-	return someOf(s.Sources())
+	return samplePeers(s.Sources())
 }
 
 func (s *Store) fallback(t port.Topic) (fallback, bool) {
@@ -77,17 +79,18 @@
 	return peer, ok
 }
 
-// setFallback notes the peer to read a topic from; empty: the store.
+// setFallback sets the peer that the topic is read from. An empty address means
+// the store.
 func (s *Store) setFallback(t port.Topic, addr string) {
 	s.mu.Lock()
 	before := s.fallbacks[t].addr
 	if addr == "" {
 		delete(s.fallbacks, t)
 	} else {
-		s.fallbacks[t] = fallback{addr: addr, until: s.now() + fallbackFor}
+		s.fallbacks[t] = fallback{addr: addr, until: s.now() + fallbackDuration}
 	}
 	s.mu.Unlock()
 	if before != addr {
-		log.WithFields(log.Fields{"topic": int(t), "peer": addr}).Info("relay: peer read instead of the store")
+		log.WithFields(log.Fields{"topic": int(t), "peer": addr}).Info("relay: fallback peer changed")
 	}
 }
--- a/process/relay/fleet_test.go
+++ b/process/relay/fleet_test.go
@@ -24,11 +24,12 @@
 
 const (
 	fleetZones = 5
-	// fleetWait and fleetPace are those of a read of the targets.
+	// fleetWait and fleetPace are the wait and the interval of reads of the
+	// targets.
 	fleetWait = 900 * time.Millisecond
 	fleetPace = ReaderPause
-	// storeLatency is what an answer of the store takes, and appendTime what it
-	// takes for each write, one after the other.
+	// storeLatency is the time that the store takes for an answer. appendTime
+	// is the time it takes for each write; writes are serialized.
 	storeLatency = 4 * time.Millisecond
 	appendTime   = 2 * time.Millisecond
 	// targetBeat is the time between two heartbeats of a target.
@@ -45,7 +46,7 @@
 	away     bool
 	writable time.Time // when the last write ends
 	calls    int
-	records  int // that were read
+	records  int // number of records read
 }
 
 func newFleetStore() *fleetStore {
@@ -55,7 +56,7 @@
 	}
 }
 
-// begin counts a call and waits for its answer.
+// begin counts a call and waits for the latency of the store.
 func (s *fleetStore) begin(ctx context.Context) error {
 	s.mu.Lock()
 	s.calls++
@@ -138,7 +139,7 @@
 	return 0, port.ErrConflict
 }
 
-// write adds records of targets, or of the fleet's daemons.
+// write appends records without latency.
 func (s *fleetStore) write(t port.Topic, records ...port.KeyedRecord) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,7 +168,8 @@
 	return s.calls, s.records
 }
 
-// fleet is daemons that read the targets from the store, or from each other.
+// fleet is a set of daemons that read the targets from the store or from each
+// other.
 type fleet struct {
 	store   *fleetStore
 	packets *packetnet.Net
@@ -187,7 +189,7 @@
 	mu       sync.Mutex
 }
 
-// Lost and Back note whether the daemon knows what the store says.
+// fleetSink tracks whether the daemon has lost the store.
 type fleetSink struct {
 	topic.Sink
 	d *fleetDaemon
@@ -211,7 +213,7 @@
 type countingNet struct {
 	mu    sync.Mutex
 	to    map[string]http.Handler
-	bytes map[string]int // by the daemon that answered
+	bytes map[string]int // by the answering daemon
 }
 
 func (n *countingNet) RoundTrip(req *http.Request) (*http.Response, error) {
@@ -239,7 +241,7 @@
 	if r.Value == nil {
 		return port.TargetEntry{ID: r.Key}, false, nil
 	}
-	// A heartbeat's number follows the state.
+	// The value is the state followed by the number of the heartbeat.
 	return port.TargetEntry{ID: r.Key, Service: "llm", Leaving: r.Value[0] == 'l'}, true, nil
 }
 
@@ -304,7 +306,7 @@
 func (noClaims) Report() []roster.Claim { return nil }
 func (noClaims) Merge([]roster.Claim)   {}
 
-// heartbeats has each target write its entry again and again.
+// heartbeats rewrites the entry of each target every targetBeat.
 func (f *fleet) heartbeats(ctx context.Context) {
 	const step = 100 * time.Millisecond
 	for beat := 0; pause.For(ctx, step) == nil; beat++ {
@@ -316,8 +318,8 @@
 	}
 }
 
-// withFleet runs a test on a fleet that starts at once, before targets that are
-// there already.
+// withFleet runs a test on a fleet whose daemons all start at once, with the
+// targets already in the store.
 func withFleet(t *testing.T, daemons, targets int, test func(ctx context.Context, f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{
@@ -345,8 +347,9 @@
 	})
 }
 
-// knowing is the number of daemons that know that many targets.
-func (f *fleet) knowing(targets int) int {
+// daemonsWithTargets returns the number of daemons that know exactly the given
+// number of targets.
+func (f *fleet) daemonsWithTargets(targets int) int {
 	n := 0
 	for _, d := range f.daemons {
 		if d.registry.Snapshot().Targets["llm"].All().Len() == targets {
@@ -356,20 +359,20 @@
 	return n
 }
 
-// Guards against a fleet that lists and reads the store from each daemon as it
-// starts, and against daemons that know no targets for seconds.
+// Guards against a fleet in which each daemon lists and reads the store at the
+// start, and against daemons that know no targets for seconds.
 func TestFleetStartsWithFewCalls(t *testing.T) {
 	const daemons, targets = 200, 2000
 	withFleet(t, daemons, targets, func(ctx context.Context, f *fleet) {
 		_ = pause.For(ctx, 6*time.Second)
-		if n := f.knowing(targets); n != daemons {
+		if n := f.daemonsWithTargets(targets); n != daemons {
 			t.Errorf("%d of %d daemons know all targets after 6 s", n, daemons)
 		}
 		calls, _ := f.store.count()
 		if most := 4 * daemons; calls > most {
 			t.Errorf("%d calls to the store, want %d", calls, most)
 		}
-		// From here on one daemon reads the store.
+		// From here on only one daemon reads the store.
 		_ = pause.For(ctx, 4*time.Second)
 		begun, read := f.store.count()
 		const rest = 10 * time.Second
@@ -384,9 +387,9 @@
 	})
 }
 
-// Guards against thousands of calls to a store that is away, and against daemons
-// that learn late what was written after its return.
-func TestOutageCostsFewCalls(t *testing.T) {
+// Guards against thousands of calls to an unavailable store, and against
+// daemons that receive the records written after its return late.
+func TestOutageCausesFewStoreCalls(t *testing.T) {
 	const daemons, targets = 200, 500
 	withFleet(t, daemons, targets, func(ctx context.Context, f *fleet) {
 		_ = pause.For(ctx, 10*time.Second)
@@ -401,14 +404,14 @@
 		f.store.setAway(false)
 		f.store.write(port.TopicTargets, targetRecord(targets, 0, 'r'))
 		_ = pause.For(ctx, 4*time.Second)
-		if n := f.knowing(targets + 1); n != daemons {
+		if n := f.daemonsWithTargets(targets + 1); n != daemons {
 			t.Errorf("%d of %d daemons know of a new target 4 s after the store's return", n, daemons)
 		}
 	})
 }
 
-// Guards against requests to a target that has left, at daemons that read from one
-// that is frozen, or from one that the store alone doesn't answer.
+// Guards against requests to a target that has left, sent by daemons that read
+// from a frozen daemon or from one that alone is cut off from the store.
 func TestLeavingTargetIsKnownInTimeThroughTheTree(t *testing.T) {
 	const daemons, targets, bound = 200, 500, 5 * time.Second
 	withFleet(t, daemons, targets, func(ctx context.Context, f *fleet) {
@@ -420,7 +423,7 @@
 				root = d
 			}
 		}
-		// Nobody's questions to the root are answered from now on.
+		// From now on the root answers no requests.
 		f.http.mu.Lock()
 		f.http.to[root.addr] = http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) { <-req.Context().Done() })
 		f.http.mu.Unlock()
@@ -434,7 +437,7 @@
 			}
 		}
 		if late > 0 {
-			t.Errorf("%d of %d daemons don't know of it %v later", late, daemons, bound)
+			t.Errorf("%d of %d daemons don't know after %v that the target leaves", late, daemons, bound)
 		}
 	})
 }
--- a/process/relay/listing.go
+++ b/process/relay/listing.go
@@ -13,43 +13,45 @@
 )
 
 const (
-	// maxAsked is the number of daemons that are asked for one listing.
-	maxAsked = 2
-	// askAfter is how long the store may take before others are asked too. It
-	// answers in 4 ms; a silent one is given up after 1.5 s.
-	askAfter = 250 * time.Millisecond
-	// startWait is how long a question waits at a reader that has yet to read a
-	// topic for the first time.
-	startWait = 250 * time.Millisecond
-	// listHop is added to it for the way between daemons: a reader's link is filled
-	// for a second by the listings of all that read from it.
-	listHop = 2 * time.Second
+	// maxListingPeers is the number of daemons that are asked for one listing.
+	maxListingPeers = 2
+	// peerListingDelay is how long the store may take before other daemons are
+	// asked as well. The store usually answers in 4 ms; a call without an
+	// answer fails after 1.5 s.
+	peerListingDelay = 250 * time.Millisecond
+	// firstReadWait is how long a request waits at a reader that hasn't yet
+	// read the topic for the first time.
+	firstReadWait = 250 * time.Millisecond
+	// listHopTimeout is added to firstReadWait for the transfer between
+	// daemons. Sending the listing to all daemons that read from one reader can
+	// saturate its link for a second.
+	listHopTimeout = 2 * time.Second
 )
 
-// storeListing is the result of a listing.
+// storeListing is the result of a listing from the store.
 type storeListing struct {
 	page port.KeyedPage
 	err  error
 }
 
-// Newest returns newest records from the store, or from another daemon while
-// the store is away.
+// Newest returns the newest record of each key from a reader or the store, or
+// from another daemon while the store is unavailable.
 //
-// The failure it stops: daemons are started again one after the other while
-// the store is away, and none of them serves until it is back. Those that run
-// know all that is needed.
+// Without the other daemons, a rolling restart during an outage of the store
+// would leave no daemon able to serve until the store returns, although the
+// running daemons hold all the records that are needed.
 func (s *Store) Newest(ctx context.Context, t port.Topic, after string) (port.KeyedPage, error) {
 	if !s.topics[t] || after != "" {
 		return s.Store.Newest(ctx, t, after)
 	}
 	s.awaitReaders(ctx)
-	if readers := s.readers(); len(readers) > 0 && !s.distrusted() {
+	if readers := s.readers(); len(readers) > 0 && !s.bypassingReaders() {
 		page, err := s.listFrom(ctx, readers, t)
 		if err == nil {
 			return page, nil
 		}
-		if answered := errors.Is(err, errKnowsNothing); ctx.Err() != nil || !s.mayCall(answered) {
-			if page, known := s.askOthers(ctx, t); known {
+		if answered := errors.Is(err, errNotCurrent); ctx.Err() != nil || !s.mayCallStore(answered) {
+			if page, known := s.listFromPeers(ctx, t); known {
 				return page, nil
 			}
 			return port.KeyedPage{}, err
@@ -58,17 +60,17 @@
 	begun := s.now()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	counts.Add("store_listings", 1)
+	metrics.Add("store_listings", 1)
 	answered := make(chan storeListing, 1)
 	go func() {
 		page, err := s.Store.Newest(ctx, t, after)
 		answered <- storeListing{page: page, err: err}
 	}()
-	first, soon := within(askAfter, answered)
+	first, soon := awaitListing(peerListingDelay, answered)
 	if soon && first.err == nil {
 		return s.noteListing(t, begun, first)
 	}
-	if page, ok := s.askOthers(ctx, t); ok {
+	if page, ok := s.listFromPeers(ctx, t); ok {
 		return page, nil
 	}
 	if !soon {
@@ -77,11 +79,12 @@
 	return s.noteListing(t, begun, first)
 }
 
-// listFrom returns the listing of the first of this daemon's readers that has one
-// that is fresh enough.
+// listFrom returns the listing of the first reader that has a sufficiently
+// fresh one.
 //
-// The load that it answers: the store forgets its history, or hundreds of daemons
-// start together, and each lists both topics from the store.
+// It avoids load on the store when the store drops its history or hundreds of
+// daemons start together: each of them would otherwise list both topics from
+// the store.
 func (s *Store) listFrom(ctx context.Context, readers []string, t port.Topic) (port.KeyedPage, error) {
 	var failures []error
 	for _, addr := range readers {
@@ -97,26 +100,27 @@
 
 func (s *Store) listFromOne(ctx context.Context, addr string, t port.Topic) (port.KeyedPage, error) {
 	begun := s.now()
-	ctx, cancel := context.WithTimeout(ctx, startWait+listHop)
+	ctx, cancel := context.WithTimeout(ctx, firstReadWait+listHopTimeout)
 	defer cancel()
-	r, err := s.get(ctx, fmt.Sprintf("http://%s/current?topic=%d&max_age_ms=%d&wait_ms=%d", addr, t, s.maxAge(0).Milliseconds(), startWait.Milliseconds()))
+	r, err := s.fetch(ctx, fmt.Sprintf("http://%s/current?topic=%d&max_age_ms=%d&wait_ms=%d", addr, t, s.maxAge(0).Milliseconds(), firstReadWait.Milliseconds()))
 	if err != nil {
 		return port.KeyedPage{}, err
 	}
-	s.noteFresh(t, begun+r.readAt)
+	s.advanceAsOf(t, begun+r.readAt)
 	return port.KeyedPage{Records: r.Records, End: r.Next}, nil
 }
 
-// noteListing notes a listing of the store: it lacks nothing written before its begin.
+// noteListing records the freshness of a listing from the store: it contains
+// everything that was written before the call began.
 func (s *Store) noteListing(t port.Topic, begun time.Duration, l storeListing) (port.KeyedPage, error) {
 	if l.err == nil {
-		s.noteFresh(t, begun)
+		s.advanceAsOf(t, begun)
 	}
 	return l.page, l.err
 }
 
-// within waits for a listing for so long at most.
-func within(d time.Duration, answered <-chan storeListing) (l storeListing, soon bool) {
+// awaitListing waits for a listing for at most d.
+func awaitListing(d time.Duration, answered <-chan storeListing) (l storeListing, soon bool) {
 	limit := time.NewTimer(d)
 	defer limit.Stop()
 	select {
@@ -127,28 +131,29 @@
 	}
 }
 
-// askOthers asks some daemons for a topic's listing, one after the other.
-func (s *Store) askOthers(ctx context.Context, t port.Topic) (port.KeyedPage, bool) {
-	for _, addr := range someOf(s.peers()) {
-		page, err := s.listing(ctx, addr, t)
+// listFromPeers asks a few random daemons for the listing of a topic, one after
+// the other.
+func (s *Store) listFromPeers(ctx context.Context, t port.Topic) (port.KeyedPage, bool) {
+	for _, addr := range samplePeers(s.peers()) {
+		page, err := s.listFromPeer(ctx, addr, t)
 		if err == nil {
-			log.WithFields(log.Fields{"topic": int(t), "from": addr, "next": page.End}).Info("relay: listed by another daemon")
+			log.WithFields(log.Fields{"topic": int(t), "from": addr, "next": page.End}).Info("relay: topic listed from another daemon")
 			return page, true
 		}
-		log.WithError(err).WithField("from", addr).Debug("relay: no listing")
+		log.WithError(err).WithField("from", addr).Debug("relay: listing from another daemon failed")
 	}
 	return port.KeyedPage{}, false
 }
 
-// someOf draws the daemons that are asked.
-func someOf(peers []string) []string {
+// samplePeers returns up to maxListingPeers random peers. It reorders peers.
+func samplePeers(peers []string) []string {
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	return peers[:min(len(peers), maxAsked)]
+	return peers[:min(len(peers), maxListingPeers)]
 }
 
-func (s *Store) listing(ctx context.Context, addr string, t port.Topic) (port.KeyedPage, error) {
+func (s *Store) listFromPeer(ctx context.Context, addr string, t port.Topic) (port.KeyedPage, error) {
 	ctx, cancel := context.WithTimeout(ctx, hopTimeout)
 	defer cancel()
-	r, err := s.get(ctx, fmt.Sprintf("http://%s/listing?topic=%d", addr, t))
+	r, err := s.fetch(ctx, fmt.Sprintf("http://%s/listing?topic=%d", addr, t))
 	return port.KeyedPage{Records: r.Records, End: r.Next, Relayed: true}, err
 }
--- a/process/relay/pack.go
+++ b/process/relay/pack.go
@@ -12,13 +12,15 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// pack is records as they go to another daemon: CBOR, deflated, empty for none.
+// pack is the encoding of records for other daemons: CBOR compressed with
+// DEFLATE, empty for no records.
 //
-// The load that it answers: a fleet's 248 targets enter at once, 62 kB of
-// records, and the reader sends them to some 30 daemons of its zone at the same
-// moment: 15 Mbit over a link that may carry 20 in a second. All are late, and
-// each goes on to read the store itself for some seconds. Deflated it is a
-// tenth, and all who wait for the same records get the same bytes.
+// When 248 targets of a fleet register at once, their records take 62 kB, and
+// the reader sends them to some 30 daemons of its zone at the same moment. That
+// is 15 Mbit over a link that may carry 20 Mbit/s. All answers would be late,
+// and each daemon would read the store itself for some seconds. Compression
+// reduces the records to a tenth, and all daemons that wait for the same
+// records get the same bytes.
 type pack []byte
 
 func newPack(records []port.KeyedRecord) (pack, error) {
@@ -49,31 +51,32 @@
 	}
 	var out []port.KeyedRecord
 	r := flate.NewReader(bytes.NewReader(p))
-	if err := cbor.NewDecoder(io.LimitReader(r, maxAnswer)).Decode(&out); err != nil {
+	if err := cbor.NewDecoder(io.LimitReader(r, maxAnswerBytes)).Decode(&out); err != nil {
 		return nil, fmt.Errorf("relay: %w", err)
 	}
 	return out, nil
 }
 
-// packer makes packs, and keeps the last one: most who wait want the same.
+// packer makes packs and caches the last one, since most waiting readers need
+// the same records.
 type packer struct {
 	mu   sync.Mutex
 	key  packKey
 	last pack
 }
 
-// packKey tells a topic's packs apart.
+// packKey identifies a pack of a topic.
 type packKey struct {
-	whole bool  // a listing, else changes
+	whole bool  // a whole listing; otherwise changes
 	first int64 // offset of the first change
 	last  int64 // offset of the last change, or version of the listing
 	n     int   // number of changes
 }
 
-// key is that of the listing's pack.
-func (l *listed) key() packKey { return packKey{whole: true, last: l.version} }
+// key returns the key of the listing's pack.
+func (l *cachedListing) key() packKey { return packKey{whole: true, last: l.version} }
 
-// key is that of the changes' pack.
+// key returns the key of the changes' pack.
 func (b *batch) key() packKey {
 	if len(b.changes) == 0 {
 		return packKey{}
@@ -81,7 +84,8 @@
 	return packKey{first: b.changes[0].at, last: b.changes[len(b.changes)-1].at, n: len(b.changes)}
 }
 
-// pack returns the records' pack. Those under an equal key must be equal.
+// pack returns the pack of records. Calls with an equal key must pass equal
+// records.
 func (p *packer) pack(key packKey, records []port.KeyedRecord) (pack, error) {
 	if len(records) == 0 {
 		return nil, nil
--- a/process/relay/reach.go
+++ b/process/relay/reach.go
@@ -13,34 +13,36 @@
 )
 
 const (
-	// probeTimeout bounds a probe of the store: three times what it takes when it
-	// is slow.
-	probeTimeout = patience
-	// probeEvery is the time between two probes of a store that doesn't answer.
-	probeEvery = time.Second
+	// probeTimeout bounds a probe of the store. It is three times the latency
+	// of a slow store.
+	probeTimeout = readGrace
+	// probeInterval is the time between two probes of a store that doesn't
+	// answer.
+	probeInterval = time.Second
 )
 
-// Reach is a port.Store that knows whether it answers this daemon's own calls.
-// Reads that other daemons relay say nothing of that: a daemon that leads and
-// alone is cut off from the store would keep its duties and do none of them.
+// Reach is a port.Store that tracks whether the store answers this daemon's own
+// calls. Reads relayed by other daemons don't show this: a leader that alone is
+// cut off from the store would keep its duties without being able to perform
+// them.
 type Reach struct {
 	port.Store
 	suspected chan struct{}
 
-	mu   sync.Mutex
-	away bool
+	mu          sync.Mutex
+	unavailable bool
 }
 
-// NewReach returns a Reach over a store that answers.
+// NewReach returns a Reach for a store that is assumed to be available.
 func NewReach(s port.Store) *Reach {
 	return &Reach{Store: s, suspected: make(chan struct{}, 1)}
 }
 
-// Away reports whether the store doesn't answer.
+// Away reports whether the store doesn't answer this daemon.
 func (r *Reach) Away() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.away
+	return r.unavailable
 }
 
 // Newest implements port.Store.
@@ -57,8 +59,9 @@
 	return offset, err
 }
 
-// Suspect has the store probed after a call that it didn't answer. The call
-// alone shows little: answers to writes may be lost.
+// Suspect requests a probe of the store if err shows that a call failed because
+// the store was unavailable. A failed call alone doesn't mark the store as
+// unavailable, since single answers to writes may be lost.
 func (r *Reach) Suspect(ctx context.Context, err error) {
 	if ctx.Err() != nil || !errors.Is(err, port.ErrUnavailable) {
 		return
@@ -69,7 +72,7 @@
 	}
 }
 
-// Run probes the store when it is suspected, until ctx ends.
+// Run probes the store whenever a probe is requested, until ctx ends.
 func (r *Reach) Run(ctx context.Context) {
 	for {
 		select {
@@ -78,10 +81,10 @@
 		case <-r.suspected:
 		}
 		for err := r.probe(ctx); err != nil && ctx.Err() == nil; err = r.probe(ctx) {
-			r.set(true, err)
-			_ = pause.For(ctx, probeEvery)
+			r.setUnavailable(true, err)
+			_ = pause.For(ctx, probeInterval)
 		}
-		r.set(false, nil)
+		r.setUnavailable(false, nil)
 	}
 }
 
@@ -92,14 +95,14 @@
 	return err
 }
 
-func (r *Reach) set(away bool, cause error) {
+func (r *Reach) setUnavailable(unavailable bool, cause error) {
 	r.mu.Lock()
-	changed := r.away != away
-	r.away = away
+	changed := r.unavailable != unavailable
+	r.unavailable = unavailable
 	r.mu.Unlock()
 	switch {
-	case changed && away:
-		log.WithError(cause).Warn("relay: the store doesn't answer this daemon, which gives up its duties")
+	case changed && unavailable:
+		log.WithError(cause).Warn("relay: the store doesn't answer this daemon; giving up its duties")
 	case changed:
 		log.Info("relay: the store answers this daemon again")
 	}
--- a/process/relay/reach_test.go
+++ b/process/relay/reach_test.go
@@ -10,7 +10,7 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// flaky is a store that answers or not.
+// flaky is a store whose answers can be turned off.
 type flaky struct {
 	port.Store
 	mu     sync.Mutex
@@ -61,9 +61,9 @@
 	})
 }
 
-// Guards against a daemon that leads for as long as it alone is cut off from
-// the store, and claims nothing.
-func TestDaemonThatIsCutOffIsAway(t *testing.T) {
+// Guards against a daemon that stays leader while it alone is cut off from the
+// store, so that it can't claim anything.
+func TestUnansweredCallMakesStoreUnavailable(t *testing.T) {
 	withReach(t, func(t *testing.T, r *Reach, f *flaky) {
 		f.set(true, false)
 		time.Sleep(10 * time.Second)
@@ -78,7 +78,7 @@
 			t.Error("not away after a call and a probe without an answer")
 		}
 		f.set(false, false)
-		time.Sleep(probeTimeout + probeEvery + time.Millisecond)
+		time.Sleep(probeTimeout + probeInterval + time.Millisecond)
 		if r.Away() {
 			t.Error("still away after the store's return")
 		}
@@ -90,9 +90,9 @@
 	})
 }
 
-// Guards against duties that change hands, and wait for a lease, with each
-// answer that is lost.
-func TestLostAnswersAlone(t *testing.T) {
+// Guards against duties that move to another daemon, with the delay of a lease,
+// each time the answer to a single write is lost.
+func TestLostWriteAnswersDoNotMakeStoreUnavailable(t *testing.T) {
 	withReach(t, func(t *testing.T, r *Reach, f *flaky) {
 		f.set(false, true)
 		for range 5 {
--- a/process/relay/relay_test.go
+++ b/process/relay/relay_test.go
@@ -26,28 +26,28 @@
 	m.Run()
 }
 
-// direct is a store that counts its reads.
-type direct struct {
+// countingStore is a store that counts its reads.
+type countingStore struct {
 	port.Store
-	reads int
-	away  error // of listings
-	mute  bool  // listings get no answer
+	reads  int
+	away   error // error of listings
+	silent bool  // listings get no answer
 }
 
-func (d *direct) Newest(ctx context.Context, _ port.Topic, _ string) (port.KeyedPage, error) {
-	if d.mute {
+func (d *countingStore) Newest(ctx context.Context, _ port.Topic, _ string) (port.KeyedPage, error) {
+	if d.silent {
 		<-ctx.Done()
 		return port.KeyedPage{}, ctx.Err()
 	}
 	return port.KeyedPage{Records: []port.KeyedRecord{{Key: "from the store"}}}, d.away
 }
 
-func (d *direct) Read(context.Context, port.Topic, int64, time.Duration) (port.KeyedBatch, error) {
+func (d *countingStore) Read(context.Context, port.Topic, int64, time.Duration) (port.KeyedBatch, error) {
 	d.reads++
 	return port.KeyedBatch{Records: []port.KeyedRecord{{Key: "from the store"}}}, nil
 }
 
-// sink takes everything.
+// sink counts the calls of a topic.Sink.
 type sink struct{ applied, lost, back int }
 
 func (s *sink) Reset([]port.KeyedRecord, int64) {}
@@ -59,27 +59,29 @@
 	return port.KeyedRecord{Key: key, Value: []byte("v"), Offset: offset}
 }
 
-// pair is a reader's tail and another daemon's store before it.
-func pair(t *testing.T) (*Tail, *Store, *direct) {
+// newReaderAndStore returns a reader's Tail and the Store of another daemon
+// that reads from it.
+func newReaderAndStore(t *testing.T) (*Tail, *Store, *countingStore) {
 	tail := NewTail(&sink{}, nil)
 	tail.Confirm(tail.now(), 0)
 	srv := httptest.NewServer(Handler(map[port.Topic]*Tail{port.TopicTargets: tail}))
 	t.Cleanup(srv.Close)
-	d := &direct{}
+	d := &countingStore{}
 	addr := strings.TrimPrefix(srv.URL, "http://")
 	nobody := "127.0.0.1:1"
 	return tail, NewStore(d, func() []string { return []string{addr} }, func() []string { return []string{addr, nobody} }, port.TopicTargets), d
 }
 
-// All daemons are started again one after the other while the store is away.
-// None serves until it is back, though those that run know all it takes; or
-// one starts with a listing that lacks what changed, or knows what was dropped.
+// Guards against a rolling restart during an outage of the store after which no
+// daemon serves until the store returns, although the running daemons hold all
+// the records that are needed. Also guards against listings that lack changes
+// or contain deleted records.
 func TestListingOfAnotherDaemon(t *testing.T) {
-	tail, s, d := pair(t)
+	tail, s, d := newReaderAndStore(t)
 	away := errors.New("the store is away")
 	d.away = away
 	if _, err := s.Newest(t.Context(), port.TopicTargets, ""); !errors.Is(err, away) {
-		t.Errorf("a daemon that read nothing gave a listing: %v", err)
+		t.Errorf("a daemon that has read nothing returned a listing: %v", err)
 	}
 	tail.Reset([]port.KeyedRecord{record(1, "stays"), record(2, "changes"), record(3, "goes")}, 5)
 	tail.Apply([]port.KeyedRecord{record(5, "changes"), {Key: "goes", Offset: 6}, record(7, "new")})
@@ -93,22 +95,22 @@
 	if err != nil || !page.Relayed || page.More || page.End != 8 || !maps.Equal(got, want) {
 		t.Errorf("%+v, %v", page, err)
 	}
-	d.mute = true
+	d.silent = true
 	if page, err := s.Newest(t.Context(), port.TopicTargets, ""); err != nil || !page.Relayed {
 		t.Errorf("a store without an answer: %+v, %v", page, err)
 	}
-	d.mute = false
+	d.silent = false
 	if _, err := s.Newest(t.Context(), port.TopicClaims, ""); !errors.Is(err, away) {
-		t.Errorf("claims were listed by another daemon: %v", err)
+		t.Errorf("claims were listed from another daemon: %v", err)
 	}
 	d.away = nil
 	if page, err := s.Newest(t.Context(), port.TopicTargets, ""); err != nil || page.Relayed {
-		t.Errorf("with the store there: %+v, %v", page, err)
+		t.Errorf("with the store available: %+v, %v", page, err)
 	}
 }
 
 func TestRecordsComeFromTheReader(t *testing.T) {
-	tail, s, d := pair(t)
+	tail, s, d := newReaderAndStore(t)
 	tail.Reset([]port.KeyedRecord{record(3, "old")}, 5)
 	tail.Apply([]port.KeyedRecord{record(5, "a"), record(6, "b")})
 	tail.Apply([]port.KeyedRecord{record(7, "c")})
@@ -122,15 +124,15 @@
 	}
 }
 
-// A daemon of a large fleet misses changes, because it asks a reader that
-// doesn't have them: the reader lost the store, or is behind.
-func TestStoreIsReadWhenTheReaderCantSay(t *testing.T) {
+// Guards against missed changes: the reader doesn't have them because it lost
+// the store or is behind.
+func TestStoreIsReadWhenReaderIsNotCurrent(t *testing.T) {
 	for name, spoil := range map[string]func(tail *Tail){
 		"lost the store":   func(tail *Tail) { tail.Lost(errors.New("away")) },
 		"behind the asker": func(tail *Tail) { tail.Reset(nil, 1); tail.Apply([]port.KeyedRecord{record(1, "y")}) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			tail, s, d := pair(t)
+			tail, s, d := newReaderAndStore(t)
 			tail.Apply([]port.KeyedRecord{record(5, "a")})
 			spoil(tail)
 			got, err := s.Read(t.Context(), port.TopicTargets, 5, 0)
@@ -139,15 +141,15 @@
 			}
 			_, _ = s.Read(t.Context(), port.TopicTargets, 5, 0)
 			if d.reads != 2 {
-				t.Error("the reader is asked again at once")
+				t.Error("the failed reader was asked again at once")
 			}
 		})
 	}
 }
 
-// The same, and the reader has begun to read later, or dropped the changes in
-// between: whatever they said, the topic has to be listed, and the listing holds
-// what they said.
+// Guards against missed changes when the reader began to read later or has
+// dropped the changes in between. The topic has to be listed again then, and
+// the listing contains the missed changes.
 func TestTopicIsListedWhenTheReaderHasAGap(t *testing.T) {
 	for name, spoil := range map[string]func(tail *Tail){
 		"began later": func(tail *Tail) {
@@ -155,13 +157,13 @@
 			tail.Reset([]port.KeyedRecord{record(8, "new")}, 9)
 		},
 		"dropped some": func(tail *Tail) {
-			for at := int64(6); at < 6+2*leastChanges; at++ {
+			for at := int64(6); at < 6+2*minChanges; at++ {
 				tail.Apply([]port.KeyedRecord{record(at, "new")})
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			tail, s, d := pair(t)
+			tail, s, d := newReaderAndStore(t)
 			tail.Reset(nil, 5)
 			tail.Apply([]port.KeyedRecord{record(5, "a")})
 			spoil(tail)
@@ -177,16 +179,16 @@
 				found = found || r.Key == "new"
 			}
 			if !found {
-				t.Errorf("the listing lacks what the missing records said: %+v", page.Records)
+				t.Errorf("the listing lacks the missed changes: %+v", page.Records)
 			}
 		})
 	}
 }
 
-// The configuration seldom changes: a reader that has listed it can say at once
-// that nothing is new.
-func TestReaderThatHasListedSaysThatNothingIsNew(t *testing.T) {
-	tail, s, d := pair(t)
+// The configuration changes rarely: a reader that has listed it can report at
+// once that there are no changes.
+func TestReaderReportsNoChangesAfterListing(t *testing.T) {
+	tail, s, d := newReaderAndStore(t)
 	tail.Reset([]port.KeyedRecord{record(3, "old")}, 4)
 	if got, err := s.Read(t.Context(), port.TopicTargets, 4, 0); err != nil || len(got.Records) != 0 || d.reads != 0 {
 		t.Errorf("records %+v, %v, %d reads of the store", got, err, d.reads)
@@ -194,7 +196,7 @@
 }
 
 func TestOtherTopicsAndReadersThemselvesReadTheStore(t *testing.T) {
-	_, s, d := pair(t)
+	_, s, d := newReaderAndStore(t)
 	_, _ = s.Read(t.Context(), port.TopicClaims, 0, 0)
 	s.readers = func() []string { return nil }
 	_, _ = s.Read(t.Context(), port.TopicTargets, 0, 0)
@@ -204,13 +206,13 @@
 }
 
 func TestTailHoldsABoundedNumber(t *testing.T) {
-	for _, keys := range []int64{1, 10 * leastChanges} {
+	for _, keys := range []int64{1, 10 * minChanges} {
 		tail := NewTail(&sink{}, nil)
-		const written = 100 * leastChanges
+		const written = 100 * minChanges
 		for i := range int64(written) {
 			tail.Apply([]port.KeyedRecord{record(i, fmt.Sprint("k", i%keys))})
 		}
-		held := max(leastChanges, int(keys))
+		held := max(minChanges, int(keys))
 		if len(tail.changes) != held || tail.end != written {
 			t.Errorf("%d changes up to %d, want %d", len(tail.changes), tail.end, held)
 		}
@@ -224,9 +226,10 @@
 	}
 }
 
-// Guards against heartbeats that are relayed to, and applied by, each daemon of a
-// fleet: 2,000 a second of 10,000 targets, of which none changes anything.
-func TestHeartbeatsEndAtTheirReader(t *testing.T) {
+// Guards against heartbeats that are relayed to every daemon of a fleet and
+// applied there: 10,000 targets send 2,000 a second, and none of them changes
+// anything.
+func TestHeartbeatsAreNotRelayed(t *testing.T) {
 	next := &sink{}
 	tail := NewTail(next, func(a, b port.KeyedRecord) bool { return string(a.Value) == string(b.Value) })
 	tail.Reset([]port.KeyedRecord{record(1, "a"), record(2, "b")}, 3)
@@ -245,10 +248,11 @@
 	}
 }
 
-// Guards against a whole listing for each daemon whenever the store has forgotten
-// its history: a daemon that reads from one that listed again gets what differs.
-func TestReaderThatListedAnewGivesTheDifference(t *testing.T) {
-	tail, s, d := pair(t)
+// Guards against a full listing for each daemon whenever the store drops its
+// history. A daemon gets only the difference from a reader that has listed the
+// topic again.
+func TestReaderSendsDifferenceAfterRelisting(t *testing.T) {
+	tail, s, d := newReaderAndStore(t)
 	tail.same = func(a, b port.KeyedRecord) bool { return string(a.Value) == string(b.Value) }
 	tail.Reset([]port.KeyedRecord{record(1, "stays"), record(2, "changes"), record(3, "goes")}, 5)
 	tail.Reset([]port.KeyedRecord{record(90, "stays"), {Key: "changes", Value: []byte("w"), Offset: 91}, record(80, "new")}, 95)
@@ -271,10 +275,10 @@
 	}
 }
 
-// A fleet starts: each daemon has read a little further than the one that is to
-// read for it, or that has read nothing yet. All find that it can't say, and
-// read the store for themselves for seconds, each call paid for.
-func TestReaderThatIsAboutToReadIsWaitedFor(t *testing.T) {
+// Guards against daemons that read the store themselves for seconds when a
+// fleet starts, because their reader hasn't read anything yet or is slightly
+// behind them. Each call to the store is paid for.
+func TestReadWaitsForReaderToCatchUp(t *testing.T) {
 	const wait = 2 * time.Second
 	for name, begin := range map[string]func(tail *Tail){
 		"has read nothing":   func(*Tail) {},
@@ -292,22 +296,23 @@
 					t.Errorf("%+v, %v after %v", b, w, tail.now())
 				}
 				if _, w := tail.read(t.Context(), 9, wait, wait); w == ok {
-					t.Error("one that stays behind says that nothing is new")
+					t.Error("a reader that stays behind reported no changes")
 				}
 			})
 		})
 	}
 }
 
-// Hundreds of daemons start together, and each reads both topics from the store
-// before it can know who reads them for it: 553 calls of 295 daemons.
-func TestFirstReadWaitsForTheReadersNames(t *testing.T) {
+// Guards against hundreds of daemons that start together and each read both
+// topics from the store before they know their readers, which took 553 calls
+// for 295 daemons.
+func TestFirstReadWaitsForReaderAddresses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tail := NewTail(&sink{}, nil)
 		tail.now = clock.NewRuntime().Now
 		tail.Reset(nil, 5)
 		tail.Confirm(0, 0)
-		d, listed := &direct{}, make(chan struct{})
+		d, listed := &countingStore{}, make(chan struct{})
 		s := NewStore(d, func() []string { return []string{"reader", "other"} }, func() []string { return nil }, port.TopicTargets)
 		s.now, s.Listed = tail.now, listed
 		s.client = &http.Client{Transport: inMemory{"reader": Handler(map[port.Topic]*Tail{port.TopicTargets: tail})}}
@@ -315,17 +320,17 @@
 		if _, err := s.Read(t.Context(), port.TopicTargets, 5, 0); err != nil || d.reads != 0 || tail.now() != 400*time.Millisecond {
 			t.Errorf("%d reads of the store after %v, %v", d.reads, tail.now(), err)
 		}
-		s.Listed = make(chan struct{}) // the store is away: nobody is named
+		s.Listed = make(chan struct{}) // the store is unavailable: the readers stay unknown
 		s.readers = func() []string { return nil }
 		if _, err := s.Read(t.Context(), port.TopicTargets, 5, 0); err != nil || d.reads != 1 {
-			t.Errorf("%d reads of the store without names, %v", d.reads, err)
+			t.Errorf("%d reads of the store without readers, %v", d.reads, err)
 		}
 	})
 }
 
-// The store is silent for a zone's first reader, and the 29 daemons that read
-// from it all read the store themselves for three seconds, 280 calls, though the
-// zone's other reader reads it, too.
+// Guards against daemons that read the store themselves although the other
+// reader of their zone can read it. When the store was silent for the first
+// reader, the 29 daemons that read from it made 280 calls in three seconds.
 func TestAnotherReaderIsAskedFirst(t *testing.T) {
 	first, second := NewTail(&sink{}, nil), NewTail(&sink{}, nil)
 	for _, tail := range []*Tail{first, second} {
@@ -334,14 +339,14 @@
 	}
 	first.Lost(errors.New("the store is away"))
 	second.Apply([]port.KeyedRecord{record(5, "a")})
-	d := &direct{}
+	d := &countingStore{}
 	s := NewStore(d, func() []string { return []string{"first", "second"} }, func() []string { return nil }, port.TopicTargets)
 	s.client = &http.Client{Transport: inMemory{
 		"first":  Handler(map[port.Topic]*Tail{port.TopicTargets: first}),
 		"second": Handler(map[port.Topic]*Tail{port.TopicTargets: second}),
 	}}
 	got, err := s.Read(t.Context(), port.TopicTargets, 5, 0)
-	if err != nil || len(got.Records) != 1 || got.Records[0].Key != "a" || d.reads != 0 || s.distrusted() {
+	if err != nil || len(got.Records) != 1 || got.Records[0].Key != "a" || d.reads != 0 || s.bypassingReaders() {
 		t.Errorf("records %+v, %v, %d reads of the store", got, err, d.reads)
 	}
 	second.Lost(errors.New("the store is away"))
@@ -350,9 +355,10 @@
 	}
 }
 
-// A fleet's 248 targets enter together, and a reader with a link of 20 Mbit a
-// second sends their records to 30 daemons at the same moment: within half a
-// second, or they read the store themselves.
+// Guards against answers that take too long when 248 targets register together
+// and a reader with a link of 20 Mbit/s sends their records to 30 daemons at
+// the same moment. The daemons read the store themselves if that takes more
+// than half a second.
 func TestRecordsOfAWholeFleetFitThroughASlowLink(t *testing.T) {
 	const targets, daemons, link = 248, 30, 20e6 / 8 // bytes a second
 	tail := NewTail(&sink{}, nil)
@@ -386,7 +392,7 @@
 	}
 }
 
-// refusing is a store that is away, and counts what it is asked.
+// refusing is an unavailable store that counts its reads.
 type refusing struct {
 	port.Store
 	asked int
@@ -397,11 +403,12 @@
 	return port.KeyedBatch{}, port.ErrUnavailable
 }
 
-// The store is away for five seconds. No reader can say anything, and each of
-// hundreds of daemons asks the store again and again, 6,000 calls, each paid
-// for, and refused for their rate as it returns. The reader is asked instead,
-// and a daemon alone in hearing nothing still asks the store in time.
-func TestStoreThatIsAwayIsLeftAlone(t *testing.T) {
+// Guards against hundreds of daemons that each keep calling the store during an
+// outage, when no reader has current data. An outage of five seconds caused
+// 6,000 calls, which are paid for and exceed the store's rate limit when it
+// returns. The reader is asked instead, and a daemon that alone gets no data
+// still calls the store in time.
+func TestUnavailableStoreIsRarelyCalled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		now := clock.NewRuntime().Now
 		tail := NewTail(&sink{}, nil)
@@ -413,7 +420,7 @@
 		for now() < 5*time.Second {
 			for _, topic := range []port.Topic{port.TopicTargets, port.TopicConfig} {
 				if _, err := s.Read(t.Context(), topic, 7, 0); err == nil {
-					t.Fatal("records from nowhere")
+					t.Fatal("a read succeeded although the store and the reader have no data")
 				}
 			}
 			_ = pause.For(t.Context(), 200*time.Millisecond)
@@ -430,10 +437,10 @@
 	})
 }
 
-// Guards against a deadlock: the pace follows from the membership, which asks the
-// Store under its own lock whether it is cut off.
-func TestPaceIsAskedWithoutTheLock(t *testing.T) {
-	tail, s, d := pair(t)
+// Guards against a deadlock: the delay depends on the membership, which calls
+// Store.Cut under its own lock.
+func TestRetryDelayIsCalledWithoutLock(t *testing.T) {
+	tail, s, d := newReaderAndStore(t)
 	tail.Lost(errors.New("away"))
 	s.Retry = func(bool) time.Duration {
 		s.Cut()
@@ -447,45 +454,45 @@
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Fatal("a read waits for a lock that it holds")
+		t.Fatal("deadlock: a read waits for a lock that it holds")
 	}
 	if d.reads != 1 {
 		t.Errorf("%d reads of the store", d.reads)
 	}
 }
 
-// The store forgets its history again and again. Each time the daemon that reads
-// it for others lists the topics anew, and all others, whose records it no
-// longer holds, list them too, each with calls that are paid for.
-func TestReaderThatListedAnewIsListed(t *testing.T) {
-	tail, s, d := pair(t)
+// Guards against a listing of the store by every daemon each time the store
+// drops its history. Only the reader lists the topics from the store; the
+// daemons whose records it no longer holds list them from the reader.
+func TestListingComesFromReaderAfterRelisting(t *testing.T) {
+	tail, s, d := newReaderAndStore(t)
 	tail.Reset([]port.KeyedRecord{record(3, "old")}, 5)
 	tail.Apply([]port.KeyedRecord{record(5, "a")})
 	tail.Reset([]port.KeyedRecord{record(8, "a"), record(9, "b")}, 10)
 	if _, err := s.Read(t.Context(), port.TopicTargets, 4, 0); !errors.Is(err, port.ErrExpired) {
-		t.Errorf("records that the reader doesn't hold: %v", err)
+		t.Errorf("records that the reader no longer holds: %v", err)
 	}
 	page, err := s.Newest(t.Context(), port.TopicTargets, "")
 	if err != nil || page.Relayed || page.End != 10 || len(page.Records) != 2 || d.reads != 0 {
 		t.Errorf("%+v, %v, %d reads of the store", page, err, d.reads)
 	}
 	if asOf := s.AsOf(port.TopicTargets); asOf <= 0 || asOf > tail.asOf {
-		t.Errorf("known up to %v, the reader up to %v", asOf, tail.asOf)
+		t.Errorf("complete up to %v, the reader's data up to %v", asOf, tail.asOf)
 	}
-	// A word that is too old, or from a reader that lost the store, is no listing.
+	// A listing that is too old, or from a reader that lost the store, isn't used.
 	now := tail.now
 	tail.now = func() time.Duration { return now() + MaxAge(0, 1) }
 	if page, err := s.Newest(t.Context(), port.TopicTargets, ""); err != nil || page.End == 10 {
-		t.Errorf("an old listing was taken: %+v, %v", page, err)
+		t.Errorf("an outdated listing was used: %+v, %v", page, err)
 	}
 	tail.now = now
 	tail.Lost(errors.New("away"))
 	if page, err := s.Newest(t.Context(), port.TopicTargets, ""); err != nil || page.End == 10 {
-		t.Errorf("a listing without the store was taken: %+v, %v", page, err)
+		t.Errorf("the listing of a reader without the store was used: %+v, %v", page, err)
 	}
 }
 
-// firstKeys returns the first n keys in order.
+// firstKeys sorts keys and returns the first n.
 func firstKeys(keys []string, n int) []string {
 	slices.Sort(keys)
 	return keys[:min(len(keys), n)]
--- a/process/relay/silence_test.go
+++ b/process/relay/silence_test.go
@@ -19,18 +19,20 @@
 
 const (
 	// leaveBound is the time after which no request may reach a target that
-	// said that it leaves.
+	// announced that it leaves.
 	leaveBound = 3 * time.Second
-	// readWait and readPace are those of the targets' topic at that bound.
+	// readWait and readPace are the wait and the interval of reads of the
+	// targets' topic for that bound.
 	readWait = 1200 * time.Millisecond
 	readPace = 400 * time.Millisecond
-	// clientPatience is how long the store's client waits beyond a read's wait.
+	// clientPatience is how long the store's client waits for an answer beyond
+	// the wait of a read.
 	clientPatience = 1500 * time.Millisecond
-	// beatEvery is the time between two records of targets that stay.
+	// beatEvery is the time between two heartbeats of the targets.
 	beatEvery = 300 * time.Millisecond
 )
 
-// sharedStore is a store that can fall silent for some VMs.
+// sharedStore is a store that can stop answering single VMs.
 type sharedStore struct {
 	mu      sync.Mutex
 	records []port.KeyedRecord
@@ -52,7 +54,7 @@
 	s.silent[vm] = true
 }
 
-// viewOf is the store as one VM reaches it.
+// viewOf is the sharedStore as used by one VM.
 type viewOf struct {
 	port.Store
 	s  *sharedStore
@@ -113,7 +115,7 @@
 	}
 }
 
-// follower is one daemon of the zone and what it knows of the targets.
+// follower is one daemon of the zone with the targets that it knows.
 type follower struct {
 	away  atomic.Bool
 	mu    sync.Mutex
@@ -140,7 +142,8 @@
 	return f.known[key]
 }
 
-// newFollower adds a daemon to the zone. reader names the one it asks.
+// newFollower adds a daemon to the zone. reader returns the daemon that it
+// reads from; empty means the store.
 func newFollower(vm string, s *sharedStore, net inMemory, now func() time.Duration, reader func() string) *follower {
 	f := &follower{known: make(map[string]bool)}
 	tail := NewTail(f, nil)
@@ -165,13 +168,12 @@
 	return f
 }
 
-// Requests reach a target 3.0 to 3.3 s after it has said that it leaves. The
-// store fell silent for the VM that reads it for others of its zone; its read
-// hung for 2.7 s ("store lost" at 5.476 s for a read begun at 2.776 s), and all
-// the while it told those who asked that nothing was new. So did its successor,
-// which had never read the store: c-9 sent to a target at 5.593 s that had left
-// at 2.574 s, and in seconds 3 and 4 three of 90 daemons read the store at all.
-func TestReadersSilenceIsNotTakenForNoNews(t *testing.T) {
+// Guards against requests to a target 3.0 to 3.3 s after it announced that it
+// leaves. When the store stops answering the VM of a reader, the reader's own
+// read hangs for up to 2.7 s, and in that time the reader must not report "no
+// changes" to other daemons. Neither must its successor, which has never read
+// the store.
+func TestSilentReaderIsNotTakenAsNoChanges(t *testing.T) {
 	const step = 100 * time.Millisecond
 	for after := time.Duration(0); after <= readWait; after += step {
 		t.Run(fmt.Sprint(after), func(t *testing.T) {
@@ -191,8 +193,8 @@
 					}
 					return "first"
 				})
-				// Half of the zone reads from the second all the time, which itself
-				// reads from the first.
+				// Half of the zone always reads from the second daemon, which
+				// itself reads from the first.
 				fourth := newFollower("fourth", s, net, now, func() string { return "second" })
 				ctx, stop := context.WithCancel(t.Context())
 				go func() {
@@ -209,7 +211,7 @@
 				_ = pause.For(ctx, leaveBound)
 				for name, f := range map[string]*follower{"second": second, "third": third, "fourth": fourth} {
 					if !f.knows("leaves") {
-						t.Errorf("%s doesn't know of it %v later", name, leaveBound)
+						t.Errorf("%s doesn't know after %v that the target leaves", name, leaveBound)
 					}
 				}
 				stop()
@@ -221,10 +223,9 @@
 	}
 }
 
-// A daemon that waits at a reader is told so as soon as the reader's word is
-// too old, or the reader knows that it lost the store; not at the end of its
-// wait.
-func TestOldWordDoesNotCount(t *testing.T) {
+// A daemon that waits at a reader gets an error as soon as the reader's data is
+// too old or the reader loses the store, not only at the end of its wait.
+func TestReadFailsWhenCacheIsStale(t *testing.T) {
 	const wait, maxAge = 5 * time.Second, 2 * time.Second
 	for name, c := range map[string]struct {
 		lostAfter, want time.Duration
@@ -241,17 +242,17 @@
 				loss := time.AfterFunc(c.lostAfter, func() { tail.Lost(port.ErrUnavailable) })
 				defer loss.Stop()
 				if _, w := tail.read(t.Context(), 7, wait, maxAge); w == ok || tail.now() != c.want {
-					t.Errorf("told %v after %v, want after %v", w, tail.now(), c.want)
+					t.Errorf("status %v after %v, want after %v", w, tail.now(), c.want)
 				}
 				if _, w := tail.read(t.Context(), 7, wait, maxAge); w == ok || tail.now() != c.want {
-					t.Errorf("asked again: %v after %v", w, tail.now())
+					t.Errorf("second read: status %v after %v", w, tail.now())
 				}
 			})
 		})
 	}
 }
 
-// slowStore answers each read after a while.
+// slowStore answers each read after a fixed time.
 type slowStore struct {
 	port.Store
 	takes time.Duration
@@ -261,12 +262,12 @@
 	return port.KeyedBatch{}, pause.For(ctx, s.takes)
 }
 
-// Nothing changes any more although the store answers: it takes longer than
-// the patience that finds a silent one soon. So patience ends once only, until
-// an answer comes soon again.
+// Guards against a daemon that stops reading a store that answers, but takes
+// longer than readGrace. Only one read is cut short; the following ones may
+// take longer until one is answered quickly again.
 func TestSlowStoreIsStillRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		slow := &slowStore{takes: 2 * patience}
+		slow := &slowStore{takes: 2 * readGrace}
 		s := NewStore(slow, func() []string { return nil }, nil, port.TopicTargets)
 		s.now = clock.NewRuntime().Now
 		read := func() bool {
@@ -274,15 +275,15 @@
 			return err == nil
 		}
 		if read() || !read() || !read() {
-			t.Error("a slow store isn't found out once and read then")
+			t.Error("want one timeout of a slow store, then successful reads")
 		}
-		slow.takes = patience / 2
+		slow.takes = readGrace / 2
 		if !read() {
-			t.Error("a store that is quick again isn't read")
+			t.Error("a read of a store that is fast again failed")
 		}
-		slow.takes = 2 * patience
+		slow.takes = 2 * readGrace
 		if read() {
-			t.Error("a store that is silent again isn't found out")
+			t.Error("no timeout of a store that is slow again")
 		}
 	})
 }
--- a/process/relay/store.go
+++ b/process/relay/store.go
@@ -18,95 +18,101 @@
 )
 
 const (
-	// hopTimeout is added to a read's wait for the way between daemons.
+	// hopTimeout is added to the wait of a read for the transfer between
+	// daemons.
 	hopTimeout = 500 * time.Millisecond
-	// distrustFor is how long a daemon reads the store itself after its reader
-	// failed.
-	distrustFor = 3 * time.Second
-	// soonFailed is the time within which a reader must have failed for another
-	// one to be asked, and within which that must answer. Together they leave a
-	// read of the store its time, which comes after.
-	soonFailed = 150 * time.Millisecond
-	// namedWithin is the longest that a daemon that starts waits for the store to
-	// name the others before it reads: a thousand that write themselves at the
-	// same moment, at 2 ms each, and a slow answer.
-	namedWithin = 4 * time.Second
-	// patience is how long beyond a read's wait the store may be silent before
-	// it counts as lost: three times what it takes when it is slow (200 ms).
-	// With 1.5 s, daemons that read for others passed "nothing new" on for 2.7 s,
-	// and requests reached targets 3.0 to 3.3 s after they had said that they
+	// readerBypassDuration is how long a daemon reads the store itself after
+	// its reader failed.
+	readerBypassDuration = 3 * time.Second
+	// failoverTimeout is the time within which a reader must have failed for
+	// another reader to be tried, and within which the other reader must
+	// answer. The two periods together leave enough time for the read of the
+	// store that follows.
+	failoverTimeout = 150 * time.Millisecond
+	// readersTimeout is the longest that a starting daemon waits until the
+	// readers are known from the store. It covers a thousand daemons that
+	// register at the same moment, at 2 ms each, and a slow answer.
+	readersTimeout = 4 * time.Second
+	// readGrace is how long beyond the wait of a read the store may be silent
+	// before it counts as unavailable. It is three times the latency of a slow
+	// store (200 ms). With 1.5 s, readers reported "no changes" for 2.7 s, and
+	// requests reached targets 3.0 to 3.3 s after these had announced that they
 	// leave.
-	patience = 600 * time.Millisecond
-	// maxAnswer bounds a reader's answer, in bytes.
-	maxAnswer = 8 << 20
+	readGrace = 600 * time.Millisecond
+	// maxAnswerBytes bounds the answer of another daemon, before and after
+	// decompression.
+	maxAnswerBytes = 8 << 20
 )
 
-// ReaderPause is the longest that a reader rests between two reads. Whoever
-// paces the reads keeps to it: what a reader knows counts for that much longer.
+// ReaderPause is the longest time that a reader may wait between two reads. The
+// configured read interval must not exceed it, since MaxAge allows for it.
 const ReaderPause = 400 * time.Millisecond
 
-// Store is a port.Store whose reads of some topics go to a reader while there
-// is one.
+// Store is a port.Store that reads some topics from a reader if there is one. A
+// reader is another daemon that reads the store on behalf of this one.
 type Store struct {
 	port.Store
 	topics  map[port.Topic]bool
-	readers func() []string // addresses of this daemon's readers, none: itself
-	peers   func() []string // addresses of the other daemons that take requests
+	readers func() []string // addresses of this daemon's readers; none if it reads the store itself
+	peers   func() []string // addresses of the other daemons that accept requests
 	client  *http.Client
 	now     func() time.Duration // CLOCK_BOOTTIME
-	// Listed is closed once the readers can be named. It is set before the first
-	// call; nil: they can.
+	// Listed is closed once the readers are known. It is set before the first
+	// call; nil means that they are known from the start.
 	Listed <-chan struct{}
-	// Sources returns the addresses of the peers that can read the store: one of
-	// them is read where this daemon can't and has no reader. It is set before
-	// the first call; nil: there are none.
+	// Sources returns the addresses of the peers that can read the store. One
+	// of them is read if this daemon can't read the store and has no reader. It
+	// is set before the first call; nil means no peers.
 	Sources func() []string
-	// Retry is how long a daemon that has a reader leaves the store alone after
-	// that failed it too, or, where readers answer that they know nothing, before
-	// it calls the store at all. It is set before the first call.
+	// Retry returns how long a daemon that has a reader makes no calls to the
+	// store after the store failed as well. If the readers answer that their
+	// data isn't current, the delay also applies before the first call to the
+	// store. It is set before the first call.
 	Retry func(readersAnswer bool) time.Duration
-	// Depth is the most daemons between the store and a daemon. It is set before
-	// the first call; nil: one.
+	// Depth returns the largest number of daemons between the store and a
+	// daemon. It is set before the first call; nil means one.
 	Depth func() int
-	// Suspect is called after a read of the store failed. It is set before the
-	// first call; nil: nothing is.
+	// Suspect is called after a failed read of the store. It is set before the
+	// first call and may be nil.
 	Suspect func(ctx context.Context, err error)
 
-	mu    sync.Mutex
-	until time.Duration                // the store is read directly until then
-	spare time.Duration                // the store is left alone until then
-	mute  bool                         // readers answered last that they know nothing
-	asOf  map[port.Topic]time.Duration // up to when the last read of a topic is whole
-	last  string                       // the reader that was asked last, ownReads: none
-	slow  map[port.Topic]bool          // the store takes longer than patience
+	mu                sync.Mutex
+	bypassUntil       time.Duration                // readers are bypassed until then
+	nextStoreCall     time.Duration                // no calls to the store until then
+	readersNotCurrent bool                         // the readers answered last that their data isn't current
+	asOf              map[port.Topic]time.Duration // the data of a topic is complete up to then
+	lastReader        string                       // the reader that was asked last, or noReader
+	slowTopics        map[port.Topic]bool          // topics whose last read took longer than its wait plus readGrace
 
 	fallbacks map[port.Topic]fallback // peers that are read instead of the store
 }
 
-// ReadsItself reports whether this daemon reads the store, since it has no reader.
+// ReadsItself reports whether this daemon reads the store because it has no
+// reader.
 func (s *Store) ReadsItself() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.last == ownReads
+	return s.lastReader == noReader
 }
 
-// Direct reports whether reads go to the store although there is a reader.
-func (s *Store) Direct() bool { return len(s.readers()) > 0 && s.distrusted() }
+// Direct reports whether this daemon has a reader but reads the store because
+// the reader failed.
+func (s *Store) Direct() bool { return len(s.readers()) > 0 && s.bypassingReaders() }
 
-// NewStore returns a Store over s. readers names the daemons to ask for the
-// topics, the first one first; peers those that may be asked while the store is
-// away.
+// NewStore returns a Store on top of s. readers returns the daemons to read the
+// topics from, in order of preference. peers returns the daemons that may be
+// asked for a listing while the store is unavailable.
 func NewStore(s port.Store, readers func() []string, peers func() []string, topics ...port.Topic) *Store {
 	out := &Store{
-		Store:   s,
-		topics:  make(map[port.Topic]bool),
-		readers: readers,
-		peers:   peers,
-		client:  &http.Client{},
-		Retry:   func(bool) time.Duration { return 0 },
-		now:     clock.Boot{}.Now,
-		asOf:    make(map[port.Topic]time.Duration),
-		slow:    make(map[port.Topic]bool),
+		Store:      s,
+		topics:     make(map[port.Topic]bool),
+		readers:    readers,
+		peers:      peers,
+		client:     &http.Client{},
+		Retry:      func(bool) time.Duration { return 0 },
+		now:        clock.Boot{}.Now,
+		asOf:       make(map[port.Topic]time.Duration),
+		slowTopics: make(map[port.Topic]bool),
 
 		fallbacks: make(map[port.Topic]fallback),
 	}
@@ -116,104 +122,107 @@
 	return out
 }
 
-// AsOf is up to when what the last read of a topic gave is whole: nothing
-// written before, by CLOCK_BOOTTIME, is missing.
+// AsOf returns the time, by CLOCK_BOOTTIME, up to which the data read of a
+// topic is complete: no record written before it is missing.
 func (s *Store) AsOf(t port.Topic) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.asOf[t]
 }
 
-// Read returns records from a reader, or from the store.
+// Read returns records from a reader or from the store.
 func (s *Store) Read(ctx context.Context, t port.Topic, from int64, wait time.Duration) (port.KeyedBatch, error) {
 	if !s.topics[t] {
-		return s.direct(ctx, t, from, wait)
+		return s.readStore(ctx, t, from, wait)
 	}
 	s.awaitReaders(ctx)
 	readers := s.readers()
 	if len(readers) == 0 {
-		return s.readOwn(ctx, t, from, wait)
+		return s.readWithFallback(ctx, t, from, wait)
 	}
 	s.setFallback(t, "")
-	if s.distrusted() {
-		return s.direct(ctx, t, from, wait)
+	if s.bypassingReaders() {
+		return s.readStore(ctx, t, from, wait)
 	}
 	batch, err := s.readFrom(ctx, readers, t, from, wait)
 	if err == nil || errors.Is(err, port.ErrExpired) {
 		return batch, err
 	}
-	answered := errors.Is(err, errKnowsNothing)
-	if ctx.Err() != nil || !s.mayCall(answered) {
+	answered := errors.Is(err, errNotCurrent)
+	if ctx.Err() != nil || !s.mayCallStore(answered) {
 		return port.KeyedBatch{}, err
 	}
-	counts.Add("readers_failed", 1)
-	s.distrust(readers[0], t, err)
-	batch, err = s.direct(ctx, t, from, 0)
+	metrics.Add("readers_failed", 1)
+	s.bypassReaders(readers[0], t, err)
+	batch, err = s.readStore(ctx, t, from, 0)
 	if err != nil {
-		s.leaveAlone(answered)
+		s.deferStoreCalls(answered)
 	}
 	return batch, err
 }
 
-// readFrom reads from the first reader that can answer. One that took long to fail
-// leaves no time for others where the bounds are short.
+// readFrom reads from the first reader that can answer. If a reader took long
+// to fail, the remaining time doesn't suffice for another one unless the tree
+// is at least two levels deep, which allows for a longer age.
 func (s *Store) readFrom(ctx context.Context, readers []string, t port.Topic, from int64, wait time.Duration) (port.KeyedBatch, error) {
-	s.noteReader(readers[0])
+	s.setReader(readers[0])
 	var failures []error
 	for i, addr := range readers {
 		begun := s.now()
 		var r reply
 		var err error
 		if i == 0 {
-			r, err = s.ask(ctx, addr, t, from, wait, s.maxAge(wait))
+			r, err = s.readFromDaemon(ctx, addr, t, from, wait, s.maxAge(wait))
 		} else {
-			r, err = s.askAnother(ctx, addr, t, from, s.maxAge(0))
+			r, err = s.askOtherReader(ctx, addr, t, from, s.maxAge(0))
 		}
-		batch, err := s.take(t, begun, r, err)
+		batch, err := s.toBatch(t, begun, r, err)
 		if err == nil || errors.Is(err, port.ErrExpired) {
 			s.noteAnswer()
 			return batch, err
 		}
 		failures = append(failures, fmt.Errorf("reader %s: %w", addr, err))
-		if s.now()-begun >= soonFailed && s.depth() < 2 {
+		if s.now()-begun >= failoverTimeout && s.depth() < 2 {
 			break
 		}
 	}
 	return port.KeyedBatch{}, errors.Join(failures...)
 }
 
-// noteAnswer notes that a reader answered with what it knows.
+// noteAnswer records that a reader answered with current data.
 func (s *Store) noteAnswer() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.mute = false
+	s.readersNotCurrent = false
 }
 
-// mayCall reports whether the store may be called where readers failed.
+// mayCallStore reports whether the store may be called after the readers
+// failed.
 //
-// The load that it answers: the store is away, readers can't say, and all of
-// hundreds of daemons ask the store several times a second for each topic. Calls
-// are paid for, and refused ones count against the rate of all. Readers that
-// answer know of the store's return first.
-func (s *Store) mayCall(readersAnswer bool) bool {
-	pace := s.Retry(true) // outside of the lock: the membership reads this store under its own
+// It limits the load of an outage, in which no reader has current data and
+// hundreds of daemons would each call the store several times a second for each
+// topic. Calls are paid for, and rejected calls count against the common rate
+// limit. Readers that answer notice the return of the store first.
+func (s *Store) mayCallStore(readersAnswer bool) bool {
+	pace := s.Retry(true) // without s.mu: the membership calls this Store while it holds its own lock
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	if readersAnswer && !s.mute {
-		// Half of the time at least, so that not all call at once.
-		s.spare = max(s.spare, now+pace/2+rand.N(pace/2+1))
+	if readersAnswer && !s.readersNotCurrent {
+		// The delay is random, but at least half of pace, so that the daemons
+		// don't all call at once.
+		s.nextStoreCall = max(s.nextStoreCall, now+pace/2+rand.N(pace/2+1))
 	}
-	s.mute = readersAnswer
-	return now >= s.spare
+	s.readersNotCurrent = readersAnswer
+	return now >= s.nextStoreCall
 }
 
-// awaitReaders waits until the readers can be named, for namedWithin at most.
+// awaitReaders waits until the readers are known, for readersTimeout at most.
 func (s *Store) awaitReaders(ctx context.Context) {
 	if s.Listed == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, namedWithin)
+	ctx, cancel := context.WithTimeout(ctx, readersTimeout)
 	defer cancel()
 	select {
 	case <-s.Listed:
@@ -221,50 +230,52 @@
 	}
 }
 
-// take takes what another daemon answered to a question of that moment: its
-// records, or that it doesn't hold them any more.
-func (s *Store) take(t port.Topic, asked time.Duration, r reply, err error) (port.KeyedBatch, error) {
+// toBatch converts the reply of another daemon to a request made at the time
+// asked. It returns port.ErrExpired if the daemon no longer holds the records.
+func (s *Store) toBatch(t port.Topic, asked time.Duration, r reply, err error) (port.KeyedBatch, error) {
 	if errors.Is(err, errGap) {
 		return port.KeyedBatch{}, fmt.Errorf("relay: %w", port.ErrExpired)
 	}
 	if err != nil {
 		return port.KeyedBatch{}, err
 	}
-	s.noteFresh(t, asked+r.readAt)
+	s.advanceAsOf(t, asked+r.readAt)
 	return r.KeyedBatch, nil
 }
 
-// reply is what another daemon answered to a read.
+// reply is the decoded answer of another daemon.
 type reply struct {
 	port.KeyedBatch
-	readAt time.Duration // when the store was read, from the moment of the question on
+	readAt time.Duration // when the store was read, relative to the request
 }
 
-// askAnother asks another daemon, which answers with what it knows.
+// askOtherReader reads from another daemon without waiting for new records.
 //
-// The load that it answers: the store is silent for one of a zone's readers, or
-// that has just died, and half of the zone's daemons go on to read the store
-// themselves for seconds, though the other one reaches it.
-func (s *Store) askAnother(ctx context.Context, addr string, t port.Topic, from int64, maxAge time.Duration) (reply, error) {
-	ctx, cancel := context.WithTimeout(ctx, soonFailed)
+// When the store is silent for one reader of a zone, or that reader has just
+// died, half of the zone's daemons would otherwise read the store themselves
+// for seconds, although the other reader can still read it.
+func (s *Store) askOtherReader(ctx context.Context, addr string, t port.Topic, from int64, maxAge time.Duration) (reply, error) {
+	ctx, cancel := context.WithTimeout(ctx, failoverTimeout)
 	defer cancel()
-	return s.ask(ctx, addr, t, from, 0, maxAge)
+	return s.readFromDaemon(ctx, addr, t, from, 0, maxAge)
 }
 
-// leaveAlone has the readers asked again, and not the store for a while.
-func (s *Store) leaveAlone(readersAnswer bool) {
+// deferStoreCalls makes reads go to the readers again and delays the next call
+// to the store.
+func (s *Store) deferStoreCalls(readersAnswer bool) {
 	pace := s.Retry(readersAnswer)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.until = 0
-	s.spare = s.now() + pace
+	s.bypassUntil = 0
+	s.nextStoreCall = s.now() + pace
 }
 
-// MaxAge is how old what a reader knows may be for a read that waits so long, over
-// that many readers one behind the other: each read the store, or the one before,
-// within its rest and its own read's wait.
+// MaxAge returns the largest acceptable age of a reader's data for a read with
+// the given wait, over a chain of depth readers. Each of them reads the store,
+// or the reader before it, after at most ReaderPause plus the wait of its own
+// read.
 func MaxAge(wait time.Duration, depth int) time.Duration {
-	return time.Duration(depth)*(ReaderPause+wait) + patience
+	return time.Duration(depth)*(ReaderPause+wait) + readGrace
 }
 
 func (s *Store) maxAge(wait time.Duration) time.Duration { return MaxAge(wait, s.depth()) }
@@ -276,96 +287,99 @@
 	return max(s.Depth(), 1)
 }
 
-// direct reads the store itself.
+// readStore reads from the store.
 //
-// A store that was silent for the patience counts as lost, so that others
-// learn of it in time. From then on reads get all the time that the store's
-// client gives them, until one is answered soon: a store that is that slow, and
-// not silent, is still read.
-func (s *Store) direct(ctx context.Context, t port.Topic, from int64, wait time.Duration) (port.KeyedBatch, error) {
+// A store that doesn't answer within readGrace beyond the wait counts as
+// unavailable, so that other daemons find out in time. After that, reads get
+// the full timeout of the store's client until one of them is answered quickly.
+// This way a store that is slow, but not silent, is still read.
+func (s *Store) readStore(ctx context.Context, t port.Topic, from int64, wait time.Duration) (port.KeyedBatch, error) {
 	begun, outer := s.now(), ctx
-	ctx, cancel := s.limit(ctx, t, wait+patience)
+	ctx, cancel := s.withReadTimeout(ctx, t, wait+readGrace)
 	defer cancel()
-	counts.Add("store_reads", 1)
+	metrics.Add("store_reads", 1)
 	batch, err := s.Store.Read(ctx, t, from, wait)
 	now := s.now()
 	s.mu.Lock()
-	s.slow[t] = now-begun >= wait+patience
+	s.slowTopics[t] = now-begun >= wait+readGrace
 	s.mu.Unlock()
 	if err == nil {
-		s.noteFresh(t, now)
+		s.advanceAsOf(t, now)
 	} else if s.Suspect != nil {
 		s.Suspect(outer, err)
 	}
 	return batch, err
 }
 
-// limit bounds a read of a topic, unless the store is slow.
-func (s *Store) limit(ctx context.Context, t port.Topic, d time.Duration) (context.Context, context.CancelFunc) {
+// withReadTimeout applies timeout d to a read of a topic, unless the store is
+// slow for that topic.
+func (s *Store) withReadTimeout(ctx context.Context, t port.Topic, d time.Duration) (context.Context, context.CancelFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.slow[t] {
+	if s.slowTopics[t] {
 		return context.WithCancel(ctx)
 	}
 	return context.WithTimeout(ctx, d)
 }
 
-// noteFresh notes up to when a topic is known.
-func (s *Store) noteFresh(t port.Topic, asOf time.Duration) {
+// advanceAsOf records the time up to which the data of a topic is complete.
+func (s *Store) advanceAsOf(t port.Topic, asOf time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.asOf[t] = max(s.asOf[t], asOf)
 }
 
-// distrust has the store read directly for a while.
-func (s *Store) distrust(addr string, t port.Topic, cause error) {
+// bypassReaders makes reads go to the store for readerBypassDuration.
+func (s *Store) bypassReaders(addr string, t port.Topic, cause error) {
 	s.mu.Lock()
 	now := s.now()
-	s.until = now + distrustFor
+	s.bypassUntil = now + readerBypassDuration
 	fields := log.Fields{"topic": int(t), "reader": addr}
 	if asOf, known := s.asOf[t]; known {
 		fields["age_ms"] = (now - asOf).Milliseconds()
 	}
 	s.mu.Unlock()
-	log.WithFields(fields).WithError(cause).Info("relay: reader failed, the store is read")
+	log.WithFields(fields).WithError(cause).Info("relay: reader failed; reading from the store")
 }
 
-// ownReads stands for a reader's address where a daemon reads the store itself.
-const ownReads = "none"
+// noReader takes the place of a reader's address if the daemon reads the store
+// itself.
+const noReader = "none"
 
-// noteReader logs which daemon the records come from.
-func (s *Store) noteReader(addr string) {
+// setReader records the reader in use and logs a change.
+func (s *Store) setReader(addr string) {
 	s.mu.Lock()
-	changed := s.last != addr
-	s.last = addr
+	changed := s.lastReader != addr
+	s.lastReader = addr
 	s.mu.Unlock()
 	if changed {
 		log.WithField("reader", addr).Info("relay: reader chosen")
 	}
 }
 
-func (s *Store) distrusted() bool {
+func (s *Store) bypassingReaders() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.now() < s.until
+	return s.now() < s.bypassUntil
 }
 
-// ask reads records from another daemon if it read the store within maxAge.
-func (s *Store) ask(ctx context.Context, addr string, t port.Topic, from int64, wait, maxAge time.Duration) (reply, error) {
+// readFromDaemon reads records from another daemon, provided that it read the
+// store within maxAge.
+func (s *Store) readFromDaemon(ctx context.Context, addr string, t port.Topic, from int64, wait, maxAge time.Duration) (reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+hopTimeout)
 	defer cancel()
-	return s.get(ctx, fmt.Sprintf("http://%s/records?topic=%d&from=%d&wait_ms=%d&max_age_ms=%d", addr, t, from, wait.Milliseconds(), maxAge.Milliseconds()))
+	return s.fetch(ctx, fmt.Sprintf("http://%s/records?topic=%d&from=%d&wait_ms=%d&max_age_ms=%d", addr, t, from, wait.Milliseconds(), maxAge.Milliseconds()))
 }
 
 var (
-	// errGap means that a reader doesn't hold the records any more.
-	errGap = errors.New("relay: the reader doesn't hold these records any more")
-	// errKnowsNothing means that a reader lost the store, or has yet to read it.
-	errKnowsNothing = errors.New("relay: the reader doesn't know what the store says")
+	// errGap means that the reader no longer holds the requested records.
+	errGap = errors.New("relay: the reader no longer holds the requested records")
+	// errNotCurrent means that the reader lost the store or hasn't read it yet.
+	errNotCurrent = errors.New("relay: the reader's data isn't current")
 )
 
-// get reads another daemon's answer.
-func (s *Store) get(ctx context.Context, url string) (reply, error) {
+// fetch requests url from another daemon and decodes the answer.
+func (s *Store) fetch(ctx context.Context, url string) (reply, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
 		return reply{}, fmt.Errorf("relay: %w", err)
@@ -380,12 +394,12 @@
 	case http.StatusGone:
 		return reply{}, errGap
 	case http.StatusServiceUnavailable:
-		return reply{}, errKnowsNothing
+		return reply{}, errNotCurrent
 	default:
 		return reply{}, fmt.Errorf("relay: status %d", resp.StatusCode)
 	}
 	var a answer
-	if err := cbor.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(&a); err != nil {
+	if err := cbor.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(&a); err != nil {
 		return reply{}, fmt.Errorf("relay: %w", err)
 	}
 	records, err := a.Pack.records()
--- a/process/relay/tail.go
+++ b/process/relay/tail.go
@@ -12,39 +12,42 @@
 	"github.com/pomelospool/pomelospool/process/topic"
 )
 
-// leastChanges is the number of changes of a topic that are always kept. Above
-// it, no more are kept than there are keys: a listing is smaller.
-const leastChanges = 64
+// minChanges is the number of changes of a topic that are always kept. Beyond
+// it, at most as many changes are kept as there are keys, since a listing would
+// be smaller.
+const minChanges = 64
 
-// Tail is one topic as this daemon has read it: the newest record of each key and
-// the latest changes. Records that repeat what their key said before, as
-// heartbeats do, end here, so that neither next nor the daemons that read from
-// this one spend anything on them. It is safe for concurrent use.
+// Tail caches one topic as this daemon has read it: the newest record of each
+// key and the latest changes. It drops records that don't change their key's
+// content, such as heartbeats, so that neither the next sink nor the daemons
+// that read from this one process them. It is safe for concurrent use.
 type Tail struct {
 	next   topic.Sink
 	same   func(a, b port.KeyedRecord) bool
 	now    func() time.Duration
 	packer packer
 
-	mu       sync.Mutex
-	newest   map[string]port.KeyedRecord // by key, as of its last change
-	changes  []change                    // by rising offset
-	complete int64                       // all changes from this offset on are in changes
-	end      int64                       // offset after the newest record; -1: not known
-	version  int64                       // rises with each change
-	changed  chan struct{}
-	lost     bool
-	asOf     time.Duration // by now: all records that were written until then are in; -1: none was read
+	mu            sync.Mutex
+	newest        map[string]port.KeyedRecord // by key; the record of the last change
+	changes       []change                    // by increasing offset
+	firstComplete int64                       // changes holds all changes from this offset on
+	end           int64                       // offset after the newest record; -1 if unknown
+	version       int64                       // increases with each change
+	changed       chan struct{}
+	lost          bool
+	asOf          time.Duration // all records written up to then, by now, are included; -1 before the first read
 }
 
-// change is a record that changed something, at an offset at or after its own.
+// change is a record that changed its key's content. Its offset is that of the
+// record or, for changes found by a listing, a later one.
 type change struct {
 	at     int64
 	record port.KeyedRecord
 }
 
-// NewTail returns a Tail that hands changes on to next. same reports whether two
-// records of a key say the same; nil: no two do.
+// NewTail returns a Tail that passes changes on to next. same reports whether
+// two records of a key have the same content; nil means that all records
+// differ.
 func NewTail(next topic.Sink, same func(a, b port.KeyedRecord) bool) *Tail {
 	if same == nil {
 		same = func(a, b port.KeyedRecord) bool { return a.Offset == b.Offset }
@@ -55,28 +58,29 @@
 	}
 }
 
-// Reset implements topic.Sink. Daemons that read from this one get what differs
-// from before, so that they needn't list the topic too.
+// Reset implements topic.Sink. Daemons that read from this one get the
+// differences from the previous content, so that they needn't list the topic
+// too.
 func (t *Tail) Reset(records []port.KeyedRecord, next int64) {
 	t.mu.Lock()
-	changes := t.difference(records, next)
+	changes := t.diff(records, next)
 	if t.end < 0 || next < t.end || next == t.end && len(changes) > 0 {
-		t.changes, t.complete = nil, next
+		t.changes, t.firstComplete = nil, next
 	} else {
 		t.changes = append(t.changes, changes...)
 	}
 	clear(t.newest)
-	t.note(records)
+	t.updateNewest(records)
 	t.version++
 	t.end = next
 	t.trim()
-	t.wake()
+	t.notify()
 	t.mu.Unlock()
 	t.next.Reset(records, next)
 }
 
-// note keeps the newest record of each key. Callers hold t.mu.
-func (t *Tail) note(records []port.KeyedRecord) {
+// updateNewest stores the newest record of each key. Callers hold t.mu.
+func (t *Tail) updateNewest(records []port.KeyedRecord) {
 	for _, r := range records {
 		if r.Value == nil {
 			delete(t.newest, r.Key)
@@ -86,8 +90,9 @@
 	}
 }
 
-// difference returns what a listing that ends at next changes. Callers hold t.mu.
-func (t *Tail) difference(records []port.KeyedRecord, next int64) []change {
+// diff returns the changes between the current content and a listing that ends
+// at next. Callers hold t.mu.
+func (t *Tail) diff(records []port.KeyedRecord, next int64) []change {
 	var out []change
 	present := make(map[string]bool, len(records))
 	for _, r := range records {
@@ -110,27 +115,27 @@
 
 // Apply implements topic.Sink.
 func (t *Tail) Apply(records []port.KeyedRecord) {
-	changed := t.changedBy(records)
+	changed := t.filterChanged(records)
 	if len(changed) > 0 {
 		t.next.Apply(changed)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.end < 0 {
-		t.complete = records[0].Offset
+		t.firstComplete = records[0].Offset
 	}
 	for _, r := range changed {
 		t.changes = append(t.changes, change{at: r.Offset, record: r})
 	}
-	t.note(changed)
+	t.updateNewest(changed)
 	t.version += int64(len(changed))
 	t.end = max(t.end, records[len(records)-1].Offset+1)
 	t.trim()
-	t.wake()
+	t.notify()
 }
 
-// changedBy returns the records that change something.
-func (t *Tail) changedBy(records []port.KeyedRecord) []port.KeyedRecord {
+// filterChanged returns the records that change the content of their key.
+func (t *Tail) filterChanged(records []port.KeyedRecord) []port.KeyedRecord {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []port.KeyedRecord
@@ -151,31 +156,32 @@
 
 // trim drops the oldest changes. Callers hold t.mu.
 func (t *Tail) trim() {
-	over := len(t.changes) - max(len(t.newest), leastChanges)
+	over := len(t.changes) - max(len(t.newest), minChanges)
 	if over <= 0 {
 		return
 	}
-	t.complete = t.changes[over-1].at + 1
+	t.firstComplete = t.changes[over-1].at + 1
 	t.changes = slices.Clone(t.changes[over:])
 }
 
-// listed is a topic as a daemon knows it.
-type listed struct {
+// cachedListing is the content of a topic as cached by a daemon.
+type cachedListing struct {
 	page    port.KeyedPage
-	version int64         // of the records: equal ones have the same
-	readAt  time.Duration // when the store was read, from now on: negative
+	version int64         // of the records; the same version means the same records
+	readAt  time.Duration // when the store was read, relative to now; negative
 }
 
-// listing is the topic as this daemon knows it; false: it never read it whole.
-func (t *Tail) listing() (listed, bool) {
+// listing returns the cached topic. The result is false if this daemon never
+// read it as a whole.
+func (t *Tail) listing() (cachedListing, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.list()
+	return t.listLocked()
 }
 
-// list does it. Callers hold t.mu.
-func (t *Tail) list() (listed, bool) {
-	l := listed{version: t.version, readAt: t.asOf - t.now()}
+// listLocked is listing for callers that hold t.mu.
+func (t *Tail) listLocked() (cachedListing, bool) {
+	l := cachedListing{version: t.version, readAt: t.asOf - t.now()}
 	l.page = port.KeyedPage{End: t.end, Records: make([]port.KeyedRecord, 0, len(t.newest))}
 	for _, r := range t.newest {
 		l.page.Records = append(l.page.Records, r)
@@ -183,17 +189,19 @@
 	return l, t.end >= 0
 }
 
-// current is the same if it may be taken for the store's; false: it is older than
-// maxAge, or this daemon has lost the store.
-func (t *Tail) current(maxAge time.Duration) (listed, bool) {
+// current returns the cached topic if it is fresh enough to be used in place of
+// the store's. The result is false if it is at least maxAge old or this daemon
+// has lost the store.
+func (t *Tail) current(maxAge time.Duration) (cachedListing, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l, known := t.list()
+	l, known := t.listLocked()
 	return l, known && !t.lost && t.asOf >= 0 && -l.readAt < maxAge
 }
 
-// await waits until this daemon has read the topic: it may only start.
-func (t *Tail) await(ctx context.Context, wait time.Duration) {
+// awaitFirstRead waits until this daemon, which may just have started, has read
+// the topic.
+func (t *Tail) awaitFirstRead(ctx context.Context, wait time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	for {
@@ -211,8 +219,8 @@
 	}
 }
 
-// wake has all who wait look again. Callers hold t.mu.
-func (t *Tail) wake() {
+// notify wakes up all goroutines that wait for a change. Callers hold t.mu.
+func (t *Tail) notify() {
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
@@ -233,11 +241,11 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.lost = on
-	t.wake()
+	t.notify()
 }
 
-// Confirm notes that all records before the offset next were handed over, among
-// them all that were written until asOf, by CLOCK_BOOTTIME.
+// Confirm records that all records before the offset next were passed to this
+// Tail, including all that were written up to asOf, by CLOCK_BOOTTIME.
 func (t *Tail) Confirm(asOf time.Duration, next int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -247,33 +255,35 @@
 		t.end = max(t.end, next)
 	}
 	if wakes {
-		t.wake()
+		t.notify()
 	}
 }
 
-// Age is how old what is known of the store is; false before the first read.
+// Age returns the age of the cached data. The result is false before the first
+// read.
 func (t *Tail) Age() (time.Duration, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.now() - t.asOf, t.asOf >= 0
 }
 
-// read returns the changes from an offset on, waiting for some; ok only if what
-// this daemon knows is fresh enough.
+// read returns the changes from an offset on and waits for some if there are
+// none. The status is ok only if the cached data is fresh enough.
 //
-// The guard is against silence taken for no change: while the store doesn't
-// answer this daemon, it knows nothing of what is written, and neither does one
-// that has just begun to read. If it answered "nothing new", others would send
-// requests to targets that left seconds before. So nothing is answered that is
-// older than maxAge, or after the store was lost, and who waits gets an error at once.
+// A lack of data must not be taken for a lack of changes. A daemon that the
+// store doesn't answer, or that has just begun to read, can't know what was
+// written. If it answered that nothing is new, other daemons would send
+// requests to targets that left seconds before. So read returns no data that is
+// at least maxAge old or that precedes a loss of the store, and a waiting
+// reader gets an error at once.
 //
-// One that hasn't read the topic yet, or not as far as the asker has, may still
-// do so within the wait: daemons that start together would otherwise all go on
-// to read the store for themselves.
+// A daemon that hasn't read the topic yet, or not as far as the requester, may
+// catch up within the wait. Otherwise all daemons that start together would
+// read the store themselves.
 func (t *Tail) read(ctx context.Context, from int64, wait, maxAge time.Duration) (batch, status) {
 	asked := t.now()
 	for {
-		v := t.look(from, asked, maxAge)
+		v := t.readFrom(from, asked, maxAge)
 		if v.status == stale || v.status == gap || len(v.batch.changes) > 0 {
 			return v.batch, v.status
 		}
@@ -282,7 +292,7 @@
 			return v.batch, v.status
 		}
 		ok := true
-		next := time.NewTimer(min(rest, v.left))
+		next := time.NewTimer(min(rest, v.validFor))
 		select {
 		case <-v.changed:
 		case <-next.C:
@@ -296,11 +306,11 @@
 	}
 }
 
-// batch is the changes from an offset on, up to next, and when the store was read.
+// batch is the changes from an offset up to next.
 type batch struct {
 	changes []change
 	next    int64
-	readAt  time.Duration // from the moment of the question on
+	readAt  time.Duration // when the store was read, relative to the request
 }
 
 func (b *batch) records() []port.KeyedRecord {
@@ -311,28 +321,28 @@
 	return out
 }
 
-// status says whether a daemon can answer for records from an offset on.
+// status reports whether a daemon can return the records from an offset on.
 type status int
 
 const (
-	stale  status = iota // what it knows is too old
-	behind               // it hasn't read so far
-	gap                  // it doesn't hold all changes since any more
+	stale  status = iota // the cached data is too old
+	behind               // the daemon hasn't read up to the offset yet
+	gap                  // the daemon no longer holds all changes from the offset on
 	ok
 )
 
-// view is what is known from an offset on.
+// view is the cached data from an offset on.
 type view struct {
-	status  status
-	batch   batch
-	left    time.Duration   // for how long that holds at most
-	changed <-chan struct{} // closed at the next change
+	status   status
+	batch    batch
+	validFor time.Duration   // the longest that the view stays valid
+	changed  <-chan struct{} // closed at the next change
 }
 
-func (t *Tail) look(from int64, asked, maxAge time.Duration) view {
+func (t *Tail) readFrom(from int64, asked, maxAge time.Duration) view {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	v := view{left: maxAge, changed: t.changed}
+	v := view{validFor: maxAge, changed: t.changed}
 	if t.lost {
 		return v
 	}
@@ -340,10 +350,10 @@
 		v.status = behind
 		return v
 	}
-	v.left = t.asOf + maxAge - t.now()
+	v.validFor = t.asOf + maxAge - t.now()
 	switch {
-	case v.left <= 0:
-	case from < t.complete:
+	case v.validFor <= 0:
+	case from < t.firstComplete:
 		v.status = gap
 	case from > t.end:
 		v.status = behind
