--- a/process/discovery/registry.go
+++ b/process/discovery/registry.go
@@ -155,16 +155,16 @@
 	r.publish()
 }
 
-// Lost notes the begin of an outage.
-func (r *Registry) Lost(error) {
+// StoreLost notes the begin of an outage.
+func (r *Registry) StoreLost(error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lost = true
 }
 
-// Back notes the end of an outage. What vanished in it was taken in by the
+// StoreRecovered notes the end of an outage. What vanished in it was taken in by the
 // read that ended it, with the store still noted as lost.
-func (r *Registry) Back() {
+func (r *Registry) StoreRecovered() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lost = false
--- a/process/discovery/registry_test.go
+++ b/process/discovery/registry_test.go
@@ -64,9 +64,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := New(Options{Decode: decode})
 		r.Reset([]port.KeyedRecord{rec(0, "a", "s"), rec(1, "b", "s")}, 0)
-		r.Lost(errors.New("away"))
+		r.StoreLost(errors.New("away"))
 		r.Apply([]port.KeyedRecord{rec(2, "a", ""), rec(3, "b", "")})
-		r.Back()
+		r.StoreRecovered()
 		want(t, r, "s", "a", "b")
 		_ = pause.For(context.Background(), time.Second)
 		r.Apply([]port.KeyedRecord{rec(4, "a", "s")})
@@ -81,9 +81,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := New(Options{Decode: decode})
 		r.Reset([]port.KeyedRecord{rec(0, "a", "s"), rec(1, "b", "s")}, 0)
-		r.Lost(errors.New("away"))
+		r.StoreLost(errors.New("away"))
 		r.Reset([]port.KeyedRecord{rec(1, "b", "s")}, 0)
-		r.Back()
+		r.StoreRecovered()
 		want(t, r, "s", "a", "b")
 		_ = pause.For(context.Background(), keepAfterReturn)
 		synctest.Wait()
@@ -102,7 +102,7 @@
 func TestLeavingCountsAtOnce(t *testing.T) {
 	r := New(Options{Decode: decode})
 	r.Reset([]port.KeyedRecord{rec(0, "a", "s")}, 0)
-	r.Lost(errors.New("away"))
+	r.StoreLost(errors.New("away"))
 	r.Apply([]port.KeyedRecord{rec(1, "a", "s leaving")})
 	if e := r.Snapshot().Targets["s"].All().All()[0]; !e.Leaving {
 		t.Error("the target doesn't count as leaving")
--- a/process/front/front.go
+++ b/process/front/front.go
@@ -63,8 +63,8 @@
 	tomb tomb.Tomb
 
 	store     *relay.Store
-	reach     *relay.Reach // store, for what is claimed and agreed there
-	tails     map[port.Topic]*relay.Tail
+	reach     *relay.MonitoredStore // store, for what is claimed and agreed there
+	tails     map[port.Topic]*relay.TopicCache
 	config    *inforce.Holder
 	registry  *discovery.Registry
 	followers []*topic.Follower
@@ -123,15 +123,15 @@
 	})
 	d.health = health.New(time.Now, d.engines.Down)
 	d.store = relay.NewStore(platform.NewStore(s.Store.Addr), func() []string { return d.roster.Upstream().Peers }, func() []string { return d.roster.ReadyPeers() }, port.TopicConfig, port.TopicTargets)
-	d.reach = relay.NewReach(d.store)
-	d.store.Retry = d.callPace
+	d.reach = relay.NewMonitoredStore(d.store)
+	d.store.RetryDelay = d.callPace
 	d.store.Suspect = d.reach.Suspect
 	d.store.Depth = func() int { return d.roster.Upstream().Depth }
-	d.store.Sources = func() []string { return d.roster.PeersWithStore() }
+	d.store.PeersWithStore = func() []string { return d.roster.PeersWithStore() }
 	if err := d.wireRoster(); err != nil {
 		return nil, err
 	}
-	d.store.Listed = d.roster.Listed()
+	d.store.ReadersKnown = d.roster.Listed()
 	d.wireDuties()
 	d.wireRequests()
 	d.wireStore()
--- a/process/front/metrics.go
+++ b/process/front/metrics.go
@@ -74,7 +74,7 @@
 	return 0
 }
 
-func ageGauge(t *relay.Tail) float64 {
+func ageGauge(t *relay.TopicCache) float64 {
 	age, known := t.Age()
 	if !known {
 		return -1
--- a/process/front/store.go
+++ b/process/front/store.go
@@ -12,7 +12,7 @@
 const (
 	// targetsPace is the least time between two reads of the targets. Each
 	// target writes every 1.2 s, so unpaced reads would return for each.
-	targetsPace = relay.ReaderPause
+	targetsPace = relay.MaxReadInterval
 	// paceShare of the time after which a leaving target may get no new work is
 	// the longest pace of a large fleet.
 	paceShare = 0.45
@@ -37,9 +37,9 @@
 )
 
 func (d *Daemon) wireStore() {
-	d.tails = map[port.Topic]*relay.Tail{
-		port.TopicConfig:  relay.NewTail(d.config, nil),
-		port.TopicTargets: relay.NewTail(&watched{Sink: d.registry, away: &d.storeAway}, d.registry.Same),
+	d.tails = map[port.Topic]*relay.TopicCache{
+		port.TopicConfig:  relay.NewTopicCache(d.config, nil),
+		port.TopicTargets: relay.NewTopicCache(&watched{Sink: d.registry, away: &d.storeAway}, d.registry.Same),
 	}
 	d.followers = []*topic.Follower{
 		d.follow(port.TopicConfig, "config", func() time.Duration { return configPace }, d.s.Bounds.ApplyConfig),
@@ -52,14 +52,14 @@
 func (d *Daemon) follow(t port.Topic, name string, pace func() time.Duration, bound time.Duration) *topic.Follower {
 	tail := d.tails[t]
 	return topic.New(topic.Options{
-		Store: d.store, Topic: t, Name: name, Sink: tail, Pace: pace,
+		Store: d.store, Topic: t, Name: name, Sink: tail, ReadInterval: pace,
 		Wait: func() time.Duration {
 			if depth := d.roster.Upstream().Depth; depth > 0 {
 				return relayedWait(bound, depth)
 			}
 			return readWait(bound)
 		},
-		Current: func(next int64) { tail.Confirm(d.store.AsOf(t), next) },
+		OnCurrent: func(next int64) { tail.Confirm(d.store.AsOf(t), next) },
 	})
 }
 
@@ -88,7 +88,7 @@
 // targetsPace is the least time between two reads of the targets. Daemons of a
 // large fleet whose readers fail read the store more seldom.
 func (d *Daemon) targetsPace() time.Duration {
-	if !d.store.Direct() {
+	if !d.store.BypassesReaders() {
 		return targetsPace
 	}
 	return d.directPace()
@@ -119,12 +119,12 @@
 
 // withoutStore reports whether this daemon doesn't know what the store says now.
 func (d *Daemon) withoutStore() bool {
-	return d.storeAway.Load() || d.store.Cut() || d.reach.Away()
+	return d.storeAway.Load() || d.store.UsesFallback() || d.reach.Unavailable()
 }
 
 // storeFails reports whether the store fails this daemon's own calls.
 func (d *Daemon) storeFails() bool {
-	return d.storeAway.Load() && d.store.ReadsItself() || d.store.Cut() || d.reach.Away()
+	return d.storeAway.Load() && d.store.HasNoReader() || d.store.UsesFallback() || d.reach.Unavailable()
 }
 
 // watched notes whether the store can be read.
@@ -133,14 +133,14 @@
 	away *atomic.Bool
 }
 
-// Lost implements topic.Sink.
-func (w *watched) Lost(err error) {
+// StoreLost implements topic.Sink.
+func (w *watched) StoreLost(err error) {
 	w.away.Store(true)
-	w.Sink.Lost(err)
+	w.Sink.StoreLost(err)
 }
 
-// Back implements topic.Sink.
-func (w *watched) Back() {
+// StoreRecovered implements topic.Sink.
+func (w *watched) StoreRecovered() {
 	w.away.Store(false)
-	w.Sink.Back()
+	w.Sink.StoreRecovered()
 }
--- a/process/relay/cutoff_test.go
+++ b/process/relay/cutoff_test.go
@@ -29,7 +29,7 @@
 	net, now := inMemory{}, clock.NewRuntime().Now
 	noReader := func() string { return "" }
 	cut := newFollower("cut", s, net, now, noReader)
-	cut.store.Sources = func() []string { return []string{"sound"} }
+	cut.store.PeersWithStore = func() []string { return []string{"sound"} }
 	reader := newFollower("reader", s, net, now, noReader)
 	sound := newFollower("sound", s, net, now, func() string { return "reader" })
 	ctx, stop := context.WithCancel(t.Context())
--- a/process/relay/fallback.go
+++ b/process/relay/fallback.go
@@ -19,9 +19,9 @@
 // fallbackDuration is how long a peer is read before the store is tried again.
 const fallbackDuration = 3 * time.Second
 
-// Cut reports whether this daemon's reads of the store fail and a peer is read
+// UsesFallback reports whether this daemon's reads of the store fail and a peer is read
 // instead.
-func (s *Store) Cut() bool {
+func (s *Store) UsesFallback() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.fallbacks) > 0
@@ -66,10 +66,10 @@
 // sampleStorePeers returns a random sample of the peers that can read the
 // store.
 func (s *Store) sampleStorePeers() []string {
-	if s.Sources == nil {
+	if s.PeersWithStore == nil {
 		return nil
 	}
-	return samplePeers(s.Sources())
+	return samplePeers(s.PeersWithStore())
 }
 
 func (s *Store) fallback(t port.Topic) (fallback, bool) {
--- a/process/relay/fleet_test.go
+++ b/process/relay/fleet_test.go
@@ -27,7 +27,7 @@
 	// fleetWait and fleetPace are the wait and the interval of reads of the
 	// targets.
 	fleetWait = 900 * time.Millisecond
-	fleetPace = ReaderPause
+	fleetPace = MaxReadInterval
 	// storeLatency is the time that the store takes for an answer. appendTime
 	// is the time it takes for each write; writes are serialized.
 	storeLatency = 4 * time.Millisecond
@@ -195,8 +195,8 @@
 	d *fleetDaemon
 }
 
-func (s *fleetSink) Lost(err error) { s.set(true); s.Sink.Lost(err) }
-func (s *fleetSink) Back()          { s.set(false); s.Sink.Back() }
+func (s *fleetSink) StoreLost(err error) { s.set(true); s.Sink.StoreLost(err) }
+func (s *fleetSink) StoreRecovered()          { s.set(false); s.Sink.StoreRecovered() }
 func (s *fleetSink) set(on bool) {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
@@ -257,10 +257,10 @@
 		link = 1000
 	}
 	var s *Store
-	var reach *Reach
+	var reach *MonitoredStore
 	s = NewStore(f.store, func() []string { return d.roster.Upstream().Peers }, func() []string { return d.roster.ReadyPeers() }, port.TopicTargets)
 	s.now, s.client = f.now, &http.Client{Transport: f.http}
-	reach = NewReach(s)
+	reach = NewMonitoredStore(s)
 	r, err := roster.New(roster.Options{
 		Self: roster.Member{
 			VM: fmt.Sprintf("vm%05d", n), Incarnation: 1, Zone: fmt.Sprint("z", n%fleetZones),
@@ -269,31 +269,31 @@
 		Claims: noClaims{}, Speeds: speed.NewBook(), Demand: demand.New(time.Now),
 		Book:  engines.New(time.Now, func(engines.Work) {}),
 		Store: f.store, TTL: time.Second, Conn: d.end, Rooted: true,
-		StoreAway:  func() bool { return d.lost() || reach.Away() },
-		StoreFails: func() bool { return d.lost() && s.ReadsItself() || s.Cut() || reach.Away() },
+		StoreAway:  func() bool { return d.lost() || reach.Unavailable() },
+		StoreFails: func() bool { return d.lost() && s.HasNoReader() || s.UsesFallback() || reach.Unavailable() },
 	})
 	if err != nil {
 		panic(err)
 	}
 	d.roster = r
-	s.Listed, s.Suspect, s.Sources = r.Listed(), reach.Suspect, r.PeersWithStore
+	s.ReadersKnown, s.Suspect, s.PeersWithStore = r.Listed(), reach.Suspect, r.PeersWithStore
 	s.Depth = func() int { return r.Upstream().Depth }
-	s.Retry = func(answer bool) time.Duration {
+	s.RetryDelay = func(answer bool) time.Duration {
 		if answer {
 			return fleetPace * time.Duration(r.Known()) / 16
 		}
 		return 2 * time.Second
 	}
 	d.registry = discovery.New(discovery.Options{Decode: decodeFleetTarget})
-	tail := NewTail(&fleetSink{Sink: d.registry, d: d}, d.registry.Same)
+	tail := NewTopicCache(&fleetSink{Sink: d.registry, d: d}, d.registry.Same)
 	tail.now = f.now
 	d.follower = topic.New(topic.Options{
 		Store: s, Topic: port.TopicTargets, Name: "targets", Sink: tail,
-		Wait: func() time.Duration { return fleetWait }, Pace: func() time.Duration { return fleetPace },
-		Current: func(next int64) { tail.Confirm(s.AsOf(port.TopicTargets), next) },
+		Wait: func() time.Duration { return fleetWait }, ReadInterval: func() time.Duration { return fleetPace },
+		OnCurrent: func(next int64) { tail.Confirm(s.AsOf(port.TopicTargets), next) },
 	})
 	f.http.mu.Lock()
-	f.http.to[d.addr] = Handler(map[port.Topic]*Tail{port.TopicTargets: tail})
+	f.http.to[d.addr] = Handler(map[port.Topic]*TopicCache{port.TopicTargets: tail})
 	f.http.mu.Unlock()
 	r.Start()
 	r.SetState(roster.Ready)
--- a/process/relay/reach.go
+++ b/process/relay/reach.go
@@ -21,11 +21,11 @@
 	probeInterval = time.Second
 )
 
-// Reach is a port.Store that tracks whether the store answers this daemon's own
+// MonitoredStore is a port.Store that tracks whether the store answers this daemon's own
 // calls. Reads relayed by other daemons don't show this: a leader that alone is
 // cut off from the store would keep its duties without being able to perform
 // them.
-type Reach struct {
+type MonitoredStore struct {
 	port.Store
 	suspected chan struct{}
 
@@ -33,27 +33,27 @@
 	unavailable bool
 }
 
-// NewReach returns a Reach for a store that is assumed to be available.
-func NewReach(s port.Store) *Reach {
-	return &Reach{Store: s, suspected: make(chan struct{}, 1)}
+// NewMonitoredStore returns a MonitoredStore for a store that is assumed to be available.
+func NewMonitoredStore(s port.Store) *MonitoredStore {
+	return &MonitoredStore{Store: s, suspected: make(chan struct{}, 1)}
 }
 
-// Away reports whether the store doesn't answer this daemon.
-func (r *Reach) Away() bool {
+// Unavailable reports whether the store doesn't answer this daemon.
+func (r *MonitoredStore) Unavailable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.unavailable
 }
 
 // Newest implements port.Store.
-func (r *Reach) Newest(ctx context.Context, t port.Topic, after string) (port.KeyedPage, error) {
+func (r *MonitoredStore) Newest(ctx context.Context, t port.Topic, after string) (port.KeyedPage, error) {
 	page, err := r.Store.Newest(ctx, t, after)
 	r.Suspect(ctx, err)
 	return page, err
 }
 
 // PutAt implements port.Store.
-func (r *Reach) PutAt(ctx context.Context, t port.Topic, key string, value []byte, at int64) (int64, error) {
+func (r *MonitoredStore) PutAt(ctx context.Context, t port.Topic, key string, value []byte, at int64) (int64, error) {
 	offset, err := r.Store.PutAt(ctx, t, key, value, at)
 	r.Suspect(ctx, err)
 	return offset, err
@@ -62,7 +62,7 @@
 // Suspect requests a probe of the store if err shows that a call failed because
 // the store was unavailable. A failed call alone doesn't mark the store as
 // unavailable, since single answers to writes may be lost.
-func (r *Reach) Suspect(ctx context.Context, err error) {
+func (r *MonitoredStore) Suspect(ctx context.Context, err error) {
 	if ctx.Err() != nil || !errors.Is(err, port.ErrUnavailable) {
 		return
 	}
@@ -73,7 +73,7 @@
 }
 
 // Run probes the store whenever a probe is requested, until ctx ends.
-func (r *Reach) Run(ctx context.Context) {
+func (r *MonitoredStore) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -88,14 +88,14 @@
 	}
 }
 
-func (r *Reach) probe(ctx context.Context) error {
+func (r *MonitoredStore) probe(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	_, err := r.Store.Newest(ctx, port.TopicClaims, "")
 	return err
 }
 
-func (r *Reach) setUnavailable(unavailable bool, cause error) {
+func (r *MonitoredStore) setUnavailable(unavailable bool, cause error) {
 	r.mu.Lock()
 	changed := r.unavailable != unavailable
 	r.unavailable = unavailable
--- a/process/relay/reach_test.go
+++ b/process/relay/reach_test.go
@@ -48,10 +48,10 @@
 	return 0, f.answer(ctx, true)
 }
 
-func withReach(t *testing.T, test func(t *testing.T, r *Reach, f *flaky)) {
+func withReach(t *testing.T, test func(t *testing.T, r *MonitoredStore, f *flaky)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &flaky{}
-		r := NewReach(f)
+		r := NewMonitoredStore(f)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); r.Run(ctx) }()
@@ -64,22 +64,22 @@
 // Guards against a daemon that stays leader while it alone is cut off from the
 // store, so that it can't claim anything.
 func TestUnansweredCallMakesStoreUnavailable(t *testing.T) {
-	withReach(t, func(t *testing.T, r *Reach, f *flaky) {
+	withReach(t, func(t *testing.T, r *MonitoredStore, f *flaky) {
 		f.set(true, false)
 		time.Sleep(10 * time.Second)
-		if r.Away() {
+		if r.Unavailable() {
 			t.Error("away without a call")
 		}
 		if _, err := r.PutAt(t.Context(), port.TopicClaims, "k", nil, 0); err == nil {
 			t.Fatal("answered")
 		}
 		time.Sleep(probeTimeout + time.Millisecond)
-		if !r.Away() {
+		if !r.Unavailable() {
 			t.Error("not away after a call and a probe without an answer")
 		}
 		f.set(false, false)
 		time.Sleep(probeTimeout + probeInterval + time.Millisecond)
-		if r.Away() {
+		if r.Unavailable() {
 			t.Error("still away after the store's return")
 		}
 		calls := f.calls
@@ -93,14 +93,14 @@
 // Guards against duties that move to another daemon, with the delay of a lease,
 // each time the answer to a single write is lost.
 func TestLostWriteAnswersDoNotMakeStoreUnavailable(t *testing.T) {
-	withReach(t, func(t *testing.T, r *Reach, f *flaky) {
+	withReach(t, func(t *testing.T, r *MonitoredStore, f *flaky) {
 		f.set(false, true)
 		for range 5 {
 			if _, err := r.PutAt(t.Context(), port.TopicClaims, "k", nil, 0); err == nil {
 				t.Fatal("answered")
 			}
 			time.Sleep(probeTimeout)
-			if r.Away() {
+			if r.Unavailable() {
 				t.Fatal("away")
 			}
 		}
--- a/process/relay/relay.go
+++ b/process/relay/relay.go
@@ -35,7 +35,7 @@
 }
 
 // Handler serves the reads of other daemons.
-func Handler(tails map[port.Topic]*Tail) http.Handler {
+func Handler(tails map[port.Topic]*TopicCache) http.Handler {
 	r := bunrouter.New()
 	r.GET("/listing", func(w http.ResponseWriter, req bunrouter.Request) error {
 		p := params{values: req.URL.Query()}
@@ -107,7 +107,7 @@
 }
 
 // write sends records of the topic as the response.
-func (t *Tail) write(w http.ResponseWriter, key packKey, records []port.KeyedRecord, a answer) error {
+func (t *TopicCache) write(w http.ResponseWriter, key packKey, records []port.KeyedRecord, a answer) error {
 	var err error
 	if a.Pack, err = t.packer.pack(key, records); err != nil {
 		return err
--- a/process/relay/relay_test.go
+++ b/process/relay/relay_test.go
@@ -52,19 +52,19 @@
 
 func (s *sink) Reset([]port.KeyedRecord, int64) {}
 func (s *sink) Apply(r []port.KeyedRecord)      { s.applied += len(r) }
-func (s *sink) Lost(error)                      { s.lost++ }
-func (s *sink) Back()                           { s.back++ }
+func (s *sink) StoreLost(error)                      { s.lost++ }
+func (s *sink) StoreRecovered()                           { s.back++ }
 
 func record(offset int64, key string) port.KeyedRecord {
 	return port.KeyedRecord{Key: key, Value: []byte("v"), Offset: offset}
 }
 
-// newReaderAndStore returns a reader's Tail and the Store of another daemon
+// newReaderAndStore returns a reader's TopicCache and the Store of another daemon
 // that reads from it.
-func newReaderAndStore(t *testing.T) (*Tail, *Store, *countingStore) {
-	tail := NewTail(&sink{}, nil)
+func newReaderAndStore(t *testing.T) (*TopicCache, *Store, *countingStore) {
+	tail := NewTopicCache(&sink{}, nil)
 	tail.Confirm(tail.now(), 0)
-	srv := httptest.NewServer(Handler(map[port.Topic]*Tail{port.TopicTargets: tail}))
+	srv := httptest.NewServer(Handler(map[port.Topic]*TopicCache{port.TopicTargets: tail}))
 	t.Cleanup(srv.Close)
 	d := &countingStore{}
 	addr := strings.TrimPrefix(srv.URL, "http://")
@@ -85,7 +85,7 @@
 	}
 	tail.Reset([]port.KeyedRecord{record(1, "stays"), record(2, "changes"), record(3, "goes")}, 5)
 	tail.Apply([]port.KeyedRecord{record(5, "changes"), {Key: "goes", Offset: 6}, record(7, "new")})
-	tail.Lost(away)
+	tail.StoreLost(away)
 	page, err := s.Newest(t.Context(), port.TopicTargets, "")
 	got := make(map[string]int64)
 	for _, r := range page.Records {
@@ -127,9 +127,9 @@
 // Guards against missed changes: the reader doesn't have them because it lost
 // the store or is behind.
 func TestStoreIsReadWhenReaderIsNotCurrent(t *testing.T) {
-	for name, spoil := range map[string]func(tail *Tail){
-		"lost the store":   func(tail *Tail) { tail.Lost(errors.New("away")) },
-		"behind the asker": func(tail *Tail) { tail.Reset(nil, 1); tail.Apply([]port.KeyedRecord{record(1, "y")}) },
+	for name, spoil := range map[string]func(tail *TopicCache){
+		"lost the store":   func(tail *TopicCache) { tail.StoreLost(errors.New("away")) },
+		"behind the asker": func(tail *TopicCache) { tail.Reset(nil, 1); tail.Apply([]port.KeyedRecord{record(1, "y")}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			tail, s, d := newReaderAndStore(t)
@@ -151,12 +151,12 @@
 // dropped the changes in between. The topic has to be listed again then, and
 // the listing contains the missed changes.
 func TestTopicIsListedWhenTheReaderHasAGap(t *testing.T) {
-	for name, spoil := range map[string]func(tail *Tail){
-		"began later": func(tail *Tail) {
+	for name, spoil := range map[string]func(tail *TopicCache){
+		"began later": func(tail *TopicCache) {
 			tail.end = -1
 			tail.Reset([]port.KeyedRecord{record(8, "new")}, 9)
 		},
-		"dropped some": func(tail *Tail) {
+		"dropped some": func(tail *TopicCache) {
 			for at := int64(6); at < 6+2*minChanges; at++ {
 				tail.Apply([]port.KeyedRecord{record(at, "new")})
 			}
@@ -207,7 +207,7 @@
 
 func TestTailHoldsABoundedNumber(t *testing.T) {
 	for _, keys := range []int64{1, 10 * minChanges} {
-		tail := NewTail(&sink{}, nil)
+		tail := NewTopicCache(&sink{}, nil)
 		const written = 100 * minChanges
 		for i := range int64(written) {
 			tail.Apply([]port.KeyedRecord{record(i, fmt.Sprint("k", i%keys))})
@@ -231,7 +231,7 @@
 // anything.
 func TestHeartbeatsAreNotRelayed(t *testing.T) {
 	next := &sink{}
-	tail := NewTail(next, func(a, b port.KeyedRecord) bool { return string(a.Value) == string(b.Value) })
+	tail := NewTopicCache(next, func(a, b port.KeyedRecord) bool { return string(a.Value) == string(b.Value) })
 	tail.Reset([]port.KeyedRecord{record(1, "a"), record(2, "b")}, 3)
 	for at := int64(3); at < 100; at += 2 {
 		tail.Apply([]port.KeyedRecord{record(at, "a"), record(at+1, "b")})
@@ -280,13 +280,13 @@
 // behind them. Each call to the store is paid for.
 func TestReadWaitsForReaderToCatchUp(t *testing.T) {
 	const wait = 2 * time.Second
-	for name, begin := range map[string]func(tail *Tail){
-		"has read nothing":   func(*Tail) {},
-		"is a little behind": func(tail *Tail) { tail.Reset(nil, 5); tail.Confirm(0, 0) },
+	for name, begin := range map[string]func(tail *TopicCache){
+		"has read nothing":   func(*TopicCache) {},
+		"is a little behind": func(tail *TopicCache) { tail.Reset(nil, 5); tail.Confirm(0, 0) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				tail := NewTail(&sink{}, nil)
+				tail := NewTopicCache(&sink{}, nil)
 				tail.now = clock.NewRuntime().Now
 				begin(tail)
 				time.AfterFunc(300*time.Millisecond, func() { tail.Reset(nil, 7); tail.Confirm(tail.now(), 0) })
@@ -308,19 +308,19 @@
 // for 295 daemons.
 func TestFirstReadWaitsForReaderAddresses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tail := NewTail(&sink{}, nil)
+		tail := NewTopicCache(&sink{}, nil)
 		tail.now = clock.NewRuntime().Now
 		tail.Reset(nil, 5)
 		tail.Confirm(0, 0)
 		d, listed := &countingStore{}, make(chan struct{})
 		s := NewStore(d, func() []string { return []string{"reader", "other"} }, func() []string { return nil }, port.TopicTargets)
-		s.now, s.Listed = tail.now, listed
-		s.client = &http.Client{Transport: inMemory{"reader": Handler(map[port.Topic]*Tail{port.TopicTargets: tail})}}
+		s.now, s.ReadersKnown = tail.now, listed
+		s.client = &http.Client{Transport: inMemory{"reader": Handler(map[port.Topic]*TopicCache{port.TopicTargets: tail})}}
 		time.AfterFunc(400*time.Millisecond, func() { close(listed) })
 		if _, err := s.Read(t.Context(), port.TopicTargets, 5, 0); err != nil || d.reads != 0 || tail.now() != 400*time.Millisecond {
 			t.Errorf("%d reads of the store after %v, %v", d.reads, tail.now(), err)
 		}
-		s.Listed = make(chan struct{}) // the store is unavailable: the readers stay unknown
+		s.ReadersKnown = make(chan struct{}) // the store is unavailable: the readers stay unknown
 		s.readers = func() []string { return nil }
 		if _, err := s.Read(t.Context(), port.TopicTargets, 5, 0); err != nil || d.reads != 1 {
 			t.Errorf("%d reads of the store without readers, %v", d.reads, err)
@@ -332,24 +332,24 @@
 // reader of their zone can read it. When the store was silent for the first
 // reader, the 29 daemons that read from it made 280 calls in three seconds.
 func TestAnotherReaderIsAskedFirst(t *testing.T) {
-	first, second := NewTail(&sink{}, nil), NewTail(&sink{}, nil)
-	for _, tail := range []*Tail{first, second} {
+	first, second := NewTopicCache(&sink{}, nil), NewTopicCache(&sink{}, nil)
+	for _, tail := range []*TopicCache{first, second} {
 		tail.Reset(nil, 5)
 		tail.Confirm(tail.now(), 0)
 	}
-	first.Lost(errors.New("the store is away"))
+	first.StoreLost(errors.New("the store is away"))
 	second.Apply([]port.KeyedRecord{record(5, "a")})
 	d := &countingStore{}
 	s := NewStore(d, func() []string { return []string{"first", "second"} }, func() []string { return nil }, port.TopicTargets)
 	s.client = &http.Client{Transport: inMemory{
-		"first":  Handler(map[port.Topic]*Tail{port.TopicTargets: first}),
-		"second": Handler(map[port.Topic]*Tail{port.TopicTargets: second}),
+		"first":  Handler(map[port.Topic]*TopicCache{port.TopicTargets: first}),
+		"second": Handler(map[port.Topic]*TopicCache{port.TopicTargets: second}),
 	}}
 	got, err := s.Read(t.Context(), port.TopicTargets, 5, 0)
 	if err != nil || len(got.Records) != 1 || got.Records[0].Key != "a" || d.reads != 0 || s.bypassingReaders() {
 		t.Errorf("records %+v, %v, %d reads of the store", got, err, d.reads)
 	}
-	second.Lost(errors.New("the store is away"))
+	second.StoreLost(errors.New("the store is away"))
 	if _, err := s.Read(t.Context(), port.TopicTargets, 6, 0); err != nil || d.reads != 1 {
 		t.Errorf("with both lost: %v, %d reads of the store", err, d.reads)
 	}
@@ -361,7 +361,7 @@
 // than half a second.
 func TestRecordsOfAWholeFleetFitThroughASlowLink(t *testing.T) {
 	const targets, daemons, link = 248, 30, 20e6 / 8 // bytes a second
-	tail := NewTail(&sink{}, nil)
+	tail := NewTopicCache(&sink{}, nil)
 	var all []port.KeyedRecord
 	for i := range int64(targets) {
 		id := fmt.Sprintf("i-%010x", uint64(i+1)*0x9e3779b97f4a7c15>>24)
@@ -372,7 +372,7 @@
 	tail.Reset(nil, 0)
 	tail.Apply(all)
 	tail.Confirm(tail.now(), 0)
-	h := Handler(map[port.Topic]*Tail{port.TopicTargets: tail})
+	h := Handler(map[port.Topic]*TopicCache{port.TopicTargets: tail})
 	sent := 0
 	for _, path := range []string{"/records?topic=1&from=0&wait_ms=0&max_age_ms=1000", "/current?topic=1&max_age_ms=1000&wait_ms=0"} {
 		w := httptest.NewRecorder()
@@ -411,12 +411,12 @@
 func TestUnavailableStoreIsRarelyCalled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		now := clock.NewRuntime().Now
-		tail := NewTail(&sink{}, nil)
+		tail := NewTopicCache(&sink{}, nil)
 		tail.now = now
 		d := &refusing{}
 		s := NewStore(d, func() []string { return []string{"reader"} }, func() []string { return nil }, port.TopicTargets, port.TopicConfig)
-		s.now, s.client = now, &http.Client{Transport: inMemory{"reader": Handler(map[port.Topic]*Tail{port.TopicTargets: tail, port.TopicConfig: tail})}}
-		s.Retry = func(bool) time.Duration { return 1800 * time.Millisecond }
+		s.now, s.client = now, &http.Client{Transport: inMemory{"reader": Handler(map[port.Topic]*TopicCache{port.TopicTargets: tail, port.TopicConfig: tail})}}
+		s.RetryDelay = func(bool) time.Duration { return 1800 * time.Millisecond }
 		for now() < 5*time.Second {
 			for _, topic := range []port.Topic{port.TopicTargets, port.TopicConfig} {
 				if _, err := s.Read(t.Context(), topic, 7, 0); err == nil {
@@ -441,9 +441,9 @@
 // Store.Cut under its own lock.
 func TestRetryDelayIsCalledWithoutLock(t *testing.T) {
 	tail, s, d := newReaderAndStore(t)
-	tail.Lost(errors.New("away"))
-	s.Retry = func(bool) time.Duration {
-		s.Cut()
+	tail.StoreLost(errors.New("away"))
+	s.RetryDelay = func(bool) time.Duration {
+		s.UsesFallback()
 		return 0
 	}
 	done := make(chan struct{})
@@ -486,7 +486,7 @@
 		t.Errorf("an outdated listing was used: %+v, %v", page, err)
 	}
 	tail.now = now
-	tail.Lost(errors.New("away"))
+	tail.StoreLost(errors.New("away"))
 	if page, err := s.Newest(t.Context(), port.TopicTargets, ""); err != nil || page.End == 10 {
 		t.Errorf("the listing of a reader without the store was used: %+v, %v", page, err)
 	}
--- a/process/relay/silence_test.go
+++ b/process/relay/silence_test.go
@@ -125,8 +125,8 @@
 }
 
 func (f *follower) Reset(r []port.KeyedRecord, _ int64) { f.Apply(r) }
-func (f *follower) Lost(error)                          { f.away.Store(true) }
-func (f *follower) Back()                               { f.away.Store(false) }
+func (f *follower) StoreLost(error)                          { f.away.Store(true) }
+func (f *follower) StoreRecovered()                               { f.away.Store(false) }
 
 func (f *follower) Apply(records []port.KeyedRecord) {
 	f.mu.Lock()
@@ -146,7 +146,7 @@
 // reads from; empty means the store.
 func newFollower(vm string, s *sharedStore, net inMemory, now func() time.Duration, reader func() string) *follower {
 	f := &follower{known: make(map[string]bool)}
-	tail := NewTail(f, nil)
+	tail := NewTopicCache(f, nil)
 	tail.now = now
 	readers := func() []string {
 		if addr := reader(); addr != "" {
@@ -158,12 +158,12 @@
 	store.now = now
 	store.client = &http.Client{Transport: net}
 	f.store = store
-	net[vm] = Handler(map[port.Topic]*Tail{port.TopicTargets: tail})
+	net[vm] = Handler(map[port.Topic]*TopicCache{port.TopicTargets: tail})
 	f.Follower = topic.New(topic.Options{
 		Store: store, Topic: port.TopicTargets, Name: vm, Sink: tail,
 		Wait:    func() time.Duration { return readWait },
-		Pace:    func() time.Duration { return readPace },
-		Current: func(next int64) { tail.Confirm(store.AsOf(port.TopicTargets), next) },
+		ReadInterval:    func() time.Duration { return readPace },
+		OnCurrent: func(next int64) { tail.Confirm(store.AsOf(port.TopicTargets), next) },
 	})
 	return f
 }
@@ -235,11 +235,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				tail := NewTail(&sink{}, nil)
+				tail := NewTopicCache(&sink{}, nil)
 				tail.now = clock.NewRuntime().Now
 				tail.Reset(nil, 7)
 				tail.Confirm(0, 0)
-				loss := time.AfterFunc(c.lostAfter, func() { tail.Lost(port.ErrUnavailable) })
+				loss := time.AfterFunc(c.lostAfter, func() { tail.StoreLost(port.ErrUnavailable) })
 				defer loss.Stop()
 				if _, w := tail.read(t.Context(), 7, wait, maxAge); w == ok || tail.now() != c.want {
 					t.Errorf("status %v after %v, want after %v", w, tail.now(), c.want)
--- a/process/relay/store.go
+++ b/process/relay/store.go
@@ -44,9 +44,9 @@
 	maxAnswerBytes = 8 << 20
 )
 
-// ReaderPause is the longest time that a reader may wait between two reads. The
+// MaxReadInterval is the longest time that a reader may wait between two reads. The
 // configured read interval must not exceed it, since MaxAge allows for it.
-const ReaderPause = 400 * time.Millisecond
+const MaxReadInterval = 400 * time.Millisecond
 
 // Store is a port.Store that reads some topics from a reader if there is one. A
 // reader is another daemon that reads the store on behalf of this one.
@@ -57,18 +57,18 @@
 	peers   func() []string // addresses of the other daemons that accept requests
 	client  *http.Client
 	now     func() time.Duration // CLOCK_BOOTTIME
-	// Listed is closed once the readers are known. It is set before the first
+	// ReadersKnown is closed once the readers are known. It is set before the first
 	// call; nil means that they are known from the start.
-	Listed <-chan struct{}
-	// Sources returns the addresses of the peers that can read the store. One
+	ReadersKnown <-chan struct{}
+	// PeersWithStore returns the addresses of the peers that can read the store. One
 	// of them is read if this daemon can't read the store and has no reader. It
 	// is set before the first call; nil means no peers.
-	Sources func() []string
-	// Retry returns how long a daemon that has a reader makes no calls to the
+	PeersWithStore func() []string
+	// RetryDelay returns how long a daemon that has a reader makes no calls to the
 	// store after the store failed as well. If the readers answer that their
 	// data isn't current, the delay also applies before the first call to the
 	// store. It is set before the first call.
-	Retry func(readersAnswer bool) time.Duration
+	RetryDelay func(readersAnswer bool) time.Duration
 	// Depth returns the largest number of daemons between the store and a
 	// daemon. It is set before the first call; nil means one.
 	Depth func() int
@@ -87,17 +87,17 @@
 	fallbacks map[port.Topic]fallback // peers that are read instead of the store
 }
 
-// ReadsItself reports whether this daemon reads the store because it has no
+// HasNoReader reports whether this daemon reads the store because it has no
 // reader.
-func (s *Store) ReadsItself() bool {
+func (s *Store) HasNoReader() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lastReader == noReader
 }
 
-// Direct reports whether this daemon has a reader but reads the store because
+// BypassesReaders reports whether this daemon has a reader but reads the store because
 // the reader failed.
-func (s *Store) Direct() bool { return len(s.readers()) > 0 && s.bypassingReaders() }
+func (s *Store) BypassesReaders() bool { return len(s.readers()) > 0 && s.bypassingReaders() }
 
 // NewStore returns a Store on top of s. readers returns the daemons to read the
 // topics from, in order of preference. peers returns the daemons that may be
@@ -109,7 +109,7 @@
 		readers:    readers,
 		peers:      peers,
 		client:     &http.Client{},
-		Retry:      func(bool) time.Duration { return 0 },
+		RetryDelay:      func(bool) time.Duration { return 0 },
 		now:        clock.Boot{}.Now,
 		asOf:       make(map[port.Topic]time.Duration),
 		slowTopics: make(map[port.Topic]bool),
@@ -204,7 +204,7 @@
 // topic. Calls are paid for, and rejected calls count against the common rate
 // limit. Readers that answer notice the return of the store first.
 func (s *Store) mayCallStore(readersAnswer bool) bool {
-	pace := s.Retry(true) // without s.mu: the membership calls this Store while it holds its own lock
+	pace := s.RetryDelay(true) // without s.mu: the membership calls this Store while it holds its own lock
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
@@ -219,13 +219,13 @@
 
 // awaitReaders waits until the readers are known, for readersTimeout at most.
 func (s *Store) awaitReaders(ctx context.Context) {
-	if s.Listed == nil {
+	if s.ReadersKnown == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, readersTimeout)
 	defer cancel()
 	select {
-	case <-s.Listed:
+	case <-s.ReadersKnown:
 	case <-ctx.Done():
 	}
 }
@@ -263,7 +263,7 @@
 // deferStoreCalls makes reads go to the readers again and delays the next call
 // to the store.
 func (s *Store) deferStoreCalls(readersAnswer bool) {
-	pace := s.Retry(readersAnswer)
+	pace := s.RetryDelay(readersAnswer)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.bypassUntil = 0
@@ -272,10 +272,10 @@
 
 // MaxAge returns the largest acceptable age of a reader's data for a read with
 // the given wait, over a chain of depth readers. Each of them reads the store,
-// or the reader before it, after at most ReaderPause plus the wait of its own
+// or the reader before it, after at most MaxReadInterval plus the wait of its own
 // read.
 func MaxAge(wait time.Duration, depth int) time.Duration {
-	return time.Duration(depth)*(ReaderPause+wait) + readGrace
+	return time.Duration(depth)*(MaxReadInterval+wait) + readGrace
 }
 
 func (s *Store) maxAge(wait time.Duration) time.Duration { return MaxAge(wait, s.depth()) }
--- a/process/relay/tail.go
+++ b/process/relay/tail.go
@@ -17,11 +17,11 @@
 // be smaller.
 const minChanges = 64
 
-// Tail caches one topic as this daemon has read it: the newest record of each
+// TopicCache caches one topic as this daemon has read it: the newest record of each
 // key and the latest changes. It drops records that don't change their key's
 // content, such as heartbeats, so that neither the next sink nor the daemons
 // that read from this one process them. It is safe for concurrent use.
-type Tail struct {
+type TopicCache struct {
 	next   topic.Sink
 	same   func(a, b port.KeyedRecord) bool
 	now    func() time.Duration
@@ -45,14 +45,14 @@
 	record port.KeyedRecord
 }
 
-// NewTail returns a Tail that passes changes on to next. same reports whether
+// NewTopicCache returns a TopicCache that passes changes on to next. same reports whether
 // two records of a key have the same content; nil means that all records
 // differ.
-func NewTail(next topic.Sink, same func(a, b port.KeyedRecord) bool) *Tail {
+func NewTopicCache(next topic.Sink, same func(a, b port.KeyedRecord) bool) *TopicCache {
 	if same == nil {
 		same = func(a, b port.KeyedRecord) bool { return a.Offset == b.Offset }
 	}
-	return &Tail{
+	return &TopicCache{
 		next: next, same: same, now: clock.Boot{}.Now,
 		newest: make(map[string]port.KeyedRecord), end: -1, asOf: -1, changed: make(chan struct{}),
 	}
@@ -61,7 +61,7 @@
 // Reset implements topic.Sink. Daemons that read from this one get the
 // differences from the previous content, so that they needn't list the topic
 // too.
-func (t *Tail) Reset(records []port.KeyedRecord, next int64) {
+func (t *TopicCache) Reset(records []port.KeyedRecord, next int64) {
 	t.mu.Lock()
 	changes := t.diff(records, next)
 	if t.end < 0 || next < t.end || next == t.end && len(changes) > 0 {
@@ -80,7 +80,7 @@
 }
 
 // updateNewest stores the newest record of each key. Callers hold t.mu.
-func (t *Tail) updateNewest(records []port.KeyedRecord) {
+func (t *TopicCache) updateNewest(records []port.KeyedRecord) {
 	for _, r := range records {
 		if r.Value == nil {
 			delete(t.newest, r.Key)
@@ -92,7 +92,7 @@
 
 // diff returns the changes between the current content and a listing that ends
 // at next. Callers hold t.mu.
-func (t *Tail) diff(records []port.KeyedRecord, next int64) []change {
+func (t *TopicCache) diff(records []port.KeyedRecord, next int64) []change {
 	var out []change
 	present := make(map[string]bool, len(records))
 	for _, r := range records {
@@ -114,7 +114,7 @@
 }
 
 // Apply implements topic.Sink.
-func (t *Tail) Apply(records []port.KeyedRecord) {
+func (t *TopicCache) Apply(records []port.KeyedRecord) {
 	changed := t.filterChanged(records)
 	if len(changed) > 0 {
 		t.next.Apply(changed)
@@ -135,7 +135,7 @@
 }
 
 // filterChanged returns the records that change the content of their key.
-func (t *Tail) filterChanged(records []port.KeyedRecord) []port.KeyedRecord {
+func (t *TopicCache) filterChanged(records []port.KeyedRecord) []port.KeyedRecord {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []port.KeyedRecord
@@ -155,7 +155,7 @@
 }
 
 // trim drops the oldest changes. Callers hold t.mu.
-func (t *Tail) trim() {
+func (t *TopicCache) trim() {
 	over := len(t.changes) - max(len(t.newest), minChanges)
 	if over <= 0 {
 		return
@@ -173,14 +173,14 @@
 
 // listing returns the cached topic. The result is false if this daemon never
 // read it as a whole.
-func (t *Tail) listing() (cachedListing, bool) {
+func (t *TopicCache) listing() (cachedListing, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.listLocked()
 }
 
 // listLocked is listing for callers that hold t.mu.
-func (t *Tail) listLocked() (cachedListing, bool) {
+func (t *TopicCache) listLocked() (cachedListing, bool) {
 	l := cachedListing{version: t.version, readAt: t.asOf - t.now()}
 	l.page = port.KeyedPage{End: t.end, Records: make([]port.KeyedRecord, 0, len(t.newest))}
 	for _, r := range t.newest {
@@ -192,7 +192,7 @@
 // current returns the cached topic if it is fresh enough to be used in place of
 // the store's. The result is false if it is at least maxAge old or this daemon
 // has lost the store.
-func (t *Tail) current(maxAge time.Duration) (cachedListing, bool) {
+func (t *TopicCache) current(maxAge time.Duration) (cachedListing, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	l, known := t.listLocked()
@@ -201,7 +201,7 @@
 
 // awaitFirstRead waits until this daemon, which may just have started, has read
 // the topic.
-func (t *Tail) awaitFirstRead(ctx context.Context, wait time.Duration) {
+func (t *TopicCache) awaitFirstRead(ctx context.Context, wait time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	for {
@@ -220,24 +220,24 @@
 }
 
 // notify wakes up all goroutines that wait for a change. Callers hold t.mu.
-func (t *Tail) notify() {
+func (t *TopicCache) notify() {
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
-// Lost implements topic.Sink.
-func (t *Tail) Lost(err error) {
+// StoreLost implements topic.Sink.
+func (t *TopicCache) StoreLost(err error) {
 	t.setLost(true)
-	t.next.Lost(err)
+	t.next.StoreLost(err)
 }
 
-// Back implements topic.Sink.
-func (t *Tail) Back() {
+// StoreRecovered implements topic.Sink.
+func (t *TopicCache) StoreRecovered() {
 	t.setLost(false)
-	t.next.Back()
+	t.next.StoreRecovered()
 }
 
-func (t *Tail) setLost(on bool) {
+func (t *TopicCache) setLost(on bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.lost = on
@@ -245,8 +245,8 @@
 }
 
 // Confirm records that all records before the offset next were passed to this
-// Tail, including all that were written up to asOf, by CLOCK_BOOTTIME.
-func (t *Tail) Confirm(asOf time.Duration, next int64) {
+// TopicCache, including all that were written up to asOf, by CLOCK_BOOTTIME.
+func (t *TopicCache) Confirm(asOf time.Duration, next int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	wakes := t.asOf < 0 || t.end >= 0 && next > t.end
@@ -261,7 +261,7 @@
 
 // Age returns the age of the cached data. The result is false before the first
 // read.
-func (t *Tail) Age() (time.Duration, bool) {
+func (t *TopicCache) Age() (time.Duration, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.now() - t.asOf, t.asOf >= 0
@@ -280,7 +280,7 @@
 // A daemon that hasn't read the topic yet, or not as far as the requester, may
 // catch up within the wait. Otherwise all daemons that start together would
 // read the store themselves.
-func (t *Tail) read(ctx context.Context, from int64, wait, maxAge time.Duration) (batch, status) {
+func (t *TopicCache) read(ctx context.Context, from int64, wait, maxAge time.Duration) (batch, status) {
 	asked := t.now()
 	for {
 		v := t.readFrom(from, asked, maxAge)
@@ -339,7 +339,7 @@
 	changed  <-chan struct{} // closed at the next change
 }
 
-func (t *Tail) readFrom(from int64, asked, maxAge time.Duration) view {
+func (t *TopicCache) readFrom(from int64, asked, maxAge time.Duration) view {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	v := view{validFor: maxAge, changed: t.changed}
--- a/process/topic/follower.go
+++ b/process/topic/follower.go
@@ -31,10 +31,10 @@
 	Reset(records []port.KeyedRecord, next int64)
 	// Apply takes records in their order.
 	Apply(records []port.KeyedRecord)
-	// Lost says that the store can't be read, once for each outage.
-	Lost(err error)
-	// Back says that the store was read again, after Reset or Apply.
-	Back()
+	// StoreLost says that the store can't be read, once for each outage.
+	StoreLost(err error)
+	// StoreRecovered says that the store was read again, after Reset or Apply.
+	StoreRecovered()
 }
 
 // Options of a Follower.
@@ -43,15 +43,15 @@
 	Topic port.Topic
 	Name  string // for log lines
 	Sink  Sink
-	// Pace is the least time between the begins of two reads, since every call
+	// ReadInterval is the least time between the begins of two reads, since every call
 	// is paid for. It is asked before each read.
-	Pace func() time.Duration
+	ReadInterval func() time.Duration
 	// Wait is the longest wait of a read for records. It is asked before each.
 	Wait func() time.Duration
-	// Current, if set, is called after each listing of the store or read that
+	// OnCurrent, if set, is called after each listing of the store or read that
 	// succeeded, once its records were handed over: all records before the
 	// offset next were.
-	Current func(next int64)
+	OnCurrent func(next int64)
 }
 
 // Follower reads one topic until Stop.
@@ -89,7 +89,7 @@
 			return nil
 		}
 		f.report(err)
-		wait := f.o.Pace() - time.Since(begun)
+		wait := f.o.ReadInterval() - time.Since(begun)
 		if err != nil {
 			wait = backoff
 			backoff = min(2*backoff, maxBackoff)
@@ -126,8 +126,8 @@
 }
 
 func (f *Follower) current() {
-	if f.o.Current != nil {
-		f.o.Current(f.next)
+	if f.o.OnCurrent != nil {
+		f.o.OnCurrent(f.next)
 	}
 }
 
@@ -191,10 +191,10 @@
 	case err != nil && !f.lost:
 		f.lost = true
 		log.WithField("topic", f.o.Name).WithError(err).Warn("topic: store lost")
-		f.o.Sink.Lost(err)
+		f.o.Sink.StoreLost(err)
 	case err == nil && f.lost:
 		f.lost = false
 		log.WithFields(log.Fields{"topic": f.o.Name, "next": f.next}).Info("topic: store is back")
-		f.o.Sink.Back()
+		f.o.Sink.StoreRecovered()
 	}
 }
--- a/process/topic/follower_test.go
+++ b/process/topic/follower_test.go
@@ -110,8 +110,8 @@
 
 func (s *sink) Reset(r []port.KeyedRecord, _ int64) { s.note("reset " + keys(r)) }
 func (s *sink) Apply(r []port.KeyedRecord)          { s.note("apply " + keys(r)) }
-func (s *sink) Lost(error)                          { s.note("lost") }
-func (s *sink) Back()                               { s.note("back") }
+func (s *sink) StoreLost(error)                          { s.note("lost") }
+func (s *sink) StoreRecovered()                               { s.note("back") }
 
 func (s *sink) said() string {
 	s.mu.Lock()
@@ -131,7 +131,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, k := &fakeStore{}, &sink{}
 		s.add("a", "1")
-		f := New(Options{Store: s, Name: "test", Sink: k, Wait: func() time.Duration { return wait }, Pace: func() time.Duration { return pace }})
+		f := New(Options{Store: s, Name: "test", Sink: k, Wait: func() time.Duration { return wait }, ReadInterval: func() time.Duration { return pace }})
 		f.Start()
 		test(s, k)
 		_ = f.Stop()
--- a/version/inforce/inforce.go
+++ b/version/inforce/inforce.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// Lost is told of an outage of the store; the configuration stays in force.
-func (h *Holder) Lost(error) {}
+// StoreLost is told of an outage of the store; the configuration stays in force.
+func (h *Holder) StoreLost(error) {}
 
-// Back is told of the end of an outage.
-func (h *Holder) Back() {}
+// StoreRecovered is told of the end of an outage.
+func (h *Holder) StoreRecovered() {}
