--- a/process/discovery/bench_test.go
+++ b/process/discovery/bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// BenchmarkApplyOne is one change among many targets.
+// BenchmarkApplyOne applies one change among many targets.
 func BenchmarkApplyOne(b *testing.B) {
 	for _, targets := range []int{250, 2500, 10_000, 20_000} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
--- a/process/discovery/registry.go
+++ b/process/discovery/registry.go
@@ -1,5 +1,6 @@
-// Package discovery knows the targets of all services from the entries that
-// they keep in the store, also while the store is away.
+// Package discovery keeps the known targets of all services, which it reads
+// from the targets' entries in the store. It keeps them during an outage of the
+// store.
 package discovery
 
 import (
@@ -15,53 +16,54 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// keepAfterReturn is how long entries stay that vanished while the store was
-// away. Entries of live targets are back within about two seconds of the
-// store's return; one that is still missing then is gone.
-const keepAfterReturn = 2200 * time.Millisecond
+// lapsedGracePeriod is how long entries that lapsed during an outage of the
+// store are kept after its end. Live targets write their entries again within
+// about two seconds after the store recovers. A target whose entry is still
+// missing then is gone.
+const lapsedGracePeriod = 2200 * time.Millisecond
 
-// Snapshot is what is known at one moment. It is read-only.
+// Snapshot is the set of known targets at one moment. It is read-only.
 type Snapshot struct {
 	Targets map[string]*targets.Set // by service
-	Whole   bool                    // the store was read whole at least once
+	Whole   bool                    // the topic was listed completely at least once
 	Since   time.Time               // when the newest target appeared
 }
 
 // Registry is the topic.Sink of the targets' topic. Its snapshots may be read
 // by any goroutine.
 //
-// The failure it guards against: while the store is away the entries of live
-// targets lapse, and a daemon that believed that would drop every target at
-// once and refuse what they could serve. So what vanished in an outage is kept
-// until keepAfterReturn after its end; a target that really died meanwhile is
-// found by its connections.
+// During an outage of the store the entries of live targets lapse. If their
+// removal took effect, a daemon would drop all targets at once and reject
+// requests that they could serve. So entries that lapse during an outage are
+// kept for lapsedGracePeriod after its end. Failed connections reveal a target
+// that really died meanwhile.
 type Registry struct {
 	now    func() time.Time
 	after  func(d time.Duration, f func()) // time.AfterFunc
 	decode func(r port.KeyedRecord) (entry port.TargetEntry, present bool, err error)
 
-	mu      sync.Mutex
-	entries map[string]port.TargetEntry // by key in the store; an entry's id names one start of the target
-	offsets map[string]int64            // by key
-	born    map[string]int64            // by key, the newest start seen
-	lapsed  map[string]time.Time        // by key, entries that are gone from the store, and when they are dropped here
-	changed map[string]changes          // by service, since the last snapshot
-	lost    bool
-	until   time.Time // vanished entries are kept until then
-	whole   bool
-	since   time.Time
+	mu        sync.Mutex
+	entries   map[string]port.TargetEntry // by key in the store; the ID of an entry differs for each start of the target
+	offsets   map[string]int64            // by key
+	lastStart map[string]int64 // by key; the newest start time seen
+	lapsed    map[string]time.Time // by key; entries that are missing in the store, with the time at which they are removed here
+	changed   map[string]changes          // by service, since the last snapshot
+	lost      bool
+	keepUntil time.Time // lapsed entries are kept until then
+	listed    bool
+	since     time.Time
 
 	snap atomic.Pointer[Snapshot]
 }
 
-// changes are entries by id, nil for a target that is gone.
+// changes are entries by ID; nil means that the target is gone.
 type changes map[string]*port.TargetEntry
 
-// Options of a Registry.
+// Options configures a Registry.
 type Options struct {
 	Decode func(r port.KeyedRecord) (entry port.TargetEntry, present bool, err error)
-	Now    func() time.Time                // time.Now
-	After  func(d time.Duration, f func()) // time.AfterFunc
+	Now    func() time.Time                // default: time.Now
+	After  func(d time.Duration, f func()) // default: time.AfterFunc
 }
 
 // New returns an empty Registry.
@@ -73,23 +75,23 @@
 		o.After = func(d time.Duration, f func()) { time.AfterFunc(d, f) }
 	}
 	r := &Registry{
-		now:     o.Now,
-		after:   o.After,
-		decode:  o.Decode,
-		entries: make(map[string]port.TargetEntry),
-		offsets: make(map[string]int64),
-		born:    make(map[string]int64),
-		lapsed:  make(map[string]time.Time),
-		changed: make(map[string]changes),
+		now:       o.Now,
+		after:     o.After,
+		decode:    o.Decode,
+		entries:   make(map[string]port.TargetEntry),
+		offsets:   make(map[string]int64),
+		lastStart: make(map[string]int64),
+		lapsed:    make(map[string]time.Time),
+		changed:   make(map[string]changes),
 	}
 	r.snap.Store(&Snapshot{Targets: map[string]*targets.Set{}})
 	return r
 }
 
-// Snapshot returns what is known now.
+// Snapshot returns the targets that are known now.
 func (r *Registry) Snapshot() *Snapshot { return r.snap.Load() }
 
-// Lookup returns the entry of a target.
+// Lookup returns the entry of the target with the given ID.
 func (r *Registry) Lookup(id string) (port.TargetEntry, bool) {
 	for _, set := range r.Snapshot().Targets {
 		if e := set.All().Lookup(engines.Hash(id)); e != nil && e.ID == id {
@@ -99,7 +101,8 @@
 	return port.TargetEntry{}, false
 }
 
-// HasHash reports whether there is a target whose id has that engines.Hash.
+// HasHash reports whether there is a target whose ID has the given
+// engines.Hash.
 func (r *Registry) HasHash(hash uint64) bool {
 	for _, set := range r.Snapshot().Targets {
 		if set.All().Lookup(hash) != nil {
@@ -109,8 +112,8 @@
 	return false
 }
 
-// Same reports whether two records of a key say the same of their target: they
-// differ in what heartbeats change.
+// Same reports whether two records of a key describe the same state of a
+// target, apart from the fields that heartbeats change.
 func (r *Registry) Same(a, b port.KeyedRecord) bool {
 	old, known, err := r.decode(a)
 	if err != nil || !known {
@@ -124,144 +127,148 @@
 	return old == e
 }
 
-// Reset takes the whole topic.
+// Reset implements topic.Sink.
 func (r *Registry) Reset(records []port.KeyedRecord, _ int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	present := make(map[string]bool, len(records))
 	for _, rec := range records {
 		present[rec.Key] = true
-		r.take(rec)
+		r.applyRecord(rec)
 	}
 	for key := range r.entries {
 		if !present[key] {
-			r.vanish(key)
+			r.removeOrKeep(key)
 		}
 	}
-	if !r.whole {
+	if !r.listed {
 		log.WithField("targets", len(r.entries)).Info("discovery: targets listed")
 	}
-	r.whole = true
+	r.listed = true
 	r.publish()
 }
 
-// Apply takes records in order.
+// Apply implements topic.Sink.
 func (r *Registry) Apply(records []port.KeyedRecord) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, rec := range records {
-		r.take(rec)
+		r.applyRecord(rec)
 	}
 	r.publish()
 }
 
-// StoreLost notes the begin of an outage.
+// StoreLost implements topic.Sink.
 func (r *Registry) StoreLost(error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lost = true
 }
 
-// StoreRecovered notes the end of an outage. What vanished in it was taken in by the
-// read that ended it, with the store still noted as lost.
+// StoreRecovered implements topic.Sink. The read that ended the outage was
+// applied before, while the store was still marked as lost, so that the entries
+// missing in it are in r.lapsed.
 func (r *Registry) StoreRecovered() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lost = false
-	r.until = r.now().Add(keepAfterReturn)
+	r.keepUntil = r.now().Add(lapsedGracePeriod)
 	for key := range r.lapsed {
-		r.lapsed[key] = r.until
+		r.lapsed[key] = r.keepUntil
 	}
-	r.after(keepAfterReturn, r.expire)
+	r.after(lapsedGracePeriod, r.removeLapsed)
 }
 
-// take applies one record. Records older than the one in force are left out.
-func (r *Registry) take(rec port.KeyedRecord) {
+// applyRecord applies one record. It ignores records that are older than the
+// current one.
+func (r *Registry) applyRecord(rec port.KeyedRecord) {
 	if at, ok := r.offsets[rec.Key]; ok && rec.Offset < at {
 		return
 	}
 	r.offsets[rec.Key] = rec.Offset
 	e, present, err := r.decode(rec)
 	if err != nil {
-		// What another writer put there names no target, whatever stood
-		// there before. A live target writes its own entry again soon.
-		log.WithError(err).WithField("target", rec.Key).Warn("discovery: entry names no target")
+		// Another writer overwrote the entry, so it no longer describes a
+		// target. A live target soon writes its entry again.
+		log.WithError(err).WithField("target", rec.Key).Warn("discovery: invalid target entry")
 		if old, known := r.entries[rec.Key]; known {
-			r.drop(rec.Key, old)
+			r.remove(rec.Key, old)
 			r.offsets[rec.Key] = rec.Offset
 		}
 		return
 	}
 	if !present {
-		r.vanish(rec.Key)
+		r.removeOrKeep(rec.Key)
 		return
 	}
-	if e.Born < r.born[rec.Key] {
-		log.WithFields(log.Fields{"target": e.ID, "offset": rec.Offset}).Info("discovery: entry of an earlier start, left out")
+	if e.Born < r.lastStart[rec.Key] {
+		log.WithFields(log.Fields{"target": e.ID, "offset": rec.Offset}).Info("discovery: entry of an earlier start ignored")
 		return
 	}
-	r.born[rec.Key] = e.Born
+	r.lastStart[rec.Key] = e.Born
 	old, known := r.entries[rec.Key]
 	if known && (old.ID != e.ID || old.Service != e.Service) {
-		r.drop(rec.Key, old)
+		r.remove(rec.Key, old)
 		r.offsets[rec.Key] = rec.Offset
 		known = false
 	}
 	delete(r.lapsed, rec.Key)
 	r.entries[rec.Key] = e
-	r.note(e.Service, e.ID, &e)
+	r.addChange(e.Service, e.ID, &e)
 	if !known {
 		r.since = r.now()
 	}
-	if r.whole && (!known || old.Leaving != e.Leaving || old.Role != e.Role) {
+	if r.listed && (!known || old.Leaving != e.Leaving || old.Role != e.Role) {
 		log.WithFields(log.Fields{
 			"target": e.ID, "service": e.Service, "addr": e.Addr, "zone": e.Zone,
 			"role": e.Role, "leaving": e.Leaving, "offset": rec.Offset,
-		}).Info("discovery: target")
+		}).Info("discovery: target added or changed")
 	}
 }
 
-// vanish drops an entry, or keeps it for a while when the store was away.
-func (r *Registry) vanish(key string) {
+// removeOrKeep removes an entry, or keeps it for a while if it lapsed in an
+// outage of the store.
+func (r *Registry) removeOrKeep(key string) {
 	e, ok := r.entries[key]
 	if !ok {
 		return
 	}
 	now := r.now()
-	if r.lost || now.Before(r.until) {
+	if r.lost || now.Before(r.keepUntil) {
 		if _, waits := r.lapsed[key]; !waits {
-			r.lapsed[key] = r.until
-			log.WithField("target", e.ID).Info("discovery: target's entry lapsed in an outage, kept for now")
+			r.lapsed[key] = r.keepUntil
+			log.WithField("target", e.ID).Info("discovery: target's entry lapsed in an outage; keeping it for now")
 		}
 		return
 	}
-	r.drop(key, e)
+	r.remove(key, e)
 }
 
-func (r *Registry) drop(key string, e port.TargetEntry) {
+func (r *Registry) remove(key string, e port.TargetEntry) {
 	delete(r.entries, key)
-	r.note(e.Service, e.ID, nil)
+	r.addChange(e.Service, e.ID, nil)
 	delete(r.lapsed, key)
 	delete(r.offsets, key)
-	log.WithFields(log.Fields{"target": e.ID, "service": e.Service, "addr": e.Addr}).Info("discovery: target gone")
+	log.WithFields(log.Fields{"target": e.ID, "service": e.Service, "addr": e.Addr}).Info("discovery: target removed")
 }
 
-// expire drops what is still missing some time after the store's return.
-func (r *Registry) expire() {
+// removeLapsed removes the entries that are still missing after
+// lapsedGracePeriod.
+func (r *Registry) removeLapsed() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
-	if r.lost || now.Before(r.until) {
+	if r.lost || now.Before(r.keepUntil) {
 		return
 	}
 	for key := range r.lapsed {
-		r.drop(key, r.entries[key])
+		r.remove(key, r.entries[key])
 	}
 	r.publish()
 }
 
-// note has a change go into the next snapshot. Callers hold r.mu.
-func (r *Registry) note(service, id string, e *port.TargetEntry) {
+// addChange adds a change to the next snapshot. Callers hold r.mu.
+func (r *Registry) addChange(service, id string, e *port.TargetEntry) {
 	if r.changed[service] == nil {
 		r.changed[service] = make(changes)
 	}
@@ -270,7 +277,7 @@
 
 func (r *Registry) publish() {
 	old := r.snap.Load()
-	s := &Snapshot{Targets: maps.Clone(old.Targets), Whole: r.whole, Since: r.since}
+	s := &Snapshot{Targets: maps.Clone(old.Targets), Whole: r.listed, Since: r.since}
 	for service, changed := range r.changed {
 		s.Targets[service] = s.Targets[service].With(changed)
 	}
--- a/process/discovery/registry_test.go
+++ b/process/discovery/registry_test.go
@@ -57,9 +57,10 @@
 	}
 }
 
-// Every request of a service is refused although its targets are well.
-// The store was away, the targets' entries lapsed in it, and the daemon read
-// their removal when the store came back, before the targets had written anew.
+// Guards against a service whose requests are all rejected although its targets
+// are healthy. The targets' entries lapse during an outage of the store, and a
+// daemon reads their removal when the store recovers, before the targets have
+// written their entries again.
 func TestEntriesThatLapsedInAnOutageAreKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := New(Options{Decode: decode})
@@ -70,13 +71,14 @@
 		want(t, r, "s", "a", "b")
 		_ = pause.For(context.Background(), time.Second)
 		r.Apply([]port.KeyedRecord{rec(4, "a", "s")})
-		_ = pause.For(context.Background(), keepAfterReturn)
+		_ = pause.For(context.Background(), lapsedGracePeriod)
 		synctest.Wait()
 		want(t, r, "s", "a")
 	})
 }
 
-// A listing after the outage that lacks an entry counts like its removal.
+// An entry that is missing in a listing after an outage is treated like a
+// removed one.
 func TestListingAfterAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := New(Options{Decode: decode})
@@ -85,44 +87,44 @@
 		r.Reset([]port.KeyedRecord{rec(1, "b", "s")}, 0)
 		r.StoreRecovered()
 		want(t, r, "s", "a", "b")
-		_ = pause.For(context.Background(), keepAfterReturn)
+		_ = pause.For(context.Background(), lapsedGracePeriod)
 		synctest.Wait()
 		want(t, r, "s", "b")
 	})
 }
 
-func TestRemovalWithoutAnOutageCountsAtOnce(t *testing.T) {
+func TestRemovalWithoutOutageTakesEffectAtOnce(t *testing.T) {
 	r := New(Options{Decode: decode})
 	r.Reset([]port.KeyedRecord{rec(0, "a", "s"), rec(1, "b", "s")}, 0)
 	r.Apply([]port.KeyedRecord{rec(2, "a", "")})
 	want(t, r, "s", "b")
 }
 
-// A target that says it leaves gets no new work, also in an outage's wake.
-func TestLeavingCountsAtOnce(t *testing.T) {
+// A target that announces that it leaves gets no new work, also during an
+// outage.
+func TestLeavingTakesEffectDuringOutage(t *testing.T) {
 	r := New(Options{Decode: decode})
 	r.Reset([]port.KeyedRecord{rec(0, "a", "s")}, 0)
 	r.StoreLost(errors.New("away"))
 	r.Apply([]port.KeyedRecord{rec(1, "a", "s leaving")})
 	if e := r.Snapshot().Targets["s"].All().All()[0]; !e.Leaving {
-		t.Error("the target doesn't count as leaving")
+		t.Error("the target isn't marked as leaving")
 	}
 }
 
-func TestOlderRecordIsLeftOut(t *testing.T) {
+func TestOlderRecordIsIgnored(t *testing.T) {
 	r := New(Options{Decode: decode})
 	r.Apply([]port.KeyedRecord{rec(5, "a", "s leaving")})
 	r.Apply([]port.KeyedRecord{rec(3, "a", "s")})
 	if e := r.Snapshot().Targets["s"].All().All()[0]; !e.Leaving {
-		t.Error("an older record took the newer one's place")
+		t.Error("an older record replaced a newer one")
 	}
 }
 
-// Requests go to an address that no target stands for any more. Another writer
-// put bytes that can't be read over a target's entry, and the daemon held on to
-// what it had read before. The entry names no target until the target writes
-// its own again; the others hold.
-func TestUnreadableRecordNamesNoTarget(t *testing.T) {
+// Guards against requests to an address that no target uses any more: another
+// writer replaced the target's entry by bytes that can't be decoded. The entry
+// is removed until the target writes it again; other targets are not affected.
+func TestUnreadableRecordRemovesTarget(t *testing.T) {
 	r := New(Options{Decode: decode})
 	r.Apply([]port.KeyedRecord{rec(1, "a", "s"), rec(2, "b", "s")})
 	r.Apply([]port.KeyedRecord{rec(6, "a", "broken"), rec(7, "c", "broken")})
@@ -133,9 +135,10 @@
 	want(t, r, "s", "a", "b")
 }
 
-// A target starts again under its name. What was known of the start before
-// (failures, prompts kept, orders) goes with that start's id, in a listing and
-// in the log alike. The entry of the earlier start, seen late, changes nothing.
+// A target that restarts under its name gets a new ID, in a listing as well as
+// in the log. State kept for the earlier start (failures, cached prompts,
+// orders) goes with the old ID. An entry of the earlier start that arrives late
+// is ignored.
 func TestRestartUnderTheSameName(t *testing.T) {
 	decode := func(rec port.KeyedRecord) (port.TargetEntry, bool, error) {
 		born := int64(len(rec.Value))
--- a/process/relay/fleet_test.go
+++ b/process/relay/fleet_test.go
@@ -196,7 +196,7 @@
 }
 
 func (s *fleetSink) StoreLost(err error) { s.set(true); s.Sink.StoreLost(err) }
-func (s *fleetSink) StoreRecovered()          { s.set(false); s.Sink.StoreRecovered() }
+func (s *fleetSink) StoreRecovered()     { s.set(false); s.Sink.StoreRecovered() }
 func (s *fleetSink) set(on bool) {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
--- a/process/relay/relay_test.go
+++ b/process/relay/relay_test.go
@@ -52,8 +52,8 @@
 
 func (s *sink) Reset([]port.KeyedRecord, int64) {}
 func (s *sink) Apply(r []port.KeyedRecord)      { s.applied += len(r) }
-func (s *sink) StoreLost(error)                      { s.lost++ }
-func (s *sink) StoreRecovered()                           { s.back++ }
+func (s *sink) StoreLost(error)                 { s.lost++ }
+func (s *sink) StoreRecovered()                 { s.back++ }
 
 func record(offset int64, key string) port.KeyedRecord {
 	return port.KeyedRecord{Key: key, Value: []byte("v"), Offset: offset}
--- a/process/relay/silence_test.go
+++ b/process/relay/silence_test.go
@@ -125,8 +125,8 @@
 }
 
 func (f *follower) Reset(r []port.KeyedRecord, _ int64) { f.Apply(r) }
-func (f *follower) StoreLost(error)                          { f.away.Store(true) }
-func (f *follower) StoreRecovered()                               { f.away.Store(false) }
+func (f *follower) StoreLost(error)                     { f.away.Store(true) }
+func (f *follower) StoreRecovered()                     { f.away.Store(false) }
 
 func (f *follower) Apply(records []port.KeyedRecord) {
 	f.mu.Lock()
@@ -161,9 +161,9 @@
 	net[vm] = Handler(map[port.Topic]*TopicCache{port.TopicTargets: tail})
 	f.Follower = topic.New(topic.Options{
 		Store: store, Topic: port.TopicTargets, Name: vm, Sink: tail,
-		Wait:    func() time.Duration { return readWait },
-		ReadInterval:    func() time.Duration { return readPace },
-		OnCurrent: func(next int64) { tail.Confirm(store.AsOf(port.TopicTargets), next) },
+		Wait:         func() time.Duration { return readWait },
+		ReadInterval: func() time.Duration { return readPace },
+		OnCurrent:    func(next int64) { tail.Confirm(store.AsOf(port.TopicTargets), next) },
 	})
 	return f
 }
--- a/process/relay/store.go
+++ b/process/relay/store.go
@@ -109,7 +109,7 @@
 		readers:    readers,
 		peers:      peers,
 		client:     &http.Client{},
-		RetryDelay:      func(bool) time.Duration { return 0 },
+		RetryDelay: func(bool) time.Duration { return 0 },
 		now:        clock.Boot{}.Now,
 		asOf:       make(map[port.Topic]time.Duration),
 		slowTopics: make(map[port.Topic]bool),
--- a/process/topic/follower.go
+++ b/process/topic/follower.go
@@ -1,5 +1,5 @@
-// Package topic follows a keyed topic of the store: it hands every record over
-// in order, and the whole topic anew when the store no longer keeps the
+// Package topic follows a keyed topic of the store. It delivers the records in
+// order, and lists the whole topic again if the store no longer keeps the
 // records in between.
 package topic
 
@@ -16,85 +16,89 @@
 )
 
 const (
-	// firstBackoff and maxBackoff bound the wait after a failed call. The
-	// store counts refused calls too, and allows some hundreds a second.
-	firstBackoff = 150 * time.Millisecond
-	maxBackoff   = 400 * time.Millisecond
-	// maxPages bounds a listing: 500 records a page.
+	// minBackoff and maxBackoff bound the delay after a failed call. The store
+	// counts rejected calls against its rate limit, which is some hundreds a
+	// second.
+	minBackoff = 150 * time.Millisecond
+	maxBackoff = 400 * time.Millisecond
+	// maxPages bounds a listing. A page has 500 records.
 	maxPages = 1000
 )
 
-// Sink takes what a Follower reads. It is called from one goroutine.
+// Sink receives the records that a Follower reads. Its methods are called from
+// one goroutine.
 type Sink interface {
-	// Reset replaces everything by the topic's newest records. next is the
-	// offset that is read next.
+	// Reset replaces the whole content by the topic's newest records. next is
+	// the offset that is read next.
 	Reset(records []port.KeyedRecord, next int64)
-	// Apply takes records in their order.
+	// Apply applies records in order.
 	Apply(records []port.KeyedRecord)
-	// StoreLost says that the store can't be read, once for each outage.
+	// StoreLost reports, once for each outage, that the store can't be read.
 	StoreLost(err error)
-	// StoreRecovered says that the store was read again, after Reset or Apply.
+	// StoreRecovered reports the end of an outage, after the Reset or Apply of
+	// the read that succeeded.
 	StoreRecovered()
 }
 
-// Options of a Follower.
+// Options configures a Follower.
 type Options struct {
 	Store port.Store
 	Topic port.Topic
 	Name  string // for log lines
 	Sink  Sink
-	// ReadInterval is the least time between the begins of two reads, since every call
-	// is paid for. It is asked before each read.
+	// ReadInterval returns the minimum time between the starts of two reads,
+	// since every call is paid for. It is called after each read.
 	ReadInterval func() time.Duration
-	// Wait is the longest wait of a read for records. It is asked before each.
+	// Wait returns how long a read may wait for records. It is called before
+	// each read.
 	Wait func() time.Duration
-	// OnCurrent, if set, is called after each listing of the store or read that
-	// succeeded, once its records were handed over: all records before the
-	// offset next were.
+	// OnCurrent, if set, is called after each successful read and each listing
+	// from the store, once the records were passed to Sink. All records before
+	// the offset next have been passed on.
 	OnCurrent func(next int64)
 }
 
-// Follower reads one topic until Stop.
+// Follower reads one topic until Stop is called.
 type Follower struct {
 	o    Options
 	tomb tomb.Tomb
 
-	// of the reading goroutine
-	next   int64 // offset to read from
-	placed bool  // next is known
-	lost   bool
+	// used by the reading goroutine only
+	next      int64 // offset to read from
+	nextKnown bool  // next is valid
+	lost      bool
 }
 
-// New returns a Follower that doesn't run yet.
+// New returns a Follower that isn't started yet.
 func New(o Options) *Follower {
 	return &Follower{o: o}
 }
 
-// Start begins to read.
-func (f *Follower) Start() { f.tomb.Go(f.loop) }
+// Start starts reading.
+func (f *Follower) Start() { f.tomb.Go(f.run) }
 
-// Stop ends the reading.
+// Stop stops reading and waits for the goroutine to end.
 func (f *Follower) Stop() error {
 	f.tomb.Kill(nil)
 	return f.tomb.Wait()
 }
 
-func (f *Follower) loop() error {
+func (f *Follower) run() error {
 	ctx := f.tomb.Context(context.Background())
-	backoff := firstBackoff
+	backoff := minBackoff
 	for f.tomb.Alive() {
 		begun := time.Now()
-		err := f.step(ctx)
+		err := f.readOnce(ctx)
 		if ctx.Err() != nil {
 			return nil
 		}
-		f.report(err)
+		f.reportOutage(err)
 		wait := f.o.ReadInterval() - time.Since(begun)
 		if err != nil {
 			wait = backoff
 			backoff = min(2*backoff, maxBackoff)
 		} else {
-			backoff = firstBackoff
+			backoff = minBackoff
 		}
 		if pause.For(ctx, wait) != nil {
 			return nil
@@ -103,15 +107,15 @@
 	return nil
 }
 
-// step makes one listing or one read.
-func (f *Follower) step(ctx context.Context) error {
-	if !f.placed {
+// readOnce makes one listing or one read.
+func (f *Follower) readOnce(ctx context.Context) error {
+	if !f.nextKnown {
 		return f.list(ctx)
 	}
 	batch, err := f.o.Store.Read(ctx, f.o.Topic, f.next, f.o.Wait())
 	if errors.Is(err, port.ErrExpired) {
-		log.WithFields(log.Fields{"topic": f.o.Name, "from": f.next}).Info("topic: records expired, listing the topic")
-		f.placed = false
+		log.WithFields(log.Fields{"topic": f.o.Name, "from": f.next}).Info("topic: records expired; listing the topic again")
+		f.nextKnown = false
 		return f.list(ctx)
 	}
 	if err != nil {
@@ -121,23 +125,23 @@
 	if len(batch.Records) > 0 {
 		f.o.Sink.Apply(batch.Records)
 	}
-	f.current()
+	f.reportProgress()
 	return nil
 }
 
-func (f *Follower) current() {
+func (f *Follower) reportProgress() {
 	if f.o.OnCurrent != nil {
 		f.o.OnCurrent(f.next)
 	}
 }
 
-// list reads the newest record of each key, and goes on from the end that the
-// first page names: a record that is written while later pages are read is
-// read again from the log.
+// list reads the newest record of each key and sets the offset to continue from
+// to the end given by the first page. A record that is written while later
+// pages are read is read again from the log.
 //
-// The guard is against a listing that is older than what was read before: it
-// would bring back targets that have left. The store's answer may be some
-// seconds behind, which shows in an end below the offset to read from.
+// A listing that is older than the records already read is rejected, because it
+// would restore targets that have left. The store may answer with data that is
+// some seconds old; the end of such a listing is below the current offset.
 func (f *Follower) list(ctx context.Context) error {
 	var all []port.KeyedRecord
 	var end int64
@@ -160,18 +164,18 @@
 	if end < f.next {
 		return errStale
 	}
-	f.next, f.placed = end, true
-	log.WithFields(log.Fields{"topic": f.o.Name, "records": len(all), "newest": newest(all), "next": end}).Info("topic: listed")
+	f.next, f.nextKnown = end, true
+	log.WithFields(log.Fields{"topic": f.o.Name, "records": len(all), "newest": maxOffset(all), "next": end}).Info("topic: listed")
 	f.o.Sink.Reset(all, end)
 	if relayed {
 		return errRelayed
 	}
-	f.current()
+	f.reportProgress()
 	return nil
 }
 
-// newest is the highest offset of the records, -1 without any.
-func newest(records []port.KeyedRecord) int64 {
+// maxOffset returns the highest offset of the records, or -1 if there are none.
+func maxOffset(records []port.KeyedRecord) int64 {
 	top := int64(-1)
 	for _, r := range records {
 		top = max(top, r.Offset)
@@ -180,13 +184,14 @@
 }
 
 var (
-	errStale = errors.New("topic: the listing is older than what was read")
-	// errRelayed keeps the store noted as lost after a listing that another
-	// daemon gave.
-	errRelayed = errors.New("topic: listed by another daemon, the store can't be read")
+	errStale = errors.New("topic: the listing is older than the records already read")
+	// errRelayed keeps the store marked as lost after a listing that came from
+	// another daemon.
+	errRelayed = errors.New("topic: listed from another daemon because the store can't be read")
 )
 
-func (f *Follower) report(err error) {
+// reportOutage logs the start and the end of an outage and notifies the sink.
+func (f *Follower) reportOutage(err error) {
 	switch {
 	case err != nil && !f.lost:
 		f.lost = true
@@ -194,7 +199,7 @@
 		f.o.Sink.StoreLost(err)
 	case err == nil && f.lost:
 		f.lost = false
-		log.WithFields(log.Fields{"topic": f.o.Name, "next": f.next}).Info("topic: store is back")
+		log.WithFields(log.Fields{"topic": f.o.Name, "next": f.next}).Info("topic: store recovered")
 		f.o.Sink.StoreRecovered()
 	}
 }
--- a/process/topic/follower_test.go
+++ b/process/topic/follower_test.go
@@ -26,9 +26,9 @@
 	first   int64
 	records []port.KeyedRecord
 	down    bool
-	behind  int64 // listings show the topic without its last records
-	deaf    bool  // waiting reads miss what is written meanwhile
-	expired bool  // reads find their records dropped
+	behind  int64 // number of the newest records that listings lack
+	missNew bool  // waiting reads miss records written meanwhile
+	expired bool  // reads return port.ErrExpired
 	reads   int
 	lists   int
 }
@@ -75,7 +75,7 @@
 			return port.KeyedBatch{}, port.ErrUnavailable
 		case expired || from < first:
 			return port.KeyedBatch{}, port.ErrExpired
-		case (begun || !s.deaf) && len(out) > 0:
+		case (begun || !s.missNew) && len(out) > 0:
 			return port.KeyedBatch{Records: out, Next: end}, nil
 		case !time.Now().Before(deadline):
 			return port.KeyedBatch{Next: from}, nil
@@ -96,7 +96,7 @@
 	return 0, errors.New("not used")
 }
 
-// sink keeps what it gets as text.
+// sink records its calls as text.
 type sink struct {
 	mu  sync.Mutex
 	log []string
@@ -110,10 +110,10 @@
 
 func (s *sink) Reset(r []port.KeyedRecord, _ int64) { s.note("reset " + keys(r)) }
 func (s *sink) Apply(r []port.KeyedRecord)          { s.note("apply " + keys(r)) }
-func (s *sink) StoreLost(error)                          { s.note("lost") }
-func (s *sink) StoreRecovered()                               { s.note("back") }
+func (s *sink) StoreLost(error)                     { s.note("lost") }
+func (s *sink) StoreRecovered()                     { s.note("back") }
 
-func (s *sink) said() string {
+func (s *sink) calls() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return fmt.Sprint(s.log)
@@ -138,7 +138,7 @@
 	})
 }
 
-// wait is how long reads wait here.
+// wait is the wait of reads in these tests.
 const wait = 800 * time.Millisecond
 
 func settle() {
@@ -148,8 +148,8 @@
 
 func check(t *testing.T, k *sink, want string) {
 	t.Helper()
-	if got := k.said(); got != want {
-		t.Errorf("sink saw %s, want %s", got, want)
+	if got := k.calls(); got != want {
+		t.Errorf("calls of the sink: %s, want %s", got, want)
 	}
 }
 
@@ -163,8 +163,8 @@
 	})
 }
 
-// A daemon misses every change from some moment on. The store dropped the
-// records that the daemon wanted next, and its reads failed for good.
+// Guards against a daemon that misses all further changes because the store
+// dropped the records to be read next and every read fails.
 func TestExpiredRecordsAreListed(t *testing.T) {
 	run(t, time.Second, func(s *fakeStore, k *sink) {
 		settle()
@@ -175,9 +175,9 @@
 	})
 }
 
-// Requests go to a target that left. The store forgot its log, and its listing
-// was behind what the daemon had read before.
-func TestListingThatIsBehindIsNotTaken(t *testing.T) {
+// Guards against requests to a target that left: the store dropped its log, and
+// its listing was older than the records that the daemon had already read.
+func TestOutdatedListingIsRejected(t *testing.T) {
 	run(t, 100*time.Millisecond, func(s *fakeStore, k *sink) {
 		settle()
 		s.add("b", "1")
@@ -191,7 +191,7 @@
 	})
 }
 
-func TestOutageIsToldOnce(t *testing.T) {
+func TestOutageIsReportedOnce(t *testing.T) {
 	run(t, time.Second, func(s *fakeStore, k *sink) {
 		settle()
 		s.set(func() { s.down = true })
@@ -203,9 +203,10 @@
 	})
 }
 
-// Every call to the store is paid for, and refused over its rate: with a
-// record every 10 ms an unpaced follower makes a hundred calls a second.
-func TestReadsArePaced(t *testing.T) {
+// Guards against too many calls. Each call is paid for, and calls above the
+// rate limit are rejected. With a record every 10 ms and no minimum interval, a
+// follower makes a hundred calls a second.
+func TestReadIntervalIsKept(t *testing.T) {
 	run(t, 500*time.Millisecond, func(s *fakeStore, k *sink) {
 		for range 500 {
 			s.add("b", "1")
@@ -225,13 +226,13 @@
 	return 0
 }
 
-// Callers are refused a route that was published seconds ago, by one daemon of
-// eight. Its read began as the version was written, missed it, and answered at
-// the end of its wait.
-func TestRecordThatAWaitingReadMissed(t *testing.T) {
+// Guards against a daemon that rejects a route published seconds before. A read
+// that begins while the record is written can miss it and answers at the end of
+// its wait. The next read must return the record.
+func TestRecordMissedByWaitingReadIsReadNext(t *testing.T) {
 	run(t, 0, func(s *fakeStore, k *sink) {
 		settle()
-		s.set(func() { s.deaf = true })
+		s.set(func() { s.missNew = true })
 		s.add("b", "1")
 		_ = pause.For(context.Background(), wait+100*time.Millisecond)
 		synctest.Wait()
