--- a/connection/address/address.go
+++ b/connection/address/address.go
@@ -1,5 +1,6 @@
-// Package address answers callers' question which addresses to use. No
-// balancer stands before the daemons: this answer is what spreads callers.
+// Package address tells callers which daemon addresses to use. There is no load
+// balancer in front of the daemons, so this answer distributes the callers over
+// them.
 package address
 
 import (
@@ -13,53 +14,54 @@
 	"github.com/pomelospool/pomelospool/internal/fraction"
 )
 
-// Member is one daemon as the membership sees it.
+// Member is one daemon as known from the membership.
 type Member struct {
 	Addr    string  // host:port for callers
 	Zone    string  // availability zone
-	Leaving bool    // stops soon: callers must be elsewhere by then
-	Weight  float64 // its share of the callers against others'; 0: 1
+	Leaving bool    // it stops soon, and callers must use other daemons by then
+	Weight  float64 // relative share of the callers; 0 means 1
 }
 
-// Entry is one address of an answer.
+// Entry is one address in an Answer.
 type Entry struct {
 	Addr string `json:"addr"`
 	Zone string `json:"zone"`
 }
 
-// Answer tells a caller which addresses to use, best first, and for how long
-// it may keep the answer.
+// Answer lists the addresses for a caller in order of preference, and how long
+// the caller may cache them.
 type Answer struct {
 	Addresses []Entry `json:"addresses"`
 	TTLMs     int64   `json:"ttl_ms"`
 }
 
-// Book makes answers. It is safe for concurrent use.
+// Book answers requests for addresses. It is safe for concurrent use.
 type Book struct {
 	members func() []Member
 	ttl     time.Duration
 }
 
-// NewBook returns a Book over members, which returns the live members and
-// must be safe for concurrent use.
+// NewBook returns a Book for the members returned by members, which must return
+// the live members and be safe for concurrent use.
 func NewBook(members func() []Member, ttl time.Duration) *Book {
 	return &Book{members: members, ttl: ttl}
 }
 
-// Answer orders the members that stay: the caller's availability zone first,
-// and within a zone by a hash of seed and address, the ones of more weight first
-// more often. Different seeds give different orders, so that callers spread; the
-// same seed keeps its order while members come and go, so that its connections
-// stay in use.
+// Answer returns the addresses of the members that aren't leaving. Those in the
+// caller's availability zone come first. Within a zone the order follows a hash
+// of seed and address, in which members with more weight come first more often.
+// Different seeds give different orders, which spreads the callers. The same
+// seed keeps its order while members come and go, so that the caller's
+// connections stay in use.
 func (b *Book) Answer(zone string, seed uint64) Answer {
 	var stay []ranked
 	for _, m := range b.members() {
 		if !m.Leaving {
-			stay = append(stay, ranked{Entry: Entry{Addr: m.Addr, Zone: m.Zone}, rank: weighted(Rank(seed, m.Addr), m.Weight)})
+			stay = append(stay, ranked{Entry: Entry{Addr: m.Addr, Zone: m.Zone}, rank: weightedRank(Rank(seed, m.Addr), m.Weight)})
 		}
 	}
 	slices.SortFunc(stay, func(x, y ranked) int {
-		return cmp.Or(x.away(zone)-y.away(zone), cmp.Compare(x.rank, y.rank))
+		return cmp.Or(x.zoneDistance(zone)-y.zoneDistance(zone), cmp.Compare(x.rank, y.rank))
 	})
 	a := Answer{Addresses: make([]Entry, 0, len(stay)), TTLMs: b.ttl.Milliseconds()}
 	for _, m := range stay {
@@ -68,33 +70,35 @@
 	return a
 }
 
-// Seed is the seed of the caller with that name or address.
+// Seed returns the seed for a caller's name or address.
 func Seed(caller string) uint64 { return xxhash.Sum64String(caller) }
 
-// ranked is an entry with its place in one caller's order.
+// ranked is an entry with its rank for one caller.
 type ranked struct {
 	Entry
 	rank float64
 }
 
-func (r *ranked) away(zone string) int {
+// zoneDistance returns 0 for an entry in the given zone and 1 for all others.
+func (r *ranked) zoneDistance(zone string) int {
 	if r.Zone == zone {
 		return 0
 	}
 	return 1
 }
 
-// weighted turns a rank into a draw of an exponential distribution of that rate:
-// the least of several is each one's with the chance of its weight.
-func weighted(rank uint64, weight float64) float64 {
+// weightedRank maps a rank to an exponentially distributed value with the given
+// rate. The probability that a member has the smallest of several values is
+// proportional to its weight.
+func weightedRank(rank uint64, weight float64) float64 {
 	if weight <= 0 {
 		weight = 1
 	}
 	return -math.Log1p(-fraction.Of(rank)) / weight
 }
 
-// Rank is the place of an address in the order of a seed: it mixes the seed into
-// the hash of the address, without a copy of either.
+// Rank returns the position of an address in the order of a seed. It mixes the
+// seed into the hash of the address without copying either.
 func Rank(seed uint64, addr string) uint64 {
 	d := xxhash.NewWithSeed(seed)
 	_, _ = d.WriteString(addr) // never fails
--- a/connection/address/address_test.go
+++ b/connection/address/address_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Guards against a slow daemon that gets as many callers as one with eight times
-// its processor.
-func TestCallersFollowTheWeights(t *testing.T) {
+// Guards against a slow daemon that gets as many callers as one with eight
+// times its CPU capacity.
+func TestCallersAreSpreadByWeight(t *testing.T) {
 	weights := []float64{1, 1, 2, 4, 8}
 	var members []Member
 	for i, w := range weights {
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestAnswer: callers get the members that stay, their own zone first, and
-// spread over them.
+// Callers get the members that aren't leaving, those of their own zone first,
+// and are spread over them.
 func TestAnswer(t *testing.T) {
 	var members []Member
 	for i := range 8 {
@@ -57,9 +57,9 @@
 	before := b.Answer("z1", 7).Addresses[0]
 	members[0].Leaving = true
 	if after := b.Answer("z1", 7).Addresses[0]; after != before {
-		t.Errorf("a caller was moved from %v to %v for nothing", before, after)
+		t.Errorf("a caller was moved from %v to %v without need", before, after)
 	}
 	if a := NewBook(func() []Member { return nil }, 0).Answer("", 0); a.Addresses == nil {
-		t.Error("no members must be an empty list, not null")
+		t.Error("without members the addresses must be an empty list, not null")
 	}
 }
--- a/connection/targets/targets.go
+++ b/connection/targets/targets.go
@@ -1,5 +1,6 @@
-// Package targets holds the targets of a service in an order that all daemons
-// agree on, and finds a few of many without looking at each.
+// Package targets holds the targets of a service in an order that is the same
+// on all daemons, and selects a few of many targets without a scan of all of
+// them.
 package targets
 
 import (
@@ -12,14 +13,14 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// List is targets in the order of engines.Hash of their ids. It is read-only. A nil
-// List is empty.
+// List is a list of targets ordered by the engines.Hash of their IDs. It is
+// read-only. A nil List is empty.
 type List struct {
 	entries []*port.TargetEntry
 	hashes  []uint64
 }
 
-// Len is the number of targets.
+// Len returns the number of targets.
 func (l *List) Len() int {
 	if l == nil {
 		return 0
@@ -27,7 +28,7 @@
 	return len(l.entries)
 }
 
-// All returns the targets, which must not be changed.
+// All returns the targets, which must not be modified.
 func (l *List) All() []*port.TargetEntry {
 	if l == nil {
 		return nil
@@ -35,9 +36,9 @@
 	return l.entries
 }
 
-// After returns the first n targets at or after a point of the hashes' circle:
-// for the same point the same ones on each daemon, but for targets that come or
-// go right there.
+// After returns the first n targets at or after a point on the hash ring. All
+// daemons get the same targets for the same point, except for targets that are
+// added or removed close to it.
 func (l *List) After(point uint64, n int) []*port.TargetEntry {
 	n = min(n, l.Len())
 	if n <= 0 {
@@ -51,7 +52,8 @@
 	return out
 }
 
-// Lookup returns the target whose id has that hash, nil if there is none.
+// Lookup returns the target whose ID has the given hash, or nil if there is
+// none.
 func (l *List) Lookup(hash uint64) *port.TargetEntry {
 	at, _ := l.find(hash, "")
 	if at < l.Len() && l.hashes[at] == hash {
@@ -60,7 +62,8 @@
 	return nil
 }
 
-// find is where a target with that id and hash stands, or would.
+// find returns the index of the target with the given ID and hash, or the index
+// at which it would be inserted.
 func (l *List) find(hash uint64, id string) (at int, found bool) {
 	at = sort.Search(l.Len(), func(i int) bool {
 		return l.hashes[i] > hash || l.hashes[i] == hash && l.entries[i].ID >= id
@@ -68,8 +71,8 @@
 	return at, at < l.Len() && l.entries[at].ID == id
 }
 
-// with returns the list after changes, which are in its order.
-func (l *List) with(changes []change) *List {
+// apply returns the list after changes, which must be in the order of the list.
+func (l *List) apply(changes []change) *List {
 	next := &List{
 		entries: make([]*port.TargetEntry, 0, l.Len()+len(changes)),
 		hashes:  make([]uint64, 0, l.Len()+len(changes)),
@@ -77,7 +80,7 @@
 	done := 0
 	for _, c := range changes {
 		at, found := l.find(c.hash, c.id)
-		next.copy(l, done, at)
+		next.appendRange(l, done, at)
 		if c.entry != nil {
 			next.entries, next.hashes = append(next.entries, c.entry), append(next.hashes, c.hash)
 		}
@@ -86,37 +89,38 @@
 			done++
 		}
 	}
-	next.copy(l, done, l.Len())
+	next.appendRange(l, done, l.Len())
 	return next
 }
 
-// copy appends a part of another list.
-func (l *List) copy(from *List, begin, end int) {
+// appendRange appends a range of another list.
+func (l *List) appendRange(from *List, begin, end int) {
 	if begin < end {
 		l.entries, l.hashes = append(l.entries, from.entries[begin:end]...), append(l.hashes, from.hashes[begin:end]...)
 	}
 }
 
-// change is a target's new entry, nil if it is gone.
+// change is the new entry of a target, or nil if the target is gone.
 type change struct {
 	id    string
 	hash  uint64
 	entry *port.TargetEntry
 }
 
-// group is the targets of a role that stay; zone empty: of all availability zones.
+// group selects the targets of a role that aren't leaving, in one availability
+// zone or, if zone is empty, in all of them.
 type group struct {
 	role port.Role
 	zone string
 }
 
-// Set is the targets of one service. It is read-only. A nil Set is empty.
+// Set holds the targets of one service. It is read-only. A nil Set is empty.
 type Set struct {
 	all    *List
 	groups map[group]*List
 }
 
-// NewSet returns a Set of these targets.
+// NewSet returns a Set of the given targets.
 func NewSet(entries []port.TargetEntry) *Set {
 	changes := make(map[string]*port.TargetEntry, len(entries))
 	for i := range entries {
@@ -125,7 +129,7 @@
 	return (*Set)(nil).With(changes)
 }
 
-// All is all targets, those that leave too.
+// All returns all targets, including those that are leaving.
 func (s *Set) All() *List {
 	if s == nil {
 		return nil
@@ -133,7 +137,8 @@
 	return s.all
 }
 
-// Of is the targets of a role that stay; zone empty: of all availability zones.
+// Of returns the targets of a role that aren't leaving, in one availability
+// zone or, if zone is empty, in all of them.
 func (s *Set) Of(role port.Role, zone string) *List {
 	if s == nil {
 		return nil
@@ -141,7 +146,8 @@
 	return s.groups[group{role: role, zone: zone}]
 }
 
-// With returns the Set after changes: entries by id, nil for a target that is gone.
+// With returns the Set after changes, which are entries by ID, or nil for a
+// target that is gone.
 func (s *Set) With(changes map[string]*port.TargetEntry) *Set {
 	ordered := make([]change, 0, len(changes))
 	for id, e := range changes {
@@ -151,17 +157,17 @@
 		return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.id, b.id))
 	})
 	old := s.All()
-	next := &Set{all: old.with(ordered), groups: make(map[group]*List)}
+	next := &Set{all: old.apply(ordered), groups: make(map[group]*List)}
 	if s != nil {
 		maps.Copy(next.groups, s.groups)
 	}
 	for key, list := range byGroup(old, ordered) {
-		next.groups[key] = s.Of(key.role, key.zone).with(list)
+		next.groups[key] = s.Of(key.role, key.zone).apply(list)
 	}
 	return next
 }
 
-// byGroup returns what changes of each group.
+// byGroup returns the changes of each group.
 func byGroup(old *List, changes []change) map[group][]change {
 	out := make(map[group][]change)
 	for _, c := range changes {
@@ -185,7 +191,7 @@
 	return out
 }
 
-// groupsOf are the groups that a target is in.
+// groupsOf returns the groups that a target belongs to.
 func groupsOf(e *port.TargetEntry) []group {
 	switch {
 	case e.Leaving:
--- a/connection/targets/targets_test.go
+++ b/connection/targets/targets_test.go
@@ -12,7 +12,7 @@
 	return port.TargetEntry{ID: fmt.Sprint("e", n), Zone: zone, Role: port.RolePrefill}
 }
 
-func TestWithGivesWhatANewSetHolds(t *testing.T) {
+func TestWithEqualsNewSet(t *testing.T) {
 	var first, want []port.TargetEntry
 	changes := make(map[string]*port.TargetEntry)
 	for n := range 200 {
@@ -72,6 +72,6 @@
 		t.Errorf("%d of 100 points have another first target after one of 1,000 left", moved)
 	}
 	if got := (*Set)(nil).Of(port.RolePrefill, "").After(1, 3); got != nil {
-		t.Errorf("an empty set gives %v", got)
+		t.Errorf("an empty set returned %v", got)
 	}
 }
--- a/internal/fraction/fraction_test.go
+++ b/internal/fraction/fraction_test.go
@@ -12,6 +12,6 @@
 		}
 	}
 	if got := Of(math.MaxUint64); got >= 1 {
-		t.Errorf("the largest hash gives %v", got)
+		t.Errorf("the largest hash is mapped to %v, want less than 1", got)
 	}
 }
--- a/internal/hop/hop.go
+++ b/internal/hop/hop.go
@@ -1,5 +1,5 @@
-// Package hop knows the HTTP headers that end with a connection (RFC 9110, 7.6.1)
-// and those that a proxy writes anew.
+// Package hop handles the hop-by-hop HTTP headers (RFC 9110, section 7.6.1) and
+// the headers that a proxy sets itself.
 package hop
 
 import (
@@ -7,23 +7,23 @@
 	"strings"
 )
 
-// headers concern one connection only. Content-Length and Expect are written
-// anew with the body.
-var headers = []string{
+// hopHeaders apply to a single connection. Content-Length and Expect are set
+// again together with the body.
+var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Content-Length", "Expect",
 }
 
-// Strip deletes the headers that concern one connection from h. Those that the
-// header Connection lists stay: see Listed.
+// Strip deletes the hop-by-hop headers from h. It keeps the headers listed in
+// the Connection header, which Listed returns.
 func Strip(h http.Header) {
-	for _, k := range headers {
+	for _, k := range hopHeaders {
 		h.Del(k)
 	}
 }
 
-// Listed returns the names that the header Connection lists, in canonical form.
+// Listed returns the names listed in the Connection header, in canonical form.
 func Listed(h http.Header) []string {
 	var out []string
 	for _, name := range strings.Split(strings.Join(h.Values("Connection"), ","), ",") {
--- a/internal/hop/hop_test.go
+++ b/internal/hop/hop_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A header that one connection agreed on reaches the next one, which takes it
-// for its own: the target would hold the connection open, or wait for a body.
+// Guards against a hop-by-hop header that is forwarded to the next connection:
+// a target would keep the connection open or wait for a body.
 func TestStrip(t *testing.T) {
 	h := http.Header{
 		"Connection": {"close, x-hop", " , Te"}, "Keep-Alive": {"timeout=5"}, "Te": {"trailers"},
--- a/internal/packetnet/packetnet.go
+++ b/internal/packetnet/packetnet.go
@@ -1,4 +1,4 @@
-// Package packetnet is a network of datagrams in memory, for tests.
+// Package packetnet is an in-memory datagram network for tests.
 package packetnet
 
 import (
@@ -9,25 +9,26 @@
 	"time"
 )
 
-// queue is the number of datagrams that wait at a receiver; more are lost.
-const queue = 1000
+// queueSize is the number of datagrams that a receiver buffers. Further
+// datagrams are dropped.
+const queueSize = 1000
 
-// Net carries datagrams between its ends. It is safe for concurrent use.
+// Net transfers datagrams between its ends. It is safe for concurrent use.
 type Net struct {
-	mu   sync.Mutex
-	ends map[string]*End
-	cut  map[string]bool // addresses that nothing reaches or leaves
-	sent int             // datagrams
-	lose float64         // share of datagrams that is lost
-	luck *rand.Rand
+	mu          sync.Mutex
+	ends        map[string]*End
+	unreachable map[string]bool // addresses whose datagrams are dropped in both directions
+	sent        int             // number of datagrams
+	lossRate    float64         // share of datagrams that are dropped
+	rng         *rand.Rand
 }
 
-// New returns a Net whose losses follow from the seed.
+// New returns a Net whose datagram losses are determined by the seed.
 func New(seed uint64) *Net {
-	return &Net{ends: make(map[string]*End), cut: make(map[string]bool), luck: rand.New(rand.NewPCG(1, seed))}
+	return &Net{ends: make(map[string]*End), unreachable: make(map[string]bool), rng: rand.New(rand.NewPCG(1, seed))}
 }
 
-// End is one socket: a net.PacketConn.
+// End is a socket. It implements net.PacketConn.
 type End struct {
 	n    *Net
 	addr *net.UDPAddr
@@ -43,42 +44,42 @@
 	from net.Addr
 }
 
-// Open returns the socket of an address, host:port. It panics if that can't be
-// read.
+// Open returns a socket with the address addr, in the form host:port. It panics
+// if addr is invalid.
 func (n *Net) Open(addr string) *End {
 	udp, err := net.ResolveUDPAddr("udp4", addr)
 	if err != nil {
 		panic(err)
 	}
-	e := &End{n: n, addr: udp, in: make(chan packet, queue), done: make(chan struct{})}
+	e := &End{n: n, addr: udp, in: make(chan packet, queueSize), done: make(chan struct{})}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.ends[addr] = e
 	return e
 }
 
-// SetCut has nothing reach or leave an address.
+// SetCut sets whether all datagrams to and from an address are dropped.
 func (n *Net) SetCut(addr string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[addr] = on
+	n.unreachable[addr] = on
 }
 
-// SetLoss has a share of the datagrams lost.
+// SetLoss sets the share of datagrams that are dropped.
 func (n *Net) SetLoss(share float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.lose = share
+	n.lossRate = share
 }
 
-// Sent is the number of datagrams that were sent.
+// Sent returns the number of datagrams sent.
 func (n *Net) Sent() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.sent
 }
 
-// Bytes is what an end has sent and received.
+// Bytes returns the number of bytes that the socket has sent and received.
 func (e *End) Bytes() (sent, received int) {
 	e.n.mu.Lock()
 	defer e.n.mu.Unlock()
@@ -91,11 +92,11 @@
 	defer e.n.mu.Unlock()
 	e.n.sent++
 	e.sentBytes += len(data)
-	if e.n.luck.Float64() < e.n.lose {
+	if e.n.rng.Float64() < e.n.lossRate {
 		return len(data), nil
 	}
 	other := e.n.ends[to.String()]
-	if other == nil || e.n.cut[to.String()] || e.n.cut[e.addr.String()] {
+	if other == nil || e.n.unreachable[to.String()] || e.n.unreachable[e.addr.String()] {
 		return len(data), nil
 	}
 	select {
@@ -125,11 +126,11 @@
 // LocalAddr implements net.PacketConn.
 func (e *End) LocalAddr() net.Addr { return e.addr }
 
-// SetDeadline implements net.PacketConn; there is none.
+// SetDeadline implements net.PacketConn. It does nothing.
 func (*End) SetDeadline(time.Time) error { return nil }
 
-// SetReadDeadline implements net.PacketConn; there is none.
+// SetReadDeadline implements net.PacketConn. It does nothing.
 func (*End) SetReadDeadline(time.Time) error { return nil }
 
-// SetWriteDeadline implements net.PacketConn; there is none.
+// SetWriteDeadline implements net.PacketConn. It does nothing.
 func (*End) SetWriteDeadline(time.Time) error { return nil }
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time or for the end of a context.
+// Package pause waits for a period or for the end of a context.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d. It returns the error of ctx if that ended before.
+// For waits for d. It returns the error of ctx if ctx ends first.
 func For(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/internal/pipenet/pipenet.go
+++ b/internal/pipenet/pipenet.go
@@ -1,5 +1,5 @@
-// Package pipenet is a network in memory for tests on virtual time: servers by
-// address, connections that are pipes.
+// Package pipenet is an in-memory network for tests on virtual time. Servers
+// have addresses, and connections are pipes.
 package pipenet
 
 import (
@@ -10,7 +10,8 @@
 	"syscall"
 )
 
-// Net is safe for concurrent use. The zero value has no servers.
+// Net is a network of servers. It is safe for concurrent use. The zero value
+// has no servers.
 type Net struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
@@ -18,7 +19,7 @@
 	dials     map[string]int
 }
 
-// Serve answers at an address until Close or Stop.
+// Serve serves HTTP requests at an address until Close or Stop is called.
 func (n *Net) Serve(addr string, h http.Handler) {
 	l := &listener{conns: make(chan net.Conn), closed: make(chan struct{})}
 	srv := &http.Server{Handler: h}
@@ -33,7 +34,8 @@
 	go func() { _ = srv.Serve(l) }()
 }
 
-// Raw answers connections at an address by a function that owns them.
+// Raw calls serve, which owns the connection, for each connection to an
+// address.
 func (n *Net) Raw(addr string, serve func(net.Conn)) {
 	l := &listener{conns: make(chan net.Conn), closed: make(chan struct{})}
 	n.mu.Lock()
@@ -54,7 +56,7 @@
 	}()
 }
 
-// Dial connects to an address; without a server the connection is refused.
+// Dial connects to an address. The connection is refused if there is no server.
 func (n *Net) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	n.mu.Lock()
 	l := n.listeners[addr]
@@ -76,14 +78,14 @@
 	}
 }
 
-// Dials is the number of connections made to an address.
+// Dials returns the number of connections made to an address.
 func (n *Net) Dials(addr string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.dials[addr]
 }
 
-// Stop refuses connections to an address from now on.
+// Stop makes the network refuse new connections to an address.
 func (n *Net) Stop(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -93,7 +95,7 @@
 	}
 }
 
-// Close ends all servers and their connections.
+// Close closes all servers and their connections.
 func (n *Net) Close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/sock/sock_linux.go
+++ b/internal/sock/sock_linux.go
@@ -1,4 +1,4 @@
-// Package sock sets socket options that net has no name for.
+// Package sock sets socket options that package net doesn't provide.
 package sock
 
 import (
@@ -9,13 +9,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// Control is the form of net.Dialer.Control and net.ListenConfig.Control.
+// Control is the type of net.Dialer.Control and net.ListenConfig.Control.
 type Control func(network, addr string, raw syscall.RawConn) error
 
-// UserTimeout returns a control that sets TCP_USER_TIMEOUT: the kernel drops a
-// connection, and the bytes still to be sent on it, when they have stood
-// unacknowledged for d. Without it the kernel goes on sending for many
-// minutes. Connections accepted by a listener inherit the listener's.
+// UserTimeout returns a Control that sets TCP_USER_TIMEOUT. The kernel closes a
+// connection, and drops its unsent data, if transmitted data stays
+// unacknowledged for d. Without this option the kernel keeps retransmitting for
+// many minutes. Accepted connections inherit the option from their listener.
 func UserTimeout(d time.Duration) Control {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var set error
--- a/internal/sock/sock_other.go
+++ b/internal/sock/sock_other.go
@@ -1,6 +1,6 @@
 //go:build !linux
 
-// Package sock sets socket options that net has no name for.
+// Package sock sets socket options that package net doesn't provide.
 package sock
 
 import (
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Control is the form of net.Dialer.Control and net.ListenConfig.Control.
+// Control is the type of net.Dialer.Control and net.ListenConfig.Control.
 type Control func(network, addr string, raw syscall.RawConn) error
 
-// UserTimeout does nothing: only Linux has TCP_USER_TIMEOUT.
+// UserTimeout returns nil, since only Linux has TCP_USER_TIMEOUT.
 func UserTimeout(time.Duration) Control { return nil }
--- a/internal/watchdog/watchdog.go
+++ b/internal/watchdog/watchdog.go
@@ -1,10 +1,10 @@
-// Package watchdog limits waits for a peer without counting the time in which
-// this process was paused.
+// Package watchdog limits the wait for a peer, without counting the time in
+// which this process was paused.
 //
-// All timers of a process that was stopped, or that a busy machine didn't run,
-// expire at once when it continues, before it has read what its peers sent in
-// the meantime. Without the correction it takes its own pause for the silence
-// of everyone else.
+// All timers of a process that was stopped, or that didn't get CPU time on a
+// busy VM, expire at once when it continues, before it has read what its peers
+// sent in the meantime. Without the correction the process would take its own
+// pause for the silence of all its peers.
 package watchdog
 
 import (
@@ -14,15 +14,16 @@
 )
 
 const (
-	// slices is the number of parts in which a limit is measured. A pause counts
-	// as one part at most.
+	// slices is the number of parts into which a limit is divided. A pause
+	// counts as one part at most.
 	slices = 4
-	// minLeft is the number of parts left after a pause, so that what arrived
-	// during the pause is read before the limit is reached.
-	minLeft = 2
+	// minSlicesAfterPause is the minimum number of parts that remain after a
+	// pause, so that data that arrived during the pause is read before the
+	// limit is reached.
+	minSlicesAfterPause = 2
 )
 
-// Watchdog calls a function when one wait exceeds its limit. It is safe for
+// Watchdog calls a function when a wait exceeds its limit. It is safe for
 // concurrent use.
 type Watchdog struct {
 	expire func()
@@ -33,11 +34,11 @@
 }
 
 // New returns a Watchdog without a wait. expire is called with a lock held and
-// must not call the Watchdog.
+// must not call methods of the Watchdog.
 func New(expire func()) *Watchdog { return &Watchdog{expire: expire} }
 
-// Arm begins a wait of at most limit in place of the present one. A limit of 0
-// or less is none.
+// Arm starts a wait of at most limit and replaces the current one. A limit of 0
+// or less means no limit.
 func (w *Watchdog) Arm(limit time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -48,7 +49,7 @@
 	}
 	w.wait = newWait(limit, time.Now())
 	if w.timer == nil {
-		w.timer = time.AfterFunc(w.wait.slice, w.fired)
+		w.timer = time.AfterFunc(w.wait.slice, w.onTimer)
 		return
 	}
 	w.timer.Reset(w.wait.slice)
@@ -71,7 +72,7 @@
 	}
 }
 
-func (w *Watchdog) fired() {
+func (w *Watchdog) onTimer() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
@@ -87,40 +88,40 @@
 
 // wait is one wait, measured in slices.
 type wait struct {
-	slice   time.Duration
-	due     time.Time // end of the present slice
-	left    int       // slices after the present one
-	expired bool
+	slice      time.Duration
+	due        time.Time // end of the current slice
+	slicesLeft int       // slices after the current one
+	expired    bool
 }
 
 func newWait(limit time.Duration, now time.Time) wait {
 	slice := max(limit/slices, 1)
-	return wait{slice: slice, due: now.Add(slice), left: slices - 1}
+	return wait{slice: slice, due: now.Add(slice), slicesLeft: slices - 1}
 }
 
-// running reports whether a slice of the wait ended by now. A timer that fired
-// as the wait ended or another began finds none.
+// running reports whether a slice of the wait has ended by now. It hasn't if
+// the timer fired just as the wait ended or was replaced by another one.
 func (w *wait) running(now time.Time) bool {
 	return w.slice > 0 && !w.expired && !now.Before(w.due)
 }
 
-// next begins the slice after one that ended by now. It reports whether the
-// limit is exceeded instead.
+// next starts the next slice after one that has ended by now. If none is left,
+// it reports that the limit is exceeded.
 func (w *wait) next(now time.Time) bool {
 	if paused := now.Sub(w.due) > w.slice/2; paused {
-		w.left = max(w.left, minLeft)
+		w.slicesLeft = max(w.slicesLeft, minSlicesAfterPause)
 	}
-	if w.left == 0 {
+	if w.slicesLeft == 0 {
 		w.expired = true
 		return true
 	}
-	w.left--
+	w.slicesLeft--
 	w.due = now.Add(w.slice)
 	return false
 }
 
 // WithTimeout returns a context that is cancelled with the cause
-// context.DeadlineExceeded once this process ran for limit.
+// context.DeadlineExceeded once this process has run for limit.
 func WithTimeout(ctx context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	w := New(func() { cancel(context.DeadlineExceeded) })
--- a/internal/watchdog/watchdog_test.go
+++ b/internal/watchdog/watchdog_test.go
@@ -12,8 +12,8 @@
 
 const limit = 400 * time.Millisecond
 
-// expiry returns how long a wait takes that begins at zero, if its timer fires
-// late by the given times, one for each slice, and in time after them.
+// expiry returns the duration of a wait that starts at time zero. late holds
+// the delays of the timers of the first slices; later timers fire on time.
 func expiry(late ...time.Duration) time.Duration {
 	begun := time.Unix(0, 0)
 	w := newWait(limit, begun)
@@ -29,9 +29,9 @@
 	}
 }
 
-// TestPauseIsNoSilence guards against a paused process that takes its pause for
-// the silence of a peer whose bytes it hasn't read yet.
-func TestPauseIsNoSilence(t *testing.T) {
+// Guards against a paused process that takes its own pause for the silence of a
+// peer whose data it hasn't read yet.
+func TestPauseDoesNotCountAsWait(t *testing.T) {
 	const pause = 10 * time.Second
 	for _, c := range []struct {
 		name string
@@ -59,9 +59,9 @@
 		var took []time.Duration
 		w := New(func() { took = append(took, time.Since(begun)) })
 		for _, step := range []struct{ limit, wait time.Duration }{
-			{limit, limit / 2}, // ended before its limit
-			{limit, limit},     // begun again meanwhile
-			{0, limit},         // none
+			{limit, limit / 2}, // replaced before its limit
+			{limit, limit},     // expires
+			{0, limit},         // no limit
 		} {
 			w.Arm(step.limit)
 			_ = pause.For(t.Context(), step.wait)
--- a/internal/yamlcheck/decode.go
+++ b/internal/yamlcheck/decode.go
@@ -14,14 +14,14 @@
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// value decodes n into v, which is settable.
+// value decodes n into v, which must be settable.
 func (f *File) value(path string, n *yaml.Node, v reflect.Value) {
 	if _, known := f.at[path]; !known || path == "" {
 		f.at[path] = position{n.Line, n.Column}
 	}
 	if n.Kind == yaml.AliasNode || n.Anchor != "" {
-		// Aliases can make a small file expand without bound, so that its
-		// check would take the memory of the process. None is followed.
+		// Aliases are never followed: with them a small file can expand
+		// without bound, and its check would exhaust the process's memory.
 		f.Report(path, code.DocSyntax, "an anchor or alias", "write the value out")
 		return
 	}
@@ -53,7 +53,7 @@
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		key, child := n.Content[i], n.Content[i+1]
 		full := join(path, key.Value)
-		if !f.enter(full, key, seen) {
+		if !f.addKey(full, key, seen) {
 			continue
 		}
 		index, ok := fields[key.Value]
@@ -75,7 +75,7 @@
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		key, child := n.Content[i], n.Content[i+1]
 		full := join(path, key.Value)
-		if !f.enter(full, key, seen) {
+		if !f.addKey(full, key, seen) {
 			continue
 		}
 		elem := reflect.New(v.Type().Elem()).Elem()
@@ -87,9 +87,9 @@
 	}
 }
 
-// enter notes the position of a key and reports one that isn't plain text or
-// stands twice. It reports whether the value should be read.
-func (f *File) enter(full string, key *yaml.Node, seen map[string]bool) bool {
+// addKey records the position of a key. It reports a problem if the key isn't
+// plain text or is a duplicate. It returns whether the value should be decoded.
+func (f *File) addKey(full string, key *yaml.Node, seen map[string]bool) bool {
 	if key.Kind != yaml.ScalarNode || key.Anchor != "" {
 		f.at[full] = position{key.Line, key.Column}
 		f.Report(full, code.DocSyntax, "the key is not plain text", "give a name")
@@ -218,7 +218,7 @@
 	}
 }
 
-// describe says in words what a value of type t looks like.
+// describe returns a description of the values of type t.
 func describe(t reflect.Type) string {
 	if t == durationType {
 		return `a duration such as "1.6s"`
--- a/internal/yamlcheck/file.go
+++ b/internal/yamlcheck/file.go
@@ -17,7 +17,7 @@
 )
 
 // File is a decoded YAML file with the positions of its keys and the problems
-// found so far. It belongs to one goroutine.
+// found so far. It is not safe for concurrent use.
 type File struct {
 	name     string
 	at       map[string]position
@@ -29,7 +29,7 @@
 var firstPosition = position{line: 1, column: 1}
 
 // Decode reads data into out, a pointer to a struct with yaml tags that holds
-// the defaults. Keys that the file doesn't have leave out as it was.
+// the defaults. Fields whose keys are missing in the file keep their defaults.
 func Decode(name string, data []byte, maxBytes int, out any) *File {
 	f := &File{name: name, at: map[string]position{"": firstPosition}}
 	if len(data) > maxBytes {
@@ -44,14 +44,14 @@
 	return f
 }
 
-// Has reports whether the file has the key at path, as targets[2].addr.
+// Has reports whether the file has the key at path, such as targets[2].addr.
 func (f *File) Has(path string) bool {
 	_, ok := f.at[path]
 	return ok
 }
 
-// Report adds a problem at path. A path that the file lacks gets the position
-// of the nearest key around it.
+// Report adds a problem at path. If the file lacks the path, the problem gets
+// the position of the closest enclosing key.
 func (f *File) Report(path string, c code.Code, what, right string) {
 	pos := f.position(path)
 	f.problems = append(f.problems, &Problem{
@@ -68,7 +68,7 @@
 // Failed reports whether any problem was found.
 func (f *File) Failed() bool { return len(f.problems) > 0 }
 
-// Problems returns the problems in the order of their place in the file.
+// Problems returns the problems ordered by their position in the file.
 func (f *File) Problems() []*Problem {
 	sort.SliceStable(f.problems, func(i, j int) bool {
 		a, b := f.problems[i], f.problems[j]
@@ -93,7 +93,8 @@
 	}
 }
 
-// parse returns the top node of the only YAML document in data, or nil.
+// parse returns the root node of the only YAML document in data, or nil after
+// reporting a problem.
 func (f *File) parse(data []byte) *yaml.Node {
 	dec := yaml.NewDecoder(bytes.NewReader(data))
 	var doc, more yaml.Node
@@ -124,7 +125,7 @@
 
 var syntaxLine = regexp.MustCompile(`^(?:yaml: )?(?:line (\d+): )?(.*)`)
 
-// syntax reports a parser's error, whose text names the line.
+// syntax reports an error of the YAML parser, whose text contains the line.
 func (f *File) syntax(err error) {
 	text := strings.ReplaceAll(err.Error(), "\n", " ")
 	m := syntaxLine.FindStringSubmatch(text)
--- a/internal/yamlcheck/names.go
+++ b/internal/yamlcheck/names.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// maxDistance is the most edits at which a known key is still offered for an
-// unknown one.
+// maxDistance is the largest edit distance at which a known key is suggested
+// for an unknown one.
 const maxDistance = 3
 
 // fieldsOf maps the YAML names of a struct's fields to their indices.
@@ -18,7 +18,7 @@
 	return m
 }
 
-// namesOf lists the YAML names of a struct's fields in their order.
+// namesOf returns the YAML names of a struct's fields in their order.
 func namesOf(t reflect.Type) []string {
 	names := make([]string, t.NumField())
 	for i := range names {
@@ -39,8 +39,8 @@
 	return path + "." + key
 }
 
-// nearest returns the known name with the fewest edits to key, or "" when all
-// are too far off.
+// nearest returns the known name with the smallest edit distance to key, or ""
+// if all distances are too large.
 func nearest(key string, known []string) string {
 	best, bestDistance := "", min(maxDistance, len(key)/2)+1
 	for _, name := range known {
@@ -51,7 +51,8 @@
 	return best
 }
 
-// distance counts the edits of single bytes that turn a into b.
+// distance returns the Levenshtein distance between a and b in bytes, or just
+// len(a) if a is much longer than b.
 func distance(a, b string) int {
 	if len(a) > 2*len(b)+maxDistance {
 		return len(a)
--- a/internal/yamlcheck/problem.go
+++ b/internal/yamlcheck/problem.go
@@ -1,7 +1,7 @@
-// Package yamlcheck decodes YAML strictly into structs. It reports each
-// unknown key, wrong type and duplicate with its line and column, and keeps
-// the position of every key, so that later checks of ranges and consistency
-// can name the place too.
+// Package yamlcheck decodes YAML strictly into structs. It reports unknown
+// keys, wrong types and duplicates with their line and column. It keeps the
+// position of every key, so that later checks of ranges and consistency can
+// report positions too.
 package yamlcheck
 
 import (
@@ -12,41 +12,43 @@
 	"github.com/pomelospool/pomelospool/code"
 )
 
-// Problem is one fault of a file.
+// Problem is one error in a file.
 type Problem struct {
 	File   string    `json:"file"`
 	Line   int       `json:"line"`   // from 1
 	Column int       `json:"column"` // from 1
-	Key    string    `json:"key"`    // path as targets[2].addr, empty for the file as a whole
-	What   string    `json:"what"`   // what is wrong
-	Right  string    `json:"right"`  // what would be right
+	Key    string    `json:"key"`    // path such as targets[2].addr; empty for the whole file
+	What   string    `json:"what"`   // description of the error
+	Right  string    `json:"right"`  // description of a correct value
 	Code   code.Code `json:"code"`   // 4001 to 4008
 }
 
-// Error gives the problem in one line: FILE:LINE:COL: KEY: what; right (code N).
+// Error returns the problem in one line: FILE:LINE:COL: KEY: what; right (code
+// N).
 func (p *Problem) Error() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s:%d:%d: ", p.File, p.Line, p.Column)
 	if p.Key != "" {
-		b.WriteString(strings.Map(visible, p.Key) + ": ")
+		b.WriteString(strings.Map(replaceUnprintable, p.Key) + ": ")
 	}
 	fmt.Fprintf(&b, "%s; %s (code %d)", p.What, p.Right, int(p.Code))
 	return b.String()
 }
 
-// visible replaces what would break the one line of a problem.
-func visible(r rune) rune {
+// replaceUnprintable replaces runes that aren't printable, such as line breaks,
+// to keep a problem on one line.
+func replaceUnprintable(r rune) rune {
 	if unicode.IsPrint(r) {
 		return r
 	}
 	return unicode.ReplacementChar
 }
 
-// Problems are all faults of a file as one error. code.Of gives the code of
-// the first one.
+// Problems combines all problems of a file in one error. code.Of returns the
+// code of the first one.
 type Problems []*Problem
 
-// Error gives one line for each problem.
+// Error returns one line for each problem.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
@@ -63,7 +65,7 @@
 	return code.New(ps[0].Code, "%s", ps[0].Error())
 }
 
-// AsError returns nil for no problems, and Problems otherwise.
+// AsError returns nil if there are no problems, and Problems otherwise.
 func AsError(ps []*Problem) error {
 	if len(ps) == 0 {
 		return nil
--- a/internal/yamlcheck/rules.go
+++ b/internal/yamlcheck/rules.go
@@ -12,13 +12,13 @@
 	"github.com/pomelospool/pomelospool/code"
 )
 
-// maxName is the length of the longest name, as in DNS.
+// maxName is the maximum length of a name, as in DNS.
 const maxName = 63
 
-// maxText is the length of the longest free text.
+// maxText is the maximum length of free text.
 const maxText = 200
 
-// Required reports each of the paths that the file lacks.
+// Required reports each of the paths that is missing in the file.
 func (f *File) Required(paths ...string) {
 	for _, p := range paths {
 		if !f.Has(p) {
@@ -27,17 +27,17 @@
 	}
 }
 
-// Range reports v when it is below lo or above hi.
+// Range reports v if it is below lo or above hi.
 func Range[T cmp.Ordered](f *File, path string, v, lo, hi T) {
 	if v < lo || v > hi {
 		f.Report(path, code.DocOutOfRange, fmt.Sprintf("%v is out of range", v), fmt.Sprintf("from %v to %v", lo, hi))
 	}
 }
 
-// Duration reports d when it is below lo or above hi.
+// Duration reports d if it is below lo or above hi.
 func (f *File) Duration(path string, d, lo, hi time.Duration) { Range(f, path, d, lo, hi) }
 
-// OneOf reports v when it is none of the choices.
+// OneOf reports v if it is none of the choices.
 func (f *File) OneOf(path, v string, choices ...string) {
 	for _, c := range choices {
 		if v == c {
@@ -47,8 +47,8 @@
 	f.Report(path, code.DocOutOfRange, fmt.Sprintf("%q is not known", v), "one of "+strings.Join(choices, ", "))
 }
 
-// Name reports v unless it is a short name of letters, digits and "._-",
-// and, for names with a slash as of models, "/" and ":".
+// Name reports v unless it is a short name of letters, digits and "._-". If
+// slash is set, as for names of models, "/" and ":" are allowed too.
 func (f *File) Name(path, v string, slash bool) {
 	right := `1 to 63 letters, digits and "._-", a letter or digit first`
 	if slash {
@@ -65,7 +65,8 @@
 	}
 }
 
-// Text reports v unless it is a line of printable text of moderate length.
+// Text reports v unless it is one line of at most maxText bytes of printable
+// text.
 func (f *File) Text(path, v string) {
 	ok := v != "" && len(v) <= maxText && strings.TrimSpace(v) == v
 	for _, r := range v {
@@ -76,8 +77,8 @@
 	}
 }
 
-// Addr reports v unless it is an IP number and a port. Port 0 passes only
-// when anyPort is set.
+// Addr reports v unless it is an IP address and a port. Port 0 is valid only if
+// anyPort is set.
 func (f *File) Addr(path, v string, anyPort bool) {
 	ap, err := netip.ParseAddrPort(v)
 	if err != nil || ap.Addr().Zone() != "" || ap.Port() == 0 && !anyPort {
@@ -93,8 +94,8 @@
 	}
 }
 
-// Unique reports each value of a list that stands in it before. at gives the
-// path of the i-th value.
+// Unique reports each value that occurs earlier in values. at returns the path
+// of the i-th value.
 func (f *File) Unique(values []string, at func(i int) string) {
 	first := make(map[string]int, len(values))
 	for i, v := range values {
--- a/process/discovery/registry.go
+++ b/process/discovery/registry.go
@@ -45,8 +45,8 @@
 	mu        sync.Mutex
 	entries   map[string]port.TargetEntry // by key in the store; the ID of an entry differs for each start of the target
 	offsets   map[string]int64            // by key
-	lastStart map[string]int64 // by key; the newest start time seen
-	lapsed    map[string]time.Time // by key; entries that are missing in the store, with the time at which they are removed here
+	lastStart map[string]int64            // by key; the newest start time seen
+	lapsed    map[string]time.Time        // by key; entries that are missing in the store, with the time at which they are removed here
 	changed   map[string]changes          // by service, since the last snapshot
 	lost      bool
 	keepUntil time.Time // lapsed entries are kept until then
