--- a/connection/address/address.go
+++ b/connection/address/address.go
@@ -35,16 +35,16 @@
 	TTLMs     int64   `json:"ttl_ms"`
 }
 
-// Book answers requests for addresses. It is safe for concurrent use.
-type Book struct {
+// Selector answers requests for addresses. It is safe for concurrent use.
+type Selector struct {
 	members func() []Member
 	ttl     time.Duration
 }
 
-// NewBook returns a Book for the members returned by members, which must return
+// NewSelector returns a Selector for the members returned by members, which must return
 // the live members and be safe for concurrent use.
-func NewBook(members func() []Member, ttl time.Duration) *Book {
-	return &Book{members: members, ttl: ttl}
+func NewSelector(members func() []Member, ttl time.Duration) *Selector {
+	return &Selector{members: members, ttl: ttl}
 }
 
 // Answer returns the addresses of the members that aren't leaving. Those in the
@@ -53,7 +53,7 @@
 // Different seeds give different orders, which spreads the callers. The same
 // seed keeps its order while members come and go, so that the caller's
 // connections stay in use.
-func (b *Book) Answer(zone string, seed uint64) Answer {
+func (b *Selector) Answer(zone string, seed uint64) Answer {
 	var stay []ranked
 	for _, m := range b.members() {
 		if !m.Leaving {
--- a/connection/address/address_test.go
+++ b/connection/address/address_test.go
@@ -14,7 +14,7 @@
 	for i, w := range weights {
 		members = append(members, Member{Addr: fmt.Sprint("10.0.0.", i), Weight: w})
 	}
-	b := NewBook(func() []Member { return members }, time.Second)
+	b := NewSelector(func() []Member { return members }, time.Second)
 	first := make(map[string]int)
 	const callers = 16_000
 	for seed := range uint64(callers) {
@@ -35,7 +35,7 @@
 	for i := range 8 {
 		members = append(members, Member{Addr: fmt.Sprint("10.0.0.", i), Zone: fmt.Sprint("z", i%2), Leaving: i >= 6})
 	}
-	b := NewBook(func() []Member { return members }, 5*time.Second)
+	b := NewSelector(func() []Member { return members }, 5*time.Second)
 	first := make(map[string]int)
 	for seed := range uint64(3000) {
 		a := b.Answer("z1", seed)
@@ -59,7 +59,7 @@
 	if after := b.Answer("z1", 7).Addresses[0]; after != before {
 		t.Errorf("a caller was moved from %v to %v without need", before, after)
 	}
-	if a := NewBook(func() []Member { return nil }, 0).Answer("", 0); a.Addresses == nil {
+	if a := NewSelector(func() []Member { return nil }, 0).Answer("", 0); a.Addresses == nil {
 		t.Error("without members the addresses must be an empty list, not null")
 	}
 }
--- a/connection/h1/h1_test.go
+++ b/connection/h1/h1_test.go
@@ -84,12 +84,12 @@
 
 func TestConnectionIsUsedAgain(t *testing.T) {
 	bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
-		n.Raw("a:1", answer(func(i int, _ *http.Request) string { return ok(fmt.Sprint(i)) }))
+		n.ServeConn("a:1", answer(func(i int, _ *http.Request) string { return ok(fmt.Sprint(i)) }))
 		mustGet(t, p, false, "1")
 		mustGet(t, p, false, "2")
 		_ = pause.For(context.Background(), freshFor+time.Millisecond)
 		mustGet(t, p, true, "1")
-		if d := n.Dials("a:1"); d != 2 {
+		if d := n.DialCount("a:1"); d != 2 {
 			t.Errorf("%d connections, want 2", d)
 		}
 	})
@@ -99,7 +99,7 @@
 // had been idle for long, just as the target closed it.
 func TestIdleConnectionsAreGivenUpBeforeTheTargetDoes(t *testing.T) {
 	bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
-		n.Raw("a:1", answer(func(i int, _ *http.Request) string { return ok(fmt.Sprint(i)) }))
+		n.ServeConn("a:1", answer(func(i int, _ *http.Request) string { return ok(fmt.Sprint(i)) }))
 		resp, err := p.Do(t.Context(), &Request{Addr: "a:1", Target: "t", Method: "GET", URI: "/", Host: "h"})
 		if err != nil {
 			t.Fatal(err)
@@ -108,7 +108,7 @@
 		resp.Close(2 * time.Second)
 		_ = pause.For(context.Background(), 1850*time.Millisecond)
 		mustGet(t, p, false, "1")
-		if d := n.Dials("a:1"); d != 2 {
+		if d := n.DialCount("a:1"); d != 2 {
 			t.Errorf("%d connections, want 2: the stated idle time was nearly over", d)
 		}
 	})
@@ -120,7 +120,7 @@
 	bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
 		stray := "HTTP/1.1 200 OK\r\nId: old\r\nContent-Length: 5\r\n\r\nwrong"
 		mine := "HTTP/1.1 200 OK\r\nId: new\r\nContent-Length: 5\r\n\r\nright"
-		n.Raw("a:1", answer(func(int, *http.Request) string { return stray + mine }))
+		n.ServeConn("a:1", answer(func(int, *http.Request) string { return stray + mine }))
 		resp, err := p.Do(t.Context(), &Request{
 			Addr: "a:1", Target: "t", Method: "GET", URI: "/", Host: "h",
 			Mine: func(_ int, h http.Header) bool { return h.Get("Id") == "new" },
@@ -134,7 +134,7 @@
 			t.Errorf("body %q", body)
 		}
 		_, _, _ = get(p, false)
-		if d := n.Dials("a:1"); d != 2 {
+		if d := n.DialCount("a:1"); d != 2 {
 			t.Error("a connection on which a stray answer came was used again")
 		}
 	})
@@ -142,7 +142,7 @@
 
 func TestOnlyStrayAnswers(t *testing.T) {
 	bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
-		n.Raw("a:1", answer(func(int, *http.Request) string { return strings.Repeat(ok("x"), 10) }))
+		n.ServeConn("a:1", answer(func(int, *http.Request) string { return strings.Repeat(ok("x"), 10) }))
 		_, err := p.Do(t.Context(), &Request{
 			Addr: "a:1", Target: "t", Method: "GET", URI: "/", Host: "h",
 			Mine: func(int, http.Header) bool { return false },
@@ -156,7 +156,7 @@
 // Bytes that follow an answer belong to no request; the connection ends.
 func TestBytesAfterAnAnswerEndTheConnection(t *testing.T) {
 	bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
-		n.Raw("a:1", answer(func(i int, _ *http.Request) string { return ok(fmt.Sprint(i)) + "junk" }))
+		n.ServeConn("a:1", answer(func(i int, _ *http.Request) string { return ok(fmt.Sprint(i)) + "junk" }))
 		mustGet(t, p, false, "1")
 		mustGet(t, p, false, "1")
 	})
@@ -173,7 +173,7 @@
 	for name, text := range cases {
 		t.Run(name, func(t *testing.T) {
 			bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
-				n.Raw("a:1", func(c net.Conn) {
+				n.ServeConn("a:1", func(c net.Conn) {
 					_, _ = http.ReadRequest(bufio.NewReader(c))
 					_, _ = io.WriteString(c, text)
 					_ = c.Close()
@@ -188,7 +188,7 @@
 
 func TestAnswerThatEndsWithItsConnection(t *testing.T) {
 	bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
-		n.Raw("a:1", func(c net.Conn) {
+		n.ServeConn("a:1", func(c net.Conn) {
 			_, _ = http.ReadRequest(bufio.NewReader(c))
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall of it")
 			_ = c.Close()
@@ -209,7 +209,7 @@
 		if !errors.As(err, &e) || e.Written || !errors.Is(err, ErrConnect) {
 			t.Errorf("refused connection: %v", err)
 		}
-		n.Raw("a:1", answer(func(int, *http.Request) string { return "" }))
+		n.ServeConn("a:1", answer(func(int, *http.Request) string { return "" }))
 		_, _, err = get(p, false)
 		if !errors.As(err, &e) || !e.Written {
 			t.Errorf("closed after the request: %v", err)
@@ -225,7 +225,7 @@
 		bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
 			given := make(chan struct{})
 			read := make(chan int)
-			n.Raw("a:1", func(c net.Conn) {
+			n.ServeConn("a:1", func(c net.Conn) {
 				<-given
 				got, _ := c.Read(make([]byte, 1))
 				read <- got
@@ -251,7 +251,7 @@
 func TestSilenceRetiresBusyConnectionsToo(t *testing.T) {
 	bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
 		release := make(chan struct{})
-		n.Raw("a:1", answer(func(_ int, r *http.Request) string {
+		n.ServeConn("a:1", answer(func(_ int, r *http.Request) string {
 			switch r.URL.Path {
 			case "/busy":
 				<-release
@@ -274,7 +274,7 @@
 		if err := get1(p, "/after", 0); err != nil {
 			t.Error(err)
 		}
-		if d := n.Dials("a:1"); d != 3 {
+		if d := n.DialCount("a:1"); d != 3 {
 			t.Errorf("%d connections, want 3: the busy one took another request", d)
 		}
 	})
@@ -294,7 +294,7 @@
 // A target is preferred for a connection that it closes in the next moment.
 func TestWarm(t *testing.T) {
 	bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
-		n.Raw("a:1", answer(func(int, *http.Request) string { return ok("x") }))
+		n.ServeConn("a:1", answer(func(int, *http.Request) string { return ok("x") }))
 		if p.Warm("a:1", "t", Idle) {
 			t.Error("warm before the first request")
 		}
@@ -312,7 +312,7 @@
 // A caller that reads a long answer slowly is no silent target.
 func TestSlowReaderIsNoSilence(t *testing.T) {
 	bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
-		n.Raw("a:1", answer(func(int, *http.Request) string { return ok("whole") }))
+		n.ServeConn("a:1", answer(func(int, *http.Request) string { return ok("whole") }))
 		resp, err := p.Do(t.Context(), &Request{Addr: "a:1", Target: "t", Method: "GET", URI: "/", Host: "h", First: time.Second, Between: time.Second})
 		if err != nil {
 			t.Fatal(err)
@@ -360,7 +360,7 @@
 func TestEndOfContextEndsTheConnection(t *testing.T) {
 	bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
 		closed := make(chan struct{})
-		n.Raw("a:1", func(c net.Conn) {
+		n.ServeConn("a:1", func(c net.Conn) {
 			r := bufio.NewReader(c)
 			_, _ = http.ReadRequest(r)
 			_, _ = r.ReadByte()
@@ -380,7 +380,7 @@
 // later: it must get the rest of that body, or nothing.
 func TestAnswerBeforeTheBodyIsRead(t *testing.T) {
 	bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
-		n.Raw("a:1", func(c net.Conn) {
+		n.ServeConn("a:1", func(c net.Conn) {
 			r := bufio.NewReader(c)
 			req, err := http.ReadRequest(r)
 			if err != nil {
@@ -459,7 +459,7 @@
 
 func TestRetain(t *testing.T) {
 	bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
-		n.Raw("a:1", answer(func(i int, _ *http.Request) string { return ok(fmt.Sprint(i)) }))
+		n.ServeConn("a:1", answer(func(i int, _ *http.Request) string { return ok(fmt.Sprint(i)) }))
 		mustGet(t, p, false, "1")
 		p.Retain(func(key string) bool { return key == Key("a:1", "t") })
 		mustGet(t, p, false, "2")
--- a/connection/targets/targets.go
+++ b/connection/targets/targets.go
@@ -137,9 +137,9 @@
 	return s.all
 }
 
-// Of returns the targets of a role that aren't leaving, in one availability
+// ByRole returns the targets of a role that aren't leaving, in one availability
 // zone or, if zone is empty, in all of them.
-func (s *Set) Of(role port.Role, zone string) *List {
+func (s *Set) ByRole(role port.Role, zone string) *List {
 	if s == nil {
 		return nil
 	}
@@ -162,7 +162,7 @@
 		maps.Copy(next.groups, s.groups)
 	}
 	for key, list := range byGroup(old, ordered) {
-		next.groups[key] = s.Of(key.role, key.zone).apply(list)
+		next.groups[key] = s.ByRole(key.role, key.zone).apply(list)
 	}
 	return next
 }
--- a/connection/targets/targets_test.go
+++ b/connection/targets/targets_test.go
@@ -38,7 +38,7 @@
 		t.Error("the lists differ")
 	}
 	for _, zone := range []string{"", "a", "b", "c", "none"} {
-		a, b := got.Of(port.RolePrefill, zone), all.Of(port.RolePrefill, zone)
+		a, b := got.ByRole(port.RolePrefill, zone), all.ByRole(port.RolePrefill, zone)
 		if !slices.EqualFunc(a.All(), b.All(), same) {
 			t.Errorf("zone %q: %d targets, want %d", zone, a.Len(), b.Len())
 		}
@@ -59,19 +59,19 @@
 	moved := 0
 	for n := range 100 {
 		point := uint64(n) << 57
-		before := s.Of(port.RolePrefill, "a").After(point, 4)
+		before := s.ByRole(port.RolePrefill, "a").After(point, 4)
 		if len(before) != 4 {
 			t.Fatalf("%d targets", len(before))
 		}
 		gone := s.With(map[string]*port.TargetEntry{entries[n].ID: nil})
-		if after := gone.Of(port.RolePrefill, "a").After(point, 4); after[0] != before[0] {
+		if after := gone.ByRole(port.RolePrefill, "a").After(point, 4); after[0] != before[0] {
 			moved++
 		}
 	}
 	if moved > 2 {
 		t.Errorf("%d of 100 points have another first target after one of 1,000 left", moved)
 	}
-	if got := (*Set)(nil).Of(port.RolePrefill, "").After(1, 3); got != nil {
+	if got := (*Set)(nil).ByRole(port.RolePrefill, "").After(1, 3); got != nil {
 		t.Errorf("an empty set returned %v", got)
 	}
 }
--- a/internal/hop/hop.go
+++ b/internal/hop/hop.go
@@ -16,15 +16,15 @@
 }
 
 // Strip deletes the hop-by-hop headers from h. It keeps the headers listed in
-// the Connection header, which Listed returns.
+// the Connection header, which ConnectionOptions returns.
 func Strip(h http.Header) {
 	for _, k := range hopHeaders {
 		h.Del(k)
 	}
 }
 
-// Listed returns the names listed in the Connection header, in canonical form.
-func Listed(h http.Header) []string {
+// ConnectionOptions returns the names listed in the Connection header, in canonical form.
+func ConnectionOptions(h http.Header) []string {
 	var out []string
 	for _, name := range strings.Split(strings.Join(h.Values("Connection"), ","), ",") {
 		if name = strings.TrimSpace(name); name != "" {
--- a/internal/hop/hop_test.go
+++ b/internal/hop/hop_test.go
@@ -13,7 +13,7 @@
 		"Connection": {"close, x-hop", " , Te"}, "Keep-Alive": {"timeout=5"}, "Te": {"trailers"},
 		"Content-Length": {"9"}, "X-Hop": {"1"}, "Accept": {"*/*"},
 	}
-	if got, want := Listed(h), []string{"Close", "X-Hop", "Te"}; !reflect.DeepEqual(got, want) {
+	if got, want := ConnectionOptions(h), []string{"Close", "X-Hop", "Te"}; !reflect.DeepEqual(got, want) {
 		t.Errorf("listed %v, want %v", got, want)
 	}
 	Strip(h)
--- a/internal/packetnet/packetnet.go
+++ b/internal/packetnet/packetnet.go
@@ -16,7 +16,7 @@
 // Net transfers datagrams between its ends. It is safe for concurrent use.
 type Net struct {
 	mu          sync.Mutex
-	ends        map[string]*End
+	conns        map[string]*Conn
 	unreachable map[string]bool // addresses whose datagrams are dropped in both directions
 	sent        int             // number of datagrams
 	lossRate    float64         // share of datagrams that are dropped
@@ -25,11 +25,11 @@
 
 // New returns a Net whose datagram losses are determined by the seed.
 func New(seed uint64) *Net {
-	return &Net{ends: make(map[string]*End), unreachable: make(map[string]bool), rng: rand.New(rand.NewPCG(1, seed))}
+	return &Net{conns: make(map[string]*Conn), unreachable: make(map[string]bool), rng: rand.New(rand.NewPCG(1, seed))}
 }
 
-// End is a socket. It implements net.PacketConn.
-type End struct {
+// Conn is a socket. It implements net.PacketConn.
+type Conn struct {
 	n    *Net
 	addr *net.UDPAddr
 	in   chan packet
@@ -46,27 +46,27 @@
 
 // Open returns a socket with the address addr, in the form host:port. It panics
 // if addr is invalid.
-func (n *Net) Open(addr string) *End {
+func (n *Net) Open(addr string) *Conn {
 	udp, err := net.ResolveUDPAddr("udp4", addr)
 	if err != nil {
 		panic(err)
 	}
-	e := &End{n: n, addr: udp, in: make(chan packet, queueSize), done: make(chan struct{})}
+	e := &Conn{n: n, addr: udp, in: make(chan packet, queueSize), done: make(chan struct{})}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.ends[addr] = e
+	n.conns[addr] = e
 	return e
 }
 
-// SetCut sets whether all datagrams to and from an address are dropped.
-func (n *Net) SetCut(addr string, on bool) {
+// SetUnreachable sets whether all datagrams to and from an address are dropped.
+func (n *Net) SetUnreachable(addr string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.unreachable[addr] = on
 }
 
-// SetLoss sets the share of datagrams that are dropped.
-func (n *Net) SetLoss(share float64) {
+// SetLossRate sets the share of datagrams that are dropped.
+func (n *Net) SetLossRate(share float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.lossRate = share
@@ -80,14 +80,14 @@
 }
 
 // Bytes returns the number of bytes that the socket has sent and received.
-func (e *End) Bytes() (sent, received int) {
+func (e *Conn) Bytes() (sent, received int) {
 	e.n.mu.Lock()
 	defer e.n.mu.Unlock()
 	return e.sentBytes, e.receivedBytes
 }
 
 // WriteTo implements net.PacketConn.
-func (e *End) WriteTo(data []byte, to net.Addr) (int, error) {
+func (e *Conn) WriteTo(data []byte, to net.Addr) (int, error) {
 	e.n.mu.Lock()
 	defer e.n.mu.Unlock()
 	e.n.sent++
@@ -95,7 +95,7 @@
 	if e.n.rng.Float64() < e.n.lossRate {
 		return len(data), nil
 	}
-	other := e.n.ends[to.String()]
+	other := e.n.conns[to.String()]
 	if other == nil || e.n.unreachable[to.String()] || e.n.unreachable[e.addr.String()] {
 		return len(data), nil
 	}
@@ -108,7 +108,7 @@
 }
 
 // ReadFrom implements net.PacketConn.
-func (e *End) ReadFrom(b []byte) (int, net.Addr, error) {
+func (e *Conn) ReadFrom(b []byte) (int, net.Addr, error) {
 	select {
 	case p := <-e.in:
 		return copy(b, p.data), p.from, nil
@@ -118,19 +118,19 @@
 }
 
 // Close implements net.PacketConn.
-func (e *End) Close() error {
+func (e *Conn) Close() error {
 	e.once.Do(func() { close(e.done) })
 	return nil
 }
 
 // LocalAddr implements net.PacketConn.
-func (e *End) LocalAddr() net.Addr { return e.addr }
+func (e *Conn) LocalAddr() net.Addr { return e.addr }
 
 // SetDeadline implements net.PacketConn. It does nothing.
-func (*End) SetDeadline(time.Time) error { return nil }
+func (*Conn) SetDeadline(time.Time) error { return nil }
 
 // SetReadDeadline implements net.PacketConn. It does nothing.
-func (*End) SetReadDeadline(time.Time) error { return nil }
+func (*Conn) SetReadDeadline(time.Time) error { return nil }
 
 // SetWriteDeadline implements net.PacketConn. It does nothing.
-func (*End) SetWriteDeadline(time.Time) error { return nil }
+func (*Conn) SetWriteDeadline(time.Time) error { return nil }
--- a/internal/pipenet/pipenet.go
+++ b/internal/pipenet/pipenet.go
@@ -16,7 +16,7 @@
 	mu        sync.Mutex
 	listeners map[string]*listener
 	servers   []*http.Server
-	dials     map[string]int
+	dialCounts     map[string]int
 }
 
 // Serve serves HTTP requests at an address until Close or Stop is called.
@@ -27,21 +27,21 @@
 	defer n.mu.Unlock()
 	if n.listeners == nil {
 		n.listeners = make(map[string]*listener)
-		n.dials = make(map[string]int)
+		n.dialCounts = make(map[string]int)
 	}
 	n.listeners[addr] = l
 	n.servers = append(n.servers, srv)
 	go func() { _ = srv.Serve(l) }()
 }
 
-// Raw calls serve, which owns the connection, for each connection to an
+// ServeConn calls serve, which owns the connection, for each connection to an
 // address.
-func (n *Net) Raw(addr string, serve func(net.Conn)) {
+func (n *Net) ServeConn(addr string, serve func(net.Conn)) {
 	l := &listener{conns: make(chan net.Conn), closed: make(chan struct{})}
 	n.mu.Lock()
 	if n.listeners == nil {
 		n.listeners = make(map[string]*listener)
-		n.dials = make(map[string]int)
+		n.dialCounts = make(map[string]int)
 	}
 	n.listeners[addr] = l
 	n.mu.Unlock()
@@ -61,7 +61,7 @@
 	n.mu.Lock()
 	l := n.listeners[addr]
 	if l != nil {
-		n.dials[addr]++
+		n.dialCounts[addr]++
 	}
 	n.mu.Unlock()
 	if l == nil {
@@ -78,11 +78,11 @@
 	}
 }
 
-// Dials returns the number of connections made to an address.
-func (n *Net) Dials(addr string) int {
+// DialCount returns the number of connections made to an address.
+func (n *Net) DialCount(addr string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.dials[addr]
+	return n.dialCounts[addr]
 }
 
 // Stop makes the network refuse new connections to an address.
--- a/internal/yamlcheck/file.go
+++ b/internal/yamlcheck/file.go
@@ -59,8 +59,8 @@
 		Line:   pos.line,
 		Column: pos.column,
 		Key:    path,
-		What:   what,
-		Right:  right,
+		Message:   what,
+		Expected:  right,
 		Code:   c,
 	})
 }
--- a/internal/yamlcheck/problem.go
+++ b/internal/yamlcheck/problem.go
@@ -18,8 +18,8 @@
 	Line   int       `json:"line"`   // from 1
 	Column int       `json:"column"` // from 1
 	Key    string    `json:"key"`    // path such as targets[2].addr; empty for the whole file
-	What   string    `json:"what"`   // description of the error
-	Right  string    `json:"right"`  // description of a correct value
+	Message   string    `json:"what"`   // description of the error
+	Expected  string    `json:"right"`  // description of a correct value
 	Code   code.Code `json:"code"`   // 4001 to 4008
 }
 
@@ -31,7 +31,7 @@
 	if p.Key != "" {
 		b.WriteString(strings.Map(replaceUnprintable, p.Key) + ": ")
 	}
-	fmt.Fprintf(&b, "%s; %s (code %d)", p.What, p.Right, int(p.Code))
+	fmt.Fprintf(&b, "%s; %s (code %d)", p.Message, p.Expected, int(p.Code))
 	return b.String()
 }
 
--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -299,7 +299,7 @@
 		Router:     d.router,
 		Targets:    d.watcher,
 		Asked:      d.demands.asked,
-		Addresses:  address.NewBook(d.addresses, d.s.Control.AddressTTL),
+		Addresses:  address.NewSelector(d.addresses, d.s.Control.AddressTTL),
 		Once:       d.once,
 		Quarantine: d.crashes,
 		Burn:       d.burn,
--- a/process/discovery/registry.go
+++ b/process/discovery/registry.go
@@ -25,8 +25,8 @@
 // Snapshot is the set of known targets at one moment. It is read-only.
 type Snapshot struct {
 	Targets map[string]*targets.Set // by service
-	Whole   bool                    // the topic was listed completely at least once
-	Since   time.Time               // when the newest target appeared
+	Listed   bool                    // the topic was listed completely at least once
+	LastAdded   time.Time               // when the newest target appeared
 }
 
 // Registry is the topic.Sink of the targets' topic. Its snapshots may be read
@@ -277,7 +277,7 @@
 
 func (r *Registry) publish() {
 	old := r.snap.Load()
-	s := &Snapshot{Targets: maps.Clone(old.Targets), Whole: r.listed, Since: r.since}
+	s := &Snapshot{Targets: maps.Clone(old.Targets), Listed: r.listed, LastAdded: r.since}
 	for service, changed := range r.changed {
 		s.Targets[service] = s.Targets[service].With(changed)
 	}
--- a/process/front/front.go
+++ b/process/front/front.go
@@ -125,7 +125,7 @@
 	d.store = relay.NewStore(platform.NewStore(s.Store.Addr), func() []string { return d.roster.Upstream().Peers }, func() []string { return d.roster.ReadyPeers() }, port.TopicConfig, port.TopicTargets)
 	d.reach = relay.NewMonitoredStore(d.store)
 	d.store.RetryDelay = d.callPace
-	d.store.Suspect = d.reach.Suspect
+	d.store.OnReadError = d.reach.ReportError
 	d.store.Depth = func() int { return d.roster.Upstream().Depth }
 	d.store.PeersWithStore = func() []string { return d.roster.PeersWithStore() }
 	if err := d.wireRoster(); err != nil {
@@ -338,7 +338,7 @@
 			return nil
 		case <-tick.C:
 		}
-		if !d.ready.Load() && d.config.Load() != nil && d.registry.Snapshot().Whole {
+		if !d.ready.Load() && d.config.Load() != nil && d.registry.Snapshot().Listed {
 			d.ready.Store(true)
 			d.roster.SetState(roster.Ready)
 			log.WithField("version", d.config.Load().Version).Info("front: ready")
--- a/process/relay/fleet_test.go
+++ b/process/relay/fleet_test.go
@@ -181,7 +181,7 @@
 
 type fleetDaemon struct {
 	addr     string
-	end      *packetnet.End
+	end      *packetnet.Conn
 	roster   *roster.Roster
 	registry *discovery.Registry
 	follower *topic.Follower
@@ -276,7 +276,7 @@
 		panic(err)
 	}
 	d.roster = r
-	s.ReadersKnown, s.Suspect, s.PeersWithStore = r.Listed(), reach.Suspect, r.PeersWithStore
+	s.ReadersKnown, s.OnReadError, s.PeersWithStore = r.Listed(), reach.ReportError, r.PeersWithStore
 	s.Depth = func() int { return r.Upstream().Depth }
 	s.RetryDelay = func(answer bool) time.Duration {
 		if answer {
@@ -427,7 +427,7 @@
 		f.http.mu.Lock()
 		f.http.to[root.addr] = http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) { <-req.Context().Done() })
 		f.http.mu.Unlock()
-		f.packets.SetCut(root.addr, true)
+		f.packets.SetUnreachable(root.addr, true)
 		f.store.write(port.TopicTargets, targetRecord(targets, 0, 'l'))
 		_ = pause.For(ctx, bound)
 		late := 0
--- a/process/relay/reach.go
+++ b/process/relay/reach.go
@@ -27,7 +27,7 @@
 // them.
 type MonitoredStore struct {
 	port.Store
-	suspected chan struct{}
+	probeRequested chan struct{}
 
 	mu          sync.Mutex
 	unavailable bool
@@ -35,7 +35,7 @@
 
 // NewMonitoredStore returns a MonitoredStore for a store that is assumed to be available.
 func NewMonitoredStore(s port.Store) *MonitoredStore {
-	return &MonitoredStore{Store: s, suspected: make(chan struct{}, 1)}
+	return &MonitoredStore{Store: s, probeRequested: make(chan struct{}, 1)}
 }
 
 // Unavailable reports whether the store doesn't answer this daemon.
@@ -48,26 +48,26 @@
 // Newest implements port.Store.
 func (r *MonitoredStore) Newest(ctx context.Context, t port.Topic, after string) (port.KeyedPage, error) {
 	page, err := r.Store.Newest(ctx, t, after)
-	r.Suspect(ctx, err)
+	r.ReportError(ctx, err)
 	return page, err
 }
 
 // PutAt implements port.Store.
 func (r *MonitoredStore) PutAt(ctx context.Context, t port.Topic, key string, value []byte, at int64) (int64, error) {
 	offset, err := r.Store.PutAt(ctx, t, key, value, at)
-	r.Suspect(ctx, err)
+	r.ReportError(ctx, err)
 	return offset, err
 }
 
-// Suspect requests a probe of the store if err shows that a call failed because
+// OnReadError requests a probe of the store if err shows that a call failed because
 // the store was unavailable. A failed call alone doesn't mark the store as
 // unavailable, since single answers to writes may be lost.
-func (r *MonitoredStore) Suspect(ctx context.Context, err error) {
+func (r *MonitoredStore) ReportError(ctx context.Context, err error) {
 	if ctx.Err() != nil || !errors.Is(err, port.ErrUnavailable) {
 		return
 	}
 	select {
-	case r.suspected <- struct{}{}:
+	case r.probeRequested <- struct{}{}:
 	default:
 	}
 }
@@ -78,7 +78,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.suspected:
+		case <-r.probeRequested:
 		}
 		for err := r.probe(ctx); err != nil && ctx.Err() == nil; err = r.probe(ctx) {
 			r.setUnavailable(true, err)
--- a/process/relay/store.go
+++ b/process/relay/store.go
@@ -72,9 +72,9 @@
 	// Depth returns the largest number of daemons between the store and a
 	// daemon. It is set before the first call; nil means one.
 	Depth func() int
-	// Suspect is called after a failed read of the store. It is set before the
+	// OnReadError is called after a failed read of the store. It is set before the
 	// first call and may be nil.
-	Suspect func(ctx context.Context, err error)
+	OnReadError func(ctx context.Context, err error)
 
 	mu                sync.Mutex
 	bypassUntil       time.Duration                // readers are bypassed until then
@@ -305,8 +305,8 @@
 	s.mu.Unlock()
 	if err == nil {
 		s.advanceAsOf(t, now)
-	} else if s.Suspect != nil {
-		s.Suspect(outer, err)
+	} else if s.OnReadError != nil {
+		s.OnReadError(outer, err)
 	}
 	return batch, err
 }
--- a/process/roles/planner.go
+++ b/process/roles/planner.go
@@ -184,11 +184,11 @@
 		return // thousands of engines concern the one that leads
 	}
 	list := p.engines(snap.Targets[svc.Name].All().All())
-	if !snap.Whole || p.leads < 0 {
+	if !snap.Listed || p.leads < 0 {
 		return
 	}
 	p.sight(ctx, svc.Name)
-	if !p.whole(svc.Name, time.Since(snap.Since)) || p.o.Clock.Now()-p.leads < takeover {
+	if !p.whole(svc.Name, time.Since(snap.LastAdded)) || p.o.Clock.Now()-p.leads < takeover {
 		return
 	}
 	if len(demand) == 0 && plenty(list, len(p.o.Roster.Members())) {
--- a/process/roster/aggregate_test.go
+++ b/process/roster/aggregate_test.go
@@ -50,7 +50,7 @@
 // cut silences daemons.
 func (d *daemons) cut(vms map[int]bool, on bool) {
 	for vm := range vms {
-		d.w.SetCut(peerAddr(vm), on)
+		d.w.SetUnreachable(peerAddr(vm), on)
 	}
 }
 
@@ -173,7 +173,7 @@
 // A daemon that says it leaves must not be brought back by aggregates made before.
 func TestLeavingDaemonStaysOutUnderLoss(t *testing.T) {
 	withLarge(t, 60, 3, func(t *testing.T, d *daemons) {
-		d.w.SetLoss(0.1)
+		d.w.SetLossRate(0.1)
 		d.all[49].SetState(Leaving)
 		rest(3 * time.Second)
 		for range 20 {
@@ -186,7 +186,7 @@
 // Links lose datagrams: daemons that live must not be taken for dead.
 func TestLossDoesNotTakeDaemonsOut(t *testing.T) {
 	withLarge(t, 60, 3, func(t *testing.T, d *daemons) {
-		d.w.SetLoss(0.05)
+		d.w.SetLossRate(0.05)
 		for range 100 {
 			rest(100 * time.Millisecond)
 			d.expect(t, 60, "one datagram in twenty is lost", nil)
@@ -425,7 +425,7 @@
 		if to == nil {
 			t.Fatal("the daemon that is asked keeps the engine")
 		}
-		d.w.SetCut(to.String(), true)
+		d.w.SetUnreachable(to.String(), true)
 		begun := time.Now()
 		if got := r.Queues(context.Background(), []string{"e"}); got[0] != -1 || time.Since(begun) > queryTimeout {
 			t.Errorf("a dead keeper's answer: %v after %v", got, time.Since(begun))
--- a/process/roster/roster.go
+++ b/process/roster/roster.go
@@ -257,7 +257,7 @@
 	}
 	all := serving()
 	list, named := active(all, zone)
-	entries := address.NewBook(func() []address.Member { return list }, r.o.TTL).Answer(zone, address.Seed(caller)).Addresses
+	entries := address.NewSelector(func() []address.Member { return list }, r.o.TTL).Answer(zone, address.Seed(caller)).Addresses
 	out := make([]string, 0, len(entries))
 	for _, e := range entries[:min(len(entries), named)] {
 		out = append(out, e.Addr)
--- a/process/roster/roster_test.go
+++ b/process/roster/roster_test.go
@@ -70,7 +70,7 @@
 	rate   func(vm int) float64 // requests a second of each, nil: not counted
 	all    []*Roster
 	books  []*engines.Book
-	ends   []*packetnet.End
+	ends   []*packetnet.Conn
 	claims []*claimBook
 }
 
@@ -167,12 +167,12 @@
 // Callers are sent to a daemon that was killed, for seconds.
 func TestSilentDaemonIsOutSoon(t *testing.T) {
 	withFleet(t, 3, func(t *testing.T, d *daemons) {
-		d.w.SetCut("10.0.0.3:7000", true)
+		d.w.SetUnreachable("10.0.0.3:7000", true)
 		_ = pause.For(context.Background(), deadAfter+heartbeatInterval)
 		if addrs(d.all[0]) != 2 {
 			t.Errorf("%d addresses, want 2", addrs(d.all[0]))
 		}
-		d.w.SetCut("10.0.0.3:7000", false)
+		d.w.SetUnreachable("10.0.0.3:7000", false)
 		_ = pause.For(context.Background(), 2*heartbeatInterval)
 		if addrs(d.all[0]) != 3 {
 			t.Errorf("%d addresses after its return, want 3", addrs(d.all[0]))
@@ -183,7 +183,7 @@
 // A daemon that is cut off sends all callers that ask it to itself alone.
 func TestCutOffDaemonStillNamesTheOthers(t *testing.T) {
 	withFleet(t, 3, func(t *testing.T, d *daemons) {
-		d.w.SetCut("10.0.0.1:7000", true)
+		d.w.SetUnreachable("10.0.0.1:7000", true)
 		d.away.Store(true)
 		_ = pause.For(context.Background(), 5*time.Second)
 		if addrs(d.all[0]) != 3 {
@@ -200,9 +200,9 @@
 func (d *daemons) pause(vm int, long time.Duration) {
 	asleep := make(chan struct{})
 	d.claims[vm-1].asleep.Store(&asleep)
-	d.w.SetCut(peerAddr(vm), true)
+	d.w.SetUnreachable(peerAddr(vm), true)
 	_ = pause.For(context.Background(), long)
-	d.w.SetCut(peerAddr(vm), false)
+	d.w.SetUnreachable(peerAddr(vm), false)
 	d.claims[vm-1].asleep.Store(nil)
 	close(asleep)
 }
@@ -221,7 +221,7 @@
 			if got := addrs(d.all[n-1]); got != n {
 				t.Errorf("%d of %d addresses some time later", got, n)
 			}
-			d.w.SetCut(peerAddr(1), true)
+			d.w.SetUnreachable(peerAddr(1), true)
 			d.pause(n, 5*time.Second)
 			_ = pause.For(context.Background(), settleAfterPause+heartbeatInterval)
 			if got := addrs(d.all[n-1]); got != n-1 {
--- a/process/scale/scaler.go
+++ b/process/scale/scaler.go
@@ -148,11 +148,11 @@
 // known, reclaimable targets are ordered for those that have been seen.
 func (s *Scaler) look(ctx context.Context, svc *route.Service) {
 	snap := s.o.Targets.Snapshot()
-	if svc.Scaling == nil || !snap.Whole {
+	if svc.Scaling == nil || !snap.Listed {
 		return
 	}
 	present := count(snap.Targets[svc.Name].All().All())
-	capacity, err := s.capacityOf(ctx, svc.Name, present, time.Since(snap.Since))
+	capacity, err := s.capacityOf(ctx, svc.Name, present, time.Since(snap.LastAdded))
 	if err != nil {
 		log.WithError(err).WithField("service", svc.Name).Warn("scale: capacity not known")
 		return
--- a/request/dispatch/consider.go
+++ b/request/dispatch/consider.go
@@ -38,7 +38,7 @@
 // a call costs doesn't grow with the number of targets.
 func (u *run) consider(role port.Role, p *prompt, zone string) *considered {
 	set := u.opts.Targets.Targets(u.c.Service.Name)
-	all := set.Of(role, "")
+	all := set.ByRole(role, "")
 	if all.Len() <= lookAtAll {
 		return &considered{entries: all.All(), shared: all.Len()}
 	}
@@ -53,10 +53,10 @@
 		}
 	}
 	own := engines.Hash(u.opts.Self)
-	near := set.Of(role, u.opts.Zone)
+	near := set.ByRole(role, u.opts.Zone)
 	c.add(near.After(own, regulars)...)
 	if zone != u.opts.Zone {
-		c.add(set.Of(role, zone).After(own, regulars)...)
+		c.add(set.ByRole(role, zone).After(own, regulars)...)
 	}
 	connected := u.opts.Pool.IdleKeys()
 	for _, key := range connected[:min(len(connected), maxConnected)] {
--- a/request/dispatch/engine.go
+++ b/request/dispatch/engine.go
@@ -241,7 +241,7 @@
 
 // decoding is the number of engines that decode, of which cands are looked at.
 func (u *run) decoding(cands []placement.Candidate) int {
-	if of := u.opts.Targets.Targets(u.c.Service.Name).Of(port.RoleDecode, "").Len(); of > lookAtAll {
+	if of := u.opts.Targets.Targets(u.c.Service.Name).ByRole(port.RoleDecode, "").Len(); of > lookAtAll {
 		return of
 	}
 	return len(cands)
--- a/request/entry/entry.go
+++ b/request/entry/entry.go
@@ -33,7 +33,7 @@
 	Pool       *pool.Pool
 	Router     routing.Router
 	Targets    attempt.Targets
-	Addresses  *address.Book
+	Addresses  *address.Selector
 	Once       once.Keeper // nil: non-idempotent calls are refused
 	Quarantine quarantine.Tracker
 	Burn       burn.Observer
--- a/request/entry/fixture_test.go
+++ b/request/entry/fixture_test.go
@@ -127,7 +127,7 @@
 	app := &document.Document{Service: "app", Kind: document.KindPlain, Targets: targets("p", plains), Once: document.Once{Paths: []string{"/holds"}}}
 	o := Options{View: &view.Holder{}, Pool: p, Router: leastLoaded{}, First: patience, Between: patience, Write: patience}
 	o.Targets = docTargets{p}
-	o.Addresses = address.NewBook(func() []address.Member { return []address.Member{{Addr: "127.0.0.1:1", Zone: "a"}} }, time.Second)
+	o.Addresses = address.NewSelector(func() []address.Member { return []address.Member{{Addr: "127.0.0.1:1", Zone: "a"}} }, time.Second)
 	for _, d := range []*document.Document{llm, app} {
 		d.Objectives.Answer = 10 * time.Second
 		d.Limits.QueuePerTarget = 1000
--- a/request/entry/plain.go
+++ b/request/entry/plain.go
@@ -146,7 +146,7 @@
 // process.
 func forwarded(h http.Header) http.Header {
 	out := without(h)
-	for _, k := range hop.Listed(h) {
+	for _, k := range hop.ConnectionOptions(h) {
 		out.Del(k)
 	}
 	return out
