--- a/connection/address/address.go
+++ b/connection/address/address.go
@@ -41,8 +41,8 @@
 	ttl     time.Duration
 }
 
-// NewSelector returns a Selector for the members returned by members, which must return
-// the live members and be safe for concurrent use.
+// NewSelector returns a Selector for the members returned by members, which
+// must return the live members and be safe for concurrent use.
 func NewSelector(members func() []Member, ttl time.Duration) *Selector {
 	return &Selector{members: members, ttl: ttl}
 }
--- a/internal/hop/hop.go
+++ b/internal/hop/hop.go
@@ -23,7 +23,8 @@
 	}
 }
 
-// ConnectionOptions returns the names listed in the Connection header, in canonical form.
+// ConnectionOptions returns the names listed in the Connection header, in
+// canonical form.
 func ConnectionOptions(h http.Header) []string {
 	var out []string
 	for _, name := range strings.Split(strings.Join(h.Values("Connection"), ","), ",") {
--- a/internal/packetnet/packetnet.go
+++ b/internal/packetnet/packetnet.go
@@ -16,7 +16,7 @@
 // Net transfers datagrams between its ends. It is safe for concurrent use.
 type Net struct {
 	mu          sync.Mutex
-	conns        map[string]*Conn
+	conns       map[string]*Conn
 	unreachable map[string]bool // addresses whose datagrams are dropped in both directions
 	sent        int             // number of datagrams
 	lossRate    float64         // share of datagrams that are dropped
@@ -51,11 +51,11 @@
 	if err != nil {
 		panic(err)
 	}
-	e := &Conn{n: n, addr: udp, in: make(chan packet, queueSize), done: make(chan struct{})}
+	c := &Conn{n: n, addr: udp, in: make(chan packet, queueSize), done: make(chan struct{})}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.conns[addr] = e
-	return e
+	n.conns[addr] = c
+	return c
 }
 
 // SetUnreachable sets whether all datagrams to and from an address are dropped.
@@ -80,27 +80,27 @@
 }
 
 // Bytes returns the number of bytes that the socket has sent and received.
-func (e *Conn) Bytes() (sent, received int) {
-	e.n.mu.Lock()
-	defer e.n.mu.Unlock()
-	return e.sentBytes, e.receivedBytes
+func (c *Conn) Bytes() (sent, received int) {
+	c.n.mu.Lock()
+	defer c.n.mu.Unlock()
+	return c.sentBytes, c.receivedBytes
 }
 
 // WriteTo implements net.PacketConn.
-func (e *Conn) WriteTo(data []byte, to net.Addr) (int, error) {
-	e.n.mu.Lock()
-	defer e.n.mu.Unlock()
-	e.n.sent++
-	e.sentBytes += len(data)
-	if e.n.rng.Float64() < e.n.lossRate {
+func (c *Conn) WriteTo(data []byte, to net.Addr) (int, error) {
+	c.n.mu.Lock()
+	defer c.n.mu.Unlock()
+	c.n.sent++
+	c.sentBytes += len(data)
+	if c.n.rng.Float64() < c.n.lossRate {
 		return len(data), nil
 	}
-	other := e.n.conns[to.String()]
-	if other == nil || e.n.unreachable[to.String()] || e.n.unreachable[e.addr.String()] {
+	other := c.n.conns[to.String()]
+	if other == nil || c.n.unreachable[to.String()] || c.n.unreachable[c.addr.String()] {
 		return len(data), nil
 	}
 	select {
-	case other.in <- packet{slices.Clone(data), e.addr}:
+	case other.in <- packet{slices.Clone(data), c.addr}:
 		other.receivedBytes += len(data)
 	default:
 	}
@@ -108,23 +108,23 @@
 }
 
 // ReadFrom implements net.PacketConn.
-func (e *Conn) ReadFrom(b []byte) (int, net.Addr, error) {
+func (c *Conn) ReadFrom(b []byte) (int, net.Addr, error) {
 	select {
-	case p := <-e.in:
+	case p := <-c.in:
 		return copy(b, p.data), p.from, nil
-	case <-e.done:
+	case <-c.done:
 		return 0, nil, net.ErrClosed
 	}
 }
 
 // Close implements net.PacketConn.
-func (e *Conn) Close() error {
-	e.once.Do(func() { close(e.done) })
+func (c *Conn) Close() error {
+	c.once.Do(func() { close(c.done) })
 	return nil
 }
 
 // LocalAddr implements net.PacketConn.
-func (e *Conn) LocalAddr() net.Addr { return e.addr }
+func (c *Conn) LocalAddr() net.Addr { return c.addr }
 
 // SetDeadline implements net.PacketConn. It does nothing.
 func (*Conn) SetDeadline(time.Time) error { return nil }
--- a/internal/pipenet/pipenet.go
+++ b/internal/pipenet/pipenet.go
@@ -13,10 +13,10 @@
 // Net is a network of servers. It is safe for concurrent use. The zero value
 // has no servers.
 type Net struct {
-	mu        sync.Mutex
-	listeners map[string]*listener
-	servers   []*http.Server
-	dialCounts     map[string]int
+	mu         sync.Mutex
+	listeners  map[string]*listener
+	servers    []*http.Server
+	dialCounts map[string]int
 }
 
 // Serve serves HTTP requests at an address until Close or Stop is called.
--- a/internal/yamlcheck/file.go
+++ b/internal/yamlcheck/file.go
@@ -55,13 +55,13 @@
 func (f *File) Report(path string, c code.Code, what, right string) {
 	pos := f.position(path)
 	f.problems = append(f.problems, &Problem{
-		File:   f.name,
-		Line:   pos.line,
-		Column: pos.column,
-		Key:    path,
-		Message:   what,
-		Expected:  right,
-		Code:   c,
+		File:     f.name,
+		Line:     pos.line,
+		Column:   pos.column,
+		Key:      path,
+		Message:  what,
+		Expected: right,
+		Code:     c,
 	})
 }
 
--- a/internal/yamlcheck/problem.go
+++ b/internal/yamlcheck/problem.go
@@ -14,13 +14,13 @@
 
 // Problem is one error in a file.
 type Problem struct {
-	File   string    `json:"file"`
-	Line   int       `json:"line"`   // from 1
-	Column int       `json:"column"` // from 1
-	Key    string    `json:"key"`    // path such as targets[2].addr; empty for the whole file
-	Message   string    `json:"what"`   // description of the error
-	Expected  string    `json:"right"`  // description of a correct value
-	Code   code.Code `json:"code"`   // 4001 to 4008
+	File     string    `json:"file"`
+	Line     int       `json:"line"`   // from 1
+	Column   int       `json:"column"` // from 1
+	Key      string    `json:"key"`    // path such as targets[2].addr; empty for the whole file
+	Message  string    `json:"what"`   // description of the error
+	Expected string    `json:"right"`  // description of a correct value
+	Code     code.Code `json:"code"`   // 4001 to 4008
 }
 
 // Error returns the problem in one line: FILE:LINE:COL: KEY: what; right (code
--- a/process/discovery/registry.go
+++ b/process/discovery/registry.go
@@ -24,9 +24,9 @@
 
 // Snapshot is the set of known targets at one moment. It is read-only.
 type Snapshot struct {
-	Targets map[string]*targets.Set // by service
-	Listed   bool                    // the topic was listed completely at least once
-	LastAdded   time.Time               // when the newest target appeared
+	Targets   map[string]*targets.Set // by service
+	Listed    bool                    // the topic was listed completely at least once
+	LastAdded time.Time               // when the newest target appeared
 }
 
 // Registry is the topic.Sink of the targets' topic. Its snapshots may be read
@@ -51,7 +51,7 @@
 	lost      bool
 	keepUntil time.Time // lapsed entries are kept until then
 	listed    bool
-	since     time.Time
+	lastAdded time.Time
 
 	snap atomic.Pointer[Snapshot]
 }
@@ -216,7 +216,7 @@
 	r.entries[rec.Key] = e
 	r.addChange(e.Service, e.ID, &e)
 	if !known {
-		r.since = r.now()
+		r.lastAdded = r.now()
 	}
 	if r.listed && (!known || old.Leaving != e.Leaving || old.Role != e.Role) {
 		log.WithFields(log.Fields{
@@ -277,7 +277,7 @@
 
 func (r *Registry) publish() {
 	old := r.snap.Load()
-	s := &Snapshot{Targets: maps.Clone(old.Targets), Listed: r.listed, LastAdded: r.since}
+	s := &Snapshot{Targets: maps.Clone(old.Targets), Listed: r.listed, LastAdded: r.lastAdded}
 	for service, changed := range r.changed {
 		s.Targets[service] = s.Targets[service].With(changed)
 	}
--- a/process/discovery/registry_test.go
+++ b/process/discovery/registry_test.go
@@ -65,7 +65,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := New(Options{Decode: decode})
 		r.Reset([]port.KeyedRecord{rec(0, "a", "s"), rec(1, "b", "s")}, 0)
-		r.StoreLost(errors.New("away"))
+		r.StoreLost(errors.New("the store is unavailable"))
 		r.Apply([]port.KeyedRecord{rec(2, "a", ""), rec(3, "b", "")})
 		r.StoreRecovered()
 		want(t, r, "s", "a", "b")
@@ -83,7 +83,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := New(Options{Decode: decode})
 		r.Reset([]port.KeyedRecord{rec(0, "a", "s"), rec(1, "b", "s")}, 0)
-		r.StoreLost(errors.New("away"))
+		r.StoreLost(errors.New("the store is unavailable"))
 		r.Reset([]port.KeyedRecord{rec(1, "b", "s")}, 0)
 		r.StoreRecovered()
 		want(t, r, "s", "a", "b")
@@ -105,7 +105,7 @@
 func TestLeavingTakesEffectDuringOutage(t *testing.T) {
 	r := New(Options{Decode: decode})
 	r.Reset([]port.KeyedRecord{rec(0, "a", "s")}, 0)
-	r.StoreLost(errors.New("away"))
+	r.StoreLost(errors.New("the store is unavailable"))
 	r.Apply([]port.KeyedRecord{rec(1, "a", "s leaving")})
 	if e := r.Snapshot().Targets["s"].All().All()[0]; !e.Leaving {
 		t.Error("the target isn't marked as leaving")
--- a/process/relay/cutoff_test.go
+++ b/process/relay/cutoff_test.go
@@ -26,7 +26,7 @@
 
 func followsPeers(t *testing.T, beats, after time.Duration) {
 	s := &sharedStore{changed: make(chan struct{}), silent: make(map[string]bool)}
-	net, now := inMemory{}, clock.NewRuntime().Now
+	net, now := memoryTransport{}, clock.NewRuntime().Now
 	noReader := func() string { return "" }
 	cut := newFollower("cut", s, net, now, noReader)
 	cut.store.PeersWithStore = func() []string { return []string{"sound"} }
@@ -42,7 +42,7 @@
 		f.Start()
 	}
 	_ = pause.For(ctx, 5*time.Second+after)
-	s.silence("cut")
+	s.stopAnswering("cut")
 	for _, key := range []string{"leaves first", "leaves second", "leaves third"} {
 		s.add(key)
 		_ = pause.For(ctx, leaveBound)
--- a/process/relay/fallback.go
+++ b/process/relay/fallback.go
@@ -19,8 +19,8 @@
 // fallbackDuration is how long a peer is read before the store is tried again.
 const fallbackDuration = 3 * time.Second
 
-// UsesFallback reports whether this daemon's reads of the store fail and a peer is read
-// instead.
+// UsesFallback reports whether this daemon's reads of the store fail and a peer
+// is read instead.
 func (s *Store) UsesFallback() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/process/relay/fleet_test.go
+++ b/process/relay/fleet_test.go
@@ -39,14 +39,14 @@
 
 // fleetStore is a store of a large fleet that counts the calls to it.
 type fleetStore struct {
-	mu       sync.Mutex
-	logs     map[port.Topic][]port.KeyedRecord
-	newest   map[port.Topic]map[string]port.KeyedRecord
-	changed  chan struct{}
-	away     bool
-	writable time.Time // when the last write ends
-	calls    int
-	records  int // number of records read
+	mu          sync.Mutex
+	logs        map[port.Topic][]port.KeyedRecord
+	newest      map[port.Topic]map[string]port.KeyedRecord
+	changed     chan struct{}
+	unavailable bool
+	writable    time.Time // when the last write ends
+	calls       int
+	records     int // number of records read
 }
 
 func newFleetStore() *fleetStore {
@@ -60,12 +60,12 @@
 func (s *fleetStore) begin(ctx context.Context) error {
 	s.mu.Lock()
 	s.calls++
-	away := s.away
+	unavailable := s.unavailable
 	s.mu.Unlock()
 	if err := pause.For(ctx, storeLatency); err != nil {
 		return err
 	}
-	if away {
+	if unavailable {
 		return port.ErrUnavailable
 	}
 	return nil
@@ -156,10 +156,10 @@
 	return int64(len(s.logs[t])) - 1
 }
 
-func (s *fleetStore) setAway(on bool) {
+func (s *fleetStore) setUnavailable(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = on
+	s.unavailable = on
 }
 
 func (s *fleetStore) count() (calls, records int) {
@@ -173,20 +173,20 @@
 type fleet struct {
 	store   *fleetStore
 	packets *packetnet.Net
-	http    *countingNet
+	http    *countingTransport
 	now     func() time.Duration
 	daemons []*fleetDaemon
 	targets int
 }
 
 type fleetDaemon struct {
-	addr     string
-	end      *packetnet.Conn
-	roster   *roster.Roster
-	registry *discovery.Registry
-	follower *topic.Follower
-	away     bool // guarded by mu
-	mu       sync.Mutex
+	addr      string
+	end       *packetnet.Conn
+	roster    *roster.Roster
+	registry  *discovery.Registry
+	follower  *topic.Follower
+	storeLost bool // guarded by mu
+	mu        sync.Mutex
 }
 
 // fleetSink tracks whether the daemon has lost the store.
@@ -200,23 +200,24 @@
 func (s *fleetSink) set(on bool) {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
-	s.d.away = on
+	s.d.storeLost = on
 }
 
-func (d *fleetDaemon) lost() bool {
+func (d *fleetDaemon) isStoreLost() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.away
+	return d.storeLost
 }
 
-// countingNet carries requests between daemons and counts the bytes of answers.
-type countingNet struct {
+// countingTransport carries requests between daemons and counts the bytes of
+// answers.
+type countingTransport struct {
 	mu    sync.Mutex
 	to    map[string]http.Handler
 	bytes map[string]int // by the answering daemon
 }
 
-func (n *countingNet) RoundTrip(req *http.Request) (*http.Response, error) {
+func (n *countingTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	n.mu.Lock()
 	h := n.to[req.URL.Host]
 	n.mu.Unlock()
@@ -269,8 +270,8 @@
 		Claims: noClaims{}, Speeds: speed.NewBook(), Demand: demand.New(time.Now),
 		Book:  engines.New(time.Now, func(engines.Work) {}),
 		Store: f.store, TTL: time.Second, Conn: d.end, Rooted: true,
-		StoreAway:  func() bool { return d.lost() || reach.Unavailable() },
-		StoreFails: func() bool { return d.lost() && s.HasNoReader() || s.UsesFallback() || reach.Unavailable() },
+		StoreAway:  func() bool { return d.isStoreLost() || reach.Unavailable() },
+		StoreFails: func() bool { return d.isStoreLost() && s.HasNoReader() || s.UsesFallback() || reach.Unavailable() },
 	})
 	if err != nil {
 		panic(err)
@@ -324,7 +325,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{
 			store: newFleetStore(), packets: packetnet.New(7), now: clock.NewRuntime().Now, targets: targets,
-			http: &countingNet{to: make(map[string]http.Handler), bytes: make(map[string]int)},
+			http: &countingTransport{to: make(map[string]http.Handler), bytes: make(map[string]int)},
 		}
 		for n := range targets {
 			f.store.write(port.TopicTargets, targetRecord(n, 0, 'r'))
@@ -393,7 +394,7 @@
 	const daemons, targets = 200, 500
 	withFleet(t, daemons, targets, func(ctx context.Context, f *fleet) {
 		_ = pause.For(ctx, 10*time.Second)
-		f.store.setAway(true)
+		f.store.setUnavailable(true)
 		begun, _ := f.store.count()
 		const outage = 9 * time.Second
 		_ = pause.For(ctx, outage)
@@ -401,11 +402,11 @@
 		if ended-begun > 2*daemons {
 			t.Errorf("%d calls in an outage of %v", ended-begun, outage)
 		}
-		f.store.setAway(false)
+		f.store.setUnavailable(false)
 		f.store.write(port.TopicTargets, targetRecord(targets, 0, 'r'))
 		_ = pause.For(ctx, 4*time.Second)
 		if n := f.daemonsWithTargets(targets + 1); n != daemons {
-			t.Errorf("%d of %d daemons know of a new target 4 s after the store's return", n, daemons)
+			t.Errorf("%d of %d daemons know of a new target 4 s after the store recovered", n, daemons)
 		}
 	})
 }
--- a/process/relay/reach.go
+++ b/process/relay/reach.go
@@ -21,10 +21,10 @@
 	probeInterval = time.Second
 )
 
-// MonitoredStore is a port.Store that tracks whether the store answers this daemon's own
-// calls. Reads relayed by other daemons don't show this: a leader that alone is
-// cut off from the store would keep its duties without being able to perform
-// them.
+// MonitoredStore is a port.Store that tracks whether the store answers this
+// daemon's own calls. Reads relayed by other daemons don't show this: a leader
+// that alone is cut off from the store would keep its duties without being able
+// to perform them.
 type MonitoredStore struct {
 	port.Store
 	probeRequested chan struct{}
@@ -33,73 +33,74 @@
 	unavailable bool
 }
 
-// NewMonitoredStore returns a MonitoredStore for a store that is assumed to be available.
+// NewMonitoredStore returns a MonitoredStore for a store that is assumed to be
+// available.
 func NewMonitoredStore(s port.Store) *MonitoredStore {
 	return &MonitoredStore{Store: s, probeRequested: make(chan struct{}, 1)}
 }
 
 // Unavailable reports whether the store doesn't answer this daemon.
-func (r *MonitoredStore) Unavailable() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.unavailable
+func (m *MonitoredStore) Unavailable() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.unavailable
 }
 
 // Newest implements port.Store.
-func (r *MonitoredStore) Newest(ctx context.Context, t port.Topic, after string) (port.KeyedPage, error) {
-	page, err := r.Store.Newest(ctx, t, after)
-	r.ReportError(ctx, err)
+func (m *MonitoredStore) Newest(ctx context.Context, t port.Topic, after string) (port.KeyedPage, error) {
+	page, err := m.Store.Newest(ctx, t, after)
+	m.ReportError(ctx, err)
 	return page, err
 }
 
 // PutAt implements port.Store.
-func (r *MonitoredStore) PutAt(ctx context.Context, t port.Topic, key string, value []byte, at int64) (int64, error) {
-	offset, err := r.Store.PutAt(ctx, t, key, value, at)
-	r.ReportError(ctx, err)
+func (m *MonitoredStore) PutAt(ctx context.Context, t port.Topic, key string, value []byte, at int64) (int64, error) {
+	offset, err := m.Store.PutAt(ctx, t, key, value, at)
+	m.ReportError(ctx, err)
 	return offset, err
 }
 
-// OnReadError requests a probe of the store if err shows that a call failed because
-// the store was unavailable. A failed call alone doesn't mark the store as
-// unavailable, since single answers to writes may be lost.
-func (r *MonitoredStore) ReportError(ctx context.Context, err error) {
+// ReportError requests a probe of the store if err shows that a call failed
+// because the store was unavailable. A failed call alone doesn't mark the store
+// as unavailable, since single answers to writes may be lost.
+func (m *MonitoredStore) ReportError(ctx context.Context, err error) {
 	if ctx.Err() != nil || !errors.Is(err, port.ErrUnavailable) {
 		return
 	}
 	select {
-	case r.probeRequested <- struct{}{}:
+	case m.probeRequested <- struct{}{}:
 	default:
 	}
 }
 
 // Run probes the store whenever a probe is requested, until ctx ends.
-func (r *MonitoredStore) Run(ctx context.Context) {
+func (m *MonitoredStore) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.probeRequested:
+		case <-m.probeRequested:
 		}
-		for err := r.probe(ctx); err != nil && ctx.Err() == nil; err = r.probe(ctx) {
-			r.setUnavailable(true, err)
+		for err := m.probe(ctx); err != nil && ctx.Err() == nil; err = m.probe(ctx) {
+			m.setUnavailable(true, err)
 			_ = pause.For(ctx, probeInterval)
 		}
-		r.setUnavailable(false, nil)
+		m.setUnavailable(false, nil)
 	}
 }
 
-func (r *MonitoredStore) probe(ctx context.Context) error {
+func (m *MonitoredStore) probe(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	_, err := r.Store.Newest(ctx, port.TopicClaims, "")
+	_, err := m.Store.Newest(ctx, port.TopicClaims, "")
 	return err
 }
 
-func (r *MonitoredStore) setUnavailable(unavailable bool, cause error) {
-	r.mu.Lock()
-	changed := r.unavailable != unavailable
-	r.unavailable = unavailable
-	r.mu.Unlock()
+func (m *MonitoredStore) setUnavailable(unavailable bool, cause error) {
+	m.mu.Lock()
+	changed := m.unavailable != unavailable
+	m.unavailable = unavailable
+	m.mu.Unlock()
 	switch {
 	case changed && unavailable:
 		log.WithError(cause).Warn("relay: the store doesn't answer this daemon; giving up its duties")
--- a/process/relay/reach_test.go
+++ b/process/relay/reach_test.go
@@ -10,25 +10,25 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// flaky is a store whose answers can be turned off.
-type flaky struct {
+// flakyStore is a store whose answers can be turned off.
+type flakyStore struct {
 	port.Store
-	mu     sync.Mutex
-	silent bool
-	lose   bool // answers to writes are lost
-	calls  int
+	mu         sync.Mutex
+	silent     bool
+	loseWrites bool // answers to writes are lost
+	calls      int
 }
 
-func (f *flaky) set(silent, lose bool) {
+func (f *flakyStore) set(silent, lose bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.silent, f.lose = silent, lose
+	f.silent, f.loseWrites = silent, lose
 }
 
-func (f *flaky) answer(ctx context.Context, write bool) error {
+func (f *flakyStore) answer(ctx context.Context, write bool) error {
 	f.mu.Lock()
 	f.calls++
-	silent, lost := f.silent, f.lose && write
+	silent, lost := f.silent, f.loseWrites && write
 	f.mu.Unlock()
 	if !silent && !lost {
 		return nil
@@ -40,17 +40,17 @@
 	return port.ErrUnavailable
 }
 
-func (f *flaky) Newest(ctx context.Context, _ port.Topic, _ string) (port.KeyedPage, error) {
+func (f *flakyStore) Newest(ctx context.Context, _ port.Topic, _ string) (port.KeyedPage, error) {
 	return port.KeyedPage{}, f.answer(ctx, false)
 }
 
-func (f *flaky) PutAt(ctx context.Context, _ port.Topic, _ string, _ []byte, _ int64) (int64, error) {
+func (f *flakyStore) PutAt(ctx context.Context, _ port.Topic, _ string, _ []byte, _ int64) (int64, error) {
 	return 0, f.answer(ctx, true)
 }
 
-func withReach(t *testing.T, test func(t *testing.T, r *MonitoredStore, f *flaky)) {
+func withReach(t *testing.T, test func(t *testing.T, r *MonitoredStore, f *flakyStore)) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &flaky{}
+		f := &flakyStore{}
 		r := NewMonitoredStore(f)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
@@ -64,23 +64,23 @@
 // Guards against a daemon that stays leader while it alone is cut off from the
 // store, so that it can't claim anything.
 func TestUnansweredCallMakesStoreUnavailable(t *testing.T) {
-	withReach(t, func(t *testing.T, r *MonitoredStore, f *flaky) {
+	withReach(t, func(t *testing.T, r *MonitoredStore, f *flakyStore) {
 		f.set(true, false)
 		time.Sleep(10 * time.Second)
 		if r.Unavailable() {
-			t.Error("away without a call")
+			t.Error("unavailable without a call")
 		}
 		if _, err := r.PutAt(t.Context(), port.TopicClaims, "k", nil, 0); err == nil {
 			t.Fatal("answered")
 		}
 		time.Sleep(probeTimeout + time.Millisecond)
 		if !r.Unavailable() {
-			t.Error("not away after a call and a probe without an answer")
+			t.Error("not unavailable after a call and a probe without an answer")
 		}
 		f.set(false, false)
 		time.Sleep(probeTimeout + probeInterval + time.Millisecond)
 		if r.Unavailable() {
-			t.Error("still away after the store's return")
+			t.Error("still unavailable after the store recovered")
 		}
 		calls := f.calls
 		time.Sleep(time.Minute)
@@ -93,7 +93,7 @@
 // Guards against duties that move to another daemon, with the delay of a lease,
 // each time the answer to a single write is lost.
 func TestLostWriteAnswersDoNotMakeStoreUnavailable(t *testing.T) {
-	withReach(t, func(t *testing.T, r *MonitoredStore, f *flaky) {
+	withReach(t, func(t *testing.T, r *MonitoredStore, f *flakyStore) {
 		f.set(false, true)
 		for range 5 {
 			if _, err := r.PutAt(t.Context(), port.TopicClaims, "k", nil, 0); err == nil {
@@ -101,7 +101,7 @@
 			}
 			time.Sleep(probeTimeout)
 			if r.Unavailable() {
-				t.Fatal("away")
+				t.Fatal("unavailable after lost answers to writes")
 			}
 		}
 	})
--- a/process/relay/relay_test.go
+++ b/process/relay/relay_test.go
@@ -29,9 +29,9 @@
 // countingStore is a store that counts its reads.
 type countingStore struct {
 	port.Store
-	reads  int
-	away   error // error of listings
-	silent bool  // listings get no answer
+	reads   int
+	listErr error // error of listings
+	silent  bool  // listings get no answer
 }
 
 func (d *countingStore) Newest(ctx context.Context, _ port.Topic, _ string) (port.KeyedPage, error) {
@@ -39,7 +39,7 @@
 		<-ctx.Done()
 		return port.KeyedPage{}, ctx.Err()
 	}
-	return port.KeyedPage{Records: []port.KeyedRecord{{Key: "from the store"}}}, d.away
+	return port.KeyedPage{Records: []port.KeyedRecord{{Key: "from the store"}}}, d.listErr
 }
 
 func (d *countingStore) Read(context.Context, port.Topic, int64, time.Duration) (port.KeyedBatch, error) {
@@ -59,8 +59,8 @@
 	return port.KeyedRecord{Key: key, Value: []byte("v"), Offset: offset}
 }
 
-// newReaderAndStore returns a reader's TopicCache and the Store of another daemon
-// that reads from it.
+// newReaderAndStore returns a reader's TopicCache and the Store of another
+// daemon that reads from it.
 func newReaderAndStore(t *testing.T) (*TopicCache, *Store, *countingStore) {
 	tail := NewTopicCache(&sink{}, nil)
 	tail.Confirm(tail.now(), 0)
@@ -78,8 +78,8 @@
 // or contain deleted records.
 func TestListingOfAnotherDaemon(t *testing.T) {
 	tail, s, d := newReaderAndStore(t)
-	away := errors.New("the store is away")
-	d.away = away
+	away := errors.New("the store is unavailable")
+	d.listErr = away
 	if _, err := s.Newest(t.Context(), port.TopicTargets, ""); !errors.Is(err, away) {
 		t.Errorf("a daemon that has read nothing returned a listing: %v", err)
 	}
@@ -103,7 +103,7 @@
 	if _, err := s.Newest(t.Context(), port.TopicClaims, ""); !errors.Is(err, away) {
 		t.Errorf("claims were listed from another daemon: %v", err)
 	}
-	d.away = nil
+	d.listErr = nil
 	if page, err := s.Newest(t.Context(), port.TopicTargets, ""); err != nil || page.Relayed {
 		t.Errorf("with the store available: %+v, %v", page, err)
 	}
@@ -128,7 +128,7 @@
 // the store or is behind.
 func TestStoreIsReadWhenReaderIsNotCurrent(t *testing.T) {
 	for name, spoil := range map[string]func(tail *TopicCache){
-		"lost the store":   func(tail *TopicCache) { tail.StoreLost(errors.New("away")) },
+		"lost the store":   func(tail *TopicCache) { tail.StoreLost(errors.New("the store is unavailable")) },
 		"behind the asker": func(tail *TopicCache) { tail.Reset(nil, 1); tail.Apply([]port.KeyedRecord{record(1, "y")}) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -315,7 +315,7 @@
 		d, listed := &countingStore{}, make(chan struct{})
 		s := NewStore(d, func() []string { return []string{"reader", "other"} }, func() []string { return nil }, port.TopicTargets)
 		s.now, s.ReadersKnown = tail.now, listed
-		s.client = &http.Client{Transport: inMemory{"reader": Handler(map[port.Topic]*TopicCache{port.TopicTargets: tail})}}
+		s.client = &http.Client{Transport: memoryTransport{"reader": Handler(map[port.Topic]*TopicCache{port.TopicTargets: tail})}}
 		time.AfterFunc(400*time.Millisecond, func() { close(listed) })
 		if _, err := s.Read(t.Context(), port.TopicTargets, 5, 0); err != nil || d.reads != 0 || tail.now() != 400*time.Millisecond {
 			t.Errorf("%d reads of the store after %v, %v", d.reads, tail.now(), err)
@@ -337,11 +337,11 @@
 		tail.Reset(nil, 5)
 		tail.Confirm(tail.now(), 0)
 	}
-	first.StoreLost(errors.New("the store is away"))
+	first.StoreLost(errors.New("the store is unavailable"))
 	second.Apply([]port.KeyedRecord{record(5, "a")})
 	d := &countingStore{}
 	s := NewStore(d, func() []string { return []string{"first", "second"} }, func() []string { return nil }, port.TopicTargets)
-	s.client = &http.Client{Transport: inMemory{
+	s.client = &http.Client{Transport: memoryTransport{
 		"first":  Handler(map[port.Topic]*TopicCache{port.TopicTargets: first}),
 		"second": Handler(map[port.Topic]*TopicCache{port.TopicTargets: second}),
 	}}
@@ -349,7 +349,7 @@
 	if err != nil || len(got.Records) != 1 || got.Records[0].Key != "a" || d.reads != 0 || s.bypassingReaders() {
 		t.Errorf("records %+v, %v, %d reads of the store", got, err, d.reads)
 	}
-	second.StoreLost(errors.New("the store is away"))
+	second.StoreLost(errors.New("the store is unavailable"))
 	if _, err := s.Read(t.Context(), port.TopicTargets, 6, 0); err != nil || d.reads != 1 {
 		t.Errorf("with both lost: %v, %d reads of the store", err, d.reads)
 	}
@@ -392,13 +392,13 @@
 	}
 }
 
-// refusing is an unavailable store that counts its reads.
-type refusing struct {
+// unavailableStore is an unavailable store that counts its reads.
+type unavailableStore struct {
 	port.Store
 	asked int
 }
 
-func (r *refusing) Read(context.Context, port.Topic, int64, time.Duration) (port.KeyedBatch, error) {
+func (r *unavailableStore) Read(context.Context, port.Topic, int64, time.Duration) (port.KeyedBatch, error) {
 	r.asked++
 	return port.KeyedBatch{}, port.ErrUnavailable
 }
@@ -413,9 +413,9 @@
 		now := clock.NewRuntime().Now
 		tail := NewTopicCache(&sink{}, nil)
 		tail.now = now
-		d := &refusing{}
+		d := &unavailableStore{}
 		s := NewStore(d, func() []string { return []string{"reader"} }, func() []string { return nil }, port.TopicTargets, port.TopicConfig)
-		s.now, s.client = now, &http.Client{Transport: inMemory{"reader": Handler(map[port.Topic]*TopicCache{port.TopicTargets: tail, port.TopicConfig: tail})}}
+		s.now, s.client = now, &http.Client{Transport: memoryTransport{"reader": Handler(map[port.Topic]*TopicCache{port.TopicTargets: tail, port.TopicConfig: tail})}}
 		s.RetryDelay = func(bool) time.Duration { return 1800 * time.Millisecond }
 		for now() < 5*time.Second {
 			for _, topic := range []port.Topic{port.TopicTargets, port.TopicConfig} {
@@ -441,7 +441,7 @@
 // Store.Cut under its own lock.
 func TestRetryDelayIsCalledWithoutLock(t *testing.T) {
 	tail, s, d := newReaderAndStore(t)
-	tail.StoreLost(errors.New("away"))
+	tail.StoreLost(errors.New("the store is unavailable"))
 	s.RetryDelay = func(bool) time.Duration {
 		s.UsesFallback()
 		return 0
@@ -479,14 +479,15 @@
 	if asOf := s.AsOf(port.TopicTargets); asOf <= 0 || asOf > tail.asOf {
 		t.Errorf("complete up to %v, the reader's data up to %v", asOf, tail.asOf)
 	}
-	// A listing that is too old, or from a reader that lost the store, isn't used.
+	// A listing that is too old, or from a reader that lost the store, isn't
+	// used.
 	now := tail.now
 	tail.now = func() time.Duration { return now() + MaxAge(0, 1) }
 	if page, err := s.Newest(t.Context(), port.TopicTargets, ""); err != nil || page.End == 10 {
 		t.Errorf("an outdated listing was used: %+v, %v", page, err)
 	}
 	tail.now = now
-	tail.StoreLost(errors.New("away"))
+	tail.StoreLost(errors.New("the store is unavailable"))
 	if page, err := s.Newest(t.Context(), port.TopicTargets, ""); err != nil || page.End == 10 {
 		t.Errorf("the listing of a reader without the store was used: %+v, %v", page, err)
 	}
--- a/process/relay/silence_test.go
+++ b/process/relay/silence_test.go
@@ -48,25 +48,25 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *sharedStore) silence(vm string) {
+func (s *sharedStore) stopAnswering(vm string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.silent[vm] = true
 }
 
-// viewOf is the sharedStore as used by one VM.
-type viewOf struct {
+// vmStore is the sharedStore as used by one VM.
+type vmStore struct {
 	port.Store
 	s  *sharedStore
 	vm string
 }
 
-func (v viewOf) Newest(ctx context.Context, t port.Topic, _ string) (port.KeyedPage, error) {
+func (v vmStore) Newest(ctx context.Context, t port.Topic, _ string) (port.KeyedPage, error) {
 	batch, err := v.Read(ctx, t, 0, 0)
 	return port.KeyedPage{Records: batch.Records, End: batch.Next}, err
 }
 
-func (v viewOf) Read(ctx context.Context, _ port.Topic, from int64, wait time.Duration) (port.KeyedBatch, error) {
+func (v vmStore) Read(ctx context.Context, _ port.Topic, from int64, wait time.Duration) (port.KeyedBatch, error) {
 	limit := time.NewTimer(wait + clientPatience)
 	defer limit.Stop()
 	waited := time.NewTimer(wait)
@@ -97,10 +97,10 @@
 	}
 }
 
-// inMemory carries requests to the daemons' handlers without a network.
-type inMemory map[string]http.Handler
+// memoryTransport carries requests to the daemons' handlers without a network.
+type memoryTransport map[string]http.Handler
 
-func (m inMemory) RoundTrip(req *http.Request) (*http.Response, error) {
+func (m memoryTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	rec := httptest.NewRecorder()
 	done := make(chan struct{})
 	go func() {
@@ -117,16 +117,16 @@
 
 // follower is one daemon of the zone with the targets that it knows.
 type follower struct {
-	away  atomic.Bool
-	mu    sync.Mutex
-	known map[string]bool
-	store *Store
+	storeLost atomic.Bool
+	mu        sync.Mutex
+	known     map[string]bool
+	store     *Store
 	*topic.Follower
 }
 
 func (f *follower) Reset(r []port.KeyedRecord, _ int64) { f.Apply(r) }
-func (f *follower) StoreLost(error)                     { f.away.Store(true) }
-func (f *follower) StoreRecovered()                     { f.away.Store(false) }
+func (f *follower) StoreLost(error)                     { f.storeLost.Store(true) }
+func (f *follower) StoreRecovered()                     { f.storeLost.Store(false) }
 
 func (f *follower) Apply(records []port.KeyedRecord) {
 	f.mu.Lock()
@@ -144,7 +144,7 @@
 
 // newFollower adds a daemon to the zone. reader returns the daemon that it
 // reads from; empty means the store.
-func newFollower(vm string, s *sharedStore, net inMemory, now func() time.Duration, reader func() string) *follower {
+func newFollower(vm string, s *sharedStore, net memoryTransport, now func() time.Duration, reader func() string) *follower {
 	f := &follower{known: make(map[string]bool)}
 	tail := NewTopicCache(f, nil)
 	tail.now = now
@@ -154,7 +154,7 @@
 		}
 		return nil
 	}
-	store := NewStore(viewOf{s: s, vm: vm}, readers, func() []string { return nil }, port.TopicTargets)
+	store := NewStore(vmStore{s: s, vm: vm}, readers, func() []string { return nil }, port.TopicTargets)
 	store.now = now
 	store.client = &http.Client{Transport: net}
 	f.store = store
@@ -179,16 +179,16 @@
 		t.Run(fmt.Sprint(after), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := &sharedStore{changed: make(chan struct{}), silent: make(map[string]bool)}
-				net, now := inMemory{}, clock.NewRuntime().Now
+				net, now := memoryTransport{}, clock.NewRuntime().Now
 				first := newFollower("first", s, net, now, func() string { return "" })
 				second := newFollower("second", s, net, now, func() string {
-					if first.away.Load() {
+					if first.storeLost.Load() {
 						return ""
 					}
 					return "first"
 				})
 				third := newFollower("third", s, net, now, func() string {
-					if first.away.Load() {
+					if first.storeLost.Load() {
 						return "second"
 					}
 					return "first"
@@ -206,7 +206,7 @@
 					f.Start()
 				}
 				_ = pause.For(ctx, 5*time.Second+after)
-				s.silence("first")
+				s.stopAnswering("first")
 				s.add("leaves")
 				_ = pause.For(ctx, leaveBound)
 				for name, f := range map[string]*follower{"second": second, "third": third, "fourth": fourth} {
--- a/process/relay/store.go
+++ b/process/relay/store.go
@@ -44,8 +44,8 @@
 	maxAnswerBytes = 8 << 20
 )
 
-// MaxReadInterval is the longest time that a reader may wait between two reads. The
-// configured read interval must not exceed it, since MaxAge allows for it.
+// MaxReadInterval is the longest time that a reader may wait between two reads.
+// The configured read interval must not exceed it, since MaxAge allows for it.
 const MaxReadInterval = 400 * time.Millisecond
 
 // Store is a port.Store that reads some topics from a reader if there is one. A
@@ -57,23 +57,23 @@
 	peers   func() []string // addresses of the other daemons that accept requests
 	client  *http.Client
 	now     func() time.Duration // CLOCK_BOOTTIME
-	// ReadersKnown is closed once the readers are known. It is set before the first
-	// call; nil means that they are known from the start.
+	// ReadersKnown is closed once the readers are known. It is set before the
+	// first call; nil means that they are known from the start.
 	ReadersKnown <-chan struct{}
-	// PeersWithStore returns the addresses of the peers that can read the store. One
-	// of them is read if this daemon can't read the store and has no reader. It
-	// is set before the first call; nil means no peers.
+	// PeersWithStore returns the addresses of the peers that can read the
+	// store. One of them is read if this daemon can't read the store and has no
+	// reader. It is set before the first call; nil means no peers.
 	PeersWithStore func() []string
-	// RetryDelay returns how long a daemon that has a reader makes no calls to the
-	// store after the store failed as well. If the readers answer that their
-	// data isn't current, the delay also applies before the first call to the
-	// store. It is set before the first call.
+	// RetryDelay returns how long a daemon that has a reader makes no calls to
+	// the store after the store failed as well. If the readers answer that
+	// their data isn't current, the delay also applies before the first call to
+	// the store. It is set before the first call.
 	RetryDelay func(readersAnswer bool) time.Duration
 	// Depth returns the largest number of daemons between the store and a
 	// daemon. It is set before the first call; nil means one.
 	Depth func() int
-	// OnReadError is called after a failed read of the store. It is set before the
-	// first call and may be nil.
+	// OnReadError is called after a failed read of the store. It is set before
+	// the first call and may be nil.
 	OnReadError func(ctx context.Context, err error)
 
 	mu                sync.Mutex
@@ -95,8 +95,8 @@
 	return s.lastReader == noReader
 }
 
-// BypassesReaders reports whether this daemon has a reader but reads the store because
-// the reader failed.
+// BypassesReaders reports whether this daemon has a reader but reads the store
+// because the reader failed.
 func (s *Store) BypassesReaders() bool { return len(s.readers()) > 0 && s.bypassingReaders() }
 
 // NewStore returns a Store on top of s. readers returns the daemons to read the
@@ -204,14 +204,14 @@
 // topic. Calls are paid for, and rejected calls count against the common rate
 // limit. Readers that answer notice the return of the store first.
 func (s *Store) mayCallStore(readersAnswer bool) bool {
-	pace := s.RetryDelay(true) // without s.mu: the membership calls this Store while it holds its own lock
+	delay := s.RetryDelay(true) // without s.mu: the membership calls this Store while it holds its own lock
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
 	if readersAnswer && !s.readersNotCurrent {
-		// The delay is random, but at least half of pace, so that the daemons
+		// The delay is random, but at least half of delay, so that the daemons
 		// don't all call at once.
-		s.nextStoreCall = max(s.nextStoreCall, now+pace/2+rand.N(pace/2+1))
+		s.nextStoreCall = max(s.nextStoreCall, now+delay/2+rand.N(delay/2+1))
 	}
 	s.readersNotCurrent = readersAnswer
 	return now >= s.nextStoreCall
@@ -263,17 +263,17 @@
 // deferStoreCalls makes reads go to the readers again and delays the next call
 // to the store.
 func (s *Store) deferStoreCalls(readersAnswer bool) {
-	pace := s.RetryDelay(readersAnswer)
+	delay := s.RetryDelay(readersAnswer)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.bypassUntil = 0
-	s.nextStoreCall = s.now() + pace
+	s.nextStoreCall = s.now() + delay
 }
 
 // MaxAge returns the largest acceptable age of a reader's data for a read with
 // the given wait, over a chain of depth readers. Each of them reads the store,
-// or the reader before it, after at most MaxReadInterval plus the wait of its own
-// read.
+// or the reader before it, after at most MaxReadInterval plus the wait of its
+// own read.
 func MaxAge(wait time.Duration, depth int) time.Duration {
 	return time.Duration(depth)*(MaxReadInterval+wait) + readGrace
 }
--- a/process/relay/tail.go
+++ b/process/relay/tail.go
@@ -17,10 +17,10 @@
 // be smaller.
 const minChanges = 64
 
-// TopicCache caches one topic as this daemon has read it: the newest record of each
-// key and the latest changes. It drops records that don't change their key's
-// content, such as heartbeats, so that neither the next sink nor the daemons
-// that read from this one process them. It is safe for concurrent use.
+// TopicCache caches one topic as this daemon has read it: the newest record of
+// each key and the latest changes. It drops records that don't change their
+// key's content, such as heartbeats, so that neither the next sink nor the
+// daemons that read from this one process them. It is safe for concurrent use.
 type TopicCache struct {
 	next   topic.Sink
 	same   func(a, b port.KeyedRecord) bool
@@ -45,9 +45,9 @@
 	record port.KeyedRecord
 }
 
-// NewTopicCache returns a TopicCache that passes changes on to next. same reports whether
-// two records of a key have the same content; nil means that all records
-// differ.
+// NewTopicCache returns a TopicCache that passes changes on to next. same
+// reports whether two records of a key have the same content; nil means that
+// all records differ.
 func NewTopicCache(next topic.Sink, same func(a, b port.KeyedRecord) bool) *TopicCache {
 	if same == nil {
 		same = func(a, b port.KeyedRecord) bool { return a.Offset == b.Offset }
@@ -168,7 +168,7 @@
 type cachedListing struct {
 	page    port.KeyedPage
 	version int64         // of the records; the same version means the same records
-	readAt  time.Duration // when the store was read, relative to now; negative
+	readAt  time.Duration // when the store was read, relative to now (negative)
 }
 
 // listing returns the cached topic. The result is false if this daemon never
