--- a/internal/packetnet/packetnet.go
+++ b/internal/packetnet/packetnet.go
@@ -1,4 +1,4 @@
-// Package packetnet is a network of datagrams in memory, for tests.
+// Package packetnet is an in-memory datagram network for tests.
 package packetnet
 
 import (
@@ -9,26 +9,27 @@
 	"time"
 )
 
-// queue is the number of datagrams that wait at a receiver; more are lost.
-const queue = 1000
+// queueSize is the number of datagrams that a receiver buffers. Further
+// datagrams are dropped.
+const queueSize = 1000
 
-// Net carries datagrams between its ends. It is safe for concurrent use.
+// Net transfers datagrams between its sockets. It is safe for concurrent use.
 type Net struct {
-	mu   sync.Mutex
-	ends map[string]*End
-	cut  map[string]bool // addresses that nothing reaches or leaves
-	sent int             // datagrams
-	lose float64         // share of datagrams that is lost
-	luck *rand.Rand
+	mu          sync.Mutex
+	conns       map[string]*Conn
+	unreachable map[string]bool // addresses whose datagrams are dropped in both directions
+	sent        int             // number of datagrams
+	lossRate    float64         // share of datagrams that are dropped
+	rng         *rand.Rand
 }
 
-// New returns a Net whose losses follow from the seed.
+// New returns a Net whose datagram losses are determined by the seed.
 func New(seed uint64) *Net {
-	return &Net{ends: make(map[string]*End), cut: make(map[string]bool), luck: rand.New(rand.NewPCG(1, seed))}
+	return &Net{conns: make(map[string]*Conn), unreachable: make(map[string]bool), rng: rand.New(rand.NewPCG(1, seed))}
 }
 
-// End is one socket: a net.PacketConn.
-type End struct {
+// Conn is a socket. It implements net.PacketConn.
+type Conn struct {
 	n    *Net
 	addr *net.UDPAddr
 	in   chan packet
@@ -43,63 +44,63 @@
 	from net.Addr
 }
 
-// Open returns the socket of an address, host:port. It panics if that can't be
-// read.
-func (n *Net) Open(addr string) *End {
+// Open returns a socket with the address addr, in the form host:port. It panics
+// if addr is invalid.
+func (n *Net) Open(addr string) *Conn {
 	udp, err := net.ResolveUDPAddr("udp4", addr)
 	if err != nil {
 		panic(err)
 	}
-	e := &End{n: n, addr: udp, in: make(chan packet, queue), done: make(chan struct{})}
+	c := &Conn{n: n, addr: udp, in: make(chan packet, queueSize), done: make(chan struct{})}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.ends[addr] = e
-	return e
+	n.conns[addr] = c
+	return c
 }
 
-// SetCut has nothing reach or leave an address.
-func (n *Net) SetCut(addr string, on bool) {
+// SetUnreachable sets whether all datagrams to and from an address are dropped.
+func (n *Net) SetUnreachable(addr string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[addr] = on
+	n.unreachable[addr] = on
 }
 
-// SetLoss has a share of the datagrams lost.
-func (n *Net) SetLoss(share float64) {
+// SetLossRate sets the share of datagrams that are dropped.
+func (n *Net) SetLossRate(share float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.lose = share
+	n.lossRate = share
 }
 
-// Sent is the number of datagrams that were sent.
+// Sent returns the number of datagrams sent.
 func (n *Net) Sent() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.sent
 }
 
-// Bytes is what an end has sent and received.
-func (e *End) Bytes() (sent, received int) {
-	e.n.mu.Lock()
-	defer e.n.mu.Unlock()
-	return e.sentBytes, e.receivedBytes
+// Bytes returns the number of bytes that the socket has sent and received.
+func (c *Conn) Bytes() (sent, received int) {
+	c.n.mu.Lock()
+	defer c.n.mu.Unlock()
+	return c.sentBytes, c.receivedBytes
 }
 
 // WriteTo implements net.PacketConn.
-func (e *End) WriteTo(data []byte, to net.Addr) (int, error) {
-	e.n.mu.Lock()
-	defer e.n.mu.Unlock()
-	e.n.sent++
-	e.sentBytes += len(data)
-	if e.n.luck.Float64() < e.n.lose {
+func (c *Conn) WriteTo(data []byte, to net.Addr) (int, error) {
+	c.n.mu.Lock()
+	defer c.n.mu.Unlock()
+	c.n.sent++
+	c.sentBytes += len(data)
+	if c.n.rng.Float64() < c.n.lossRate {
 		return len(data), nil
 	}
-	other := e.n.ends[to.String()]
-	if other == nil || e.n.cut[to.String()] || e.n.cut[e.addr.String()] {
+	other := c.n.conns[to.String()]
+	if other == nil || c.n.unreachable[to.String()] || c.n.unreachable[c.addr.String()] {
 		return len(data), nil
 	}
 	select {
-	case other.in <- packet{slices.Clone(data), e.addr}:
+	case other.in <- packet{slices.Clone(data), c.addr}:
 		other.receivedBytes += len(data)
 	default:
 	}
@@ -107,29 +108,29 @@
 }
 
 // ReadFrom implements net.PacketConn.
-func (e *End) ReadFrom(b []byte) (int, net.Addr, error) {
+func (c *Conn) ReadFrom(b []byte) (int, net.Addr, error) {
 	select {
-	case p := <-e.in:
+	case p := <-c.in:
 		return copy(b, p.data), p.from, nil
-	case <-e.done:
+	case <-c.done:
 		return 0, nil, net.ErrClosed
 	}
 }
 
 // Close implements net.PacketConn.
-func (e *End) Close() error {
-	e.once.Do(func() { close(e.done) })
+func (c *Conn) Close() error {
+	c.once.Do(func() { close(c.done) })
 	return nil
 }
 
 // LocalAddr implements net.PacketConn.
-func (e *End) LocalAddr() net.Addr { return e.addr }
+func (c *Conn) LocalAddr() net.Addr { return c.addr }
 
-// SetDeadline implements net.PacketConn; there is none.
-func (*End) SetDeadline(time.Time) error { return nil }
+// SetDeadline implements net.PacketConn. It does nothing.
+func (*Conn) SetDeadline(time.Time) error { return nil }
 
-// SetReadDeadline implements net.PacketConn; there is none.
-func (*End) SetReadDeadline(time.Time) error { return nil }
+// SetReadDeadline implements net.PacketConn. It does nothing.
+func (*Conn) SetReadDeadline(time.Time) error { return nil }
 
-// SetWriteDeadline implements net.PacketConn; there is none.
-func (*End) SetWriteDeadline(time.Time) error { return nil }
+// SetWriteDeadline implements net.PacketConn. It does nothing.
+func (*Conn) SetWriteDeadline(time.Time) error { return nil }
--- a/process/relay/cutoff_test.go
+++ b/process/relay/cutoff_test.go
@@ -12,8 +12,8 @@
 	"github.com/pomelospool/pomelospool/process/clock"
 )
 
-// Guards against a daemon that reads the store itself, loses it and serves on
-// with old targets and routes although its peers have newer ones.
+// Guards against a daemon that reads the store itself, loses it, and continues
+// to serve with outdated targets and routes although its peers have newer ones.
 func TestReaderWithoutTheStoreFollowsItsPeers(t *testing.T) {
 	for name, beats := range map[string]time.Duration{"records all the time": beatEvery, "few records": time.Hour} {
 		for after := time.Duration(0); after <= readWait; after += readWait / 4 {
@@ -26,10 +26,10 @@
 
 func followsPeers(t *testing.T, beats, after time.Duration) {
 	s := &sharedStore{changed: make(chan struct{}), silent: make(map[string]bool)}
-	net, now := inMemory{}, clock.NewRuntime().Now
+	net, now := memoryTransport{}, clock.NewRuntime().Now
 	noReader := func() string { return "" }
 	cut := newFollower("cut", s, net, now, noReader)
-	cut.store.Sources = func() []string { return []string{"sound"} }
+	cut.store.PeersWithStore = func() []string { return []string{"sound"} }
 	reader := newFollower("reader", s, net, now, noReader)
 	sound := newFollower("sound", s, net, now, func() string { return "reader" })
 	ctx, stop := context.WithCancel(t.Context())
@@ -42,12 +42,12 @@
 		f.Start()
 	}
 	_ = pause.For(ctx, 5*time.Second+after)
-	s.silence("cut")
+	s.stopAnswering("cut")
 	for _, key := range []string{"leaves first", "leaves second", "leaves third"} {
 		s.add(key)
 		_ = pause.For(ctx, leaveBound)
 		if !cut.knows(key) {
-			t.Errorf("target %q isn't known %v later", key, leaveBound)
+			t.Errorf("target %q isn't known after %v", key, leaveBound)
 		}
 		if age := now() - cut.store.AsOf(port.TopicTargets); age > leaveBound {
 			t.Errorf("the targets are %v old", age)
--- a/process/relay/fleet_test.go
+++ b/process/relay/fleet_test.go
@@ -24,11 +24,12 @@
 
 const (
 	fleetZones = 5
-	// fleetWait and fleetPace are those of a read of the targets.
+	// fleetWait and fleetPace are the wait and the interval of reads of the
+	// targets.
 	fleetWait = 900 * time.Millisecond
-	fleetPace = ReaderPause
-	// storeLatency is what an answer of the store takes, and appendTime what it
-	// takes for each write, one after the other.
+	fleetPace = MaxReadInterval
+	// storeLatency is the time that the store takes for an answer. appendTime
+	// is the time it takes for each write; writes are serialized.
 	storeLatency = 4 * time.Millisecond
 	appendTime   = 2 * time.Millisecond
 	// targetBeat is the time between two heartbeats of a target.
@@ -38,14 +39,14 @@
 
 // fleetStore is a store of a large fleet that counts the calls to it.
 type fleetStore struct {
-	mu       sync.Mutex
-	logs     map[port.Topic][]port.KeyedRecord
-	newest   map[port.Topic]map[string]port.KeyedRecord
-	changed  chan struct{}
-	away     bool
-	writable time.Time // when the last write ends
-	calls    int
-	records  int // that were read
+	mu          sync.Mutex
+	logs        map[port.Topic][]port.KeyedRecord
+	newest      map[port.Topic]map[string]port.KeyedRecord
+	changed     chan struct{}
+	unavailable bool
+	writable    time.Time // when the last write ends
+	calls       int
+	records     int // number of records read
 }
 
 func newFleetStore() *fleetStore {
@@ -55,16 +56,16 @@
 	}
 }
 
-// begin counts a call and waits for its answer.
+// begin counts a call and waits for the latency of the store.
 func (s *fleetStore) begin(ctx context.Context) error {
 	s.mu.Lock()
 	s.calls++
-	away := s.away
+	unavailable := s.unavailable
 	s.mu.Unlock()
 	if err := pause.For(ctx, storeLatency); err != nil {
 		return err
 	}
-	if away {
+	if unavailable {
 		return port.ErrUnavailable
 	}
 	return nil
@@ -138,7 +139,7 @@
 	return 0, port.ErrConflict
 }
 
-// write adds records of targets, or of the fleet's daemons.
+// write appends records without latency.
 func (s *fleetStore) write(t port.Topic, records ...port.KeyedRecord) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,10 +156,10 @@
 	return int64(len(s.logs[t])) - 1
 }
 
-func (s *fleetStore) setAway(on bool) {
+func (s *fleetStore) setUnavailable(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = on
+	s.unavailable = on
 }
 
 func (s *fleetStore) count() (calls, records int) {
@@ -167,54 +168,56 @@
 	return s.calls, s.records
 }
 
-// fleet is daemons that read the targets from the store, or from each other.
+// fleet is a set of daemons that read the targets from the store or from each
+// other.
 type fleet struct {
 	store   *fleetStore
 	packets *packetnet.Net
-	http    *countingNet
+	http    *countingTransport
 	now     func() time.Duration
 	daemons []*fleetDaemon
 	targets int
 }
 
 type fleetDaemon struct {
-	addr     string
-	end      *packetnet.End
-	roster   *roster.Roster
-	registry *discovery.Registry
-	follower *topic.Follower
-	away     bool // guarded by mu
-	mu       sync.Mutex
+	addr      string
+	end       *packetnet.Conn
+	roster    *roster.Roster
+	registry  *discovery.Registry
+	follower  *topic.Follower
+	storeLost bool // guarded by mu
+	mu        sync.Mutex
 }
 
-// Lost and Back note whether the daemon knows what the store says.
+// fleetSink tracks whether the daemon has lost the store.
 type fleetSink struct {
 	topic.Sink
 	d *fleetDaemon
 }
 
-func (s *fleetSink) Lost(err error) { s.set(true); s.Sink.Lost(err) }
-func (s *fleetSink) Back()          { s.set(false); s.Sink.Back() }
+func (s *fleetSink) StoreLost(err error) { s.set(true); s.Sink.StoreLost(err) }
+func (s *fleetSink) StoreRecovered()     { s.set(false); s.Sink.StoreRecovered() }
 func (s *fleetSink) set(on bool) {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
-	s.d.away = on
+	s.d.storeLost = on
 }
 
-func (d *fleetDaemon) lost() bool {
+func (d *fleetDaemon) isStoreLost() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.away
+	return d.storeLost
 }
 
-// countingNet carries requests between daemons and counts the bytes of answers.
-type countingNet struct {
+// countingTransport carries requests between daemons and counts the bytes of
+// answers.
+type countingTransport struct {
 	mu    sync.Mutex
 	to    map[string]http.Handler
-	bytes map[string]int // by the daemon that answered
+	bytes map[string]int // by the answering daemon
 }
 
-func (n *countingNet) RoundTrip(req *http.Request) (*http.Response, error) {
+func (n *countingTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	n.mu.Lock()
 	h := n.to[req.URL.Host]
 	n.mu.Unlock()
@@ -239,7 +242,7 @@
 	if r.Value == nil {
 		return port.TargetEntry{ID: r.Key}, false, nil
 	}
-	// A heartbeat's number follows the state.
+	// The value is the state followed by the number of the heartbeat.
 	return port.TargetEntry{ID: r.Key, Service: "llm", Leaving: r.Value[0] == 'l'}, true, nil
 }
 
@@ -255,10 +258,10 @@
 		link = 1000
 	}
 	var s *Store
-	var reach *Reach
+	var reach *MonitoredStore
 	s = NewStore(f.store, func() []string { return d.roster.Upstream().Peers }, func() []string { return d.roster.ReadyPeers() }, port.TopicTargets)
 	s.now, s.client = f.now, &http.Client{Transport: f.http}
-	reach = NewReach(s)
+	reach = NewMonitoredStore(s)
 	r, err := roster.New(roster.Options{
 		Self: roster.Member{
 			VM: fmt.Sprintf("vm%05d", n), Incarnation: 1, Zone: fmt.Sprint("z", n%fleetZones),
@@ -267,31 +270,31 @@
 		Claims: noClaims{}, Speeds: speed.NewTracker(), Demand: demand.New(time.Now),
 		Book:  engines.New(time.Now, func(engines.Work) {}),
 		Store: f.store, TTL: time.Second, Conn: d.end, SingleReader: true,
-		StoreUnavailable: func() bool { return d.lost() || reach.Away() },
-		StoreFails:       func() bool { return d.lost() && s.ReadsItself() || s.Cut() || reach.Away() },
+		StoreUnavailable: func() bool { return d.isStoreLost() || reach.Unavailable() },
+		StoreFails:       func() bool { return d.isStoreLost() && s.HasNoReader() || s.UsesFallback() || reach.Unavailable() },
 	})
 	if err != nil {
 		panic(err)
 	}
 	d.roster = r
-	s.Listed, s.Suspect, s.Sources = r.ContactsListed(), reach.Suspect, r.PeersWithStore
+	s.ReadersKnown, s.OnReadError, s.PeersWithStore = r.ContactsListed(), reach.ReportError, r.PeersWithStore
 	s.Depth = func() int { return r.Upstream().Depth }
-	s.Retry = func(answer bool) time.Duration {
+	s.RetryDelay = func(answer bool) time.Duration {
 		if answer {
 			return fleetPace * time.Duration(r.KnownDaemons()) / 16
 		}
 		return 2 * time.Second
 	}
 	d.registry = discovery.New(discovery.Options{Decode: decodeFleetTarget})
-	tail := NewTail(&fleetSink{Sink: d.registry, d: d}, d.registry.Same)
+	tail := NewTopicCache(&fleetSink{Sink: d.registry, d: d}, d.registry.Same)
 	tail.now = f.now
 	d.follower = topic.New(topic.Options{
 		Store: s, Topic: port.TopicTargets, Name: "targets", Sink: tail,
-		Wait: func() time.Duration { return fleetWait }, Pace: func() time.Duration { return fleetPace },
-		Current: func(next int64) { tail.Confirm(s.AsOf(port.TopicTargets), next) },
+		Wait: func() time.Duration { return fleetWait }, ReadInterval: func() time.Duration { return fleetPace },
+		OnCurrent: func(next int64) { tail.Confirm(s.AsOf(port.TopicTargets), next) },
 	})
 	f.http.mu.Lock()
-	f.http.to[d.addr] = Handler(map[port.Topic]*Tail{port.TopicTargets: tail})
+	f.http.to[d.addr] = Handler(map[port.Topic]*TopicCache{port.TopicTargets: tail})
 	f.http.mu.Unlock()
 	r.Start()
 	r.SetState(roster.Ready)
@@ -304,7 +307,7 @@
 func (noClaims) Report() []roster.Claim { return nil }
 func (noClaims) Merge([]roster.Claim)   {}
 
-// heartbeats has each target write its entry again and again.
+// heartbeats rewrites the entry of each target every targetBeat.
 func (f *fleet) heartbeats(ctx context.Context) {
 	const step = 100 * time.Millisecond
 	for beat := 0; pause.For(ctx, step) == nil; beat++ {
@@ -316,13 +319,13 @@
 	}
 }
 
-// withFleet runs a test on a fleet that starts at once, before targets that are
-// there already.
+// withFleet runs a test on a fleet whose daemons all start at once, with the
+// targets already in the store.
 func withFleet(t *testing.T, daemons, targets int, test func(ctx context.Context, f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{
 			store: newFleetStore(), packets: packetnet.New(7), now: clock.NewRuntime().Now, targets: targets,
-			http: &countingNet{to: make(map[string]http.Handler), bytes: make(map[string]int)},
+			http: &countingTransport{to: make(map[string]http.Handler), bytes: make(map[string]int)},
 		}
 		for n := range targets {
 			f.store.write(port.TopicTargets, targetRecord(n, 0, 'r'))
@@ -345,8 +348,9 @@
 	})
 }
 
-// knowing is the number of daemons that know that many targets.
-func (f *fleet) knowing(targets int) int {
+// daemonsWithTargets returns the number of daemons that know exactly the given
+// number of targets.
+func (f *fleet) daemonsWithTargets(targets int) int {
 	n := 0
 	for _, d := range f.daemons {
 		if d.registry.Snapshot().Targets["llm"].All().Len() == targets {
@@ -356,20 +360,20 @@
 	return n
 }
 
-// Guards against a fleet that lists and reads the store from each daemon as it
-// starts, and against daemons that know no targets for seconds.
+// Guards against a fleet in which each daemon lists and reads the store at the
+// start, and against daemons that know no targets for seconds.
 func TestFleetStartsWithFewCalls(t *testing.T) {
 	const daemons, targets = 200, 2000
 	withFleet(t, daemons, targets, func(ctx context.Context, f *fleet) {
 		_ = pause.For(ctx, 6*time.Second)
-		if n := f.knowing(targets); n != daemons {
+		if n := f.daemonsWithTargets(targets); n != daemons {
 			t.Errorf("%d of %d daemons know all targets after 6 s", n, daemons)
 		}
 		calls, _ := f.store.count()
 		if most := 4 * daemons; calls > most {
 			t.Errorf("%d calls to the store, want %d", calls, most)
 		}
-		// From here on one daemon reads the store.
+		// From here on only one daemon reads the store.
 		_ = pause.For(ctx, 4*time.Second)
 		begun, read := f.store.count()
 		const rest = 10 * time.Second
@@ -384,13 +388,13 @@
 	})
 }
 
-// Guards against thousands of calls to a store that is away, and against daemons
-// that learn late what was written after its return.
-func TestOutageCostsFewCalls(t *testing.T) {
+// Guards against thousands of calls to an unavailable store, and against
+// daemons that receive the records written after its return late.
+func TestOutageCausesFewStoreCalls(t *testing.T) {
 	const daemons, targets = 200, 500
 	withFleet(t, daemons, targets, func(ctx context.Context, f *fleet) {
 		_ = pause.For(ctx, 10*time.Second)
-		f.store.setAway(true)
+		f.store.setUnavailable(true)
 		begun, _ := f.store.count()
 		const outage = 9 * time.Second
 		_ = pause.For(ctx, outage)
@@ -398,17 +402,17 @@
 		if ended-begun > 2*daemons {
 			t.Errorf("%d calls in an outage of %v", ended-begun, outage)
 		}
-		f.store.setAway(false)
+		f.store.setUnavailable(false)
 		f.store.write(port.TopicTargets, targetRecord(targets, 0, 'r'))
 		_ = pause.For(ctx, 4*time.Second)
-		if n := f.knowing(targets + 1); n != daemons {
-			t.Errorf("%d of %d daemons know of a new target 4 s after the store's return", n, daemons)
+		if n := f.daemonsWithTargets(targets + 1); n != daemons {
+			t.Errorf("%d of %d daemons know of a new target 4 s after the store recovered", n, daemons)
 		}
 	})
 }
 
-// Guards against requests to a target that has left, at daemons that read from one
-// that is frozen, or from one that the store alone doesn't answer.
+// Guards against requests to a target that has left, sent by daemons that read
+// from a frozen daemon or from one that alone is cut off from the store.
 func TestLeavingTargetIsKnownInTimeThroughTheTree(t *testing.T) {
 	const daemons, targets, bound = 200, 500, 5 * time.Second
 	withFleet(t, daemons, targets, func(ctx context.Context, f *fleet) {
@@ -420,11 +424,11 @@
 				root = d
 			}
 		}
-		// Nobody's questions to the root are answered from now on.
+		// From now on the root answers no requests.
 		f.http.mu.Lock()
 		f.http.to[root.addr] = http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) { <-req.Context().Done() })
 		f.http.mu.Unlock()
-		f.packets.SetCut(root.addr, true)
+		f.packets.SetUnreachable(root.addr, true)
 		f.store.write(port.TopicTargets, targetRecord(targets, 0, 'l'))
 		_ = pause.For(ctx, bound)
 		late := 0
@@ -434,7 +438,7 @@
 			}
 		}
 		if late > 0 {
-			t.Errorf("%d of %d daemons don't know of it %v later", late, daemons, bound)
+			t.Errorf("%d of %d daemons don't know after %v that the target leaves", late, daemons, bound)
 		}
 	})
 }
--- a/process/relay/reach.go
+++ b/process/relay/reach.go
@@ -13,93 +13,97 @@
 )
 
 const (
-	// probeTimeout bounds a probe of the store: three times what it takes when it
-	// is slow.
-	probeTimeout = patience
-	// probeEvery is the time between two probes of a store that doesn't answer.
-	probeEvery = time.Second
+	// probeTimeout bounds a probe of the store. It is three times the latency
+	// of a slow store.
+	probeTimeout = readGrace
+	// probeInterval is the time between two probes of a store that doesn't
+	// answer.
+	probeInterval = time.Second
 )
 
-// Reach is a port.Store that knows whether it answers this daemon's own calls.
-// Reads that other daemons relay say nothing of that: a daemon that leads and
-// alone is cut off from the store would keep its duties and do none of them.
-type Reach struct {
+// MonitoredStore is a port.Store that tracks whether the store answers this
+// daemon's own calls. Reads relayed by other daemons don't show this: a leader
+// that alone is cut off from the store would keep its duties without being able
+// to perform them.
+type MonitoredStore struct {
 	port.Store
-	suspected chan struct{}
+	probeRequested chan struct{}
 
-	mu   sync.Mutex
-	away bool
+	mu          sync.Mutex
+	unavailable bool
 }
 
-// NewReach returns a Reach over a store that answers.
-func NewReach(s port.Store) *Reach {
-	return &Reach{Store: s, suspected: make(chan struct{}, 1)}
+// NewMonitoredStore returns a MonitoredStore for a store that is assumed to be
+// available.
+func NewMonitoredStore(s port.Store) *MonitoredStore {
+	return &MonitoredStore{Store: s, probeRequested: make(chan struct{}, 1)}
 }
 
-// Away reports whether the store doesn't answer.
-func (r *Reach) Away() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.away
+// Unavailable reports whether the store doesn't answer this daemon.
+func (m *MonitoredStore) Unavailable() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.unavailable
 }
 
 // Newest implements port.Store.
-func (r *Reach) Newest(ctx context.Context, t port.Topic, after string) (port.KeyedPage, error) {
-	page, err := r.Store.Newest(ctx, t, after)
-	r.Suspect(ctx, err)
+func (m *MonitoredStore) Newest(ctx context.Context, t port.Topic, after string) (port.KeyedPage, error) {
+	page, err := m.Store.Newest(ctx, t, after)
+	m.ReportError(ctx, err)
 	return page, err
 }
 
 // PutAt implements port.Store.
-func (r *Reach) PutAt(ctx context.Context, t port.Topic, key string, value []byte, at int64) (int64, error) {
-	offset, err := r.Store.PutAt(ctx, t, key, value, at)
-	r.Suspect(ctx, err)
+func (m *MonitoredStore) PutAt(ctx context.Context, t port.Topic, key string, value []byte, at int64) (int64, error) {
+	offset, err := m.Store.PutAt(ctx, t, key, value, at)
+	m.ReportError(ctx, err)
 	return offset, err
 }
 
-// Suspect has the store probed after a call that it didn't answer. The call
-// alone shows little: answers to writes may be lost.
-func (r *Reach) Suspect(ctx context.Context, err error) {
+// ReportError requests a probe of the store if err shows that a call failed
+// because the store was unavailable. A failed call alone doesn't mark the store
+// as unavailable, since single answers to writes may be lost.
+func (m *MonitoredStore) ReportError(ctx context.Context, err error) {
 	if ctx.Err() != nil || !errors.Is(err, port.ErrUnavailable) {
 		return
 	}
 	select {
-	case r.suspected <- struct{}{}:
+	case m.probeRequested <- struct{}{}:
 	default:
 	}
 }
 
-// Run probes the store when it is suspected, until ctx ends.
-func (r *Reach) Run(ctx context.Context) {
+// Run probes the store whenever a probe is requested, until ctx ends.
+func (m *MonitoredStore) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.suspected:
+		case <-m.probeRequested:
 		}
-		for err := r.probe(ctx); err != nil && ctx.Err() == nil; err = r.probe(ctx) {
-			r.set(true, err)
-			_ = pause.For(ctx, probeEvery)
+		for err := m.probe(ctx); err != nil && ctx.Err() == nil; err = m.probe(ctx) {
+			m.setUnavailable(true, err)
+			_ = pause.For(ctx, probeInterval)
 		}
-		r.set(false, nil)
+		m.setUnavailable(false, nil)
 	}
 }
 
-func (r *Reach) probe(ctx context.Context) error {
+func (m *MonitoredStore) probe(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	_, err := r.Store.Newest(ctx, port.TopicClaims, "")
+	_, err := m.Store.Newest(ctx, port.TopicClaims, "")
 	return err
 }
 
-func (r *Reach) set(away bool, cause error) {
-	r.mu.Lock()
-	changed := r.away != away
-	r.away = away
-	r.mu.Unlock()
+func (m *MonitoredStore) setUnavailable(unavailable bool, cause error) {
+	m.mu.Lock()
+	changed := m.unavailable != unavailable
+	m.unavailable = unavailable
+	m.mu.Unlock()
 	switch {
-	case changed && away:
-		log.WithError(cause).Warn("relay: the store doesn't answer this daemon, which gives up its duties")
+	case changed && unavailable:
+		log.WithError(cause).Warn("relay: the store doesn't answer this daemon; giving up its duties")
 	case changed:
 		log.Info("relay: the store answers this daemon again")
 	}
--- a/process/roles/planner.go
+++ b/process/roles/planner.go
@@ -187,11 +187,11 @@
 		return // avoids a pass over thousands of engines on daemons that don't lead
 	}
 	list := p.engines(snap.Targets[svc.Name].All().All())
-	if !snap.Whole || p.leadingSince < 0 {
+	if !snap.Listed || p.leadingSince < 0 {
 		return
 	}
 	p.readClaim(ctx, svc.Name)
-	if !p.listSettled(svc.Name, time.Since(snap.Since)) || p.o.Clock.Now()-p.leadingSince < takeoverDelay {
+	if !p.listSettled(svc.Name, time.Since(snap.LastAdded)) || p.o.Clock.Now()-p.leadingSince < takeoverDelay {
 		return
 	}
 	if len(demand) == 0 && enoughOfEachRole(list, len(p.o.Roster.Members())) {
--- a/process/roster/aggregate_test.go
+++ b/process/roster/aggregate_test.go
@@ -51,7 +51,7 @@
 // setCut cuts or restores the network of daemons.
 func (d *testFleet) setCut(vms map[int]bool, on bool) {
 	for vm := range vms {
-		d.net.SetCut(peerAddr(vm), on)
+		d.net.SetUnreachable(peerAddr(vm), on)
 	}
 }
 
@@ -175,7 +175,7 @@
 // leaves.
 func TestLeavingDaemonStaysOutUnderLoss(t *testing.T) {
 	withLarge(t, 60, 3, func(t *testing.T, d *testFleet) {
-		d.net.SetLoss(0.1)
+		d.net.SetLossRate(0.1)
 		d.all[49].SetState(Leaving)
 		sleep(3 * time.Second)
 		for range 20 {
@@ -188,7 +188,7 @@
 // Lost datagrams must not make live daemons count as dead.
 func TestLossDoesNotRemoveDaemons(t *testing.T) {
 	withLarge(t, 60, 3, func(t *testing.T, d *testFleet) {
-		d.net.SetLoss(0.05)
+		d.net.SetLossRate(0.05)
 		for range 100 {
 			sleep(100 * time.Millisecond)
 			d.expect(t, 60, "one datagram in twenty is lost", nil)
@@ -428,7 +428,7 @@
 		if to == nil {
 			t.Fatal("the querying daemon owns the engine")
 		}
-		d.net.SetCut(to.String(), true)
+		d.net.SetUnreachable(to.String(), true)
 		begun := time.Now()
 		if got := r.Queues(context.Background(), []string{"e"}); got[0] != -1 || time.Since(begun) > queryTimeout {
 			t.Errorf("reply of a dead owner: %v after %v", got, time.Since(begun))
--- a/process/roster/roster_test.go
+++ b/process/roster/roster_test.go
@@ -70,7 +70,7 @@
 	rate      func(vm int) float64 // requests per second of each daemon, nil: not counted
 	all       []*Roster
 	books     []*engines.Book
-	ends      []*packetnet.End
+	ends      []*packetnet.Conn
 	claims    []*fakeClaims
 }
 
@@ -167,12 +167,12 @@
 // Guards against sending callers to a killed daemon for seconds.
 func TestUnresponsiveDaemonIsRemoved(t *testing.T) {
 	withFleet(t, 3, func(t *testing.T, d *testFleet) {
-		d.net.SetCut("10.0.0.3:7000", true)
+		d.net.SetUnreachable("10.0.0.3:7000", true)
 		_ = pause.For(context.Background(), deadAfter+heartbeatInterval)
 		if addrs(d.all[0]) != 2 {
 			t.Errorf("%d addresses, want 2", addrs(d.all[0]))
 		}
-		d.net.SetCut("10.0.0.3:7000", false)
+		d.net.SetUnreachable("10.0.0.3:7000", false)
 		_ = pause.For(context.Background(), 2*heartbeatInterval)
 		if addrs(d.all[0]) != 3 {
 			t.Errorf("%d addresses after its return, want 3", addrs(d.all[0]))
@@ -183,7 +183,7 @@
 // Guards against an isolated daemon that sends all callers that ask it to itself alone.
 func TestIsolatedDaemonStillNamesOthers(t *testing.T) {
 	withFleet(t, 3, func(t *testing.T, d *testFleet) {
-		d.net.SetCut("10.0.0.1:7000", true)
+		d.net.SetUnreachable("10.0.0.1:7000", true)
 		d.storeAway.Store(true)
 		_ = pause.For(context.Background(), 5*time.Second)
 		if addrs(d.all[0]) != 3 {
@@ -200,9 +200,9 @@
 func (d *testFleet) pause(vm int, long time.Duration) {
 	resumed := make(chan struct{})
 	d.claims[vm-1].resumed.Store(&resumed)
-	d.net.SetCut(peerAddr(vm), true)
+	d.net.SetUnreachable(peerAddr(vm), true)
 	_ = pause.For(context.Background(), long)
-	d.net.SetCut(peerAddr(vm), false)
+	d.net.SetUnreachable(peerAddr(vm), false)
 	d.claims[vm-1].resumed.Store(nil)
 	close(resumed)
 }
@@ -221,7 +221,7 @@
 			if got := addrs(d.all[n-1]); got != n {
 				t.Errorf("%d of %d addresses some time later", got, n)
 			}
-			d.net.SetCut(peerAddr(1), true)
+			d.net.SetUnreachable(peerAddr(1), true)
 			d.pause(n, 5*time.Second)
 			_ = pause.For(context.Background(), settleAfterPause+heartbeatInterval)
 			if got := addrs(d.all[n-1]); got != n-1 {
--- a/process/scale/scaler.go
+++ b/process/scale/scaler.go
@@ -150,11 +150,11 @@
 // stands in for it, and only reclaimable targets are ordered.
 func (s *Scaler) scaleService(ctx context.Context, svc *route.Service) {
 	snap := s.o.Targets.Snapshot()
-	if svc.Scaling == nil || !snap.Whole {
+	if svc.Scaling == nil || !snap.Listed {
 		return
 	}
 	present := count(snap.Targets[svc.Name].All().All())
-	capacity, err := s.capacityOf(ctx, svc.Name, present, time.Since(snap.Since))
+	capacity, err := s.capacityOf(ctx, svc.Name, present, time.Since(snap.LastAdded))
 	if err != nil {
 		log.WithError(err).WithField("service", svc.Name).Warn("scale: can't read or store the service's capacity")
 		return
--- a/request/dispatch/consider.go
+++ b/request/dispatch/consider.go
@@ -42,7 +42,7 @@
 // of targets.
 func (x *execution) sampleTargets(role port.Role, p *prompt, zone string) *targetSample {
 	set := x.opts.Targets.Targets(x.call.Service.Name)
-	all := set.Of(role, "")
+	all := set.ByRole(role, "")
 	if all.Len() <= sampleThreshold {
 		return &targetSample{entries: all.All(), shared: all.Len()}
 	}
@@ -57,10 +57,10 @@
 		}
 	}
 	selfHash := engines.Hash(x.opts.Self)
-	inZone := set.Of(role, x.opts.Zone)
+	inZone := set.ByRole(role, x.opts.Zone)
 	s.add(inZone.After(selfHash, preferredTargets)...)
 	if zone != x.opts.Zone {
-		s.add(set.Of(role, zone).After(selfHash, preferredTargets)...)
+		s.add(set.ByRole(role, zone).After(selfHash, preferredTargets)...)
 	}
 	connected := x.opts.Pool.IdleKeys()
 	for _, key := range connected[:min(len(connected), maxConnected)] {
--- a/request/dispatch/engine.go
+++ b/request/dispatch/engine.go
@@ -257,7 +257,7 @@
 // decoderCount returns the number of the service's decoding engines, of
 // which cands may be a sample.
 func (x *execution) decoderCount(cands []placement.Candidate) int {
-	if n := x.opts.Targets.Targets(x.call.Service.Name).Of(port.RoleDecode, "").Len(); n > sampleThreshold {
+	if n := x.opts.Targets.Targets(x.call.Service.Name).ByRole(port.RoleDecode, "").Len(); n > sampleThreshold {
 		return n
 	}
 	return len(cands)
