--- a/request/routing/estimate.go
+++ b/request/routing/estimate.go
@@ -6,33 +6,34 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// estimate is what serving a request on a target would take, in seconds.
+// estimate holds the expected times, in seconds, of serving a request on a
+// target.
 type estimate struct {
-	cached int     // prompt tokens that needn't be computed
-	kvFrom string  // engine that they are moved from, or empty
-	wait   float64 // until the prefill starts
-	work   float64 // prefill
-	step   float64 // between tokens, on the engine that decodes
-	first  float64
-	finish float64
-	harm   float64 // delay to the other requests of the engine
-	spill  bool
-	decode string // engine that decodes, or empty for the same
+	cached       int     // prompt tokens whose KV cache is reused
+	kvFrom       string  // engine that their KV cache is copied from, or empty
+	wait         float64 // time until the prefill starts
+	work         float64 // duration of the prefill
+	step         float64 // time between tokens on the engine that decodes
+	first        float64
+	finish       float64
+	interference float64 // delay to the other requests of the engine
+	spill        bool
+	decode       string // engine that decodes, if another one, or empty
 }
 
-// environment is what is the same for all candidates of one decision.
+// environment holds the inputs that all candidates of one decision share.
 type environment struct {
-	opts    *Options
-	r       *Request
-	plain   bool
-	others  float64 // prompt tokens that other processes sent to a target since its report
-	age     float64 // mean age of the reports, seconds
-	decoder *Target // engine to decode on after a prefill engine
-	decodes bool    // an engine that decodes is there, with room or without
-	source  kvSource
+	opts       *Options
+	r          *Request
+	plain      bool
+	peerTokens float64 // prompt tokens that other processes sent to a target since its report
+	reportAge  float64 // mean age of the reports, seconds
+	decoder    *Target // engine to decode on after a prefill engine
+	hasDecoder bool    // some candidate can decode, whether or not it meets the objective
+	source     kvSource
 }
 
-// Bounds on how far a measured decode step may be from the assumed one.
+// Bounds on the ratio of a measured decode step to the assumed one.
 const (
 	minStepScale = 0.25
 	maxStepScale = 4
@@ -42,23 +43,24 @@
 	cands := s.cands
 	env := &environment{opts: &p.opts, r: r, plain: r.Model == ""}
 	if len(cands) == 0 || env.plain {
-		env.age = meanAge(cands)
+		env.reportAge = meanAge(cands)
 		return env
 	}
-	env.age = meanAge(cands)
-	env.others = meanSent(cands) * float64(p.deciders.Load()-1)
+	env.reportAge = meanAge(cands)
+	env.peerTokens = meanSentTokens(cands) * float64(p.deciders.Load()-1)
 	env.decoder = p.pickDecoder(s, env)
 	env.source = env.bestSource(targets)
 	return env
 }
 
-// meanSent is the prompt tokens that this process sent to an engine on
-// average since the reports. It stands for what each other process sent.
-func meanSent(cands []candidate) float64 {
+// meanSentTokens returns the mean number of prompt tokens that this process sent
+// to an engine since its report. It serves as the estimate for every other
+// process.
+func meanSentTokens(cands []candidate) float64 {
 	sent, n := 0, 0
 	for i := range cands {
-		if role(cands[i].t) != port.RoleDecode {
-			sent += cands[i].t.SentPrefill
+		if role(cands[i].target) != port.RoleDecode {
+			sent += cands[i].target.SentPrefill
 			n++
 		}
 	}
@@ -71,23 +73,23 @@
 	}
 	var sum time.Duration
 	for i := range cands {
-		sum += min(cands[i].t.LoadAge, maxReportAge)
+		sum += min(cands[i].target.LoadAge, maxReportAge)
 	}
 	return sum.Seconds() / float64(len(cands))
 }
 
-// estimate works out the times of the request on t.
+// estimate returns the expected times of the request on t.
 func (e *environment) estimate(t *Target) estimate {
 	if e.plain {
 		return e.plainEstimate(t)
 	}
 	var est estimate
 	rate := e.prefillRate(t)
-	est.cached, est.kvFrom = e.prefix(t, rate)
+	est.cached, est.kvFrom = e.reusablePrefix(t, rate)
 	est.wait = e.prefillQueue(t, rate) / rate
 	est.work = float64(e.r.PromptTokens-est.cached) / rate
 	if est.kvFrom != "" {
-		est.work += e.moveTime(est.cached)
+		est.work += e.transferTime(est.cached)
 	}
 	if e.r.Zone != t.Zone {
 		est.wait += e.opts.ZoneDelay.Seconds()
@@ -97,20 +99,21 @@
 	return est
 }
 
-// addDecode adds the decode phase, on t itself or after a move to another engine.
+// addDecode adds the times of the decode phase, on t itself or on another engine
+// after a KV cache transfer.
 func (e *environment) addDecode(est *estimate, t *Target) {
 	at := t
 	moved := 0.0
 	if role(t) == port.RolePrefill && e.decoder != nil && e.decoder != t {
 		at = e.decoder
 		est.decode = at.Name
-		moved = e.moveTime(e.r.PromptTokens)
+		moved = e.transferTime(e.r.PromptTokens)
 	}
 	est.step = e.stepTime(at, requestsAt(at)+1)
 	est.finish = est.first + moved + est.step*float64(e.r.OutputTokens) + e.memoryWait(at)
-	// The answer's first token comes from the prefill itself.
+	// The prefill itself yields the first output token.
 	est.spill = role(t) == port.RoleDecode || (role(t) == port.RolePrefill && at == t)
-	est.harm = e.harm(est, t)
+	est.interference = e.interference(est, t)
 }
 
 func (e *environment) plainEstimate(t *Target) estimate {
@@ -130,21 +133,22 @@
 	return e.opts.PrefillRate
 }
 
-// prefillQueue is the prompt tokens ahead of the request: those reported, those this process
-// sent since, and what others are likely to have sent, less what the engine
-// has worked off. Without the correction a lagging report makes an idle engine look busy
-// for as long as the lag, and a busy one idle.
+// prefillQueue estimates the number of prompt tokens queued before the request.
+// It adds to the reported queue the tokens that this process sent since the
+// report and the estimate for other processes, and subtracts the tokens that the
+// engine has processed since. Without this correction an engine would look as
+// busy or idle as it was at the time of the report.
 func (e *environment) prefillQueue(t *Target, rate float64) float64 {
 	age := min(t.LoadAge, maxReportAge).Seconds()
 	q := float64(t.Load.QueuedPrefill+t.SentPrefill) - rate*age
 	if role(t) != port.RoleDecode {
-		q += e.others
+		q += e.peerTokens
 	}
 	return max(q, 0)
 }
 
-// stepTime is the time between tokens with n streams on t, scaled by the
-// engine's own measure of its decode rate.
+// stepTime returns the time between tokens with n streams on t, scaled by the
+// decode rate that the engine reported.
 func (e *environment) stepTime(t *Target, n int) float64 {
 	return e.assumedStep(n) * e.stepScale(t)
 }
@@ -161,7 +165,7 @@
 	return min(max(measured/e.assumedStep(t.Load.Running), minStepScale), maxStepScale)
 }
 
-// memoryWait is how long decoding waits until enough KV memory is free.
+// memoryWait returns the time until t has enough free KV memory to decode.
 func (e *environment) memoryWait(t *Target) float64 {
 	if t.Load.KVCapacity <= 0 {
 		return 0
@@ -172,26 +176,28 @@
 		return 0
 	}
 	n := max(t.Load.Running, 1)
-	freed := float64(n) / e.stepTime(t, n) * memoryPerToken
+	freed := float64(n) / e.stepTime(t, n) * kvFreedPerStep
 	return missing / freed
 }
 
-// memoryPerToken is the KV tokens that a decode step of one stream frees in
-// the long run: a stream gives back its prompt as well as its output.
-const memoryPerToken = 4
+// kvFreedPerStep is the mean number of KV tokens freed for each decode step of a
+// stream. It is greater than 1 because a stream that ends frees its prompt as
+// well as its output.
+const kvFreedPerStep = 4
 
-// decodeCost is the decode time on t and the delay it means for the others there.
+// decodeCost returns the decode time on t plus the delay that the stream causes
+// to the other streams there.
 func (e *environment) decodeCost(t *Target) float64 {
 	n := requestsAt(t)
 	out := float64(max(e.r.OutputTokens, 1))
 	cost := out*e.stepTime(t, n+1) + e.memoryWait(t)
 	cost += float64(n) * e.opts.StepPerStream.Seconds() * out
 	if role(t) == port.RoleMixed {
-		cost *= mixedDecodeCost
+		cost *= mixedDecodeFactor
 	}
 	return cost
 }
 
-// mixedDecodeCost prefers engines that do nothing but decode: on a mixed one
-// each prompt interrupts the streams.
-const mixedDecodeCost = 1.2
+// mixedDecodeFactor raises the cost of decoding on a mixed engine, where each
+// prompt interrupts the streams.
+const mixedDecodeFactor = 1.2
--- a/request/routing/filter_alone.go
+++ b/request/routing/filter_alone.go
@@ -1,5 +1,6 @@
 package routing
 
-// mayRunAlone keeps a request that is suspected of crashing targets away from
-// every other request, so that a crash takes nothing else with it.
-func mayRunAlone(r *Request, t *Target) bool { return !r.Alone || requestsAt(t) == 0 }
+// idleIfExclusive reports whether t is idle, if r must run alone. A request
+// suspected of crashing targets runs alone so that a crash fails no other
+// request.
+func idleIfExclusive(r *Request, t *Target) bool { return !r.Alone || requestsAt(t) == 0 }
--- a/request/routing/filter_exclude.go
+++ b/request/routing/filter_exclude.go
@@ -2,5 +2,5 @@
 
 import "slices"
 
-// isExcluded holds back targets that an earlier attempt of the request used.
+// isExcluded reports whether an earlier attempt of the request used the target.
 func isExcluded(r *Request, t *Target) bool { return slices.Contains(r.Exclude, t.Name) }
--- a/request/routing/filter_live.go
+++ b/request/routing/filter_live.go
@@ -1,5 +1,5 @@
 package routing
 
-// isLive passes targets that take new work: reachable, neither leaving nor
-// drained, and not carrying out an order.
+// isLive reports whether the target takes new requests: it is reachable and
+// neither leaving, drained nor reconfiguring.
 func isLive(t *Target) bool { return t.Live && !t.Changing }
--- a/request/routing/filter_model.go
+++ b/request/routing/filter_model.go
@@ -1,7 +1,8 @@
 package routing
 
-// servesModel passes targets that hold the request's model and adapter. An
-// engine holds one adapter at a time, and none serves the bare model too.
+// servesModel reports whether the target serves the request's model and adapter.
+// An engine has at most one adapter loaded, and with an adapter loaded it
+// doesn't serve the base model.
 func servesModel(r *Request, t *Target) bool {
 	return t.Model == r.Model && t.Adapter == r.Adapter
 }
--- a/request/routing/filter_pace.go
+++ b/request/routing/filter_pace.go
@@ -2,23 +2,26 @@
 
 import "github.com/pomelospool/pomelospool/port"
 
-// How much of the between-tokens objective a step may take before an engine
-// counts as full. A stream also waits for its KV cache and for a place in the
-// batch. A mixed engine fills its steps with prompts up to the objective, so its measured step
-// says little; what its streams alone would take must leave room for prompts.
+// Shares of the between-tokens objective that a decode step may take before an
+// engine counts as full. They leave time for a stream to wait for its KV cache
+// and for a slot in the batch. A mixed engine fills its steps with prompts up to
+// the objective, so its measured step time doesn't show its load. For such an
+// engine the assumed step time of its streams alone is used, and has to leave
+// time for prompts.
 const (
-	paceMargin  = 0.95
-	mixedMargin = 0.97
-	urgentExtra = 1.1
+	objectiveMargin      = 0.95
+	mixedObjectiveMargin = 0.97
+	urgentFactor         = 1.1
 )
 
-// breaksPace reports whether n streams on t would miss the between-tokens
-// objective, with the seconds that moving the KV cache adds to the first gap.
+// missesObjective reports whether n streams on t would miss the between-tokens
+// objective. move is the duration in seconds of the KV cache transfer, which
+// delays the second token.
 //
-// The failure it stops: one stream too many makes all the streams beside it
-// late, so under overload nearly every answer misses its objective while the engines
-// are busy all the time. Refusing that one keeps the others on time.
-func (e *environment) breaksPace(t *Target, n int, move float64) bool {
+// One stream too many slows down all streams of an engine: without this limit
+// nearly every answer misses the objective under overload. Refusing that stream
+// keeps the others within the objective.
+func (e *environment) missesObjective(t *Target, n int, move float64) bool {
 	objective := e.opts.BetweenTokens
 	if e.r.BetweenTokens > 0 {
 		objective = e.r.BetweenTokens
@@ -26,30 +29,31 @@
 	if objective <= 0 {
 		return false
 	}
-	limit := objective.Seconds() * paceMargin
+	limit := objective.Seconds() * objectiveMargin
 	if e.r.Priority > 0 {
-		limit *= urgentExtra
+		limit *= urgentFactor
 	}
 	limit -= move / float64(max(e.r.OutputTokens, 1))
 	if role(t) == port.RoleMixed {
-		return e.assumedStep(n) > limit*mixedMargin
+		return e.assumedStep(n) > limit*mixedObjectiveMargin
 	}
 	return e.stepTime(t, n) > limit
 }
 
-// withPace drops the candidates whose streams would have no room, on
-// themselves or, after a prefill engine, on any engine that decodes.
-func (e *environment) withPace(cands []candidate) []candidate {
+// meetingObjective filters out the candidates on which one more stream would
+// miss the between-tokens objective. For prefill engines, the engines that would
+// decode are checked instead.
+func (e *environment) meetingObjective(cands []candidate) []candidate {
 	if e.plain {
 		return cands
 	}
 	keep := cands[:0]
 	for _, c := range cands {
-		elsewhere := role(c.t) == port.RolePrefill && e.opts.KVMoveRate > 0 && e.decodes
+		elsewhere := role(c.target) == port.RolePrefill && e.opts.KVMoveRate > 0 && e.hasDecoder
 		if elsewhere && e.decoder == nil {
 			continue
 		}
-		if !elsewhere && e.breaksPace(c.t, requestsAt(c.t)+1, 0) {
+		if !elsewhere && e.missesObjective(c.target, requestsAt(c.target)+1, 0) {
 			continue
 		}
 		keep = append(keep, c)
--- a/request/routing/kv.go
+++ b/request/routing/kv.go
@@ -1,13 +1,13 @@
 package routing
 
-// kvSource is the live target with the longest cached part of the prompt.
+// kvSource is a live target and the number of leading prompt tokens in its cache.
 type kvSource struct {
-	t      *Target
+	target *Target
 	cached int
 }
 
-// bestSource finds the engine to move the prefix from, were it to be moved. A
-// leaving engine may still be read; a changing or suspect one may not.
+// bestSource returns the live engine with the longest cached prefix of the
+// prompt. Changing and suspect engines are not used as a source.
 func (e *environment) bestSource(targets []Target) kvSource {
 	var s kvSource
 	if e.opts.KVMoveRate <= 0 || len(e.r.Prefix) == 0 {
@@ -25,22 +25,24 @@
 	return s
 }
 
-// prefix returns the prompt tokens that t needn't compute and, when moving
-// them from another engine is quicker than computing them, that engine.
-func (e *environment) prefix(t *Target, rate float64) (tokens int, from string) {
+// reusablePrefix returns the number of prompt tokens that t doesn't have to
+// compute. If transferring them from another engine is faster than computing
+// them, it also returns that engine's name.
+func (e *environment) reusablePrefix(t *Target, rate float64) (tokens int, from string) {
 	own := e.cachedTokens(t)
 	gain := e.source.cached - own
-	if e.source.t == nil || e.source.t == t || gain <= 0 {
+	if e.source.target == nil || e.source.target == t || gain <= 0 {
 		return own, ""
 	}
-	if e.moveTime(e.source.cached) < float64(gain)/rate {
-		return e.source.cached, e.source.t.Name
+	if e.transferTime(e.source.cached) < float64(gain)/rate {
+		return e.source.cached, e.source.target.Name
 	}
 	return own, ""
 }
 
-// cachedTokens leaves at least one token to compute, which gives the first
-// output token.
+// cachedTokens returns the number of prompt tokens cached on t. It is less than
+// the whole prompt: the engine has to compute at least one token to produce the
+// first output token.
 func (e *environment) cachedTokens(t *Target) int {
 	if t.CachedTokens == nil || len(e.r.Prefix) == 0 {
 		return 0
@@ -49,8 +51,9 @@
 	return max(min(n, e.r.PromptTokens-1), 0)
 }
 
-// moveTime is the seconds to move the KV cache of n tokens; 0 when KV isn't moved.
-func (e *environment) moveTime(n int) float64 {
+// transferTime returns the seconds needed to transfer the KV cache of n tokens,
+// or 0 if transfers are not possible.
+func (e *environment) transferTime(n int) float64 {
 	if e.opts.KVMoveRate <= 0 {
 		return 0
 	}
--- a/request/routing/pick.go
+++ b/request/routing/pick.go
@@ -8,18 +8,18 @@
 	"github.com/pomelospool/pomelospool/internal/fraction"
 )
 
-// choose picks among the candidates by their costs in seconds.
+// choose picks a candidate at random, weighted by its cost in seconds.
 //
-// The failure it stops is herding: many processes read the same reports, each
-// sends to the target that looks best, and until the next report all of them
-// overload that one while others idle. So a process reckons with the work that
-// the others place meanwhile. Poured over the targets, the lowest first, that
-// work would fill them up to one level; each target is chosen in proportion to
-// what it takes up to that level. With fresh reports, or alone, a process takes
-// the best; with stale ones it spreads just as far as the reports can have
-// changed. (Dahlin, Interpreting Stale Load Information, 1999.)
-func choose(s *scratch, cands []candidate, unseen float64, hash uint64) *candidate {
-	level := s.fill(cands, unseen)
+// It prevents herding: many processes read the same reports, each sends to the
+// target with the lowest cost, and all of them overload that target until the
+// next report while others idle. So choose accounts for the unreported work
+// that other processes send meanwhile. It distributes this work by
+// water-filling, lowest cost first, and weights each target by its share of
+// it. With fresh reports or a single process the cheapest candidate is chosen;
+// the older the reports, the wider the spread. See Dahlin, Interpreting Stale
+// Load Information, 1999.
+func choose(s *scratch, cands []candidate, unreported float64, hash uint64) *candidate {
+	level := s.waterLevel(cands, unreported)
 	total := 0.0
 	best := &cands[0]
 	for i := range cands {
@@ -41,8 +41,9 @@
 	return best
 }
 
-// fill returns the level up to which work fills the candidates' costs.
-func (s *scratch) fill(cands []candidate, work float64) float64 {
+// waterLevel returns the cost that the candidates reach when work seconds of
+// work are distributed over them, lowest cost first.
+func (s *scratch) waterLevel(cands []candidate, work float64) float64 {
 	s.levels = s.levels[:0]
 	for i := range cands {
 		s.levels = append(s.levels, cands[i].cost)
@@ -59,22 +60,22 @@
 	return 0
 }
 
-// unseenWork is the seconds of work that other processes are expected to have
-// given the targets since the reports. Engines that would take the prompt only
-// as a spill don't count: their time goes to decoding.
-func (p *Policy) unseenWork(cands []candidate, env *environment) float64 {
+// unreportedWork estimates the seconds of work that other processes sent to the
+// targets since their reports. Engines that would take the prompt only as a
+// spill are not counted, as their time goes to decoding.
+func (p *Policy) unreportedWork(cands []candidate, env *environment) float64 {
 	n := 0
 	for i := range cands {
 		if !cands[i].est.spill {
 			n++
 		}
 	}
-	since := env.age + p.opts.Lag.Seconds()
-	return float64(n) * p.opts.Utilisation * since * p.othersShare()
+	since := env.reportAge + p.opts.Lag.Seconds()
+	return float64(n) * p.opts.Utilisation * since * p.peerShare()
 }
 
-// othersShare is the share of all requests that other processes send.
-func (p *Policy) othersShare() float64 {
+// peerShare returns the share of all requests that other processes send.
+func (p *Policy) peerShare() float64 {
 	d := float64(p.deciders.Load())
 	return (d - 1) / d
 }
@@ -86,18 +87,18 @@
 	return xxhash.Sum64String(r.ID)
 }
 
-// mix is the step of splitmix64: a good hash of a counter or a seed.
-func mix(x uint64) uint64 {
+// splitmix64 hashes x with one step of the SplitMix64 generator.
+func splitmix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// decision puts the choice into the form that callers of Route take.
+// decision returns c as the result of Route.
 func (e *environment) decision(c *candidate) Decision {
 	return Decision{
-		Target:  c.t.Name,
+		Target:  c.target.Name,
 		Score:   c.score,
 		Finish:  seconds(c.est.finish),
 		First:   seconds(c.est.first),
--- a/request/routing/pick_decode.go
+++ b/request/routing/pick_decode.go
@@ -2,9 +2,10 @@
 
 import "github.com/pomelospool/pomelospool/port"
 
-// pickDecoder chooses the engine that decodes after a prefill engine, in the
-// way of choose. The streams that others start meanwhile are known from those that run:
-// in the time that a stream lasts, as many start as run now.
+// pickDecoder chooses the engine that decodes after a prefill engine, by the
+// same method as choose. It estimates the streams that other processes start
+// meanwhile from the running ones, assuming a steady state: during the lifetime
+// of one stream as many streams start as are running now.
 func (p *Policy) pickDecoder(s *scratch, env *environment) *Target {
 	if p.opts.KVMoveRate <= 0 {
 		return nil
@@ -12,28 +13,28 @@
 	s.decoders = s.decoders[:0]
 	streams := 0
 	step := 0.0
-	move := env.moveTime(env.r.PromptTokens)
+	move := env.transferTime(env.r.PromptTokens)
 	for i := range s.cands {
-		t := s.cands[i].t
+		t := s.cands[i].target
 		if role(t) == port.RolePrefill {
 			continue
 		}
-		env.decodes = true
+		env.hasDecoder = true
 		n := requestsAt(t)
-		if env.breaksPace(t, n+1, move) {
+		if env.missesObjective(t, n+1, move) {
 			continue
 		}
 		streams += n
 		step += env.stepTime(t, n+1)
-		s.decoders = append(s.decoders, candidate{t: t, cost: env.decodeCost(t)})
+		s.decoders = append(s.decoders, candidate{target: t, cost: env.decodeCost(t)})
 	}
 	if len(s.decoders) == 0 {
 		return nil
 	}
 	out := float64(max(env.r.OutputTokens, 1))
-	lasts := out * step / float64(len(s.decoders))
-	since := env.age + p.opts.Lag.Seconds()
-	started := max(float64(streams)*since/lasts, 1) * p.othersShare()
+	lifetime := out * step / float64(len(s.decoders))
+	since := env.reportAge + p.opts.Lag.Seconds()
+	started := max(float64(streams)*since/lifetime, 1) * p.peerShare()
 	perStream := 2 * out * p.opts.StepPerStream.Seconds()
-	return choose(s, s.decoders, started*perStream, mix(^seedOf(env.r))).t
+	return choose(s, s.decoders, started*perStream, splitmix64(^seedOf(env.r))).target
 }
--- a/request/routing/policy.go
+++ b/request/routing/policy.go
@@ -9,23 +9,24 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// Options hold the rates that routing assumes until a target has measured its
-// own, and what crossing the network costs. A zero field takes its default.
+// Options holds the rates that routing assumes for targets that have not
+// reported their own, and the cost of network transfers. Zero fields take
+// their defaults.
 type Options struct {
-	PrefillRate   float64       // prompt tokens/s of one engine; 8000
-	StepBase      time.Duration // one decode step with one stream; 18ms
-	StepPerStream time.Duration // what each further stream adds to a step; 250µs
-	PlainTime     time.Duration // one request of a plain service; 20ms
-	KVMoveRate    float64       // tokens/s of KV cache between engines; 0: KV can't be moved
-	KVMoveDelay   time.Duration // before the first moved token; 20ms
-	BetweenTokens time.Duration // objective; 0: none
-	ZoneDelay     time.Duration // a round trip to another availability zone; 1ms
-	Lag           time.Duration // staleness of a load report that LoadAge doesn't show; 100ms
-	Utilisation   float64       // share of the targets' capacity in use, for stale reports; 0.8
-	Deciders      int           // processes that route to the same targets; 1
+	PrefillRate   float64       // prompt tokens/s of one engine; default 8000
+	StepBase      time.Duration // duration of a decode step with one stream; default 18ms
+	StepPerStream time.Duration // added to a step by each further stream; default 250µs
+	PlainTime     time.Duration // duration of one request of a plain service; default 20ms
+	KVMoveRate    float64       // tokens/s of KV cache transfer between engines; 0: no transfer possible
+	KVMoveDelay   time.Duration // delay before the first token is transferred; default 20ms
+	BetweenTokens time.Duration // objective for the time between tokens; 0: none
+	ZoneDelay     time.Duration // round trip to another availability zone; default 1ms
+	Lag           time.Duration // age of a load report that LoadAge doesn't include; default 100ms
+	Utilisation   float64       // assumed share of the targets' capacity in use between reports; default 0.8
+	Deciders      int           // number of processes that route to the same targets; default 1
 }
 
-// The defaults of Options, and the bounds on what reports are believed.
+// Defaults of Options, and bounds on the age of reports and on Retry-After.
 const (
 	defaultPrefillRate   = 8000
 	defaultStepBase      = 18 * time.Millisecond
@@ -35,7 +36,7 @@
 	defaultZoneDelay     = time.Millisecond
 	defaultLag           = 100 * time.Millisecond
 	defaultUtilisation   = 0.8
-	maxReportAge         = 5 * time.Second // an older report counts as this old
+	maxReportAge         = 5 * time.Second // the age of older reports is capped at this value
 	minRetryAfter        = 100 * time.Millisecond
 )
 
@@ -64,8 +65,8 @@
 	}
 }
 
-// Policy is the Router of pomelospool. It keeps no state between requests but
-// the number of deciders.
+// Policy is the default Router. Its only state between requests is the number
+// of routing processes.
 type Policy struct {
 	opts     Options
 	deciders atomic.Int64
@@ -74,8 +75,8 @@
 
 var _ Router = (*Policy)(nil)
 
-// New returns a Policy. One serves all services; a service with a
-// between-tokens objective may have its own.
+// New returns a Policy. One Policy can serve all services; a service with its
+// own between-tokens objective may use a separate one.
 func New(o Options) *Policy {
 	p := &Policy{opts: o.withDefaults()}
 	p.deciders.Store(int64(p.opts.Deciders))
@@ -83,16 +84,16 @@
 	return p
 }
 
-// SetDeciders tells how many processes route to the same targets now. The
-// more there are, the less of the load since a report this one knows itself.
+// SetDeciders sets the number of processes that route to the same targets. The
+// policy uses it to estimate the load that the others added since a report.
 func (p *Policy) SetDeciders(n int) { p.deciders.Store(int64(max(n, 1))) }
 
 // candidate is a target that passed the filters.
 type candidate struct {
-	t      *Target
+	target *Target
 	est    estimate
 	score  float64
-	cost   float64 // seconds that stand for the score
+	cost   float64 // the score as an equivalent finish time in seconds
 	weight float64
 }
 
@@ -102,7 +103,7 @@
 	levels   []float64
 }
 
-// Route filters, scores and picks.
+// Route implements Router.
 func (p *Policy) Route(r Request, targets []Target) (Decision, error) {
 	s := p.scratch.Get().(*scratch)
 	defer p.scratch.Put(s)
@@ -114,22 +115,23 @@
 		return Decision{}, p.overloaded(s, &r, full)
 	}
 	env := p.environment(s, &r, targets)
-	s.cands = env.withPace(s.cands)
+	s.cands = env.meetingObjective(s.cands)
 	if len(s.cands) == 0 {
 		return Decision{}, p.overloaded(s, &r, &targets[0])
 	}
 	for i := range s.cands {
 		c := &s.cands[i]
-		c.est = env.estimate(c.t)
+		c.est = env.estimate(c.target)
 		c.score = env.score(c)
 		c.cost = costOf(c.score)
 	}
-	c := choose(s, s.cands, p.unseenWork(s.cands, env), mix(seedOf(&r)))
+	c := choose(s, s.cands, p.unreportedWork(s.cands, env), splitmix64(seedOf(&r)))
 	return env.decision(c), nil
 }
 
-// filter fills s.cands. It returns the targets that only lack room, or an
-// error when no target could serve the request even if it were idle.
+// filter fills s.cands. It returns a target that was left out only because it
+// is at capacity, if any, and an error if no target could serve the request
+// even when idle.
 func (p *Policy) filter(s *scratch, r *Request, targets []Target) (full *Target, err error) {
 	s.cands = s.cands[:0]
 	for i := range targets {
@@ -137,11 +139,11 @@
 		if !isLive(t) || isExcluded(r, t) || !servesModel(r, t) {
 			continue
 		}
-		if !hasRoom(t) || !mayRunAlone(r, t) {
+		if !hasCapacity(t) || !idleIfExclusive(r, t) {
 			full = t
 			continue
 		}
-		s.cands = append(s.cands, candidate{t: t})
+		s.cands = append(s.cands, candidate{target: t})
 	}
 	if len(s.cands) == 0 && full == nil {
 		return nil, code.New(code.NoTarget, "none of %d targets can serve service %q, model %q", len(targets), r.Service, r.Model)
@@ -149,8 +151,8 @@
 	return full, nil
 }
 
-// overloaded refuses a request for which all targets are full. It tells the
-// caller to come back when one of them is likely to have a place again.
+// overloaded returns the error for a request whose targets are all at capacity.
+// Its Retry-After is the expected time until a target has capacity again.
 func (p *Policy) overloaded(s *scratch, r *Request, full *Target) error {
 	env := p.environment(s, r, nil)
 	est := env.estimate(full)
@@ -159,7 +161,7 @@
 	return code.New(code.Overloaded, "every target of service %q is full", r.Service).After(after)
 }
 
-// role gives the role a target serves in; one without a role serves all.
+// role returns the target's role. A target without a role is a mixed one.
 func role(t *Target) port.Role {
 	if t.Role == "" {
 		return port.RoleMixed
--- a/request/routing/policy_test.go
+++ b/request/routing/policy_test.go
@@ -22,8 +22,8 @@
 	return t
 }
 
-func queued(n int) func(*Target)   { return func(t *Target) { t.Load.QueuedPrefill = n } }
-func as(r port.Role) func(*Target) { return func(t *Target) { t.Role = r } }
+func queued(n int) func(*Target)         { return func(t *Target) { t.Load.QueuedPrefill = n } }
+func withRole(r port.Role) func(*Target) { return func(t *Target) { t.Role = r } }
 func cached(n int) func(*Target) {
 	return func(t *Target) { t.CachedTokens = func([]uint64) int { return n } }
 }
@@ -39,10 +39,10 @@
 
 func kvOptions() Options { return Options{KVMoveRate: 200_000, BetweenTokens: 36 * time.Millisecond} }
 
-// TestRoute holds one case for each rule: what the rule sees, and who is chosen.
+// TestRoute checks the chosen target with one case for each routing rule.
 func TestRoute(t *testing.T) {
 	running := func(n int) func(*Target) { return func(t *Target) { t.Load.Running = n; t.InFlight = n } }
-	crowd := func(n int) func(*Target) { return func(t *Target) { running(n)(t); t.Limit = 200 } }
+	withStreams := func(n int) func(*Target) { return func(t *Target) { running(n)(t); t.Limit = 200 } }
 	cases := []struct {
 		name    string
 		req     func(*Request)
@@ -85,21 +85,21 @@
 			engine("a", with(func(t *Target) { t.Suspect = true })), engine("b", queued(8000))}},
 		{name: "suspect is all there is", want: Decision{Target: "a"}, targets: []Target{engine("a", with(func(t *Target) { t.Suspect = true }))}},
 		{name: "prefill, then decode", want: Decision{Target: "p", Decode: "d"}, targets: []Target{
-			engine("d", as(port.RoleDecode), running(8)), engine("p", as(port.RolePrefill))}},
+			engine("d", withRole(port.RoleDecode), running(8)), engine("p", withRole(port.RolePrefill))}},
 		{name: "spills when waiting costs more", want: Decision{Target: "d", Spilled: true}, targets: []Target{
-			engine("d", as(port.RoleDecode), running(8)), engine("p", as(port.RolePrefill), queued(40000))}},
+			engine("d", withRole(port.RoleDecode), running(8)), engine("p", withRole(port.RolePrefill), queued(40000))}},
 		{name: "waits when spilling costs more", want: Decision{Target: "p", Decode: "d"}, targets: []Target{
-			engine("d", as(port.RoleDecode), running(40)), engine("p", as(port.RolePrefill), queued(800))}},
-		{name: "only prefill engines left", want: Decision{Target: "p", Spilled: true}, targets: []Target{engine("p", as(port.RolePrefill))}},
+			engine("d", withRole(port.RoleDecode), running(40)), engine("p", withRole(port.RolePrefill), queued(800))}},
+		{name: "only prefill engines left", want: Decision{Target: "p", Spilled: true}, targets: []Target{engine("p", withRole(port.RolePrefill))}},
 		{name: "room for one more stream", want: Decision{Target: "p", Decode: "e"}, targets: []Target{
-			engine("d", as(port.RoleDecode), crowd(80)), engine("e", as(port.RoleDecode), crowd(60)), engine("p", as(port.RolePrefill))}},
+			engine("d", withRole(port.RoleDecode), withStreams(80)), engine("e", withRole(port.RoleDecode), withStreams(60)), engine("p", withRole(port.RolePrefill))}},
 		{name: "no room for one more stream", err: code.Overloaded, targets: []Target{
-			engine("d", as(port.RoleDecode), crowd(80)), engine("p", as(port.RolePrefill))}},
+			engine("d", withRole(port.RoleDecode), withStreams(80)), engine("p", withRole(port.RolePrefill))}},
 		{name: "urgent", req: func(r *Request) { r.Priority = 1 }, want: Decision{Target: "p", Decode: "d"}, targets: []Target{
-			engine("d", as(port.RoleDecode), crowd(72)), engine("p", as(port.RolePrefill))}},
+			engine("d", withRole(port.RoleDecode), withStreams(72)), engine("p", withRole(port.RolePrefill))}},
 		{name: "room by the service's own objective", req: func(r *Request) { r.BetweenTokens = 50 * time.Millisecond }, want: Decision{Target: "m"},
-			targets: []Target{engine("m", crowd(80))}},
-		{name: "no room on a mixed engine", err: code.Overloaded, targets: []Target{engine("m", crowd(80))}},
+			targets: []Target{engine("m", withStreams(80))}},
+		{name: "no room on a mixed engine", err: code.Overloaded, targets: []Target{engine("m", withStreams(80))}},
 		{name: "plain", req: func(r *Request) { r.Model = "" }, want: Decision{Target: "b"}, targets: []Target{
 			{Name: "a", Live: true, InFlight: 5}, {Name: "b", Live: true, InFlight: 2}}},
 	}
@@ -131,7 +131,8 @@
 	}
 }
 
-// TestEstimate checks the times that admission reads against sums made by hand.
+// TestEstimate compares the expected times of a decision, which admission uses,
+// with values computed by hand.
 func TestEstimate(t *testing.T) {
 	targets := []Target{engine("a", queued(4000), func(t *Target) { t.Load.Running = 1 })}
 	o := Options{StepBase: 20 * time.Millisecond, StepPerStream: time.Millisecond}
@@ -145,18 +146,19 @@
 	}
 }
 
-// leastLoaded is the baseline: the shortest queue by the report and what this
-// process sent itself.
+// leastLoaded is the baseline policy. It chooses the shortest queue, counting
+// reported prompt tokens and those that this process sent since.
 func leastLoaded(targets []Target) string {
 	return slices.MinFunc(targets, func(a, b Target) int {
 		return a.Load.QueuedPrefill + a.SentPrefill - b.Load.QueuedPrefill - b.SentPrefill
 	}).Name
 }
 
-// herd lets processes route against reports that are renewed every half second and
-// returns the mean over the reports of (most requests at one target) / (mean
-// over the targets).
-func herd(deciders int, choose func(r Request, ts []Target) string) float64 {
+// herdingRatio simulates processes that route by load reports renewed every half
+// second. For each report period it divides the largest number of requests at
+// one target by the mean number at a target, and returns the mean over the
+// periods.
+func herdingRatio(deciders int, choose func(r Request, ts []Target) string) float64 {
 	const (
 		engines  = 12
 		periods  = 200
@@ -175,7 +177,7 @@
 		}
 		var got [engines]int
 		for i := range requests {
-			seed = mix(seed)
+			seed = splitmix64(seed)
 			view := views[seed%uint64(deciders)]
 			for e := range view {
 				view[e].LoadAge = period * time.Duration(i) / requests
@@ -196,25 +198,25 @@
 	return ratio
 }
 
-// A caller sees some answers come late while most engines idle.
-// All processes read the same load reports, half a second old, and each sends
-// its next requests to the engine with the shortest queue, which is the same
-// one for all. The cause is that none reckons with the others.
+// TestNoHerding checks that processes that share load reports of half a second's
+// age don't all route to the same engine. If no process accounts for the
+// requests of the others, all of them overload the engine with the shortest
+// reported queue while other engines idle.
 func TestNoHerding(t *testing.T) {
-	const policyMost = 2.5 // least loaded reaches 2.8 with 8 processes, 9.0 with 64
-	for deciders, baselineMore := range map[int]float64{8: 1.3, 64: 3} {
+	const maxRatio = 2.5 // least loaded reaches 2.8 with 8 processes, 9.0 with 64
+	for deciders, minAdvantage := range map[int]float64{8: 1.3, 64: 3} {
 		p := New(Options{Deciders: deciders})
-		policy := herd(deciders, func(r Request, ts []Target) string {
+		policy := herdingRatio(deciders, func(r Request, ts []Target) string {
 			d, err := p.Route(r, ts)
 			if err != nil {
 				t.Fatal(err)
 			}
 			return d.Target
 		})
-		baseline := herd(deciders, func(_ Request, ts []Target) string { return leastLoaded(ts) })
-		t.Logf("%d deciders: most/mean %.2f, least loaded %.2f", deciders, policy, baseline)
-		if policy > policyMost || baseline < policy*baselineMore {
-			t.Errorf("%d deciders: most/mean %.2f (at most %v), least loaded %.2f", deciders, policy, policyMost, baseline)
+		baseline := herdingRatio(deciders, func(_ Request, ts []Target) string { return leastLoaded(ts) })
+		t.Logf("%d deciders: max/mean %.2f, least loaded %.2f", deciders, policy, baseline)
+		if policy > maxRatio || baseline < policy*minAdvantage {
+			t.Errorf("%d deciders: max/mean %.2f (at most %v), least loaded %.2f", deciders, policy, maxRatio, baseline)
 		}
 	}
 }
--- a/request/routing/score_cache.go
+++ b/request/routing/score_cache.go
@@ -1,8 +1,8 @@
 package routing
 
-// cacheWeight is small: the time that cached tokens save is in the expected
-// finish already. It keeps a prompt where it is cached when times are equal, so
-// that the fleet's cache memory isn't spent on copies.
+// cacheWeight is small because the expected finish time already includes the
+// time that cached tokens save. At equal times it prefers the target that has
+// the prompt cached, to avoid duplicates in the cache memory of the fleet.
 const cacheWeight = 0.05
 
 func scoreCache(e *environment, c *candidate) float64 {
--- a/request/routing/score_suspect.go
+++ b/request/routing/score_suspect.go
@@ -1,17 +1,18 @@
 package routing
 
-// suspectScore is what a target with silent connections keeps: it is used when
-// all others are much slower or gone, since the suspicion may be wrong.
+// suspectScore is the score of a target whose connections made no progress. It
+// is not 0, as the suspicion may be wrong: the target is still used when all
+// others are much slower or unavailable.
 const suspectScore = 0.1
 
 func scoreSuspect(e *environment, c *candidate) float64 {
-	if c.t.Suspect {
+	if c.target.Suspect {
 		return suspectScore
 	}
 	return 1
 }
 
-// scorers each give a value in [0,1]; their product is the score.
+// scorers return values in [0,1] each. The score of a candidate is their product.
 var scorers = []func(*environment, *candidate) float64{
 	scoreFinish,
 	scoreCache,
--- a/request/routing/score_zone.go
+++ b/request/routing/score_zone.go
@@ -1,12 +1,13 @@
 package routing
 
-// otherZone is the score of a target in another availability zone. The round
-// trip is in the expected finish; this adds a preference when times are equal.
-const otherZone = 0.99
+// otherZoneScore is the score of a target in another availability zone. The
+// expected finish time already includes the round trip; the score only prefers
+// the own zone at equal times.
+const otherZoneScore = 0.99
 
 func scoreZone(e *environment, c *candidate) float64 {
-	if e.r.Zone == "" || c.t.Zone == e.r.Zone {
+	if e.r.Zone == "" || c.target.Zone == e.r.Zone {
 		return 1
 	}
-	return otherZone
+	return otherZoneScore
 }
--- a/request/routing/types.go
+++ b/request/routing/types.go
@@ -1,7 +1,7 @@
-// Package routing decides which target serves a request. It is a pure
-// function of time, observations and the version in force: no clock and no
-// I/O, so that tests and simulations drive it with virtual time. The steps are
-// filter, score and pick, with one rule a file; scores lie in [0,1].
+// Package routing decides which target serves a request. The decision depends
+// only on its inputs: the package reads no clock and does no I/O, so tests and
+// simulations can run it in virtual time. A decision filters, scores and picks
+// targets. Each file holds one rule. Scores lie in [0,1].
 package routing
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// Request is what routing knows of a request.
+// Request holds the properties of a request that routing uses.
 type Request struct {
 	ID           string
 	Service      string
@@ -21,18 +21,19 @@
 	PromptTokens int           // estimate
 	OutputTokens int           // estimate
 	Prefix       []uint64      // hashes of the prompt's blocks, in order
-	Deadline     time.Duration // left until the deadline
-	Zone         string        // availability zone of the deciding process
-	Seed         uint64        // for ties, so that processes don't choose alike
-	Exclude      []string      // targets that an earlier attempt used
-	Alone        bool          // must run on a target with nothing else
+	Deadline     time.Duration // time left until the deadline
+	Zone         string        // availability zone of the routing process
+	Seed         uint64        // random seed, so that processes choose differently; 0 uses a hash of ID
+	Exclude      []string      // targets used by earlier attempts
+	Alone        bool          // needs a target without other requests
 
-	// BetweenTokens is the service's objective; 0 takes that of Options.
+	// BetweenTokens is the service's objective for the time between tokens; 0
+	// means that of Options.
 	BetweenTokens time.Duration
 }
 
-// Target is what a process knows of one target, load corrected by what it
-// sent itself since the load was measured.
+// Target is a process's view of one target: its last reported load and the
+// work that the process itself sent since that report.
 type Target struct {
 	Name         string
 	Addr         string
@@ -41,32 +42,32 @@
 	Adapter      string
 	Role         port.Role
 	Live         bool // reachable, and neither leaving nor drained
-	Changing     bool // carrying out an order
-	Suspect      bool // its connections made no progress lately
+	Changing     bool // reconfiguring, for example to another role
+	Suspect      bool // its connections recently made no progress
 	Load         port.Load
 	LoadAge      time.Duration
 	SentPrefill  int                       // prompt tokens sent since Load was measured
-	SentDecode   int                       // output tokens asked for since then
+	SentDecode   int                       // output tokens requested since then
 	SentCount    int                       // requests sent since then
-	InFlight     int                       // requests of this process at the target now
-	Limit        int                       // requests that may be in flight at the target
-	CachedTokens func(prefix []uint64) int // leading prompt tokens believed cached; may be nil
+	InFlight     int                       // this process's requests in flight
+	Limit        int                       // maximum number of requests in flight; 0 means no limit
+	CachedTokens func(prefix []uint64) int // estimated number of leading prompt tokens in its cache; may be nil
 }
 
 // Decision names where a request goes.
 type Decision struct {
 	Target  string
 	Score   float64
-	Finish  time.Duration // expected time until the answer is whole
+	Finish  time.Duration // expected time until the answer is complete
 	First   time.Duration // expected time until the first token
-	KVFrom  string        // engine to move the prefix cache from, or empty
-	Decode  string        // engine to continue decoding on, or empty for Target
-	Spilled bool          // sent to an engine of another role
+	KVFrom  string        // engine to copy the KV cache of the prefix from, or empty
+	Decode  string        // engine that decodes, or empty for Target
+	Spilled bool          // the engine's role doesn't match the work
 }
 
 // Router chooses a target. It is safe for concurrent use.
 type Router interface {
-	// Route returns a *code.Error with code.NoTarget when no target passes
-	// the filters, and code.Overloaded when all that do are full.
+	// Route returns a *code.Error: code.NoTarget if no target can serve the
+	// request, code.Overloaded if all that can are at capacity.
 	Route(r Request, targets []Target) (Decision, error)
 }
