--- a/request/attempt/attempt.go
+++ b/request/attempt/attempt.go
@@ -1,5 +1,6 @@
-// Package attempt runs a request at its targets: one try at a time, with
-// retries bounded by proof, by idempotence and by the service's budget.
+// Package attempt sends a request to its targets, one attempt at a time. A
+// request is retried only if it can't have run or is idempotent, and within the
+// retry budget of its service.
 package attempt
 
 import (
@@ -20,13 +21,13 @@
 	"github.com/pomelospool/pomelospool/request/routing"
 )
 
-// Headers that travel between callers, daemons and targets.
+// Headers of requests and answers between callers, daemons and targets.
 const (
 	HeaderID       = "X-Request-Id"
 	HeaderDeadline = "X-Deadline-Ms"
 )
 
-// Answer is the answer of one attempt, header read, body not.
+// Answer is the answer to one attempt. Its header has been read, its body hasn't.
 type Answer struct {
 	ID     string // of the attempt
 	Target string
@@ -34,17 +35,19 @@
 	Header http.Header
 	Body   io.Reader // reads fail when the target makes no progress
 	Framed bool      // the end of Body is marked by length or by chunks
-	Decode bool      // another engine is to go on after the first token
+	Decode bool      // another engine decodes after the first token
 }
 
-// Receiver takes answers. It is used by one goroutine.
+// Receiver processes answers. It is used by one goroutine at a time.
 type Receiver interface {
-	// Receive takes the answer of one attempt. An error is a *failure.Failure, or
-	// counts as Cut.
+	// Receive processes the answer to one attempt. An error that is no
+	// *failure.Failure has the class failure.Cut.
 	Receive(a Answer) error
-	// Progress is the number of tokens passed on: where a resume starts.
+	// Progress returns the number of tokens passed to the caller, from which the
+	// next attempt resumes.
 	Progress() int
-	// Committed tells that bytes went to the caller that no resume can follow.
+	// Committed reports whether the caller was sent bytes after which no attempt
+	// can resume.
 	Committed() bool
 }
 
@@ -59,36 +62,36 @@
 	return hex.EncodeToString(b[:])
 }
 
-// newID returns the id of an attempt at request: unique to it in the fleet,
-// and not to be guessed by whoever wrote the content.
-func newID(request string) string {
+// newAttemptID returns an id for an attempt at request. It is unique in the fleet
+// and can't be predicted by the author of the request's content.
+func newAttemptID(request string) string {
 	return request + "." + processID + strconv.FormatUint(counter.Add(1), 36)
 }
 
-// plan is how one attempt is made.
-type plan struct {
-	first  time.Duration // longest wait for the header, and for the first token
-	decode bool          // another engine is to go on after the first token
-	chosen time.Time     // when the choice of the target began
+// attemptPlan holds the parameters of one attempt.
+type attemptPlan struct {
+	headerTimeout time.Duration // for the header, and for the first token
+	handover      bool          // another engine decodes after the first token
+	chosenAt      time.Time     // when the selection of the target began
 }
 
-// refusedBefore reports whether the target at addr was known to refuse when the
-// choice began. A refusal that came between choice and sending wasn't.
+// refusedBefore reports whether the target at addr was known to refuse requests
+// when its selection began.
 func (r *Runner) refusedBefore(addr string, chosen time.Time) bool {
 	s := r.opts.Pool.Status(addr)
 	return s.Refusing && s.RefusedAt.Before(chosen)
 }
 
-// try runs one attempt at t. unpredicted reports a refusal that nothing known
-// of the target announced.
-func (r *Runner) try(ctx context.Context, q *Request, t routing.Target, p plan, recv Receiver) (f *failure.Failure, unpredicted bool) {
+// try runs one attempt at t. unpredicted reports a refusal by a target that was
+// not known to refuse requests when it was selected.
+func (r *Runner) try(ctx context.Context, q *Request, t routing.Target, p attemptPlan, recv Receiver) (f *failure.Failure, unpredicted bool) {
 	end := r.opts.Pool.Begin(t.Addr, q.Route.PromptTokens, q.Route.OutputTokens)
 	defer end()
 
-	predicted := r.refusedBefore(t.Addr, p.chosen)
-	id := newID(q.ID)
+	predicted := r.refusedBefore(t.Addr, p.chosenAt)
+	id := newAttemptID(q.ID)
 	req := r.build(q, t, id, recv.Progress())
-	req.First, req.Between = p.first, r.opts.Between
+	req.First, req.Between = p.headerTimeout, r.opts.Between
 	resp, err := r.opts.Pool.Send(ctx, req)
 	if err != nil {
 		f := r.sendFailure(ctx, t, err)
@@ -96,7 +99,7 @@
 		return f, false
 	}
 	defer resp.Close(0)
-	if err := receive(resp, id, t, q.Model, p.decode, recv); err != nil {
+	if err := receive(resp, id, t, q.Model, p.handover, recv); err != nil {
 		f = failure.Read(ctx, t.Name, err)
 		r.noteSilent(f, t)
 		r.cancelSilent(f, q, t, id)
@@ -136,17 +139,17 @@
 	}
 }
 
-const errOtherID = failure.Detail("answer has another id")
+const errIDMismatch = failure.Detail("answer has a different request id")
 
-// receive checks whose answer it is and hands it to the receiver. An answer
-// under another id can be that of an earlier request on the connection, or of
-// another caller: passing it on would give one caller what another asked. An
-// engine's refusal may lack the id: nothing of it but its status is passed on.
+// receive checks the id of the answer and passes the answer to recv. An answer
+// with a different id may belong to an earlier request on the connection or to
+// another caller, and must not reach this caller. A refusal by an engine may
+// lack the id, as only its status is passed on.
 func receive(resp *h1.Response, id string, t routing.Target, model, decode bool, recv Receiver) error {
 	got := resp.Header.Get(HeaderID)
 	refusal := model && got == "" && resp.Status >= http.StatusBadRequest
 	if got != id && !refusal {
-		return &failure.Failure{Class: failure.Mismatch, Target: t.Name, Err: fmt.Errorf("%w: %.80q", errOtherID, got)}
+		return &failure.Failure{Class: failure.Mismatch, Target: t.Name, Err: fmt.Errorf("%w: %.80q", errIDMismatch, got)}
 	}
 	return recv.Receive(Answer{
 		ID:     id,
--- a/request/attempt/attempt_test.go
+++ b/request/attempt/attempt_test.go
@@ -27,10 +27,10 @@
 	m.Run()
 }
 
-// inOrder routes to the first target that isn't excluded.
-type inOrder struct{}
+// firstAvailable routes to the first live target that isn't excluded.
+type firstAvailable struct{}
 
-func (inOrder) Route(r routing.Request, targets []routing.Target) (routing.Decision, error) {
+func (firstAvailable) Route(r routing.Request, targets []routing.Target) (routing.Decision, error) {
 	for _, t := range targets {
 		excluded := false
 		for _, x := range r.Exclude {
@@ -43,16 +43,16 @@
 	return routing.Decision{}, code.New(code.NoTarget, "")
 }
 
-type fixed []routing.Target
+type staticTargets []routing.Target
 
-func (f fixed) Targets(*view.Service) []routing.Target { return f }
+func (f staticTargets) Targets(*view.Service) []routing.Target { return f }
 
-// whole receives an answer and keeps it.
-type whole struct{ body string }
+// bodyReceiver stores the body of an answer.
+type bodyReceiver struct{ body string }
 
-func (w *whole) Progress() int   { return 0 }
-func (w *whole) Committed() bool { return false }
-func (w *whole) Receive(a Answer) error {
+func (w *bodyReceiver) Progress() int   { return 0 }
+func (w *bodyReceiver) Committed() bool { return false }
+func (w *bodyReceiver) Receive(a Answer) error {
 	body, err := io.ReadAll(a.Body)
 	w.body = string(body)
 	return err
@@ -67,10 +67,10 @@
 	}
 }
 
-// TestTimeToNotice: an engine's connection goes silent, before the answer or
-// in the middle of it. The request has an hour left; it is answered by another
-// engine as soon as the progress timeout is over, whichever moment it was.
-func TestTimeToNotice(t *testing.T) {
+// TestRetryAfterProgressTimeout checks that a request whose connection makes no
+// progress, before or during the answer, is sent to another engine as soon as
+// the progress timeout expires, although its deadline is an hour away.
+func TestRetryAfterProgressTimeout(t *testing.T) {
 	for _, begun := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			net := &pipenet.Net{}
@@ -88,16 +88,16 @@
 				io.WriteString(w, "whole")
 			}))
 			p := pool.New(pool.Options{Dial: net.Dial})
-			r := NewRunner(Options{Pool: p, Router: inOrder{}, Targets: fixed{
+			r := NewRunner(Options{Pool: p, Router: firstAvailable{}, Targets: staticTargets{
 				{Name: "a", Addr: "a:1", Live: true}, {Name: "b", Addr: "b:1", Live: true},
 			}})
-			recv := &whole{}
+			recv := &bodyReceiver{}
 			start := time.Now()
 			if _, err := r.Run(t.Context(), request(true), nil, recv); err != nil || recv.body != "whole" {
 				t.Errorf("begun %v: got %q, %v", begun, recv.body, err)
 			}
-			if took := time.Since(start); took != defaultFirst {
-				t.Errorf("begun %v: answered after %v, want %v", begun, took, defaultFirst)
+			if took := time.Since(start); took != defaultHeaderTimeout {
+				t.Errorf("begun %v: answered after %v, want %v", begun, took, defaultHeaderTimeout)
 			}
 			net.Close()
 			p.Close()
@@ -105,41 +105,41 @@
 	}
 }
 
-// books is a Tracker that notes what it is told.
-type books struct {
+// fakeTracker is a Tracker that records its calls.
+type fakeTracker struct {
 	mu       sync.Mutex
 	standing quarantine.Standing
 	inFlight int
-	said     []string
+	events   []string
 }
 
-func (b *books) Check(uint64) (quarantine.Standing, time.Duration) {
+func (b *fakeTracker) Check(uint64) (quarantine.Standing, time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.standing, time.Minute
 }
-func (b *books) Begin(uint64, string) { b.note(1, "begin") }
-func (b *books) End(uint64, string)   { b.note(-1, "end") }
-func (b *books) Crashed(string)       { b.note(0, "crashed") }
+func (b *fakeTracker) Begin(uint64, string) { b.record(1, "begin") }
+func (b *fakeTracker) End(uint64, string)   { b.record(-1, "end") }
+func (b *fakeTracker) Crashed(string)       { b.record(0, "crashed") }
 
-func (b *books) set(s quarantine.Standing) {
+func (b *fakeTracker) set(s quarantine.Standing) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.standing = s
 }
 
-func (b *books) note(n int, what string) {
+func (b *fakeTracker) record(n int, what string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.inFlight += n
-	b.said = append(b.said, what)
+	b.events = append(b.events, what)
 }
 
-// TestCrashIsNotedInFlight: a request crashes its target. The death must be
-// noted while the request still stands in the books, and the next attempt must
-// see the new standing; else a crash-causing request takes one target after
-// another.
-func TestCrashIsNotedInFlight(t *testing.T) {
+// TestCrashIsRecordedInFlight checks that the crash of a target is recorded while
+// the request is still tracked as in flight there, and that the next attempt
+// uses the new standing. Otherwise a request that causes crashes would be
+// retried on one target after another.
+func TestCrashIsRecordedInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var runs atomic.Int32
 		net := &pipenet.Net{}
@@ -147,24 +147,24 @@
 			runs.Add(1)
 			panic(http.ErrAbortHandler)
 		}))
-		b := &books{}
+		b := &fakeTracker{}
 		p := pool.New(pool.Options{Dial: net.Dial})
 		r := NewRunner(Options{
-			Pool: p, Router: inOrder{}, Quarantine: b,
-			Targets: fixed{{Name: "a", Addr: "a:1", Live: true}, {Name: "b", Addr: "a:1", Live: true}},
+			Pool: p, Router: firstAvailable{}, Quarantine: b,
+			Targets: staticTargets{{Name: "a", Addr: "a:1", Live: true}, {Name: "b", Addr: "a:1", Live: true}},
 			Verify: func(_ context.Context, target routing.Target) {
 				b.Crashed(target.Name)
 				b.set(quarantine.Convicted)
 			},
 		})
-		_, err := r.Run(t.Context(), request(true), nil, &whole{})
+		_, err := r.Run(t.Context(), request(true), nil, &bodyReceiver{})
 		if code.Of(err) != code.TargetFailed || runs.Load() != 1 {
 			t.Errorf("%d runs, %v", runs.Load(), err)
 		}
-		if len(b.said) != 3 || b.said[0] != "begin" || b.said[1] != "crashed" || b.said[2] != "end" {
-			t.Errorf("books: %v", b.said)
+		if len(b.events) != 3 || b.events[0] != "begin" || b.events[1] != "crashed" || b.events[2] != "end" {
+			t.Errorf("recorded: %v", b.events)
 		}
-		if _, err := r.Run(t.Context(), request(true), nil, &whole{}); code.Of(err) != code.CrashConvicted {
+		if _, err := r.Run(t.Context(), request(true), nil, &bodyReceiver{}); code.Of(err) != code.CrashConvicted {
 			t.Errorf("sent again: %v", err)
 		}
 		net.Close()
@@ -172,13 +172,13 @@
 	})
 }
 
-// busyAlone has no idle target for requests that must run alone until the
-// third time that it is asked.
-type busyAlone struct{ asked int }
+// busyUntilThirdTry returns code.Overloaded for the first two requests that must
+// run alone.
+type busyUntilThirdTry struct{ asked int }
 
-func (b *busyAlone) Route(r routing.Request, targets []routing.Target) (routing.Decision, error) {
+func (b *busyUntilThirdTry) Route(r routing.Request, targets []routing.Target) (routing.Decision, error) {
 	if !r.Alone {
-		return inOrder{}.Route(r, targets)
+		return firstAvailable{}.Route(r, targets)
 	}
 	if b.asked++; b.asked < 3 {
 		return routing.Decision{}, code.New(code.Overloaded, "")
@@ -186,10 +186,10 @@
 	return routing.Decision{Target: "b"}, nil
 }
 
-// TestInnocentWaitsForItsTurn: a dispatcher's question was in flight when
-// another request took the engine down. It is suspect now and has to run
-// alone; that all engines are busy at that moment must not end it.
-func TestInnocentWaitsForItsTurn(t *testing.T) {
+// TestSuspectWaitsForIdleTarget checks that a request that was in flight at a
+// crash, and so became suspect and has to run alone, waits while all engines are
+// busy instead of failing.
+func TestSuspectWaitsForIdleTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := &pipenet.Net{}
 		net.Serve("a:1", http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
@@ -197,14 +197,14 @@
 			w.Header().Set(HeaderID, r.Header.Get(HeaderID))
 			io.WriteString(w, "whole")
 		}))
-		b := &books{}
+		b := &fakeTracker{}
 		p := pool.New(pool.Options{Dial: net.Dial})
 		r := NewRunner(Options{
-			Pool: p, Router: &busyAlone{}, Quarantine: b,
-			Targets: fixed{{Name: "a", Addr: "a:1", Live: true}, {Name: "b", Addr: "b:1", Live: true}},
+			Pool: p, Router: &busyUntilThirdTry{}, Quarantine: b,
+			Targets: staticTargets{{Name: "a", Addr: "a:1", Live: true}, {Name: "b", Addr: "b:1", Live: true}},
 			Verify:  func(context.Context, routing.Target) { b.set(quarantine.Suspect) },
 		})
-		recv := &whole{}
+		recv := &bodyReceiver{}
 		if _, err := r.Run(t.Context(), request(true), nil, recv); err != nil || recv.body != "whole" {
 			t.Errorf("got %q, %v", recv.body, err)
 		}
@@ -213,29 +213,29 @@
 	})
 }
 
-// claims is a Claimer that knows which targets other suspects have, until one
-// is given back at the third refusal.
-type claims struct {
-	books
+// targetClaimer is a Claimer with targets that other suspect requests have
+// claimed. Target b is released at the third refused claim.
+type targetClaimer struct {
+	fakeTracker
 	taken   map[string]bool
 	refused int
 }
 
-func (c *claims) Claim(context.Context, uint64) (func(bool), bool) { return func(bool) {}, true }
+func (c *targetClaimer) Claim(context.Context, uint64) (func(bool), bool) { return func(bool) {}, true }
 
-func (c *claims) ClaimTarget(_ context.Context, _ uint64, target string) (func(bool), bool) {
+func (c *targetClaimer) ClaimTarget(_ context.Context, _ uint64, target string) (func(bool), bool) {
 	if c.taken[target] {
 		c.refused++
 		c.taken["b"] = c.taken["b"] && c.refused < 3
 		return nil, false
 	}
-	c.note(0, "claim "+target)
-	return func(finished bool) { c.note(0, fmt.Sprintf("release %s %v", target, finished)) }, true
+	c.record(0, "claim "+target)
+	return func(finished bool) { c.record(0, fmt.Sprintf("release %s %v", target, finished)) }, true
 }
 
-// TestSuspectsShareNoTarget: a suspect chooses the target that another one has
-// just claimed. It must go elsewhere, or wait if it was tried before, and give
-// its target back also when that dies.
+// TestSuspectsShareNoTarget checks that a suspect request avoids targets claimed
+// by other suspect requests, or waits for one if it was attempted before, and
+// that it releases its own target also when that crashes.
 func TestSuspectsShareNoTarget(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -266,20 +266,20 @@
 					answer = func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 				}
 				net.Serve("a:1", http.HandlerFunc(answer))
-				c := &claims{books: books{standing: tc.standing}, taken: map[string]bool{}}
+				c := &targetClaimer{fakeTracker: fakeTracker{standing: tc.standing}, taken: map[string]bool{}}
 				for _, name := range tc.taken {
 					c.taken[name] = true
 				}
 				p := pool.New(pool.Options{Dial: net.Dial})
 				r := NewRunner(Options{
-					Pool: p, Router: inOrder{}, Quarantine: c, Verify: func(context.Context, routing.Target) {},
-					Targets: fixed{{Name: "a", Addr: "a:1", Live: true}, {Name: "b", Addr: "b:1", Live: true}},
+					Pool: p, Router: firstAvailable{}, Quarantine: c, Verify: func(context.Context, routing.Target) {},
+					Targets: staticTargets{{Name: "a", Addr: "a:1", Live: true}, {Name: "b", Addr: "b:1", Live: true}},
 				})
-				if _, err := r.Run(t.Context(), request(true), nil, &whole{}); code.Of(err) != tc.err {
+				if _, err := r.Run(t.Context(), request(true), nil, &bodyReceiver{}); code.Of(err) != tc.err {
 					t.Errorf("got %v, want code %d", err, tc.err)
 				}
-				if got := fmt.Sprint(c.said); got != tc.want {
-					t.Errorf("said %s, want %s", got, tc.want)
+				if got := fmt.Sprint(c.events); got != tc.want {
+					t.Errorf("recorded %s, want %s", got, tc.want)
 				}
 				net.Close()
 				p.Close()
--- a/request/attempt/choose.go
+++ b/request/attempt/choose.go
@@ -8,19 +8,20 @@
 	"github.com/pomelospool/pomelospool/request/routing"
 )
 
-// Choose decides where q would go now.
+// Choose returns the routing decision for q and the targets that it is based on.
 func (r *Runner) Choose(q *Request) (routing.Decision, []routing.Target, error) {
 	targets := r.opts.Targets.Targets(q.Service)
 	d, err := r.opts.Router.Route(q.Route, targets)
 	return d, targets, err
 }
 
-// choose picks the target of the next attempt: another one than before, in
-// another availability zone if one has room there, and only if nothing else is
-// left a target that failed already. Targets that other suspect content has
-// now are left out; they are waited for rather than a failed one tried again.
+// choose selects the target of the next attempt. It prefers targets that were
+// not tried yet, in another availability zone than the last failure, and falls
+// back to a target that failed before. Targets claimed by other suspect content
+// are left out; while there are such targets, choose returns an error, so that
+// the caller waits for them, rather than fall back to a failed one.
 func (u *run) choose() (routing.Target, routing.Decision, error) {
-	targets := without(u.opts.Targets.Targets(u.q.Service), u.held)
+	targets := without(u.opts.Targets.Targets(u.q.Service), u.claimedElsewhere)
 	if u.next != nil && !u.route.Alone {
 		if t, ok := find(targets, u.next.Target); ok && t.Live {
 			return t, *u.next, nil
@@ -28,13 +29,13 @@
 	}
 	u.route.Deadline = u.q.Deadline.Sub(u.opts.Now())
 	d, err := u.routeElsewhere(targets)
-	if err != nil && len(u.route.Exclude) > 0 && len(u.held) == 0 {
+	if err != nil && len(u.route.Exclude) > 0 && len(u.claimedElsewhere) == 0 {
 		again := u.route
 		again.Exclude = nil
 		d, err = u.opts.Router.Route(again, targets)
 	}
 	if err != nil {
-		return routing.Target{}, d, u.aloneError(err)
+		return routing.Target{}, d, u.exclusiveError(err)
 	}
 	t, ok := find(targets, d.Target)
 	if !ok {
@@ -44,12 +45,12 @@
 }
 
 func (u *run) routeElsewhere(targets []routing.Target) (routing.Decision, error) {
-	if u.zone == "" {
+	if u.failedZone == "" {
 		return u.opts.Router.Route(u.route, targets)
 	}
 	var away []routing.Target
 	for _, t := range targets {
-		if t.Zone != u.zone {
+		if t.Zone != u.failedZone {
 			away = append(away, t)
 		}
 	}
@@ -59,8 +60,9 @@
 	return u.opts.Router.Route(u.route, targets)
 }
 
-// aloneError tells the caller of suspect content why it waits.
-func (u *run) aloneError(err error) error {
+// exclusiveError replaces code.Overloaded with code.CrashSuspect for content that
+// has to run alone.
+func (u *run) exclusiveError(err error) error {
 	if !u.route.Alone {
 		return err
 	}
@@ -71,7 +73,7 @@
 	return err
 }
 
-// without returns the targets but those named.
+// without returns the targets whose names are not in names.
 func without(targets []routing.Target, names []string) []routing.Target {
 	if len(names) == 0 {
 		return targets
--- a/request/attempt/claim_test.go
+++ b/request/attempt/claim_test.go
@@ -16,52 +16,52 @@
 	"github.com/pomelospool/pomelospool/request/routing"
 )
 
-// rights is a Claimer that notes the claims of contents, and refuses the first
-// ones. Targets are free.
-type rights struct {
-	books
+// contentClaimer is a Claimer that records the claims of content and refuses the
+// first ones. All targets can be claimed.
+type contentClaimer struct {
+	fakeTracker
 	refuse int
 }
 
-func (r *rights) Claim(context.Context, uint64) (func(bool), bool) {
-	r.note(0, "claim")
+func (r *contentClaimer) Claim(context.Context, uint64) (func(bool), bool) {
+	r.record(0, "claim")
 	if r.refuse > 0 {
 		r.refuse--
 		return nil, false
 	}
-	return func(finished bool) { r.note(0, fmt.Sprint("release ", finished)) }, true
+	return func(finished bool) { r.record(0, fmt.Sprint("release ", finished)) }, true
 }
 
-func (r *rights) ClaimTarget(context.Context, uint64, string) (func(bool), bool) {
+func (r *contentClaimer) ClaimTarget(context.Context, uint64, string) (func(bool), bool) {
 	return func(bool) {}, true
 }
 
-// aloneLog routes in order, and notes whether each route was to be alone.
-type aloneLog struct{ alone []bool }
+// aloneRecorder routes like firstAvailable and records Request.Alone of each call.
+type aloneRecorder struct{ alone []bool }
 
-func (a *aloneLog) Route(r routing.Request, targets []routing.Target) (routing.Decision, error) {
+func (a *aloneRecorder) Route(r routing.Request, targets []routing.Target) (routing.Decision, error) {
 	a.alone = append(a.alone, r.Alone)
-	return inOrder{}.Route(r, targets)
+	return firstAvailable{}.Route(r, targets)
 }
 
-// claimCase is one request for content under suspicion.
+// claimCase is a test case of TestSuspectContentIsClaimed.
 type claimCase struct {
 	name       string
 	standing   quarantine.Standing // at the first check
 	after      quarantine.Standing // once a connection broke
-	refuse     int                 // claims that aren't got
-	aDies      bool                // the first target crashes
+	refuse     int                 // number of refused claims
+	aCrashes   bool                // the first target crashes
 	idempotent bool
-	said       string
+	events     string
 	alone      string
 	err        code.Code
 }
 
-// TestSuspectContentIsClaimed: a prompt crashed an engine, and its caller sends
-// it to several daemons at once. Each would run it and lose an engine before
-// any could tell the others. So it is claimed before it is sent, once for all
-// its tries, and given back when its last try is off the books; who doesn't
-// get it tells the caller, truly, that nothing ran and when to come again.
+// TestSuspectContentIsClaimed checks that suspect content is claimed before it is
+// sent, once for all attempts, and released after the last attempt has ended.
+// Without the claim, daemons that receive the same crashing prompt at once would
+// each lose an engine before any could inform the others. If the claim is
+// refused, the error has to say that nothing ran and when to retry.
 func TestSuspectContentIsClaimed(t *testing.T) {
 	const innocent, suspect, watched = quarantine.Clear, quarantine.Suspect, quarantine.Watched
 	cases := []claimCase{
@@ -92,38 +92,38 @@
 	}
 	net.Serve("b:1", http.HandlerFunc(answer))
 	net.Serve("a:1", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if tc.aDies {
+		if tc.aCrashes {
 			panic(http.ErrAbortHandler)
 		}
 		answer(w, r)
 	}))
-	claims := &rights{books: books{standing: tc.standing}, refuse: tc.refuse}
-	router := &aloneLog{}
+	claims := &contentClaimer{fakeTracker: fakeTracker{standing: tc.standing}, refuse: tc.refuse}
+	router := &aloneRecorder{}
 	p := pool.New(pool.Options{Dial: net.Dial})
 	r := NewRunner(Options{
 		Pool: p, Router: router, Quarantine: claims,
-		Targets: fixed{{Name: "a", Addr: "a:1", Live: true}, {Name: "b", Addr: "b:1", Live: true}},
+		Targets: staticTargets{{Name: "a", Addr: "a:1", Live: true}, {Name: "b", Addr: "b:1", Live: true}},
 		Verify:  func(context.Context, routing.Target) { claims.set(tc.after) },
 	})
-	result, err := r.Run(t.Context(), request(tc.idempotent), nil, &whole{})
+	result, err := r.Run(t.Context(), request(tc.idempotent), nil, &bodyReceiver{})
 	net.Close()
 	p.Close()
 	if code.Of(err) != tc.err {
 		t.Errorf("got %v, want code %d", err, tc.err)
 	}
-	if got := fmt.Sprint(claims.said); got != tc.said {
-		t.Errorf("said %s, want %s", got, tc.said)
+	if got := fmt.Sprint(claims.events); got != tc.events {
+		t.Errorf("recorded %s, want %s", got, tc.events)
 	}
 	if got := fmt.Sprint(router.alone); got != tc.alone {
 		t.Errorf("routed alone: %s, want %s", got, tc.alone)
 	}
 	if tc.err == code.CrashSuspect {
-		refusedUnrun(t, err, result, sent)
+		checkRefusedNotRun(t, err, result, sent)
 	}
 }
 
-// refusedUnrun checks what the caller is told about content not claimed.
-func refusedUnrun(t *testing.T, err error, result Result, sent int) {
+// checkRefusedNotRun checks the error for content whose claim was refused.
+func checkRefusedNotRun(t *testing.T, err error, result Result, sent int) {
 	t.Helper()
 	var ce *code.Error
 	if !errors.As(err, &ce) || ce.Code != 1012 || !ce.Code.Info().NotRun || ce.RetryAfter <= 0 {
--- a/request/attempt/failure.go
+++ b/request/attempt/failure.go
@@ -5,7 +5,8 @@
 	"github.com/pomelospool/pomelospool/request/failure"
 )
 
-// classCodes are the codes of requests whose last attempt failed.
+// classCodes maps the class of the last attempt's failure to the code of the
+// request's error.
 var classCodes = [...]code.Code{
 	failure.NotWritten: code.TargetUnreachable,
 	failure.NoAnswer:   code.TargetFailed,
@@ -20,9 +21,10 @@
 	failure.Handover:   code.TargetFailed,
 }
 
-// repeatable reports whether another attempt is allowed. Without proof that the
-// target ran nothing, a second attempt could run a call twice: a doubled
-// confirmation. So only idempotent requests go on after a byte was written.
+// repeatable reports whether another attempt is allowed. Unless the target is
+// known not to have run the request, a second attempt could run it twice, so
+// that a caller gets a confirmation twice, for example. Only idempotent requests
+// are repeated in this case.
 func repeatable(f *failure.Failure, idempotent bool) bool {
 	if f.Final() || f.Class == failure.Refused {
 		return false
@@ -30,7 +32,7 @@
 	return idempotent || !f.MayHaveRun()
 }
 
-// breaks reports whether the failure may mean that the target died.
-func breaks(f *failure.Failure) bool {
+// mayHaveCrashed reports whether the target may have crashed.
+func mayHaveCrashed(f *failure.Failure) bool {
 	return f.Class == failure.NoAnswer || f.Class == failure.Cut
 }
--- a/request/attempt/place.go
+++ b/request/attempt/place.go
@@ -9,30 +9,31 @@
 	"github.com/pomelospool/pomelospool/request/routing"
 )
 
-// place is where an attempt goes.
-type place struct {
+// placement is the target of an attempt.
+type placement struct {
 	t       routing.Target
 	d       routing.Decision
-	release func(finished bool) // of the claim of the target
+	release func(finished bool) // releases the claim on the target
 }
 
-// place chooses the target of the next attempt. Suspect content also claims
-// it, and goes elsewhere when other suspect content is there: at a death the
-// innocent one of two would be taken for guilty.
-func (u *run) place(ctx context.Context) (place, error) {
-	u.held = nil
+// place selects the target of the next attempt. For suspect content it also
+// claims the target, and selects another one if other suspect content has
+// claimed it: if two of them shared a target that crashes, the one that didn't
+// cause the crash would be blamed as well.
+func (u *run) place(ctx context.Context) (placement, error) {
+	u.claimedElsewhere = nil
 	for {
 		t, d, err := u.choose()
-		if err != nil && len(u.held) > 0 {
-			err = code.Wrap(code.CrashSuspect, err, "other suspect content runs at %d targets", len(u.held)).After(retryAfter)
+		if err != nil && len(u.claimedElsewhere) > 0 {
+			err = code.Wrap(code.CrashSuspect, err, "other suspect content runs at %d targets", len(u.claimedElsewhere)).After(retryAfter)
 		}
 		if err != nil {
-			return place{}, err
+			return placement{}, err
 		}
 		if release, ok := u.claimTarget(ctx, t.Name); ok {
-			return place{t: t, d: d, release: release}, nil
+			return placement{t: t, d: d, release: release}, nil
 		}
-		u.held = append(u.held, t.Name)
+		u.claimedElsewhere = append(u.claimedElsewhere, t.Name)
 	}
 }
 
@@ -44,8 +45,8 @@
 	return claimer.ClaimTarget(ctx, u.q.Fingerprint, target)
 }
 
-// attemptAt makes one try, and gives the target back however it ends.
-func (u *run) attemptAt(ctx context.Context, p place) *failure.Failure {
+// attemptAt makes one attempt and releases the target when it ends.
+func (u *run) attemptAt(ctx context.Context, p placement) *failure.Failure {
 	finished := false
 	defer func() { p.release(finished) }()
 	f := u.attempt(ctx, p.t, p.d)
--- a/request/attempt/run.go
+++ b/request/attempt/run.go
@@ -13,41 +13,41 @@
 	"github.com/pomelospool/pomelospool/request/routing"
 )
 
-// run is the state of one request over its attempts.
+// run is the state of one request across its attempts.
 type run struct {
 	*Runner
-	q       *Request
-	recv    Receiver
-	route   routing.Request
-	next    *routing.Decision
-	result  Result
-	last    *failure.Failure
-	zone    string              // of the last failed target
-	release func(finished bool) // of the claim on suspect content, or nil
-	suspect bool                // may run only with the claim of its target
-	held    []string            // targets that other suspect content has now
-	handed  bool                // over from a prefill to a decode engine
-	chosen  time.Time           // when the choice of the present target began
-
-	unpredicted bool // nothing known of the target announced its last refusal
+	q                *Request
+	recv             Receiver
+	route            routing.Request
+	next             *routing.Decision
+	result           Result
+	last             *failure.Failure
+	failedZone       string              // availability zone of the last failed target
+	release          func(finished bool) // releases the claim on suspect content, or nil
+	suspect          bool                // may run only on a target that it has claimed
+	claimedElsewhere []string            // targets claimed by other suspect content
+	handedOver       bool                // the prefill engine has handed over to the decode engine
+	chosenAt         time.Time           // when the selection of the current target began
+
+	unpredicted bool // the last target refused, but was not known to refuse requests
 }
 
 func (u *run) loop(ctx context.Context) error {
 	for {
-		err := u.checkContent(ctx)
-		if u.shouldWait(err) && pause.For(ctx, claimPause) == nil {
+		err := u.checkQuarantine(ctx)
+		if u.shouldWait(err) && pause.For(ctx, claimRetryDelay) == nil {
 			continue
 		}
 		if err != nil {
-			return u.contentError(err)
+			return u.quarantineError(err)
 		}
-		u.chosen = u.opts.Now()
+		u.chosenAt = u.opts.Now()
 		p, err := u.place(ctx)
-		if u.shouldWait(err) && pause.For(ctx, roomPause) == nil {
+		if u.shouldWait(err) && pause.For(ctx, capacityRetryDelay) == nil {
 			continue
 		}
 		if err != nil {
-			return u.noTarget(err)
+			return u.routeError(err)
 		}
 		progress := u.recv.Progress()
 		f := u.attemptAt(ctx, p)
@@ -58,17 +58,17 @@
 			u.handOver(ctx, p.d)
 			continue
 		}
-		u.note(f, p.t)
+		u.recordFailure(f, p.t)
 		if err := u.mayRepeat(ctx, f, u.recv.Progress() > progress); err != nil {
 			return err
 		}
 	}
 }
 
-// shouldWait reports whether to wait for room. A request that was accepted and
-// lost its target must not be refused because the targets left are full for a
-// moment, or because it was in flight at a crash and has to run alone now; one
-// that has not been tried is refused at once.
+// shouldWait reports whether to wait for capacity or a claim and try again. A
+// request that has been attempted must not be refused because the remaining
+// targets are briefly full, or because it was in flight at a crash and now has
+// to run alone. A request that has not been attempted is refused immediately.
 func (u *run) shouldWait(err error) bool {
 	if err == nil || u.last == nil {
 		return false
@@ -77,59 +77,60 @@
 	return c == code.Overloaded || c == code.CrashSuspect
 }
 
-// attempt makes one try and keeps the quarantine's books about it. When the
-// connection broke, the target is checked before the content is taken off the
-// books: what was in flight at a death must still stand there.
+// attempt makes one attempt and reports its begin and end to the quarantine
+// tracker. After a broken connection it verifies the target before it reports
+// the end, because the tracker suspects only content that is in flight when the
+// crash is reported.
 func (u *run) attempt(ctx context.Context, t routing.Target, d routing.Decision) *failure.Failure {
 	u.result.Attempts++
-	tries.Add(1)
+	attemptCount.Add(1)
 	u.result.Target = t.Name
 	if u.opts.Quarantine != nil && u.q.Fingerprint != 0 {
 		u.opts.Quarantine.Begin(u.q.Fingerprint, t.Name)
 		defer u.opts.Quarantine.End(u.q.Fingerprint, t.Name)
 	}
 	u.moveKV(ctx, d.KVFrom, t.Name)
-	p := plan{
-		chosen: u.chosen,
-		first:  max(u.opts.First, d.First*firstPatience),
-		decode: d.Decode != "" && d.Decode != t.Name && !u.handed,
+	p := attemptPlan{
+		chosenAt:      u.chosenAt,
+		headerTimeout: max(u.opts.First, d.First*headerTimeoutFactor),
+		handover:      d.Decode != "" && d.Decode != t.Name && !u.handedOver,
 	}
 	f, unpredicted := u.try(ctx, u.q, t, p, u.recv)
 	u.unpredicted = unpredicted
-	if f != nil && breaks(f) {
-		vctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), verifyLimit)
+	if f != nil && mayHaveCrashed(f) {
+		vctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), verifyTimeout)
 		defer cancel()
 		u.opts.Verify(vctx, t)
 	}
 	return f
 }
 
-// handOver sends the rest of the answer to the engine that routing chose for
-// decoding, with the prompt's cache. It is no retry: nothing failed, and the
-// tokens so far are kept.
+// handOver prepares the next attempt to continue on the engine that routing
+// chose for decoding, and transfers the prompt's KV cache there. It is no retry:
+// nothing failed, and the tokens received so far are kept.
 func (u *run) handOver(ctx context.Context, d routing.Decision) {
-	u.handed = true
+	u.handedOver = true
 	u.moveKV(ctx, d.Target, d.Decode)
 	u.next = &routing.Decision{Target: d.Decode, First: d.First}
 }
 
-// moveKV moves the prompt's cache. Without it the engine computes the prompt
-// anew, so a failure costs time only, and that is bounded.
+// moveKV transfers the prompt's KV cache. If this fails, the engine computes the
+// prompt again, so the error is only logged.
 func (u *run) moveKV(ctx context.Context, from, to string) {
 	if from == "" || u.opts.KV == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, moveLimit)
+	ctx, cancel := context.WithTimeout(ctx, kvMoveTimeout)
 	defer cancel()
 	if err := u.opts.KV.Move(ctx, from, to, u.q.Route.Prefix); err != nil {
-		log.WithFields(log.Fields{"request": u.q.ID, "from": from, "to": to}).WithError(err).Info("attempt: cache not moved")
+		log.WithFields(log.Fields{"request": u.q.ID, "from": from, "to": to}).WithError(err).Info("attempt: KV cache transfer failed")
 	}
 }
 
-func (u *run) note(f *failure.Failure, t routing.Target) {
-	failures.Add(f.Class.Metric(), 1)
+func (u *run) recordFailure(f *failure.Failure, t routing.Target) {
+	failureCounts.Add(f.Class.Metric(), 1)
 	u.last = f
-	u.zone = t.Zone
+	u.failedZone = t.Zone
 	u.result.Written = u.result.Written || !f.Unwritten
 	u.route.Exclude = append(u.route.Exclude[:len(u.route.Exclude):len(u.route.Exclude)], t.Name)
 	u.next = nil
@@ -141,16 +142,18 @@
 	}).Info("attempt: failed")
 }
 
-// mayRepeat returns nil when another attempt is allowed. An attempt that
-// passed tokens on is not drawn from the budget: its work is kept. Nor is the
-// first refusal by a target that leaves or changes: it ran nothing, and the
-// requests on their way to it at that moment must not be lost for want of
-// budget. Once the refusal is known, going there again needs it.
+// mayRepeat returns nil if another attempt is allowed, and the request's error
+// otherwise. Two kinds of failed attempts don't use up the retry budget. One
+// passed tokens to the caller, so its work is kept. The other was refused by a
+// target that was not known to refuse requests, for example because it has just
+// begun to leave or reconfigure: nothing ran, and requests on their way to such
+// a target must not fail for lack of budget. Once the refusal is known, further
+// refused attempts use up the budget.
 func (u *run) mayRepeat(ctx context.Context, f *failure.Failure, progressed bool) error {
 	doc := u.q.Service.Doc
-	most := doc.Retry.Attempts
-	if most <= 0 {
-		most = defaultAttempts
+	maxAttempts := doc.Retry.Attempts
+	if maxAttempts <= 0 {
+		maxAttempts = defaultAttempts
 	}
 	if u.unpredicted {
 		u.budgets.Count(doc.Service)
@@ -158,7 +161,7 @@
 	switch {
 	case ctx.Err() != nil || !repeatable(f, u.q.Idempotent) || u.recv.Committed():
 		return u.final(f)
-	case u.result.Attempts >= most:
+	case u.result.Attempts >= maxAttempts:
 		return u.final(f)
 	case !progressed && !u.unpredicted && !u.budgets.Take(doc.Service, doc.Retry.Budget):
 		if !u.result.Written {
@@ -171,7 +174,7 @@
 
 const retryAfter = time.Second
 
-// final turns the last failure into the request's error.
+// final returns the request's error for its last failure.
 func (u *run) final(f *failure.Failure) error {
 	c := classCodes[f.Class]
 	if c.Info().NotRun && u.result.Written {
@@ -184,18 +187,19 @@
 	return e
 }
 
-// noTarget handles a failed choice. After an attempt its failure says more,
-// and if that was written, "no target" would claim that nothing ran.
-func (u *run) noTarget(err error) error {
+// routeError returns the request's error when no target could be selected. After
+// an attempt it is the error of that attempt: it is more specific, and
+// code.NoTarget would claim that nothing ran, which may be wrong.
+func (u *run) routeError(err error) error {
 	if u.last != nil {
 		return u.final(u.last)
 	}
 	return err
 }
 
-// checkContent refuses content that is convicted, and takes the claim for
-// content under suspicion: it may run once at a time in the whole fleet.
-func (u *run) checkContent(ctx context.Context) error {
+// checkQuarantine refuses convicted content and claims suspect content, which may
+// run only once at a time in the whole fleet.
+func (u *run) checkQuarantine(ctx context.Context) error {
 	if u.opts.Quarantine == nil || u.q.Fingerprint == 0 {
 		return nil
 	}
@@ -213,18 +217,18 @@
 	return nil
 }
 
-// contentError passes on a refusal, which says that nothing ran, unless a
-// target was written to before.
-func (u *run) contentError(refusal error) error {
+// quarantineError returns refusal, whose code says that nothing ran, or a
+// different error if an earlier attempt was written to a target.
+func (u *run) quarantineError(refusal error) error {
 	if u.result.Written {
 		return code.Wrap(code.TargetFailed, u.last, "the content is in quarantine")
 	}
 	return refusal
 }
 
-// claim takes the right to run suspect content, once for all attempts. The
-// guard is against one content on several targets at a time: each of them
-// would be lost before any daemon could tell the others.
+// claim claims the right to run suspect content, once for all attempts. It keeps
+// the same content from running on several targets at a time, which could all
+// crash before any daemon informs the others.
 func (u *run) claim(ctx context.Context) bool {
 	claimer, ok := u.opts.Quarantine.(quarantine.Claimer)
 	if !ok || u.release != nil {
@@ -234,9 +238,10 @@
 	return ok
 }
 
-// endClaim gives the claim back; a whole answer clears the content.
-func (u *run) endClaim(whole bool) {
+// releaseClaim releases the claim on suspect content. A complete answer clears
+// the content.
+func (u *run) releaseClaim(complete bool) {
 	if u.release != nil {
-		u.release(whole)
+		u.release(complete)
 	}
 }
--- a/request/attempt/runner.go
+++ b/request/attempt/runner.go
@@ -15,28 +15,28 @@
 )
 
 const (
-	defaultFirst    = 2 * time.Second
-	defaultBetween  = 2 * time.Second
-	firstPatience   = 3 // times the expected time to the first token
-	verifyLimit     = 250 * time.Millisecond
-	defaultAttempts = 3
-	roomPause       = 20 * time.Millisecond
-	claimPause      = 250 * time.Millisecond
-	moveLimit       = 500 * time.Millisecond
+	defaultHeaderTimeout = 2 * time.Second
+	defaultReadTimeout   = 2 * time.Second
+	headerTimeoutFactor  = 3 // times the expected time to the first token
+	verifyTimeout        = 250 * time.Millisecond
+	defaultAttempts      = 3
+	capacityRetryDelay   = 20 * time.Millisecond
+	claimRetryDelay      = 250 * time.Millisecond
+	kvMoveTimeout        = 500 * time.Millisecond
 )
 
-// Targets gives what is known of a service's targets now.
+// Targets returns the current view of a service's targets.
 type Targets interface {
 	Targets(svc *view.Service) []routing.Target
 }
 
 // Metrics of all runners of the process.
 var (
-	tries    = expvar.NewInt("attempt_tries")
-	failures = expvar.NewMap("attempt_failures") // by failure.Class.Metric
+	attemptCount  = expvar.NewInt("attempt_tries")
+	failureCounts = expvar.NewMap("attempt_failures") // by failure.Class.Metric
 )
 
-// KV moves the KV cache of a prompt between two engines, by their names.
+// KV transfers the KV cache of a prompt between two engines, by their names.
 type KV interface {
 	Move(ctx context.Context, from, to string, prefix []uint64) error
 }
@@ -47,12 +47,13 @@
 	Router     routing.Router
 	Targets    Targets
 	Quarantine quarantine.Tracker // may be nil; a quarantine.Claimer is asked for claims
-	// Verify checks at once whether a target whose connection broke has died,
-	// and returns after the tracker was told. Nil: a probe over a new connection.
+	// Verify checks whether a target whose connection broke has crashed. It
+	// returns after a crash was reported to the tracker. Nil means a probe over a
+	// new connection.
 	Verify  func(ctx context.Context, t routing.Target)
-	KV      KV            // may be nil: caches are computed, not moved
-	First   time.Duration // least wait for an answer's header; 2s
-	Between time.Duration // longest wait between two reads of an answer; 2s
+	KV      KV            // if nil, KV caches are computed instead of transferred
+	First   time.Duration // minimum timeout for an answer's header; default 2s
+	Between time.Duration // timeout for each read of an answer's body; default 2s
 	Now     func() time.Time
 }
 
@@ -65,14 +66,15 @@
 	Method      string
 	Path        string // with the query
 	Header      http.Header
-	Body        func(resume int) []byte // the body that goes on after so many tokens
+	Body        func(resume int) []byte // returns the body that resumes after so many tokens
 	Idempotent  bool
 	Model       bool // goes to an engine
 	Fingerprint uint64
 }
 
-// reuse gives calls that can't be repeated a connection of their own: on an
-// idle one that has gone silent they would end as outcome unknown.
+// reuse returns the connection reuse for the request. Calls that can't be
+// repeated get a new connection: on an idle connection that has become
+// unresponsive their outcome would be unknown.
 func (q *Request) reuse() h1.Reuse {
 	if q.Idempotent {
 		return h1.Idle
@@ -80,7 +82,7 @@
 	return h1.Never
 }
 
-// Result says how a request went.
+// Result describes the attempts of a request.
 type Result struct {
 	Attempts int
 	Written  bool   // some byte reached a connection to a target
@@ -96,10 +98,10 @@
 // NewRunner returns a Runner.
 func NewRunner(o Options) *Runner {
 	if o.First <= 0 {
-		o.First = defaultFirst
+		o.First = defaultHeaderTimeout
 	}
 	if o.Between <= 0 {
-		o.Between = defaultBetween
+		o.Between = defaultReadTimeout
 	}
 	if o.Now == nil {
 		o.Now = time.Now
@@ -111,13 +113,13 @@
 	return &Runner{opts: o, budgets: budget.NewShares(o.Now)}
 }
 
-// Run runs q until it is answered, or may not be repeated. first is the
-// decision that admission was made on, or nil. The error is a *code.Error; one
-// whose code says that nothing ran is given only when nothing was written.
+// Run makes attempts at q until one succeeds or no other is allowed. first is the
+// decision that q was admitted with, or nil. The error is a *code.Error. Its code
+// says that nothing ran only if nothing was written to a target.
 func (r *Runner) Run(ctx context.Context, q *Request, first *routing.Decision, recv Receiver) (Result, error) {
 	run := &run{Runner: r, q: q, recv: recv, route: q.Route, next: first}
 	r.budgets.Request(q.Service.Doc.Service)
 	err := run.loop(ctx)
-	run.endClaim(err == nil)
+	run.releaseClaim(err == nil)
 	return run.result, err
 }
--- a/request/failure/cause.go
+++ b/request/failure/cause.go
@@ -13,40 +13,40 @@
 	"github.com/pomelospool/pomelospool/request/stream"
 )
 
-// Detail is the cause of a failure in words of this code's own, without
-// anything that a caller or a target sent. It may stand in log lines.
+// Detail describes the cause of a failure without any text that a caller or a
+// target sent, so that it can be logged.
 type Detail string
 
-// Error returns the text.
+// Error implements error.
 func (d Detail) Error() string { return string(d) }
 
-// Status names a target's own answer of failure.
+// Status returns the Detail for an answer with an error status.
 func Status(status int) Detail { return Detail("status " + strconv.Itoa(status)) }
 
-// ownErrors are the errors whose text is known to hold nothing foreign, the
-// telling ones first.
-var ownErrors = []error{
+// safeErrors are the errors whose text contains nothing from callers or targets,
+// the more specific ones first.
+var safeErrors = []error{
 	h1.ErrConnect, h1.ErrSilent,
 	stream.ErrTarget, stream.ErrMalformed, stream.ErrTooLong, stream.ErrCaller,
 	context.Canceled, context.DeadlineExceeded,
 	stream.ErrCut,
 }
 
-const ended = "the connection ended"
+const connectionEnded = "the connection ended"
 
 // Cause describes err for a log line.
 //
-// The guard is against content in the log: targets quote the prompt in their
-// errors, net/http quotes what it can't parse, and an URL holds the caller's
-// query. So no error's text is taken but those that are known; of any other
-// one the type is named.
+// It keeps request content out of the log: targets quote the prompt in their
+// errors, net/http quotes what it can't parse, and a URL contains the caller's
+// query. So only the text of known errors is used. Any other error is described
+// by its type.
 func Cause(err error) string {
 	var own Detail
 	if errors.As(err, &own) {
 		return own.Error()
 	}
 	text := ""
-	for _, known := range ownErrors {
+	for _, known := range safeErrors {
 		if errors.Is(err, known) {
 			text = known.Error()
 			break
@@ -58,7 +58,7 @@
 	case errors.As(err, &errno):
 		return join(text, errno.Error())
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
-		return join(text, ended)
+		return join(text, connectionEnded)
 	case errors.As(err, &op):
 		return join(text, op.Op)
 	case text != "":
--- a/request/failure/failure.go
+++ b/request/failure/failure.go
@@ -1,6 +1,6 @@
-// Package failure classes failed attempts at targets by what the target may
-// have done. Whether a request may be repeated, and whether its caller may be
-// told that it didn't run, hangs on the class.
+// Package failure classifies failed attempts by what the target may have done.
+// The class decides whether the request may be repeated and whether the caller
+// may be told that it didn't run.
 package failure
 
 import (
@@ -12,22 +12,22 @@
 	"github.com/pomelospool/pomelospool/connection/h1"
 )
 
-// Class tells failed attempts apart by what the target may have done.
+// Class is the class of a failed attempt.
 type Class int
 
 // The classes.
 const (
-	NotWritten Class = iota // proven: no byte of the request was written
-	NoAnswer                // written, and the connection broke before an answer
-	Silent                  // written, and no progress in time
-	Cut                     // the answer broke off
-	Mismatch                // the answer isn't the target's own, or belongs to another request
-	NotRun                  // the target says itself that it ran nothing
+	NotWritten Class = iota // no byte of the request was written
+	NoAnswer                // the connection broke after the request was written, before an answer
+	Silent                  // the request was written, and the progress timeout expired
+	Cut                     // the answer ended early
+	Mismatch                // the answer belongs to another request or isn't from the target
+	NotRun                  // the target answered that it didn't run the request
 	Failed                  // the target answered with a server error
-	Refused                 // the target answered that the request is wrong
-	CallerGone              // the caller takes no more
+	Refused                 // the target answered that the request is invalid
+	CallerGone              // the caller has disconnected
 	Late                    // the deadline passed
-	Handover                // no failure: another engine goes on
+	Handover                // no failure: another engine continues the answer
 )
 
 var classNames = [...]string{
@@ -35,23 +35,23 @@
 	"not run", "failed", "refused", "caller gone", "late", "handover",
 }
 
-// String names the class for logs.
+// String returns the name of the class in logs.
 func (c Class) String() string { return classNames[c] }
 
-// Metric names the class as the key of a metric.
+// Metric returns the name of the class as a metric key.
 func (c Class) Metric() string { return strings.ReplaceAll(c.String(), " ", "_") }
 
-// Failure is why an attempt failed.
+// Failure is the error of a failed attempt.
 type Failure struct {
 	Class  Class
 	Target string // name or id
 	Err    error
-	// Unwritten is set when no byte was written, whatever the class: a caller
-	// that left or a deadline that passed ends the request either way.
+	// Unwritten reports that no byte was written. It is separate from Class
+	// because CallerGone and Late occur with and without written bytes.
 	Unwritten bool
 }
 
-// Error names the target, the class and the cause.
+// Error implements error.
 func (f *Failure) Error() string {
 	return fmt.Sprintf("target %s: %s: %v", f.Target, f.Class, f.Err)
 }
@@ -64,13 +64,15 @@
 	return !f.Unwritten && f.Class != NotWritten && f.Class != NotRun
 }
 
-// Final reports whether nobody waits for another attempt.
+// Final reports whether another attempt is pointless because the caller has
+// disconnected or the deadline has passed.
 func (f *Failure) Final() bool { return f.Class == CallerGone || f.Class == Late }
 
 // Cause describes the error for a log line.
 func (f *Failure) Cause() string { return Cause(f.Err) }
 
-// ClassOf returns the class that err holds, or other.
+// ClassOf returns the class of the *Failure that err wraps, or other if it wraps
+// none.
 func ClassOf(err error, other Class) Class {
 	var f *Failure
 	if errors.As(err, &f) {
@@ -79,12 +81,13 @@
 	return other
 }
 
-// Send classes an error of sending a request and reading the answer's header.
-// ctx is the request's. Without proof that the target saw nothing, a second
-// attempt could run a call twice: a doubled confirmation.
+// Send classifies an error of sending a request and reading the answer's header.
+// ctx is the request's context. The class is NotWritten only if err proves it:
+// otherwise a second attempt could run a call twice, so that a caller gets a
+// confirmation twice, for example.
 func Send(ctx context.Context, target string, err error) *Failure {
 	f := &Failure{Class: NoAnswer, Target: target, Err: err}
-	f.settle(ctx)
+	f.refineClass(ctx)
 	var he *h1.Error
 	f.Unwritten = errors.As(err, &he) && !he.Written
 	if f.Unwritten && !f.Final() {
@@ -93,19 +96,19 @@
 	return f
 }
 
-// Read classes an error of reading an answer's body; a class that err holds
-// already stays.
+// Read classifies an error of reading an answer's body. If err wraps a *Failure,
+// its class is kept.
 func Read(ctx context.Context, target string, err error) *Failure {
 	f := &Failure{Class: ClassOf(err, Cut), Target: target, Err: err}
 	if f.Class == Cut {
-		f.settle(ctx)
+		f.refineClass(ctx)
 	}
 	return f
 }
 
-// settle tells a target that went silent, a caller that left and the end of the
-// deadline from a connection that broke.
-func (f *Failure) settle(ctx context.Context) {
+// refineClass replaces the class of a broken connection if the actual cause is
+// a progress timeout, the passed deadline or a caller that has disconnected.
+func (f *Failure) refineClass(ctx context.Context) {
 	switch {
 	case errors.Is(f.Err, h1.ErrSilent):
 		f.Class = Silent
--- a/request/failure/failure_test.go
+++ b/request/failure/failure_test.go
@@ -11,9 +11,10 @@
 	"github.com/pomelospool/pomelospool/connection/h1"
 )
 
-// A seat is held twice: the first target ran the call, its answer was lost, and
-// the failure was taken for one of which the target saw nothing. Or a call that
-// nobody ran ends as "may have run", and its caller never tries again.
+// TestSend checks the classes of send errors. A call that ran, but whose answer
+// was lost, must not be classified as not written: it would be repeated, and a
+// booking, for example, made twice. A call that didn't run must not be classified
+// as possibly run: its caller would not retry it.
 func TestSend(t *testing.T) {
 	live := context.Background()
 	gone, cancel := context.WithCancel(live)
@@ -22,12 +23,12 @@
 	defer end()
 	reset := fmt.Errorf("h1: no answer: %w", syscall.ECONNRESET)
 	cases := []struct {
-		name    string
-		ctx     context.Context
-		err     error
-		class   Class
-		ran     bool
-		unasked bool // nobody waits for another attempt
+		name  string
+		ctx   context.Context
+		err   error
+		class Class
+		ran   bool
+		final bool
 	}{
 		{"no connection", live, &h1.Error{Err: h1.ErrConnect}, NotWritten, false, false},
 		{"reset after the request", live, &h1.Error{Err: reset, Written: true}, NoAnswer, true, false},
@@ -40,14 +41,14 @@
 	}
 	for _, tc := range cases {
 		f := Send(tc.ctx, "t", tc.err)
-		if f.Class != tc.class || f.MayHaveRun() != tc.ran || f.Final() != tc.unasked {
+		if f.Class != tc.class || f.MayHaveRun() != tc.ran || f.Final() != tc.final {
 			t.Errorf("%s: %s, may have run %v, final %v", tc.name, f.Class, f.MayHaveRun(), f.Final())
 		}
 	}
 }
 
-// The answer of a target that says "not run" breaks off behind that word; the
-// class that was read stays. A body that ends early is cut.
+// TestRead checks that a "not run" answer keeps its class when its body ends
+// early, and that any other body that ends early has the class Cut.
 func TestRead(t *testing.T) {
 	own := &Failure{Class: NotRun, Err: io.ErrUnexpectedEOF}
 	if f := Read(context.Background(), "t", fmt.Errorf("x: %w", own)); f.Class != NotRun {
@@ -58,8 +59,9 @@
 	}
 }
 
-// An engine quotes the prompt in its error; it must not stand in the log.
-func TestCauseQuotesNobody(t *testing.T) {
+// TestCauseOmitsForeignText checks that a prompt quoted in an engine's error
+// doesn't reach the log.
+func TestCauseOmitsForeignText(t *testing.T) {
 	for text, err := range map[string]error{
 		"the connection ended":     fmt.Errorf("%w after \"my prompt\"", io.ErrUnexpectedEOF),
 		"connection reset by peer": fmt.Errorf("read my prompt: %w", syscall.ECONNRESET),
