--- a/connection/engines/aggregate.go
+++ b/connection/engines/aggregate.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// Known is the number of engines that are known of.
+// Known returns the number of engines for which b has state.
 func (b *Book) Known() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.engines)
 }
 
-// Sum returns what all daemons together have at the engines.
+// Sum returns the work of all daemons at each engine.
 func (b *Book) Sum() []Work {
 	now := b.now()
 	b.mu.Lock()
@@ -27,35 +27,36 @@
 	return out
 }
 
-// Streams is the number of requests that decode at the engines whose ids' hashes
-// fit.
-func (b *Book) Streams(fits func(hash uint64) bool) int {
+// Streams returns the number of requests that decode at the engines for whose
+// hashes match returns true.
+func (b *Book) Streams(match func(hash uint64) bool) int {
 	n := 0
 	for _, w := range b.Sum() {
-		if w.Streams > 0 && fits(w.Target) {
+		if w.Streams > 0 && match(w.Target) {
 			n += int(w.Streams)
 		}
 	}
 	return n
 }
 
-// Busiest are the n entries that say most: engines that are down or change their
-// role, then those with the most work.
+// Busiest returns the n most important entries of work: first engines that are
+// down or change their role, then those with the most work. It sorts work.
 func Busiest(work []Work, n int) []Work {
 	if len(work) <= n {
 		return work
 	}
 	slices.SortFunc(work, func(a, b Work) int {
 		return cmp.Or(
-			cmp.Compare(b.special(), a.special()),
+			cmp.Compare(b.exceptions(), a.exceptions()),
 			cmp.Compare(b.Reading, a.Reading), cmp.Compare(b.Streams, a.Streams), cmp.Compare(a.Target, b.Target),
 		)
 	})
 	return work[:n]
 }
 
-// special counts what is said of an engine that isn't work.
-func (w *Work) special() int {
+// exceptions returns the number of reports that the engine is down or changes its
+// role.
+func (w *Work) exceptions() int {
 	n := int(w.Down)
 	if w.Becomes != "" {
 		n++
@@ -63,29 +64,29 @@
 	return n
 }
 
-// SumOf is the sum of this process's work and of the reports whose names it is
-// given.
-func (b *Book) SumOf(names func(name string) bool) []Work {
+// SumOf returns the sum of this process's work and of the reports for whose names
+// include returns true.
+func (b *Book) SumOf(include func(name string) bool) []Work {
 	now := b.now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.expire(now)
-	own := b.work(now)
-	sums := make(map[uint64]*tally, len(own))
-	put := func(list []Work) {
+	own := b.localWork(now)
+	sums := make(map[uint64]*workSum, len(own))
+	addAll := func(list []Work) {
 		for i := range list {
 			t := sums[list[i].Target]
 			if t == nil {
-				t = &tally{Work: Work{Target: list[i].Target}}
+				t = &workSum{Work: Work{Target: list[i].Target}}
 				sums[list[i].Target] = t
 			}
-			t.put(&list[i])
+			t.include(&list[i])
 		}
 	}
-	put(own)
+	addAll(own)
 	for name, p := range b.peers {
-		if names(name) {
-			put(p.work)
+		if include(name) {
+			addAll(p.work)
 		}
 	}
 	out := make([]Work, 0, len(sums))
@@ -95,8 +96,8 @@
 	return out
 }
 
-// Less is what is left of a sum without a part of it, which may have been
-// reported a little earlier.
+// Less returns sum without part. The values of part may be slightly older than
+// the sum, so the differences are clamped at 0.
 func Less(sum, part []Work) []Work {
 	taken := make(map[uint64]*Work, len(part))
 	for i := range part {
--- a/connection/engines/bench_test.go
+++ b/connection/engines/bench_test.go
@@ -9,8 +9,9 @@
 // sizes are fleets of daemons and engines.
 var sizes = []struct{ daemons, engines int }{{6, 12}, {90, 60}, {295, 240}, {1000, 1000}}
 
-// worked is a book that heard of work of all daemons at a few engines each.
-func worked(daemons, engines int) (*Book, []string) {
+// newLoadedTracker returns a Book with a report of each daemon on its work at a
+// few engines.
+func newLoadedTracker(daemons, engines int) (*Book, []string) {
 	b := New(func() time.Time { return time.Unix(1000, 0) }, func(Work) {})
 	var ids []string
 	for i := range engines {
@@ -30,11 +31,12 @@
 	return w
 }
 
-// BenchmarkLoad is what a request asks of each engine that may serve it.
+// BenchmarkLoad measures the look-up that a request makes for each engine that
+// may serve it.
 func BenchmarkLoad(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(fmt.Sprintf("daemons=%d/engines=%d", s.daemons, s.engines), func(b *testing.B) {
-			book, ids := worked(s.daemons, s.engines)
+			book, ids := newLoadedTracker(s.daemons, s.engines)
 			p := parts(1, 2, 3)
 			for i := 0; b.Loop(); i++ {
 				book.Load(ids[i%len(ids)], p)
@@ -43,11 +45,11 @@
 	}
 }
 
-// BenchmarkMerge is one report of another daemon.
+// BenchmarkMerge measures the processing of one report of another daemon.
 func BenchmarkMerge(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(fmt.Sprintf("daemons=%d/engines=%d", s.daemons, s.engines), func(b *testing.B) {
-			book, ids := worked(s.daemons, s.engines)
+			book, ids := newLoadedTracker(s.daemons, s.engines)
 			for i := 0; b.Loop(); i++ {
 				book.Merge(fmt.Sprint("daemon", i%s.daemons), workOf(i, ids), nil)
 			}
--- a/connection/engines/book.go
+++ b/connection/engines/book.go
@@ -1,8 +1,8 @@
-// Package engines keeps what this process knows of the model engines' work:
-// what it sent itself, what the other daemons say they sent, and which prompt
-// prefixes each engine has read. Engines' own reports lag by some hundred
-// milliseconds and are paid for; a daemon's own report reaches the others in a
-// few.
+// Package engines tracks the load of the model engines: the work that this
+// process sent to them, the work that other daemons report, and the prompt
+// prefixes that each engine has in its cache. It doesn't rely on load reports of
+// the engines, which lag by some hundred milliseconds and cost resources: a
+// daemon's report reaches the other daemons within a few milliseconds.
 package engines
 
 import (
@@ -14,17 +14,17 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// Work is what one daemon has at one engine now.
+// Work is the current work of one daemon at one engine, or a sum over daemons.
 type Work struct {
-	_       struct{} `cbor:",toarray"` // 20 bytes an engine in place of 65
+	_       struct{} `cbor:",toarray"` // 20 bytes per engine instead of 65
 	Target  uint64   // hash of the engine's id
-	Reading uint32   // microseconds that the engine needs for the prompts sent to it
-	Prompts uint32   // number of these
+	Reading uint32   // prefill time, in microseconds, of the prompts sent to the engine
+	Prompts uint32   // number of these prompts
 	Streams uint32   // requests that decode there, or are about to
-	// Becomes is the role that the engine takes by an order of this daemon's;
-	// it refuses requests meanwhile. Empty: it carries out none.
+	// Becomes is the role that this daemon has ordered the engine to change to, or
+	// empty. The engine refuses requests during the change.
 	Becomes port.Role
-	Down    uint16 // daemons that can't reach it: 0 or 1 in one daemon's report, their number in a sum
+	Down    uint16 // number of daemons that can't reach the engine; 0 or 1 in a daemon's report
 }
 
 // Idle reports whether there is nothing to report.
@@ -32,17 +32,17 @@
 	return w.Streams == 0 && w.Prompts == 0 && w.Becomes == "" && w.Down == 0
 }
 
-// Read says that an engine reads a prompt.
+// Read reports that an engine prefills a prompt or receives its KV cache.
 type Read struct {
 	_      struct{} `cbor:",toarray"`
 	Target uint64
 	Parts  []port.PromptPart
-	LeftMs uint32 // until it has read it, about, from when this is sent
+	LeftMs uint32 // estimated milliseconds, from the time of sending, until the parts are in the cache
 
-	ready time.Time // the same by this process's clock
+	ready time.Time // the time of LeftMs by this process's clock
 }
 
-// Tokens is the number of tokens of the parts.
+// Tokens returns the number of tokens of the parts.
 func (r Read) Tokens() int {
 	n := 0
 	for _, p := range r.Parts {
@@ -51,7 +51,7 @@
 	return n
 }
 
-// Key is equal for equal reads, and spread evenly.
+// Key returns a hash of the target and the parts.
 func (r Read) Key() uint64 {
 	key := r.Target
 	for _, p := range r.Parts {
@@ -60,160 +60,163 @@
 	return key ^ key>>32
 }
 
-// At is the read as it is reported at that time.
+// At returns the read with LeftMs as of now.
 func (r Read) At(now time.Time) Read {
 	r.LeftMs = uint32(max(r.ready.Sub(now), 0).Milliseconds())
 	return r
 }
 
-// Load is what all daemons together have at one engine.
+// Load is the load of one engine by all daemons.
 type Load struct {
-	Wait    time.Duration // until the engine has read the prompts sent to it
+	Wait    time.Duration // time until the engine has prefilled the prompts sent to it
 	Streams int
-	Cached  int // leading prompt tokens of the request that the engine keeps, or will have read by the time that it gets to the request
-	Ready   int // of these, the leading ones that can be fetched from it now
-	// Becomes is the role that the engine takes by an order that it carries
-	// out, of whichever daemon; empty: it carries out none.
+	Cached  int // leading prompt tokens of the request that are in the engine's cache, or will be when the engine starts the request
+	Ready   int // those of Cached that other engines can already fetch
+	// Becomes is the role that the engine is changing to by an order of any
+	// daemon, or empty.
 	Becomes port.Role
-	Down    int // daemons that can't reach it, this one included
+	Down    int // number of daemons that can't reach the engine, including this one
 }
 
-// downVotes is the number of daemons whose report takes a target out. One alone
-// may be cut off from a target that all others reach.
-const downVotes = 2
+// minDownReports is the number of daemons that have to report a target as down
+// before it is unreachable. A single daemon may be cut off from a target that all
+// others reach.
+const minDownReports = 2
 
-// Unreachable reports whether enough daemons can't reach the target.
-func (l Load) Unreachable() bool { return l.Down >= downVotes }
+// Unreachable reports whether the target is down according to enough daemons.
+func (l Load) Unreachable() bool { return l.Down >= minDownReports }
 
-// Book is safe for concurrent use.
+// Book tracks the load and the caches of engines. It is safe for concurrent use.
 type Book struct {
 	now     func() time.Time
-	changed func(Work) // called with own work at an engine after it changed
-
-	mu      sync.Mutex
-	engines map[uint64]*engine
-	holders map[uint64][]uint64 // by id of a prompt part, the last engines that read it
-	peers   map[string]*peerWork
-	oldest  time.Time // no report in peers is older
-	reads   []Read    // of this process, not yet reported
+	changed func(Work) // called with this process's work at an engine after a change
+
+	mu           sync.Mutex
+	engines      map[uint64]*engine
+	holders      map[uint64][]uint64 // hashes of the engines that last read a prompt part, by the part's id
+	peers        map[string]*peerWork
+	oldestReport time.Time // no report in peers is older
+	pendingReads []Read    // of this process, not yet reported
 }
 
 type engine struct {
-	own    Work
-	others tally // what the reports in peers say of it
-	keeps  *prefixes
-	since  time.Time // when it began with the prompt that it reads now, about
-	down   time.Time // this process couldn't reach it, until then
-	before uint32    // prompts in the report that is being replaced
+	own          Work
+	peers        workSum // what the reports in peers say of it
+	cache        *prefixCache
+	readingSince time.Time // when it began with the prompt that it reads now, about
+	downUntil    time.Time // this process couldn't reach it, until then
+	oldPrompts   uint32    // prompts in the report that is being replaced
 }
 
 // peerWork is the newest report of one daemon.
 type peerWork struct {
-	at   time.Time
-	work []Work
+	receivedAt time.Time
+	work       []Work
 }
 
-// reportTTL is how long a peer's report of its work counts:
-// it is repeated every 250 ms, and a prompt is read in well under 2 s.
+// reportTTL is the time after which a peer's report expires. Reports are repeated
+// every 250 ms, and a prefill takes well under 2 s.
 const reportTTL = 1500 * time.Millisecond
 
-// maxUnsent bounds the reads that wait to be reported.
-const maxUnsent = 64
+// maxPendingReads bounds the number of reads not yet reported.
+const maxPendingReads = 64
 
-// New returns an empty Book. changed is called, without locks held, with the
-// process's own work at an engine when it changed.
+// New returns an empty Book. changed is called without locks held after the
+// process's own work at an engine has changed.
 func New(now func() time.Time, changed func(Work)) *Book {
-	return &Book{now: now, changed: changed, engines: make(map[uint64]*engine), holders: make(map[uint64][]uint64), peers: make(map[string]*peerWork), oldest: now()}
+	return &Book{now: now, changed: changed, engines: make(map[uint64]*engine), holders: make(map[uint64][]uint64), peers: make(map[string]*peerWork), oldestReport: now()}
 }
 
-// Hash names an engine in the daemons' messages.
+// Hash returns the hash that identifies an engine in messages between daemons.
 func Hash(target string) uint64 { return xxhash.Sum64String(target) }
 
-// assumedMemory is the memory of an engine of which only other daemons spoke
-// so far, in tokens: that of the smallest engines served here.
-const assumedMemory = 450_000
+// defaultMemory is the assumed KV memory, in tokens, of an engine that is known
+// only from other daemons' reports. It is that of the smallest supported engines.
+const defaultMemory = 450_000
 
-// engine returns the state of a target with that much memory, 0: not known
-// here. Callers hold b.mu.
+// engine returns the state of a target and creates it if needed. tokens is the
+// target's KV memory, or 0 if unknown. Callers hold b.mu.
 func (b *Book) engine(target uint64, tokens int) *engine {
 	e := b.engines[target]
 	if e == nil {
-		e = &engine{own: Work{Target: target}, others: tally{Work: Work{Target: target}}, keeps: newPrefixes(assumedMemory)}
+		e = &engine{own: Work{Target: target}, peers: workSum{Work: Work{Target: target}}, cache: newPrefixCache(defaultMemory)}
 		b.engines[target] = e
 	}
 	if tokens > 0 {
-		e.keeps.limit = tokens
+		e.cache.limit = tokens
 	}
 	return e
 }
 
-// Prefill notes that a prompt is sent to an engine with that much memory, and
-// for how long it will read, after a wait. Call the result once it has read it,
-// or failed.
+// Prefill records that a prompt is sent to an engine with the given KV memory.
+// wait and reading are the expected time until the prefill starts and its
+// duration. The caller calls done when the prefill has ended or failed.
 func (b *Book) Prefill(target string, memory int, parts []port.PromptPart, wait, reading time.Duration) (done func()) {
 	hash := Hash(target)
 	cost := uint32(reading.Microseconds())
 	b.mu.Lock()
 	e := b.engine(hash, memory)
 	b.expire(b.now())
-	if e.own.Prompts+e.others.Prompts == 0 {
-		e.since = b.now()
+	if e.own.Prompts+e.peers.Prompts == 0 {
+		e.readingSince = b.now()
 	}
 	e.own.Reading += cost
 	e.own.Prompts++
-	b.reading(hash, e, parts, b.now().Add(wait+reading))
+	b.recordRead(hash, e, parts, b.now().Add(wait+reading))
 	b.unlockChanged(e)
 	return sync.OnceFunc(func() {
 		b.mu.Lock()
 		e.own.Reading -= cost
 		e.own.Prompts--
-		e.since = b.now()
-		e.keeps.arrived(parts, e.since)
+		e.readingSince = b.now()
+		e.cache.markReady(parts, e.readingSince)
 		b.unlockChanged(e)
 	})
 }
 
-// unlockChanged ends a change of own work at an engine. Callers hold b.mu.
+// unlockChanged unlocks b.mu and calls b.changed with the process's own work at
+// e. Callers hold b.mu.
 func (b *Book) unlockChanged(e *engine) {
-	w := e.report(b.now())
+	w := e.localWork(b.now())
 	b.mu.Unlock()
 	b.changed(w)
 }
 
-// report is what this process has at the engine.
-func (e *engine) report(now time.Time) Work {
+// localWork returns this process's work at the engine.
+func (e *engine) localWork(now time.Time) Work {
 	w := e.own
-	if now.Before(e.down) {
+	if now.Before(e.downUntil) {
 		w.Down = 1
 	}
 	return w
 }
 
-// reading notes that an engine will keep a prompt, and that the other daemons
-// get a report. Callers hold b.mu.
-func (b *Book) reading(hash uint64, e *engine, parts []port.PromptPart, ready time.Time) {
-	b.keep(hash, e, parts, ready)
-	if len(b.reads) < maxUnsent {
-		b.reads = append(b.reads, Read{Target: hash, Parts: parts, ready: ready})
+// recordRead records that an engine will have a prompt in its cache, and queues
+// the report to other daemons. Callers hold b.mu.
+func (b *Book) recordRead(hash uint64, e *engine, parts []port.PromptPart, ready time.Time) {
+	b.addToCache(hash, e, parts, ready)
+	if len(b.pendingReads) < maxPendingReads {
+		b.pendingReads = append(b.pendingReads, Read{Target: hash, Parts: parts, ready: ready})
 	}
 }
 
-// Learn takes an engine's own report of what it keeps.
+// Learn records prompt parts that an engine itself reported as cached.
 func (b *Book) Learn(target string, memory int, parts []port.PromptPart) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	hash := Hash(target)
-	b.keep(hash, b.engine(hash, memory), parts, b.now())
+	b.addToCache(hash, b.engine(hash, memory), parts, b.now())
 }
 
-// Decode notes that a request goes to an engine to be decoded, which has its KV
-// cache after the time of the move. Call the result when it ended.
+// Decode records that a request is sent to an engine for decoding. moving is the
+// time until the engine has received its KV cache. The caller calls done when the
+// request has ended.
 func (b *Book) Decode(target string, memory int, parts []port.PromptPart, moving time.Duration) (done func()) {
 	hash := Hash(target)
 	b.mu.Lock()
 	e := b.engine(hash, memory)
 	e.own.Streams++
-	b.reading(hash, e, parts, b.now().Add(moving))
+	b.recordRead(hash, e, parts, b.now().Add(moving))
 	b.unlockChanged(e)
 	return sync.OnceFunc(func() {
 		b.mu.Lock()
@@ -222,8 +225,8 @@
 	})
 }
 
-// Changing notes the role that an engine takes by an order that it carries out;
-// empty: none any more.
+// Changing records the role that an engine is changing to by an order of this
+// process. An empty role means that the change has ended.
 func (b *Book) Changing(target string, becomes port.Role) {
 	b.mu.Lock()
 	e := b.engine(Hash(target), 0)
@@ -231,24 +234,27 @@
 	b.unlockChanged(e)
 }
 
-// Down notes that this process can't reach a target, for some time.
+// Down records that this process can't reach a target and considers it down
+// until the given time.
 func (b *Book) Down(target string, until time.Time) {
 	b.mu.Lock()
 	e := b.engine(Hash(target), 0)
-	e.down = until
+	e.downUntil = until
 	b.unlockChanged(e)
 }
 
-// Load sums what all daemons have at a target now.
+// Load returns the load of a target by all daemons, for a request with the given
+// prompt parts.
 //
-// Engines read prompts in the order of their arrival, whatever their urgency:
-// over 1,600 prompts that found others before them, this order predicted the
-// time within 67 ms on the mean, sharing within 124 ms, urgency within 134 ms.
+// It assumes that engines prefill prompts in order of arrival, regardless of
+// priority: this predicted prefill times with a mean error of 67 ms, against
+// 124 ms for processor sharing and 134 ms for order by priority (1,600 prompts
+// that queued behind others).
 func (b *Book) Load(target string, parts []port.PromptPart) Load {
 	return b.LoadOf(Hash(target), parts)
 }
 
-// LoadOf is the same for the engine with that hash.
+// LoadOf is like Load, for the engine with the given hash.
 func (b *Book) LoadOf(hash uint64, parts []port.PromptPart) Load {
 	now := b.now()
 	b.mu.Lock()
@@ -260,41 +266,41 @@
 	b.expire(now)
 	w := e.sum(now)
 	l := Load{Streams: int(w.Streams), Becomes: w.Becomes, Down: int(w.Down)}
-	l.Cached, l.Ready = e.keeps.cached(parts, now)
+	l.Cached, l.Ready = e.cache.cached(parts, now)
 	if w.Prompts > 0 {
 		l.Wait = time.Duration(w.Reading)*time.Microsecond - e.progress(now, &w)
 	}
 	return l
 }
 
-// progress is how much of the prompt that the engine reads now it has read. No
-// more than an average prompt counts: an engine that ends none makes none.
+// progress returns the time that the engine has spent on its current prompt. It
+// is at most the duration of an average prompt: an engine that doesn't finish a
+// prompt makes no further progress.
 func (e *engine) progress(now time.Time, w *Work) time.Duration {
 	average := time.Duration(w.Reading/w.Prompts) * time.Microsecond
-	return min(max(now.Sub(e.since), 0), average)
+	return min(max(now.Sub(e.readingSince), 0), average)
 }
 
-// sum adds up what all daemons say of the engine.
+// sum returns the sum of all daemons' work at the engine.
 func (e *engine) sum(now time.Time) Work {
-	w := e.others.Work
+	w := e.peers.Work
 	w.add(&e.own)
 	if e.own.Becomes != "" {
 		w.Becomes = e.own.Becomes
 	}
-	if now.Before(e.down) {
+	if now.Before(e.downUntil) {
 		w.Down++
 	}
 	return w
 }
 
-// Retain forgets the engines that keep doesn't want kept, by the hash of their
-// id, and that have no work.
+// Retain deletes the engines without work for whose hashes keep returns false.
 func (b *Book) Retain(keep func(hash uint64) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.expire(b.now())
 	for hash, e := range b.engines {
-		if !keep(hash) && e.own.Idle() && e.others.Idle() {
+		if !keep(hash) && e.own.Idle() && e.peers.Idle() {
 			delete(b.engines, hash)
 		}
 	}
--- a/connection/engines/engines_test.go
+++ b/connection/engines/engines_test.go
@@ -15,7 +15,7 @@
 	return out
 }
 
-// clock is a time that tests move.
+// clock is a manual clock.
 type clock struct{ t time.Time }
 
 func (c *clock) now() time.Time { return c.t }
@@ -25,7 +25,7 @@
 	return New(c.now, func(Work) {}), c
 }
 
-func TestPartsCountOnlyAfterThoseBeforeThem(t *testing.T) {
+func TestCachedPartsMustBeLeading(t *testing.T) {
 	b, _ := book()
 	b.Prefill("e", 10_000, parts(1, 2, 3), 0, time.Second)()
 	for name, tc := range map[string]struct {
@@ -42,18 +42,18 @@
 		}
 	}
 	if got := b.Load("other", parts(1)).Cached; got != 0 {
-		t.Errorf("an engine that read nothing keeps %d tokens", got)
+		t.Errorf("an engine that read nothing has %d tokens cached", got)
 	}
 }
 
-func TestLeastRecentlyUsedPartsYield(t *testing.T) {
+func TestLeastRecentlyUsedPartsAreEvicted(t *testing.T) {
 	b, _ := book()
 	b.Prefill("e", 250, parts(1), 0, time.Second)()
 	b.Prefill("e", 250, parts(2), 0, time.Second)()
 	b.Prefill("e", 250, parts(1), 0, time.Second)()
 	b.Prefill("e", 250, parts(3), 0, time.Second)()
 	if b.Load("e", parts(2)).Cached != 0 || b.Load("e", parts(1)).Cached != 100 || b.Load("e", parts(3)).Cached != 100 {
-		t.Error("not the least recently used part yielded")
+		t.Error("a part other than the least recently used one was evicted")
 	}
 }
 
@@ -74,12 +74,14 @@
 	}
 	c.t = c.t.Add(reportTTL + time.Millisecond)
 	if l := b.Load("e", nil); l.Streams != 0 || l.Wait != 0 {
-		t.Errorf("a silent daemon's work still counts: %+v", l)
+		t.Errorf("an expired report still counts: %+v", l)
 	}
 }
 
-// An engine that reads looks as busy at the end of a prompt as at its begin,
-// and prompts go elsewhere, where they have to be read from their begin.
+// TestWaitShrinksWhileAnEngineReads checks that the wait of an engine shrinks as it
+// processes a prompt. Otherwise the engine would look as busy at the end of a
+// prefill as at its start, and prompts that it has cached would be sent to other
+// engines, which have to prefill them completely.
 func TestWaitShrinksWhileAnEngineReads(t *testing.T) {
 	b, c := book()
 	b.Prefill("e", 1000, parts(1), 0, 100*time.Millisecond)
@@ -93,25 +95,26 @@
 	}
 	step(0, 400*time.Millisecond)
 	step(80*time.Millisecond, 320*time.Millisecond)
-	// An engine that ends nothing makes no progress beyond one prompt.
+	// An engine that finishes no prompt makes no progress beyond one prompt.
 	step(time.Second, 200*time.Millisecond)
 	second()
 	step(0, 100*time.Millisecond)
 	step(30*time.Millisecond, 70*time.Millisecond)
 }
 
-// The same, told by another daemon.
-func TestProgressOfAnotherDaemonsPrompts(t *testing.T) {
+// TestWaitShrinksForPeersPrompts checks the same for prompts that another daemon
+// reports.
+func TestWaitShrinksForPeersPrompts(t *testing.T) {
 	b, c := book()
-	tell := func(prompts, reading uint32) {
+	report := func(prompts, reading uint32) {
 		b.Merge("peer", []Work{{Target: Hash("e"), Prompts: prompts, Reading: reading}}, nil)
 	}
-	tell(2, 200_000)
+	report(2, 200_000)
 	c.t = c.t.Add(60 * time.Millisecond)
 	if got := b.Load("e", nil).Wait; got != 140*time.Millisecond {
 		t.Errorf("wait %v", got)
 	}
-	tell(1, 100_000)
+	report(1, 100_000)
 	if got := b.Load("e", nil).Wait; got != 100*time.Millisecond {
 		t.Errorf("wait %v after one was read", got)
 	}
@@ -121,7 +124,7 @@
 	}
 }
 
-func TestOwnTellsReadsOnce(t *testing.T) {
+func TestLocalReportsReadsOnce(t *testing.T) {
 	b, _ := book()
 	end := b.Decode("e", 1000, parts(1), 0)
 	work, reads := b.Own()
@@ -129,7 +132,7 @@
 		t.Errorf("work %+v, reads %+v", work, reads)
 	}
 	if _, reads := b.Own(); len(reads) != 0 {
-		t.Errorf("reads told twice: %+v", reads)
+		t.Errorf("reads reported twice: %+v", reads)
 	}
 	end()
 	if work, _ := b.Own(); len(work) != 0 {
@@ -137,14 +140,14 @@
 	}
 }
 
-func TestChangingIsHeard(t *testing.T) {
+func TestRoleChangeIsReported(t *testing.T) {
 	b, _ := book()
 	b.Changing("e", port.RoleDecode)
 	work, _ := b.Own()
 	other, _ := book()
 	other.Merge("peer", work, nil)
 	if other.Load("e", nil).Becomes != port.RoleDecode {
-		t.Error("the other daemon sends requests to an engine that carries out an order")
+		t.Error("the other daemon doesn't know of the role change")
 	}
 }
 
@@ -154,14 +157,15 @@
 	b.Decode("idle", 1000, parts(1), 0)()
 	b.Retain(func(uint64) bool { return false })
 	if b.Load("idle", parts(1)).Cached != 0 || b.Load("busy", parts(1)).Cached != 100 {
-		t.Error("the wrong engine was forgotten")
+		t.Error("the wrong engine was deleted")
 	}
 	end()
 }
 
-// A daemon that was started again believes that every prompt is new to all
-// engines, and refuses what they have read before.
-func TestLearnTakesTheEnginesWord(t *testing.T) {
+// TestAddCachedParts checks that a report of an engine on its cache is used. Without
+// it, a restarted daemon would assume that no engine has any prompt cached, and
+// refuse requests that could use the caches.
+func TestAddCachedParts(t *testing.T) {
 	b, _ := book()
 	b.Learn("e", 10_000, parts(1, 2))
 	if got := b.Load("e", parts(1, 2, 3)).Cached; got != 200 {
@@ -169,16 +173,17 @@
 	}
 }
 
-// An engine is asked for a part that it only begins to read, and the prompt is
-// read a second time. What is being read counts for requests to the same engine,
-// which come after it, and for others once it is there, here and elsewhere.
-func TestPartsAreThereOnceTheyAreRead(t *testing.T) {
+// TestPartsAreReadyOnceRead checks that a part counts as cached for later requests
+// to the same engine as soon as its prefill is scheduled, but as ready for other
+// engines only after it, on this daemon and on others. If it were fetched too
+// early, the other engine would have to prefill it again.
+func TestPartsAreReadyOnceRead(t *testing.T) {
 	b, c := book()
 	other, oc := book()
 	look := func(b *Book, cached, ready int) {
 		t.Helper()
 		if l := b.Load("e", parts(1, 2)); l.Cached != cached || l.Ready != ready {
-			t.Errorf("%d tokens cached, %d there, want %d and %d", l.Cached, l.Ready, cached, ready)
+			t.Errorf("%d tokens cached, %d ready, want %d and %d", l.Cached, l.Ready, cached, ready)
 		}
 	}
 	done := b.Prefill("e", 1000, parts(1, 2), 100*time.Millisecond, 200*time.Millisecond)
@@ -186,13 +191,13 @@
 	c.t = c.t.Add(50 * time.Millisecond)
 	_, reads := b.Own()
 	if len(reads) != 1 || reads[0].LeftMs != 250 {
-		t.Errorf("told %+v", reads)
+		t.Errorf("reported %+v", reads)
 	}
 	fresh := other.Merge("peer", nil, reads)
 	look(other, 200, 0)
 	oc.t = oc.t.Add(100 * time.Millisecond)
 	if again := fresh[0].At(oc.t); again.LeftMs != 150 {
-		t.Errorf("told on with %d ms left", again.LeftMs)
+		t.Errorf("forwarded with %d ms left", again.LeftMs)
 	}
 	oc.t = oc.t.Add(150 * time.Millisecond)
 	look(other, 200, 200)
--- a/connection/engines/holders.go
+++ b/connection/engines/holders.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// holdersPerPart is the number of engines noted for one prompt part.
+	// holdersPerPart is the number of engines stored for one prompt part.
 	holdersPerPart = 4
-	// maxParts bounds the prompt parts whose holders are noted. Each takes 60 bytes.
+	// maxParts bounds the prompt parts whose holders are stored. Each takes 60 bytes.
 	maxParts = 16_384
 )
 
-// keep notes that an engine keeps a prompt from some time on, and that it holds the
-// parts that other prompts may begin with too. Callers hold b.mu.
-func (b *Book) keep(hash uint64, e *engine, parts []port.PromptPart, ready time.Time) {
-	e.keeps.add(parts, ready)
+// addToCache records that an engine has a prompt in its cache from the time ready
+// on, and makes it a holder of the shared parts. Callers hold b.mu.
+func (b *Book) addToCache(hash uint64, e *engine, parts []port.PromptPart, ready time.Time) {
+	e.cache.add(parts, ready)
 	for _, part := range shared(parts) {
 		list := b.holders[part.ID]
 		if list == nil && len(b.holders) >= maxParts {
-			b.dropHolders()
+			b.evictHolders()
 		}
 		kept := make([]uint64, 0, holdersPerPart)
 		kept = append(kept, hash)
@@ -33,16 +33,16 @@
 	}
 }
 
-// dropHolders forgets one part, whichever comes first. Callers hold b.mu.
-func (b *Book) dropHolders() {
+// evictHolders removes the holders of an arbitrary part. Callers hold b.mu.
+func (b *Book) evictHolders() {
 	for id := range b.holders {
 		delete(b.holders, id)
 		return
 	}
 }
 
-// Holders returns the hashes of engines that have read the longest of a prompt's
-// leading parts that any is known to have read. They may have dropped them since.
+// Holders returns the hashes of the engines known to have read the longest prefix
+// of parts. They may have evicted it since.
 func (b *Book) Holders(parts []port.PromptPart) []uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/connection/engines/reports.go
+++ b/connection/engines/reports.go
@@ -6,18 +6,18 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// Own returns what this process has at its engines, and what it had them read
-// since the last call.
+// Own returns this process's work at its engines, and the reads since the last
+// call.
 func (b *Book) Own() ([]Work, []Read) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
-	reads := b.reads
-	b.reads = nil
-	return b.work(now), AsOf(reads, now)
+	reads := b.pendingReads
+	b.pendingReads = nil
+	return b.localWork(now), AsOf(reads, now)
 }
 
-// AsOf are reads as they are reported at that time.
+// AsOf updates LeftMs of all reads as of now, and returns reads.
 func AsOf(reads []Read, now time.Time) []Read {
 	for i := range reads {
 		reads[i] = reads[i].At(now)
@@ -25,19 +25,20 @@
 	return reads
 }
 
-// work is what this process has at its engines. Callers hold b.mu.
-func (b *Book) work(now time.Time) []Work {
+// localWork returns this process's work at its engines. Callers hold b.mu.
+func (b *Book) localWork(now time.Time) []Work {
 	var out []Work
 	for _, e := range b.engines {
-		if w := e.report(now); !w.Idle() {
+		if w := e.localWork(now); !w.Idle() {
 			out = append(out, w)
 		}
 	}
 	return out
 }
 
-// Merge takes the report of another daemon, or of several in sum, in place of the
-// last one under that name. It returns the reads that were not known.
+// Merge stores the report of another daemon, or the sum of several daemons'
+// reports, and replaces the previous report with the same name. It returns the
+// reads that were not known.
 func (b *Book) Merge(peer string, work []Work, reads []Read) []Read {
 	now := b.now()
 	b.mu.Lock()
@@ -47,93 +48,95 @@
 	if p := b.peers[peer]; p != nil {
 		old = p.work
 	}
-	b.peers[peer] = &peerWork{at: now, work: work}
+	b.peers[peer] = &peerWork{receivedAt: now, work: work}
 	for i := range old {
 		e := b.engine(old[i].Target, 0)
-		e.others.take(&old[i])
-		e.before = old[i].Prompts
+		e.peers.exclude(&old[i])
+		e.oldPrompts = old[i].Prompts
 	}
 	for i := range work {
 		e := b.engine(work[i].Target, 0)
-		e.others.put(&work[i])
-		begins := e.before == 0 && work[i].Prompts > 0 && e.own.Prompts+e.others.Prompts == work[i].Prompts
-		if work[i].Prompts < e.before || begins {
-			e.since = now
+		e.peers.include(&work[i])
+		begins := e.oldPrompts == 0 && work[i].Prompts > 0 && e.own.Prompts+e.peers.Prompts == work[i].Prompts
+		if work[i].Prompts < e.oldPrompts || begins {
+			e.readingSince = now
 		}
-		e.before = 0
+		e.oldPrompts = 0
 	}
 	for i := range old {
-		// The daemon named prompts there before, and now names none.
-		if e := b.engine(old[i].Target, 0); e.before > 0 {
-			e.since, e.before = now, 0
+		// The previous report had prompts at this engine, the new one doesn't.
+		if e := b.engine(old[i].Target, 0); e.oldPrompts > 0 {
+			e.readingSince, e.oldPrompts = now, 0
 		}
 	}
-	return b.kept(reads)
+	return b.mergeReads(reads)
 }
 
-// MergeReads takes reads of other daemons, and returns those that were not known.
+// MergeReads records reads of other daemons, and returns those that were not
+// known.
 func (b *Book) MergeReads(reads []Read) []Read {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.kept(reads)
+	return b.mergeReads(reads)
 }
 
-// kept does it. Callers hold b.mu.
-func (b *Book) kept(reads []Read) (fresh []Read) {
+// mergeReads implements MergeReads. Callers hold b.mu.
+func (b *Book) mergeReads(reads []Read) (fresh []Read) {
 	for _, r := range reads {
 		e := b.engine(r.Target, 0)
 		r.ready = b.now().Add(time.Duration(r.LeftMs) * time.Millisecond)
-		if !e.keeps.has(shared(r.Parts)) {
+		if !e.cache.containsAll(shared(r.Parts)) {
 			fresh = append(fresh, r)
 		}
-		b.keep(r.Target, e, r.Parts, r.ready)
+		b.addToCache(r.Target, e, r.Parts, r.ready)
 	}
 	return fresh
 }
 
-// shared are the parts that other prompts may begin with too: all but the
-// last, which is mostly the request's own. A prompt of one part is taken whole.
+// shared returns the parts that other prompts may start with as well: all but the
+// last one, which is usually specific to the request. If there is only one part,
+// it is returned.
 func shared(parts []port.PromptPart) []port.PromptPart {
 	return parts[:max(len(parts)-1, min(len(parts), 1))]
 }
 
-// Shared is the read of the parts that other prompts may begin with too.
+// Shared returns the read with only the parts that other prompts may start with
+// as well.
 func (r Read) Shared() Read {
 	r.Parts = shared(r.Parts)
 	return r
 }
 
-// Forget takes out what all other daemons said.
+// Forget removes the reports of all other daemons.
 func (b *Book) Forget() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for name := range b.peers {
-		b.forget(name)
+		b.removePeer(name)
 	}
 }
 
-// forget takes out a daemon's report. Callers hold b.mu.
-func (b *Book) forget(name string) {
+// removePeer removes a daemon's report. Callers hold b.mu.
+func (b *Book) removePeer(name string) {
 	for i := range b.peers[name].work {
 		w := &b.peers[name].work[i]
-		b.engine(w.Target, 0).others.take(w)
+		b.engine(w.Target, 0).peers.exclude(w)
 	}
 	delete(b.peers, name)
 }
 
-// expire takes out the reports of unresponsive daemons.
-// Callers hold b.mu.
+// expire removes the reports that are older than reportTTL. Callers hold b.mu.
 func (b *Book) expire(now time.Time) {
-	if now.Sub(b.oldest) <= reportTTL {
+	if now.Sub(b.oldestReport) <= reportTTL {
 		return
 	}
-	b.oldest = now
+	b.oldestReport = now
 	for name, p := range b.peers {
-		if now.Sub(p.at) <= reportTTL {
-			b.oldest = minTime(b.oldest, p.at)
+		if now.Sub(p.receivedAt) <= reportTTL {
+			b.oldestReport = minTime(b.oldestReport, p.receivedAt)
 			continue
 		}
-		b.forget(name)
+		b.removePeer(name)
 	}
 }
 
--- a/connection/engines/tally.go
+++ b/connection/engines/tally.go
@@ -2,33 +2,34 @@
 
 import "github.com/pomelospool/pomelospool/port"
 
-// tally is the sum of several daemons' reports of one engine, kept up to date
-// as reports come and go.
+// workSum is the sum of several daemons' reports on one engine. It is updated
+// incrementally when reports are added and removed.
 //
-// The load that it answers: each request looks at each engine several times.
-// Summed up at each look over the reports of 295 daemons, one look took 5.1 µs
-// and a request 6 ms of a VM with a fifth of a core; kept up to date, a look
-// takes the same with 6 daemons and with 1,000.
-type tally struct {
+// Each request looks up each engine several times. Computing the sum of the
+// reports of 295 daemons in each look-up took 5.1 µs, and 6 ms per request on a
+// VM with a fifth of a core. With the incremental sum, the time of a look-up
+// doesn't depend on the number of daemons.
+type workSum struct {
 	Work
-	decode, prefill int // daemons whose orders make it that
+	decode, prefill int // number of daemons that ordered the change to this role
 }
 
-func (t *tally) put(w *Work) {
+func (t *workSum) include(w *Work) {
 	t.add(w)
-	t.becoming(w.Becomes, 1)
+	t.countRole(w.Becomes, 1)
 }
 
-func (t *tally) take(w *Work) {
+func (t *workSum) exclude(w *Work) {
 	t.Reading -= w.Reading
 	t.Prompts -= w.Prompts
 	t.Streams -= w.Streams
 	t.Down -= w.Down
-	t.becoming(w.Becomes, -1)
+	t.countRole(w.Becomes, -1)
 }
 
-// becoming counts daemons that order a role, and notes the one that is ordered.
-func (t *tally) becoming(r port.Role, n int) {
+// countRole adds n to the number of daemons that ordered the role r, and updates
+// Becomes.
+func (t *workSum) countRole(r port.Role, n int) {
 	switch r {
 	case port.RoleDecode:
 		t.decode += n
@@ -47,7 +48,7 @@
 	}
 }
 
-// add adds up all but the role that the engine takes.
+// add adds all fields of o but Becomes.
 func (w *Work) add(o *Work) {
 	w.Reading += o.Reading
 	w.Prompts += o.Prompts
--- a/connection/engines/tally_test.go
+++ b/connection/engines/tally_test.go
@@ -10,26 +10,25 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// spoken is a report as a summing up at each look would hold it.
-type spoken struct {
+// receivedReport is a report with the time of its receipt.
+type receivedReport struct {
 	at   time.Time
 	work []Work
 }
 
-// A sum that is kept up to date drifts from what the daemons said: an engine
-// looks busy, or is left out as unreachable, for as long as the process runs.
-// Whatever is said, repeated, left out or expires, it must equal the sum over
-// the reports that count.
-func TestSumsEqualTheWordsThatCount(t *testing.T) {
+// TestSumEqualsUnexpiredReports checks that the incremental sums equal the sums of
+// the unexpired reports after any sequence of reports. A sum that drifts would
+// make an engine look busy or unreachable until the process restarts.
+func TestSumEqualsUnexpiredReports(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		b, c := book()
-		reports := map[string]spoken{}
+		reports := map[string]receivedReport{}
 		for range rapid.IntRange(1, 40).Draw(rt, "steps") {
 			c.t = c.t.Add(time.Duration(rapid.IntRange(0, 900).Draw(rt, "ms")) * time.Millisecond)
 			name := fmt.Sprint("d", rapid.IntRange(0, 4).Draw(rt, "daemon"))
 			work := drawWork(rt)
 			b.Merge(name, work, nil)
-			reports[name] = spoken{at: c.t, work: work}
+			reports[name] = receivedReport{at: c.t, work: work}
 			if rapid.IntRange(0, 9).Draw(rt, "forget") == 0 {
 				b.Retain(func(uint64) bool { return false })
 			}
@@ -61,7 +60,7 @@
 	return out
 }
 
-func (l *Load) count(engine uint64, s spoken, now time.Time) {
+func (l *Load) count(engine uint64, s receivedReport, now time.Time) {
 	if now.Sub(s.at) > reportTTL {
 		return
 	}
--- a/connection/health/health.go
+++ b/connection/health/health.go
@@ -1,6 +1,6 @@
-// Package health judges targets by what became of the requests sent to them.
-// It asks nothing of the targets: their own word may be wrong either way, and
-// each question takes a place from a request.
+// Package health tracks the health of targets by the outcomes of the requests
+// sent to them. It sends no health checks: their results can be wrong in either
+// direction, and each check takes capacity from requests.
 package health
 
 import (
@@ -11,30 +11,31 @@
 )
 
 const (
-	// firstEjection and maxEjection are how long a target gets no requests after a
-	// failure to reach it; the time doubles with each failure in a row.
-	firstEjection = 600 * time.Millisecond
-	maxEjection   = 4 * time.Second
-	// smoothing is the weight of the newest outcome in the failure rate: about
-	// the last ten count.
+	// minEjection and maxEjection bound the time for which a target gets no
+	// requests after a failure to reach it. The time doubles with each
+	// consecutive failure.
+	minEjection = 600 * time.Millisecond
+	maxEjection = 4 * time.Second
+	// smoothing is the weight of the newest outcome in the failure rate. The
+	// rate reflects about the last ten outcomes.
 	smoothing = 0.1
-	// forgive halves the failure rate of a target that gets no requests, so
-	// that it is tried again.
-	forgive = 3 * time.Second
+	// halfLife is the time in which the failure rate of a target without
+	// requests halves, so that the target is tried again.
+	halfLife = 3 * time.Second
 )
 
-// Outcome is what became of a request at a target.
+// Outcome is the outcome of a request at a target.
 type Outcome int
 
 // The outcomes.
 const (
 	OK          Outcome = iota
-	Failed              // it answered that it failed, or broke off, or answered nonsense
-	Unreachable         // no connection, or no sign of life in time
-	Refused             // it said that it ran nothing, though it looked free
+	Failed              // the target answered with an error, an incomplete or an invalid answer
+	Unreachable         // no connection, or no progress in time
+	Refused             // the target answered that it didn't run the request, although it seemed to have capacity
 )
 
-// Book is safe for concurrent use.
+// Book tracks the health of targets. It is safe for concurrent use.
 type Book struct {
 	now     func() time.Time
 	ejected func(target string, until time.Time)
@@ -44,16 +45,16 @@
 }
 
 type state struct {
-	rate    float64 // of failures, smoothed
-	at      time.Time
-	row     int       // failures to reach it in a row
-	ejected time.Time // gets no requests before
-	pace    float64   // time taken over time predicted, smoothed
-	paced   time.Time
+	rate          float64 // smoothed failure rate
+	rateUpdated   time.Time
+	failuresInRow int       // failures to reach it in a row
+	ejectedUntil  time.Time // gets no requests before
+	pace          float64   // time taken over time predicted, smoothed
+	paceUpdated   time.Time
 }
 
-// New returns an empty Book. ejected is called, with locks held, when a target
-// gets no requests for a while; it may be nil.
+// New returns an empty Book. ejected is called with locks held when a target is
+// ejected until a given time. It may be nil.
 func New(now func() time.Time, ejected func(target string, until time.Time)) *Book {
 	if ejected == nil {
 		ejected = func(string, time.Time) {}
@@ -61,59 +62,59 @@
 	return &Book{now: now, ejected: ejected, targets: make(map[string]*state)}
 }
 
-// Note takes an outcome.
+// Note records the outcome of a request.
 func (b *Book) Note(target string, o Outcome) {
 	now := b.now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.get(target, now)
-	s.decay(now)
+	s.decayRate(now)
 	bad := 0.0
 	if o != OK {
 		bad = 1
 	}
 	s.rate += smoothing * (bad - s.rate)
 	if o != Unreachable {
-		s.row = 0
+		s.failuresInRow = 0
 		return
 	}
-	s.row++
-	wait := min(firstEjection<<min(s.row-1, 4), maxEjection)
-	s.ejected = now.Add(wait)
-	b.ejected(target, s.ejected)
-	log.WithFields(log.Fields{"target": target, "in_a_row": s.row, "for_ms": wait.Milliseconds()}).Info("health: target ejected")
+	s.failuresInRow++
+	wait := min(minEjection<<min(s.failuresInRow-1, 4), maxEjection)
+	s.ejectedUntil = now.Add(wait)
+	b.ejected(target, s.ejectedUntil)
+	log.WithFields(log.Fields{"target": target, "in_a_row": s.failuresInRow, "for_ms": wait.Milliseconds()}).Info("health: target ejected")
 }
 
-// get returns the state of a target. Callers hold b.mu.
+// get returns the state of a target and creates it if needed. Callers hold b.mu.
 func (b *Book) get(target string, now time.Time) *state {
 	s := b.targets[target]
 	if s == nil {
-		s = &state{at: now, paced: now, pace: 1}
+		s = &state{rateUpdated: now, paceUpdated: now, pace: 1}
 		b.targets[target] = s
 	}
 	return s
 }
 
 const (
-	// paceShare is the weight of the newest time in a target's pace.
-	paceShare = 0.25
-	// maxPace bounds one time's effect, so that a single one isn't remembered
-	// for long.
+	// paceSmoothing is the weight of the newest ratio in a target's pace.
+	paceSmoothing = 0.25
+	// maxPace caps each ratio, so that a single slow request doesn't affect the
+	// pace for long.
 	maxPace = 10.0
 )
 
-// NotePace notes that something took that many times as long as predicted.
+// NotePace records the ratio of a measured duration to the predicted one.
 func (b *Book) NotePace(target string, ratio float64) {
 	now := b.now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.get(target, now)
-	s.forgivePace(now)
-	s.pace += paceShare * (min(ratio, maxPace) - s.pace)
-	s.paced = now
+	s.decayPace(now)
+	s.pace += paceSmoothing * (min(ratio, maxPace) - s.pace)
+	s.paceUpdated = now
 }
 
-// Pace is how many times longer than predicted a target takes at present.
+// Pace returns the smoothed ratio of measured to predicted durations of a target.
 func (b *Book) Pace(target string) float64 {
 	now := b.now()
 	b.mu.Lock()
@@ -122,53 +123,54 @@
 	if s == nil {
 		return 1
 	}
-	s.forgivePace(now)
+	s.decayPace(now)
 	return s.pace
 }
 
-// forgivePace halves what is over 1 for each span without news, so that a
-// target that gets no requests is tried again.
-func (s *state) forgivePace(now time.Time) {
-	for now.Sub(s.paced) > forgive {
+// decayPace moves the pace halfway to 1 for each halfLife without a new ratio, so
+// that a target without requests is tried again.
+func (s *state) decayPace(now time.Time) {
+	for now.Sub(s.paceUpdated) > halfLife {
 		s.pace = 1 + (s.pace-1)/2
-		s.paced = s.paced.Add(forgive)
+		s.paceUpdated = s.paceUpdated.Add(halfLife)
 		if s.pace < 1.05 && s.pace > 0.95 {
-			s.paced = now
+			s.paceUpdated = now
 		}
 	}
 }
 
-// Impaired reports whether a target serves so badly that others are needed in
-// its place.
+// Impaired reports whether a target performs so poorly that others have to
+// replace it.
 func (b *Book) Impaired(target string) bool {
 	return b.Ejected(target) || b.Rate(target) > impairedRate || b.Pace(target) > impairedPace
 }
 
-// From this failure rate and from this pace on a target counts as impaired.
+// A target whose failure rate or pace exceeds these values is impaired.
 const (
 	impairedRate = 0.5
 	impairedPace = 5.0
 )
 
-func (s *state) decay(now time.Time) {
-	for now.Sub(s.at) > forgive {
+func (s *state) decayRate(now time.Time) {
+	for now.Sub(s.rateUpdated) > halfLife {
 		s.rate /= 2
-		s.at = s.at.Add(forgive)
+		s.rateUpdated = s.rateUpdated.Add(halfLife)
 		if s.rate < smoothing/2 {
-			s.at = now
+			s.rateUpdated = now
 		}
 	}
 }
 
-// Ejected reports whether the target gets no requests now while others can.
+// Ejected reports whether the target is ejected: it gets no requests while other
+// targets can serve them.
 func (b *Book) Ejected(target string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.targets[target]
-	return s != nil && b.now().Before(s.ejected)
+	return s != nil && b.now().Before(s.ejectedUntil)
 }
 
-// Rate is the smoothed share of the target's requests that failed.
+// Rate returns the target's smoothed failure rate.
 func (b *Book) Rate(target string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -176,11 +178,11 @@
 	if s == nil {
 		return 0
 	}
-	s.decay(b.now())
+	s.decayRate(b.now())
 	return s.rate
 }
 
-// Retain forgets the targets that keep doesn't name.
+// Retain deletes the state of the targets for which keep returns false.
 func (b *Book) Retain(keep func(target string) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/connection/health/health_test.go
+++ b/connection/health/health_test.go
@@ -28,20 +28,21 @@
 	}
 }
 
-// Every tenth request waits for nothing. A target went dark, and requests were
-// sent there as before.
-func TestUnreachableTargetsAreBenchedLongerEachTime(t *testing.T) {
+// TestEjectionTimeDoubles checks that an unreachable target is ejected, for longer
+// with each consecutive failure. If it weren't, requests would still be sent to it
+// and wait in vain.
+func TestEjectionTimeDoubles(t *testing.T) {
 	b, c := book()
 	note(b, Unreachable, 1)
 	if !b.Ejected("t") {
 		t.Fatal("not ejected")
 	}
-	c.pass(firstEjection)
+	c.pass(minEjection)
 	if b.Ejected("t") {
 		t.Error("ejected for longer than the first time")
 	}
 	note(b, Unreachable, 1)
-	c.pass(firstEjection)
+	c.pass(minEjection)
 	if !b.Ejected("t") {
 		t.Error("the second time is no longer than the first")
 	}
@@ -52,14 +53,15 @@
 	}
 	note(b, OK, 1)
 	note(b, Unreachable, 1)
-	c.pass(firstEjection)
+	c.pass(minEjection)
 	if b.Ejected("t") {
-		t.Error("an answer in between doesn't count")
+		t.Error("a success between failures doesn't reset the ejection time")
 	}
 }
 
-// A target fails part of its requests while its health check is good.
-func TestFailureRateRisesAndIsForgiven(t *testing.T) {
+// TestFailureRateRisesAndDecays checks the failure rate of a target that fails
+// requests, which a health check may not detect.
+func TestFailureRateRisesAndDecays(t *testing.T) {
 	b, c := book()
 	note(b, Failed, 15)
 	if r := b.Rate("t"); r < 0.7 {
@@ -68,26 +70,26 @@
 	if !b.Impaired("t") || b.Ejected("t") {
 		t.Error("a failing target is impaired, not ejected")
 	}
-	c.pass(4*forgive + time.Second)
+	c.pass(4*halfLife + time.Second)
 	if r := b.Rate("t"); r > 0.1 {
 		t.Errorf("rate %.2f long after the last request", r)
 	}
 	if b.Rate("unknown") != 0 || b.Pace("unknown") != 1 || b.Impaired("unknown") {
-		t.Error("an unknown target isn't sound")
+		t.Error("an unknown target isn't healthy")
 	}
 }
 
 func TestPace(t *testing.T) {
 	b, c := book()
 	pace(b, 100, 1)
-	if p := b.Pace("t"); p > 1+paceShare*maxPace {
+	if p := b.Pace("t"); p > 1+paceSmoothing*maxPace {
 		t.Errorf("pace %.1f after a single slow one", p)
 	}
 	pace(b, 8, 20)
 	if p := b.Pace("t"); p < 7 || !b.Impaired("t") {
 		t.Errorf("pace %.1f of a slow target", p)
 	}
-	c.pass(6 * forgive)
+	c.pass(6 * halfLife)
 	if p := b.Pace("t"); p > 1.5 {
 		t.Errorf("pace %.1f long after", p)
 	}
@@ -98,6 +100,6 @@
 	note(b, Failed, 5)
 	b.Retain(func(string) bool { return false })
 	if b.Rate("t") != 0 {
-		t.Error("a target that is gone is remembered")
+		t.Error("the state of a removed target is retained")
 	}
 }
--- a/connection/load/cache.go
+++ b/connection/load/cache.go
@@ -3,19 +3,21 @@
 import "github.com/pomelospool/pomelospool/port"
 
 const (
-	maxBlocks   = 1 << 16 // hashes kept for one engine
-	blockTokens = 64      // tokens under one hash, as in request/prefix
+	maxBlocks   = 1 << 16 // block hashes stored for one engine
+	blockTokens = 64      // tokens of one block, as in request/prefix
 )
 
-// cacheView is what is believed of one engine's prefix cache.
+// cacheView is an estimate of one engine's prefix cache, built from its cache
+// events.
 type cacheView struct {
 	seq    int64
 	blocks map[uint64]struct{}
 }
 
-// apply takes events in. A gap in Seq may hide that blocks left the cache:
-// requests would be sent to an engine that has to compute their prefix anew.
-// So a gap, like a reset, empties the view; it fills again with later events.
+// apply updates the view by events. Events missing from the sequence may have
+// removed blocks from the cache, and requests would be sent to an engine that
+// has to compute their prefix again. So a gap in Seq empties the view, as a
+// reset does. Later events fill it again.
 func (c *cacheView) apply(events []port.CacheEvent) {
 	for _, e := range events {
 		if e.Seq <= c.seq {
@@ -44,7 +46,7 @@
 	}
 }
 
-// tokens returns how many leading tokens of prefix are believed cached.
+// tokens returns the estimated number of leading tokens of prefix that are cached.
 func (c *cacheView) tokens(prefix []uint64) int {
 	n := 0
 	for _, b := range prefix {
--- a/connection/load/engine.go
+++ b/connection/load/engine.go
@@ -12,26 +12,26 @@
 	"github.com/pomelospool/pomelospool/request/routing"
 )
 
-// engine is what is known of one engine.
+// engine holds the state of one polled engine.
 type engine struct {
-	name string
-	addr string
-	api  port.Engine
-	stop context.CancelFunc
-
-	mu     sync.RWMutex
-	load   port.Load
-	loadAt time.Time // on this process's clock
-	state  port.EngineState
-	known  bool // state was read
-	died   bool // the incarnation in load is known to be dead
-	cache  cacheView
+	name   string
+	addr   string
+	client port.Engine
+	stop   context.CancelFunc
+
+	mu         sync.RWMutex
+	load       port.Load
+	loadAt     time.Time // time of load by this process's clock
+	state      port.EngineState
+	stateKnown bool // state has been read
+	crashKnown bool // the incarnation in load is known to have crashed
+	cache      cacheView
 }
 
 func (w *Watcher) poll(ctx context.Context, e *engine) {
 	defer e.close()
 	for i := 0; ; i++ {
-		w.pollOnce(ctx, e, i%stateEvery == 0 || w.opts.Pool.Status(e.addr).Refusing)
+		w.pollOnce(ctx, e, i%pollsPerState == 0 || w.opts.Pool.Status(e.addr).Refusing)
 		select {
 		case <-w.tomb.Dying():
 			return
@@ -42,24 +42,24 @@
 	}
 }
 
-// callsAPoll is the mean number of calls of one poll: load, cache events, and
-// every stateEvery-th time the state.
-const callsAPoll = 2 + 1.0/stateEvery
+// callsPerPoll is the mean number of calls of one poll: load, cache events and,
+// every pollsPerState polls, the state.
+const callsPerPoll = 2 + 1.0/pollsPerState
 
-// interval is the time between two polls of one engine. It grows with the
-// number of engines watched, so that a daemon before hundreds of them keeps
-// within its share of bytes and processor time; between the polls the reports
-// on answers tell the load.
+// interval returns the time between two polls of one engine. It grows with the
+// number of watched engines, so that polling hundreds of them stays within the
+// daemon's budget of network traffic and CPU time. Between polls, answers carry
+// load reports.
 func (w *Watcher) interval() time.Duration {
 	w.mu.RLock()
 	n := len(w.watched)
 	w.mu.RUnlock()
-	budget := time.Duration(float64(n) * callsAPoll / w.opts.Reads * float64(time.Second))
+	budget := time.Duration(float64(n) * callsPerPoll / w.opts.Reads * float64(time.Second))
 	return max(w.opts.Poll, budget)
 }
 
-// Answered takes the load report on an answer of the target at addr, if there
-// is one. pool.Options.Answered calls it.
+// Answered stores the load report in the header of an answer from the target at
+// addr, if there is one. It is the callback for pool.Options.Answered.
 func (w *Watcher) Answered(addr string, h http.Header) {
 	value := h.Get(port.LoadHeader)
 	if value == "" {
@@ -72,27 +72,27 @@
 		return
 	}
 	if l, err := port.ParseLoad(value, time.Now()); err == nil {
-		e.takeReport(l)
+		e.storeReport(l)
 	}
 }
 
-// takeReport stores the load that an answer reported.
-func (e *engine) takeReport(l port.Load) {
+// storeReport stores a load report from an answer.
+func (e *engine) storeReport(l port.Load) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	l.Engine, l.Incarnation = e.load.Engine, e.load.Incarnation
 	e.load, e.loadAt = l, l.At
 }
 
-// close ends the adapter's connections, if it has any.
+// close closes the client, if it is an io.Closer.
 func (e *engine) close() {
-	if c, ok := e.api.(io.Closer); ok {
+	if c, ok := e.client.(io.Closer); ok {
 		_ = c.Close()
 	}
 }
 
 func (w *Watcher) pollOnce(ctx context.Context, e *engine, withState bool) {
-	ctx, cancel := context.WithTimeout(ctx, pollLimit)
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	if !w.readLoad(ctx, e) {
 		w.opts.Pool.Verify(ctx, e.addr)
@@ -104,51 +104,52 @@
 	}
 }
 
-// readLoad reads the load and reports whether the engine answered.
+// readLoad polls the load and reports whether the engine answered.
 func (w *Watcher) readLoad(ctx context.Context, e *engine) bool {
 	begun := time.Now()
-	l, err := e.api.Load(ctx)
+	l, err := e.client.Load(ctx)
 	if err != nil {
 		return false
 	}
-	if e.takeLoad(l, begun) {
-		w.crashed(e.name)
+	if e.storeLoad(l, begun) {
+		w.reportCrash(e.name)
 	}
 	return true
 }
 
-// takeLoad stores a report and reports whether it shows a death that was not
-// known. The report is as old as the engine's clock says, within bounds, since
-// the two clocks need not agree.
-func (e *engine) takeLoad(l port.Load, begun time.Time) bool {
-	lag := min(max(begun.Sub(l.At), 0), maxLag)
+// storeLoad stores a polled load. It returns true if the load shows a crash that
+// was not known. The age of the load is computed from the engine's clock and
+// bounded by maxReportLag, as that clock may differ from this process's.
+func (e *engine) storeLoad(l port.Load, begun time.Time) bool {
+	lag := min(max(begun.Sub(l.At), 0), maxReportLag)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	restarted := e.load.Incarnation != "" && e.load.Incarnation != l.Incarnation
-	unknown := restarted && !e.died
+	unknown := restarted && !e.crashKnown
 	if restarted {
-		e.died = false
+		e.crashKnown = false
 		e.cache = cacheView{}
-		e.known = false
+		e.stateKnown = false
 	}
 	e.load, e.loadAt = l, begun.Add(-lag)
 	return unknown
 }
 
-// noteDeath reports whether the death of the present incarnation wasn't known.
-func (e *engine) noteDeath() bool {
+// recordCrash records that the current incarnation has crashed. It returns false
+// if this was known.
+func (e *engine) recordCrash() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	news := !e.died
-	e.died = true
-	return news
+	isNew := !e.crashKnown
+	e.crashKnown = true
+	return isNew
 }
 
 func (e *engine) readCache(ctx context.Context) {
 	e.mu.RLock()
 	after := e.cache.seq
 	e.mu.RUnlock()
-	events, err := e.api.CacheEvents(ctx, after)
+	events, err := e.client.CacheEvents(ctx, after)
 	if err != nil {
 		return
 	}
@@ -160,17 +161,17 @@
 }
 
 func (e *engine) readState(ctx context.Context) {
-	s, err := e.api.State(ctx)
+	s, err := e.client.State(ctx)
 	if err != nil {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.state, e.known = s, true
+	e.state, e.stateKnown = s, true
 }
 
-// fill adds the engine's word to r.
-func (e *engine) fill(r *routing.Target, p *pool.Pool, now time.Time) {
+// addTo sets the fields of r that the engine itself reports.
+func (e *engine) addTo(r *routing.Target, p *pool.Pool, now time.Time) {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	r.CachedTokens = e.cachedTokens
@@ -180,7 +181,7 @@
 		sent := p.SentSince(e.addr, e.loadAt)
 		r.SentCount, r.SentPrefill, r.SentDecode = sent.Count, sent.Prefill, sent.Decode
 	}
-	if !e.known {
+	if !e.stateKnown {
 		return
 	}
 	r.Changing = e.state.Changing
--- a/connection/load/load_test.go
+++ b/connection/load/load_test.go
@@ -21,7 +21,7 @@
 	"github.com/pomelospool/pomelospool/version/view"
 )
 
-// advance lets virtual time pass, in a synctest bubble.
+// advance advances virtual time in a synctest bubble.
 func advance(d time.Duration) { <-time.After(d) }
 
 func TestMain(m *testing.M) {
@@ -29,8 +29,8 @@
 	m.Run()
 }
 
-// fake is an engine's control side.
-type fake struct {
+// fakeEngine fakes the control interface of an engine.
+type fakeEngine struct {
 	port.Engine
 	mu     sync.Mutex
 	load   port.Load
@@ -40,13 +40,13 @@
 	calls  int
 }
 
-func (f *fake) set(change func(*fake)) {
+func (f *fakeEngine) set(change func(*fakeEngine)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change(f)
 }
 
-func (f *fake) Load(context.Context) (port.Load, error) {
+func (f *fakeEngine) Load(context.Context) (port.Load, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls++
@@ -55,14 +55,14 @@
 	return l, nil
 }
 
-func (f *fake) State(context.Context) (port.EngineState, error) {
+func (f *fakeEngine) State(context.Context) (port.EngineState, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls++
 	return f.state, nil
 }
 
-func (f *fake) CacheEvents(_ context.Context, after int64) ([]port.CacheEvent, error) {
+func (f *fakeEngine) CacheEvents(_ context.Context, after int64) ([]port.CacheEvent, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls++
@@ -76,7 +76,7 @@
 }
 
 // watch runs a Watcher over one engine in virtual time.
-func watch(t *testing.T, f *fake, do func(w *Watcher, p *pool.Pool, get func() routing.Target, crashes *int)) {
+func watch(t *testing.T, f *fakeEngine, do func(w *Watcher, p *pool.Pool, get func() routing.Target, crashes *int)) {
 	synctest.Test(t, func(t *testing.T) {
 		doc := &document.Document{Service: "s", Kind: document.KindModel, Targets: []document.Target{{Name: "e", Addr: "e:1", Model: "m"}}}
 		svc := &view.Service{Doc: doc, Version: 1}
@@ -97,10 +97,11 @@
 	})
 }
 
-// TestTargetView: what requests see of an engine: its own word over the
-// document's, and load with what was sent since the report.
+// TestTargetView checks that the view of a target takes its model and role from
+// the engine's state rather than from the document, and that it contains the
+// load and the requests sent since.
 func TestTargetView(t *testing.T) {
-	f := &fake{lag: 500 * time.Millisecond}
+	f := &fakeEngine{lag: 500 * time.Millisecond}
 	f.load = port.Load{Incarnation: "1", Running: 3}
 	f.state = port.EngineState{Spec: port.EngineSpec{Role: port.RoleDecode, Model: "other"}}
 	watch(t, f, func(_ *Watcher, p *pool.Pool, get func() routing.Target, _ *int) {
@@ -108,7 +109,7 @@
 		if got.Model != "other" || got.Role != port.RoleDecode || got.Load.Running != 3 || !got.Live {
 			t.Errorf("got %+v", got)
 		}
-		if got.LoadAge < f.lag || got.LoadAge > f.lag+defaultPoll {
+		if got.LoadAge < f.lag || got.LoadAge > f.lag+defaultPollInterval {
 			t.Errorf("load is %v old", got.LoadAge)
 		}
 		p.Begin("e:1", 100, 10)
@@ -116,17 +117,17 @@
 		if now.SentCount != 0 || now.InFlight != 1 {
 			t.Errorf("long after sending: %+v", now)
 		}
-		f.set(func(f *fake) { f.state.Leaving = true })
+		f.set(func(f *fakeEngine) { f.state.Leaving = true })
 		if got := get(); got.Live {
 			t.Error("a leaving engine gets new work")
 		}
 	})
 }
 
-// TestSentSinceReport: a request sent after the newest report was measured is
-// not in it; it must be counted until a report that holds it has come.
+// TestSentSinceReport checks that a request sent after the newest load report was
+// measured is counted as sent until a report includes it.
 func TestSentSinceReport(t *testing.T) {
-	f := &fake{lag: 500 * time.Millisecond}
+	f := &fakeEngine{lag: 500 * time.Millisecond}
 	watch(t, f, func(w *Watcher, p *pool.Pool, get func() routing.Target, _ *int) {
 		get()
 		p.Begin("e:1", 100, 10)
@@ -146,41 +147,41 @@
 	})
 }
 
-// TestDeathsAreToldOnce: an engine dies and comes back. Its refused
-// connections and its new incarnation show the same death; told twice, it
-// would convict what ran there once.
-func TestDeathsAreToldOnce(t *testing.T) {
+// TestCrashIsReportedOnce checks that the refused connections and the new
+// incarnation of an engine that crashed and restarted are reported as one crash.
+// Two reports would convict content that was in flight at a single crash.
+func TestCrashIsReportedOnce(t *testing.T) {
 	refused := fmt.Errorf("dial: %w", syscall.ECONNREFUSED)
 	cases := []struct {
 		name string
-		do   func(w *Watcher, f *fake)
+		do   func(w *Watcher, f *fakeEngine)
 		want int
 	}{
-		{"none", func(*Watcher, *fake) {}, 0},
-		{"refused", func(w *Watcher, _ *fake) { w.Down("e:1", refused) }, 1},
-		{"refused twice", func(w *Watcher, _ *fake) { w.Down("e:1", refused); w.Down("e:1", refused) }, 1},
-		{"restart", func(_ *Watcher, f *fake) { f.set(func(f *fake) { f.load.Incarnation = "2" }) }, 1},
-		{"both", func(w *Watcher, f *fake) {
+		{"none", func(*Watcher, *fakeEngine) {}, 0},
+		{"refused", func(w *Watcher, _ *fakeEngine) { w.Down("e:1", refused) }, 1},
+		{"refused twice", func(w *Watcher, _ *fakeEngine) { w.Down("e:1", refused); w.Down("e:1", refused) }, 1},
+		{"restart", func(_ *Watcher, f *fakeEngine) { f.set(func(f *fakeEngine) { f.load.Incarnation = "2" }) }, 1},
+		{"both", func(w *Watcher, f *fakeEngine) {
 			w.Down("e:1", refused)
-			f.set(func(f *fake) { f.load.Incarnation = "2" })
+			f.set(func(f *fakeEngine) { f.load.Incarnation = "2" })
 		}, 1},
-		{"partition", func(w *Watcher, _ *fake) { w.Down("e:1", syscall.ETIMEDOUT) }, 0},
+		{"partition", func(w *Watcher, _ *fakeEngine) { w.Down("e:1", syscall.ETIMEDOUT) }, 0},
 	}
 	for _, tc := range cases {
-		f := &fake{load: port.Load{Incarnation: "1"}}
+		f := &fakeEngine{load: port.Load{Incarnation: "1"}}
 		watch(t, f, func(w *Watcher, _ *pool.Pool, get func() routing.Target, crashes *int) {
 			get()
 			tc.do(w, f)
 			get()
 			if *crashes != tc.want {
-				t.Errorf("%s: %d deaths told, want %d", tc.name, *crashes, tc.want)
+				t.Errorf("%s: %d crashes reported, want %d", tc.name, *crashes, tc.want)
 			}
 		})
 	}
 }
 
-// TestCacheView: what is believed of a prefix cache after events, gaps and
-// resets. A gap may hide that blocks are gone.
+// TestCacheView checks the estimate of a prefix cache after events, gaps and
+// resets. The events missing in a gap may have removed blocks.
 func TestCacheView(t *testing.T) {
 	add := func(seq int64, blocks ...uint64) port.CacheEvent {
 		return port.CacheEvent{Seq: seq, Added: blocks}
@@ -219,8 +220,10 @@
 	}
 }
 
-// TestSubset: at 710 targets a process watches a bounded few, its own zone
-// first, all processes together watch all, and one target less changes one.
+// TestSubset checks that with 710 targets each process watches a bounded subset
+// that prefers its own availability zone, that all processes together watch
+// every target, and that removing one target changes at most one other target of
+// a subset.
 func TestSubset(t *testing.T) {
 	var all []document.Target
 	for i := range 710 {
@@ -262,10 +265,11 @@
 	}
 }
 
-// A large fleet: many daemons read many engines, and the reading alone takes
-// more bytes than all control may. The polls must keep to their budget, and
-// the reports on answers must still bring the load of now.
-func TestReadsKeepToBudget(t *testing.T) {
+// TestPollsKeepToCallRate checks that polling many engines stays within the call
+// rate, and that load reports on answers still update the load immediately. In a
+// large fleet, polls at a fixed interval would exceed the traffic budget of the
+// whole control plane.
+func TestPollsKeepToCallRate(t *testing.T) {
 	const engines, reads, seconds = 20, 10.0, 60
 	synctest.Test(t, func(t *testing.T) {
 		doc := &document.Document{Service: "s", Kind: document.KindModel}
@@ -275,7 +279,7 @@
 		svc := &view.Service{Doc: doc, Version: 1}
 		h := &view.Holder{}
 		h.Store(view.NewSnapshot(1, []*view.Service{svc}, nil))
-		f := &fake{}
+		f := &fakeEngine{}
 		p := pool.New(pool.Options{})
 		w := New(Options{View: h, Pool: p, Engine: func(string) port.Engine { return f }, Reads: reads})
 		<-time.After(seconds * time.Second)
@@ -287,8 +291,8 @@
 		w.Close()
 		p.Close()
 		// The first round reads every engine at once.
-		if most := int(reads*seconds + 3*engines); f.calls > most {
-			t.Errorf("%d calls in %d s, at most %d", f.calls, seconds, most)
+		if limit := int(reads*seconds + 3*engines); f.calls > limit {
+			t.Errorf("%d calls in %d s, at most %d", f.calls, seconds, limit)
 		}
 	})
 }
--- a/connection/load/subset.go
+++ b/connection/load/subset.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	minPerService = 8 // targets of a service that are watched at least
-	zoneShare     = 0.75
+	minPerService = 8    // minimum number of watched targets of a service
+	zoneShare     = 0.75 // share of the quota for the own availability zone
 )
 
-// subset picks at most quota of targets: those of the process's own
-// availability zone first, up to zoneShare, then a stable hashed few of the
-// others. The choice depends on the process's name and on each target alone,
-// so one target more or less changes one place only.
+// subset selects at most quota targets: up to zoneShare of them in the process's
+// own availability zone, the rest in others. It uses rendezvous hashing: the rank
+// of a target depends only on its name and the process's, so that adding or
+// removing a target changes at most one selected target.
 func subset(targets []document.Target, zone, process string, quota int) []document.Target {
 	if len(targets) <= quota {
 		return targets
@@ -44,7 +44,8 @@
 	return xxhash.Sum64String(process + "\x00" + t.Name)
 }
 
-// quota shares watch places among services by their number of targets.
+// quota returns the number of watched targets of a service with own of all
+// targets. It divides watch among the services by their number of targets.
 func quota(watch, own, all int) int {
 	if all <= watch {
 		return own
--- a/connection/load/verify_test.go
+++ b/connection/load/verify_test.go
@@ -12,56 +12,57 @@
 	"github.com/pomelospool/pomelospool/request/routing"
 )
 
-// TestSecondVerifyWaits: one death breaks two requests, and both verify it. The
-// first notices it and is still telling of it; the second finds nothing new.
-// If it went on at once, its content, not yet known as suspect, would be sent
-// to a second engine.
-func TestSecondVerifyWaits(t *testing.T) {
+// TestConcurrentVerifyWaits checks that when one crash breaks two requests, the
+// second call of Verify returns only after the first one has reported the crash.
+// Otherwise the content of the second request, which is not yet known as suspect,
+// would be sent to another engine.
+func TestConcurrentVerifyWaits(t *testing.T) {
 	ended, cancel := context.WithCancel(context.Background())
 	cancel() // the probe of the target gets no answer in time
 	target := routing.Target{Name: "e", Addr: "e:1"}
 	cases := []struct {
 		name  string
-		first func(w *Watcher, f *fake)
+		first func(w *Watcher, f *fakeEngine)
 	}{
-		{"refused", func(w *Watcher, _ *fake) { w.Down("e:1", syscall.ECONNREFUSED) }},
-		{"restarted", func(w *Watcher, f *fake) {
-			f.set(func(f *fake) { f.load.Incarnation = "2" })
+		{"refused", func(w *Watcher, _ *fakeEngine) { w.Down("e:1", syscall.ECONNREFUSED) }},
+		{"restarted", func(w *Watcher, f *fakeEngine) {
+			f.set(func(f *fakeEngine) { f.load.Incarnation = "2" })
 			w.Verify(ended, target)
 		}},
 	}
 	for _, tc := range cases {
-		f := &fake{load: port.Load{Incarnation: "1"}}
+		f := &fakeEngine{load: port.Load{Incarnation: "1"}}
 		watch(t, f, func(w *Watcher, _ *pool.Pool, get func() routing.Target, _ *int) {
 			get()
-			told := 0
+			reported := 0
 			second := make(chan struct{})
 			w.opts.Crashed = func(string) {
-				told++
+				reported++
 				go func() {
 					defer close(second)
 					w.Verify(ended, target)
 				}()
-				if returned(second) {
-					t.Errorf("%s: the second Verify returned before the death was told", tc.name)
+				if returnedOrBlocked(second) {
+					t.Errorf("%s: the second Verify returned before the crash was reported", tc.name)
 				}
 			}
 			tc.first(w, f)
 			<-second
-			if told != 1 {
-				t.Errorf("%s: told %d times", tc.name, told)
+			if reported != 1 {
+				t.Errorf("%s: reported %d times", tc.name, reported)
 			}
 		})
 	}
 }
 
-// returned waits until a Verify that runs beside the caller is over, or stands
-// at a lock, and tells which. A bubble can't wait for the latter.
-func returned(over <-chan struct{}) bool {
+// returnedOrBlocked waits until a concurrent Verify has closed done, or is blocked
+// on a mutex. It returns true in the first case. It inspects the goroutine stacks
+// because synctest.Wait doesn't wait for goroutines blocked on a mutex.
+func returnedOrBlocked(done <-chan struct{}) bool {
 	buf := make([]byte, 1<<20)
 	for {
 		select {
-		case <-over:
+		case <-done:
 			return true
 		default:
 		}
--- a/connection/load/watcher.go
+++ b/connection/load/watcher.go
@@ -1,5 +1,6 @@
-// Package load follows the load of the targets that this process may use and
-// corrects its lag by what the process sent itself.
+// Package load tracks the load of the targets that this process may use. It
+// corrects for the lag of load reports with the requests that the process itself
+// sent since.
 package load
 
 import (
@@ -20,43 +21,44 @@
 )
 
 const (
-	defaultPoll  = 250 * time.Millisecond
-	defaultWatch = 64
-	defaultReads = 250.0
-	syncEvery    = 500 * time.Millisecond
-	stateEvery   = 4 // load reads per state read
-	pollLimit    = time.Second
-	maxLag       = time.Second // of a load report behind its reading
+	defaultPollInterval = 250 * time.Millisecond
+	defaultWatch        = 64
+	defaultCallRate     = 250.0
+	syncInterval        = 500 * time.Millisecond
+	pollsPerState       = 4 // load reads per state read
+	pollTimeout         = time.Second
+	maxReportLag        = time.Second // maximum assumed age of a load report when it is read
 )
 
 // Options of a Watcher.
 type Options struct {
 	View    *view.Holder
 	Pool    *pool.Pool
-	Engine  func(addr string) port.Engine // control side of an engine
-	Process string                        // names this process in hashed choices
-	Zone    string                        // its availability zone
-	Poll    time.Duration                 // between load reads of one engine; 250ms
-	Watch   int                           // targets watched in all, about; 64
-	Reads   float64                       // calls a second to all engines together; 250
-	// Crashed is called once for each death of a target that was noticed.
+	Engine  func(addr string) port.Engine // returns the control interface of an engine
+	Process string                        // name of this process, for hashing
+	Zone    string                        // availability zone of this process
+	Poll    time.Duration                 // minimum time between two polls of an engine; default 250ms
+	Watch   int                           // approximate number of watched targets; default 64
+	Reads   float64                       // calls per second to all engines together; default 250
+	// Crashed is called once for each detected crash of a target.
 	Crashed func(target string)
 }
 
-// Watcher is safe for concurrent use.
+// Watcher polls the load and state of a subset of the targets. It is safe for
+// concurrent use.
 type Watcher struct {
-	opts Options
-	tomb tomb.Tomb
-	due  chan struct{} // a sync is wanted before the next tick
+	opts          Options
+	tomb          tomb.Tomb
+	syncRequested chan struct{} // requests a sync before the next tick
 
-	telling  sync.Mutex // held while Crashed is told of a death
+	crashMu  sync.Mutex // held while Options.Crashed is called
 	mu       sync.RWMutex
-	watched  map[string]*engine // by address
-	services map[string]chosen  // by service name
+	watched  map[string]*engine        // by address
+	services map[string]watchedTargets // by service name
 }
 
-// chosen is the watched part of one service's targets.
-type chosen struct {
+// watchedTargets is the watched subset of one service's targets.
+type watchedTargets struct {
 	version int64
 	targets []document.Target
 }
@@ -64,16 +66,16 @@
 // New returns a Watcher that follows the snapshots in o.View until Close.
 func New(o Options) *Watcher {
 	if o.Poll <= 0 {
-		o.Poll = defaultPoll
+		o.Poll = defaultPollInterval
 	}
 	if o.Watch <= 0 {
 		o.Watch = defaultWatch
 	}
 	if o.Reads <= 0 {
-		o.Reads = defaultReads
+		o.Reads = defaultCallRate
 	}
-	w := &Watcher{opts: o, due: make(chan struct{}, 1), watched: make(map[string]*engine), services: make(map[string]chosen)}
-	w.tomb.Go(w.follow)
+	w := &Watcher{opts: o, syncRequested: make(chan struct{}, 1), watched: make(map[string]*engine), services: make(map[string]watchedTargets)}
+	w.tomb.Go(w.run)
 	return w
 }
 
@@ -83,8 +85,8 @@
 	return w.tomb.Wait()
 }
 
-func (w *Watcher) follow() error {
-	tick := time.NewTicker(syncEvery)
+func (w *Watcher) run() error {
+	tick := time.NewTicker(syncInterval)
 	defer tick.Stop()
 	for {
 		if s := w.opts.View.Load(); s != nil {
@@ -94,32 +96,32 @@
 		case <-w.tomb.Dying():
 			return nil
 		case <-tick.C:
-		case <-w.due:
+		case <-w.syncRequested:
 		}
 	}
 }
 
-// hurry asks for a sync without waiting for it.
-func (w *Watcher) hurry() {
+// requestSync requests a sync without waiting for it.
+func (w *Watcher) requestSync() {
 	select {
-	case w.due <- struct{}{}:
+	case w.syncRequested <- struct{}{}:
 	default:
 	}
 }
 
-// sync starts and stops polling as services and targets come and go.
+// sync starts and stops the polling of engines according to the snapshot.
 func (w *Watcher) sync(s *view.Snapshot) {
 	all := 0
 	for _, svc := range s.Services {
 		all += len(svc.Doc.Targets)
 	}
-	services := make(map[string]chosen, len(s.Services))
+	services := make(map[string]watchedTargets, len(s.Services))
 	keep := make(map[string]bool, all)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for name, svc := range s.Services {
 		targets := w.choose(svc.Doc, all)
-		services[name] = chosen{version: svc.Version, targets: targets}
+		services[name] = watchedTargets{version: svc.Version, targets: targets}
 		for _, t := range targets {
 			keep[t.Addr] = true
 			if svc.Doc.Kind == document.KindModel {
@@ -142,13 +144,14 @@
 	return subset(doc.Targets, w.opts.Zone, w.opts.Process, n)
 }
 
-// startPolling polls t's engine. Callers hold w.mu.
+// startPolling starts polling t's engine, unless it is polled already. Callers
+// hold w.mu.
 func (w *Watcher) startPolling(t document.Target) {
 	if w.opts.Engine == nil || w.watched[t.Addr] != nil {
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	e := &engine{name: t.Name, addr: t.Addr, api: w.opts.Engine(t.Addr), stop: cancel}
+	e := &engine{name: t.Name, addr: t.Addr, client: w.opts.Engine(t.Addr), stop: cancel}
 	w.watched[t.Addr] = e
 	w.tomb.Go(func() error {
 		defer cancel()
@@ -157,8 +160,8 @@
 	})
 }
 
-// Targets returns what is known now of the targets of svc that this process
-// watches. It never waits for I/O.
+// Targets returns the current view of the targets of svc that this process
+// watches. It doesn't wait for I/O.
 func (w *Watcher) Targets(svc *view.Service) []routing.Target {
 	now := time.Now()
 	snap := w.opts.View.Load()
@@ -166,13 +169,13 @@
 	defer w.mu.RUnlock()
 	c, ok := w.services[svc.Doc.Service]
 	if !ok || c.version != svc.Version {
-		// A sync takes the new version over at once; until then its targets
-		// are chosen anew for each request.
-		w.hurry()
+		// Until the requested sync has processed the new version, its targets
+		// are selected for each request.
+		w.requestSync()
 		c.targets = w.choose(svc.Doc, len(svc.Doc.Targets))
 	}
 	out := make([]routing.Target, 0, len(c.targets))
-	willing := 0
+	available := 0
 	refusing := make([]bool, 0, len(c.targets))
 	for _, t := range c.targets {
 		status := w.opts.Pool.Status(t.Addr)
@@ -180,29 +183,29 @@
 		out = append(out, r)
 		refusing = append(refusing, status.Refusing)
 		if r.Live && !r.Changing && !status.Refusing {
-			willing++
+			available++
 		}
 	}
-	if willing > 0 {
-		leaveAlone(out, refusing)
+	if available > 0 {
+		excludeRefusing(out, refusing)
 	}
 	return out
 }
 
-// leaveAlone takes the targets that refused a request a moment ago out of the
-// choice. A low score doesn't do: a leaving engine has nothing in flight, and
-// under load even a tenth of its score is the best one.
-func leaveAlone(targets []routing.Target, refusing []bool) {
+// excludeRefusing marks the targets that recently refused a request as not live.
+// A lower score wouldn't suffice: a leaving engine has nothing in flight, and
+// under load even a tenth of its score would be the best one.
+func excludeRefusing(targets []routing.Target, refusing []bool) {
 	for i := range targets {
 		targets[i].Live = targets[i].Live && !refusing[i]
 	}
 }
 
-// target joins the document, the engine's own word and the pool's.
+// target merges the document's data on t with the state of its engine and pool.
 //
-// A target that is leaving gets no new work: its mark in the snapshot, in the
-// document and in its own state are all looked at for each request, so the
-// slowest of the three alone decides when the last new request reaches it.
+// A leaving target gets no new requests. The snapshot, the document and the
+// engine's state can each mark it as leaving, and all three are checked for each
+// request.
 func (w *Watcher) target(doc *document.Document, t document.Target, status pool.Status, snap *view.Snapshot, now time.Time) routing.Target {
 	leaving := t.Drain || snap != nil && snap.Leaving[t.Addr]
 	r := routing.Target{
@@ -218,14 +221,15 @@
 		Limit:    doc.Limits.QueuePerTarget,
 	}
 	if e := w.watched[t.Addr]; e != nil {
-		e.fill(&r, w.opts.Pool, now)
+		e.addTo(&r, w.opts.Pool, now)
 	}
 	return r
 }
 
-// Down takes the pool's word that addr refused a connection. Only a refusal
-// is a death: an address that can't be reached may lie behind a partition,
-// and all that was in flight there would be suspected for nothing.
+// Down handles the pool's report that a connection to addr failed with err. Only
+// a refused connection counts as a crash: an unreachable address may be behind a
+// network partition, and the content in flight there would wrongly become
+// suspect.
 func (w *Watcher) Down(addr string, err error) {
 	if !errors.Is(err, syscall.ECONNREFUSED) {
 		return
@@ -234,14 +238,15 @@
 	e := w.watched[addr]
 	name := w.nameOf(addr)
 	w.mu.RUnlock()
-	if e != nil && !e.noteDeath() {
+	if e != nil && !e.recordCrash() {
 		return
 	}
-	w.crashed(name)
+	w.reportCrash(name)
 }
 
-// nameOf finds the target's name in the documents in force, which a version
-// that came a moment ago is part of already.
+// nameOf returns the name of the target at addr, or addr if it is unknown. It
+// uses the current snapshot because w.services may not include the newest
+// version yet.
 func (w *Watcher) nameOf(addr string) string {
 	snap := w.opts.View.Load()
 	if snap == nil {
@@ -257,23 +262,23 @@
 	return addr
 }
 
-func (w *Watcher) crashed(name string) {
-	w.telling.Lock()
-	defer w.telling.Unlock()
-	log.WithField("target", name).Warn("load: target died")
+func (w *Watcher) reportCrash(name string) {
+	w.crashMu.Lock()
+	defer w.crashMu.Unlock()
+	log.WithField("target", name).Warn("load: target crashed")
 	if w.opts.Crashed != nil {
 		w.opts.Crashed(name)
 	}
 }
 
-// Verify checks at once whether t has died: it refuses connections, or its
-// engine has a new incarnation. Crashed was called before it returns, also
-// when another request noticed the death first: of two requests broken by one
-// death the second would else go elsewhere before the first has told.
+// Verify checks whether t has crashed: it refuses connections, or its engine has
+// a new incarnation. It returns after Options.Crashed, also if another request
+// detected the crash first. Otherwise, of two requests broken by the same crash,
+// the second could be sent to another target before the first has reported it.
 func (w *Watcher) Verify(ctx context.Context, t routing.Target) {
 	w.verify(ctx, t)
-	w.telling.Lock()
-	defer w.telling.Unlock()
+	w.crashMu.Lock()
+	defer w.crashMu.Unlock()
 }
 
 func (w *Watcher) verify(ctx context.Context, t routing.Target) {
