--- a/bench/policy/baseline.go
+++ b/bench/policy/baseline.go
@@ -34,7 +34,7 @@
 		if i < 0 {
 			return routing.Decision{}, code.New(code.NoTarget, "none")
 		}
-		d.Decode = usable[i].Name
+		d.DecodeTarget = usable[i].Name
 	}
 	t := &usable[p]
 	if t.Role == port.RoleMixed && full(c.m, t) {
@@ -45,7 +45,7 @@
 		rate = c.m.prefillRate()
 	}
 	queue := max(float64(t.Load.QueuedPrefill+t.SentPrefill)-rate*t.LoadAge.Seconds(), 0)
-	d.First = duration((queue + float64(r.PromptTokens)) / rate)
+	d.TimeToFirstToken = duration((queue + float64(r.PromptTokens)) / rate)
 	return d, nil
 }
 
--- a/bench/policy/bench.go
+++ b/bench/policy/bench.go
@@ -19,8 +19,8 @@
 
 func systems(m *Model, d *Deployment) []system {
 	opts := routing.Options{
-		PrefillRate: m.prefillRate(), KVMoveRate: m.KVMoveRate, KVMoveDelay: duration(m.KVMoveDelay),
-		BetweenTokens: BetweenTokens, Deciders: d.Deciders,
+		PrefillRate: m.prefillRate(), KVTransferRate: m.KVMoveRate, KVTransferDelay: duration(m.KVMoveDelay),
+		BetweenTokens: BetweenTokens, RouterCount: d.Deciders,
 	}
 	ours := func() routing.Router { return routing.New(opts) }
 	return []system{
--- a/bench/policy/result.go
+++ b/bench/policy/result.go
@@ -42,14 +42,14 @@
 
 // compare sums how far routing's estimates were off.
 func (r *Result) compare(j *job, at float64) {
-	if j.expected.Finish <= 0 || len(j.tried) > 0 {
+	if j.expected.TimeToCompletion <= 0 || len(j.tried) > 0 {
 		return
 	}
-	off := j.first - j.sentAt - j.expected.First.Seconds()
+	off := j.first - j.sentAt - j.expected.TimeToFirstToken.Seconds()
 	r.ended++
 	r.FirstBias += off
 	r.FirstError += math.Abs(off)
-	r.FinishRatio += (at - j.sentAt) / j.expected.Finish.Seconds()
+	r.FinishRatio += (at - j.sentAt) / j.expected.TimeToCompletion.Seconds()
 }
 
 func (r *Result) finish(t *Trace) {
--- a/bench/policy/run.go
+++ b/bench/policy/run.go
@@ -207,7 +207,7 @@
 			req.Prefix = []uint64{j.group}
 		}
 		d, err := r.routers[j.decider].Route(req, v.targets)
-		if err != nil || (j.prefillAt == nil && d.First > admitFirst) {
+		if err != nil || (j.prefillAt == nil && d.TimeToFirstToken > admitFirst) {
 			return false
 		}
 		p := r.byName[d.Target]
@@ -225,13 +225,13 @@
 	first := j.first == 0 && j.prefillAt == nil
 	j.decodeAt = p
 	j.expected, j.sentAt = *d, r.now
-	if d.Decode != "" && d.Decode != p.name {
-		j.decodeAt = r.byName[d.Decode]
+	if d.DecodeTarget != "" && d.DecodeTarget != p.name {
+		j.decodeAt = r.byName[d.DecodeTarget]
 		j.decodeAt.expected++
-		v.send(r.index[d.Decode], sent{r.now, 0, j.estimate})
+		v.send(r.index[d.DecodeTarget], sent{r.now, 0, j.estimate})
 	}
-	if d.KVFrom != "" && j.group != 0 {
-		p.cache.add(j.group, r.byName[d.KVFrom].cache.lookup(j.group, r.now), r.now)
+	if d.KVSource != "" && j.group != 0 {
+		p.cache.add(j.group, r.byName[d.KVSource].cache.lookup(j.group, r.now), r.now)
 	}
 	p.submit(j, r.now)
 	v.send(r.index[p.name], sent{r.now, j.prompt, j.estimate})
--- a/connection/engines/aggregate.go
+++ b/connection/engines/aggregate.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// Known returns the number of engines for which b has state.
-func (b *Book) Known() int {
+// Count returns the number of engines for which b has state.
+func (b *Tracker) Count() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.engines)
 }
 
 // Sum returns the work of all daemons at each engine.
-func (b *Book) Sum() []Work {
+func (b *Tracker) Sum() []Work {
 	now := b.now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -29,7 +29,7 @@
 
 // Streams returns the number of requests that decode at the engines for whose
 // hashes match returns true.
-func (b *Book) Streams(match func(hash uint64) bool) int {
+func (b *Tracker) Streams(match func(hash uint64) bool) int {
 	n := 0
 	for _, w := range b.Sum() {
 		if w.Streams > 0 && match(w.Target) {
@@ -66,7 +66,7 @@
 
 // SumOf returns the sum of this process's work and of the reports for whose names
 // include returns true.
-func (b *Book) SumOf(include func(name string) bool) []Work {
+func (b *Tracker) SumOf(include func(name string) bool) []Work {
 	now := b.now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -96,9 +96,9 @@
 	return out
 }
 
-// Less returns sum without part. The values of part may be slightly older than
+// Subtract returns sum without part. The values of part may be slightly older than
 // the sum, so the differences are clamped at 0.
-func Less(sum, part []Work) []Work {
+func Subtract(sum, part []Work) []Work {
 	taken := make(map[uint64]*Work, len(part))
 	for i := range part {
 		taken[part[i].Target] = &part[i]
--- a/connection/engines/bench_test.go
+++ b/connection/engines/bench_test.go
@@ -9,9 +9,9 @@
 // sizes are fleets of daemons and engines.
 var sizes = []struct{ daemons, engines int }{{6, 12}, {90, 60}, {295, 240}, {1000, 1000}}
 
-// newLoadedTracker returns a Book with a report of each daemon on its work at a
+// newLoadedTracker returns a Tracker with a report of each daemon on its work at a
 // few engines.
-func newLoadedTracker(daemons, engines int) (*Book, []string) {
+func newLoadedTracker(daemons, engines int) (*Tracker, []string) {
 	b := New(func() time.Time { return time.Unix(1000, 0) }, func(Work) {})
 	var ids []string
 	for i := range engines {
--- a/connection/engines/book.go
+++ b/connection/engines/book.go
@@ -86,8 +86,8 @@
 // Unreachable reports whether the target is down according to enough daemons.
 func (l Load) Unreachable() bool { return l.Down >= minDownReports }
 
-// Book tracks the load and the caches of engines. It is safe for concurrent use.
-type Book struct {
+// Tracker tracks the load and the caches of engines. It is safe for concurrent use.
+type Tracker struct {
 	now     func() time.Time
 	changed func(Work) // called with this process's work at an engine after a change
 
@@ -121,10 +121,10 @@
 // maxPendingReads bounds the number of reads not yet reported.
 const maxPendingReads = 64
 
-// New returns an empty Book. changed is called without locks held after the
+// New returns an empty Tracker. changed is called without locks held after the
 // process's own work at an engine has changed.
-func New(now func() time.Time, changed func(Work)) *Book {
-	return &Book{now: now, changed: changed, engines: make(map[uint64]*engine), holders: make(map[uint64][]uint64), peers: make(map[string]*peerWork), oldestReport: now()}
+func New(now func() time.Time, changed func(Work)) *Tracker {
+	return &Tracker{now: now, changed: changed, engines: make(map[uint64]*engine), holders: make(map[uint64][]uint64), peers: make(map[string]*peerWork), oldestReport: now()}
 }
 
 // Hash returns the hash that identifies an engine in messages between daemons.
@@ -136,7 +136,7 @@
 
 // engine returns the state of a target and creates it if needed. tokens is the
 // target's KV memory, or 0 if unknown. Callers hold b.mu.
-func (b *Book) engine(target uint64, tokens int) *engine {
+func (b *Tracker) engine(target uint64, tokens int) *engine {
 	e := b.engines[target]
 	if e == nil {
 		e = &engine{own: Work{Target: target}, peers: workSum{Work: Work{Target: target}}, cache: newPrefixCache(defaultMemory)}
@@ -151,7 +151,7 @@
 // Prefill records that a prompt is sent to an engine with the given KV memory.
 // wait and reading are the expected time until the prefill starts and its
 // duration. The caller calls done when the prefill has ended or failed.
-func (b *Book) Prefill(target string, memory int, parts []port.PromptPart, wait, reading time.Duration) (done func()) {
+func (b *Tracker) Prefill(target string, memory int, parts []port.PromptPart, wait, reading time.Duration) (done func()) {
 	hash := Hash(target)
 	cost := uint32(reading.Microseconds())
 	b.mu.Lock()
@@ -176,7 +176,7 @@
 
 // unlockChanged unlocks b.mu and calls b.changed with the process's own work at
 // e. Callers hold b.mu.
-func (b *Book) unlockChanged(e *engine) {
+func (b *Tracker) unlockChanged(e *engine) {
 	w := e.localWork(b.now())
 	b.mu.Unlock()
 	b.changed(w)
@@ -193,15 +193,15 @@
 
 // recordRead records that an engine will have a prompt in its cache, and queues
 // the report to other daemons. Callers hold b.mu.
-func (b *Book) recordRead(hash uint64, e *engine, parts []port.PromptPart, ready time.Time) {
+func (b *Tracker) recordRead(hash uint64, e *engine, parts []port.PromptPart, ready time.Time) {
 	b.addToCache(hash, e, parts, ready)
 	if len(b.pendingReads) < maxPendingReads {
 		b.pendingReads = append(b.pendingReads, Read{Target: hash, Parts: parts, ready: ready})
 	}
 }
 
-// Learn records prompt parts that an engine itself reported as cached.
-func (b *Book) Learn(target string, memory int, parts []port.PromptPart) {
+// AddCached records prompt parts that an engine itself reported as cached.
+func (b *Tracker) AddCached(target string, memory int, parts []port.PromptPart) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	hash := Hash(target)
@@ -211,7 +211,7 @@
 // Decode records that a request is sent to an engine for decoding. moving is the
 // time until the engine has received its KV cache. The caller calls done when the
 // request has ended.
-func (b *Book) Decode(target string, memory int, parts []port.PromptPart, moving time.Duration) (done func()) {
+func (b *Tracker) Decode(target string, memory int, parts []port.PromptPart, moving time.Duration) (done func()) {
 	hash := Hash(target)
 	b.mu.Lock()
 	e := b.engine(hash, memory)
@@ -225,18 +225,18 @@
 	})
 }
 
-// Changing records the role that an engine is changing to by an order of this
+// SetRoleChange records the role that an engine is changing to by an order of this
 // process. An empty role means that the change has ended.
-func (b *Book) Changing(target string, becomes port.Role) {
+func (b *Tracker) SetRoleChange(target string, becomes port.Role) {
 	b.mu.Lock()
 	e := b.engine(Hash(target), 0)
 	e.own.Becomes = becomes
 	b.unlockChanged(e)
 }
 
-// Down records that this process can't reach a target and considers it down
+// MarkDown records that this process can't reach a target and considers it down
 // until the given time.
-func (b *Book) Down(target string, until time.Time) {
+func (b *Tracker) MarkDown(target string, until time.Time) {
 	b.mu.Lock()
 	e := b.engine(Hash(target), 0)
 	e.downUntil = until
@@ -250,12 +250,12 @@
 // priority: this predicted prefill times with a mean error of 67 ms, against
 // 124 ms for processor sharing and 134 ms for order by priority (1,600 prompts
 // that queued behind others).
-func (b *Book) Load(target string, parts []port.PromptPart) Load {
+func (b *Tracker) Load(target string, parts []port.PromptPart) Load {
 	return b.LoadOf(Hash(target), parts)
 }
 
 // LoadOf is like Load, for the engine with the given hash.
-func (b *Book) LoadOf(hash uint64, parts []port.PromptPart) Load {
+func (b *Tracker) LoadOf(hash uint64, parts []port.PromptPart) Load {
 	now := b.now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -295,7 +295,7 @@
 }
 
 // Retain deletes the engines without work for whose hashes keep returns false.
-func (b *Book) Retain(keep func(hash uint64) bool) {
+func (b *Tracker) Retain(keep func(hash uint64) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.expire(b.now())
--- a/connection/engines/engines_test.go
+++ b/connection/engines/engines_test.go
@@ -20,7 +20,7 @@
 
 func (c *clock) now() time.Time { return c.t }
 
-func book() (*Book, *clock) {
+func book() (*Tracker, *clock) {
 	c := &clock{t: time.Unix(1000, 0)}
 	return New(c.now, func(Work) {}), c
 }
@@ -127,23 +127,23 @@
 func TestLocalReportsReadsOnce(t *testing.T) {
 	b, _ := book()
 	end := b.Decode("e", 1000, parts(1), 0)
-	work, reads := b.Own()
+	work, reads := b.LocalReport()
 	if len(work) != 1 || work[0].Streams != 1 || len(reads) != 1 {
 		t.Errorf("work %+v, reads %+v", work, reads)
 	}
-	if _, reads := b.Own(); len(reads) != 0 {
+	if _, reads := b.LocalReport(); len(reads) != 0 {
 		t.Errorf("reads reported twice: %+v", reads)
 	}
 	end()
-	if work, _ := b.Own(); len(work) != 0 {
+	if work, _ := b.LocalReport(); len(work) != 0 {
 		t.Errorf("work that has ended: %+v", work)
 	}
 }
 
 func TestRoleChangeIsReported(t *testing.T) {
 	b, _ := book()
-	b.Changing("e", port.RoleDecode)
-	work, _ := b.Own()
+	b.SetRoleChange("e", port.RoleDecode)
+	work, _ := b.LocalReport()
 	other, _ := book()
 	other.Merge("peer", work, nil)
 	if other.Load("e", nil).Becomes != port.RoleDecode {
@@ -167,7 +167,7 @@
 // refuse requests that could use the caches.
 func TestAddCachedParts(t *testing.T) {
 	b, _ := book()
-	b.Learn("e", 10_000, parts(1, 2))
+	b.AddCached("e", 10_000, parts(1, 2))
 	if got := b.Load("e", parts(1, 2, 3)).Cached; got != 200 {
 		t.Errorf("%d tokens cached, want 200", got)
 	}
@@ -180,7 +180,7 @@
 func TestPartsAreReadyOnceRead(t *testing.T) {
 	b, c := book()
 	other, oc := book()
-	look := func(b *Book, cached, ready int) {
+	look := func(b *Tracker, cached, ready int) {
 		t.Helper()
 		if l := b.Load("e", parts(1, 2)); l.Cached != cached || l.Ready != ready {
 			t.Errorf("%d tokens cached, %d ready, want %d and %d", l.Cached, l.Ready, cached, ready)
@@ -189,7 +189,7 @@
 	done := b.Prefill("e", 1000, parts(1, 2), 100*time.Millisecond, 200*time.Millisecond)
 	look(b, 200, 0)
 	c.t = c.t.Add(50 * time.Millisecond)
-	_, reads := b.Own()
+	_, reads := b.LocalReport()
 	if len(reads) != 1 || reads[0].LeftMs != 250 {
 		t.Errorf("reported %+v", reads)
 	}
--- a/connection/engines/holders.go
+++ b/connection/engines/holders.go
@@ -15,7 +15,7 @@
 
 // addToCache records that an engine has a prompt in its cache from the time ready
 // on, and makes it a holder of the shared parts. Callers hold b.mu.
-func (b *Book) addToCache(hash uint64, e *engine, parts []port.PromptPart, ready time.Time) {
+func (b *Tracker) addToCache(hash uint64, e *engine, parts []port.PromptPart, ready time.Time) {
 	e.cache.add(parts, ready)
 	for _, part := range shared(parts) {
 		list := b.holders[part.ID]
@@ -34,7 +34,7 @@
 }
 
 // evictHolders removes the holders of an arbitrary part. Callers hold b.mu.
-func (b *Book) evictHolders() {
+func (b *Tracker) evictHolders() {
 	for id := range b.holders {
 		delete(b.holders, id)
 		return
@@ -43,7 +43,7 @@
 
 // Holders returns the hashes of the engines known to have read the longest prefix
 // of parts. They may have evicted it since.
-func (b *Book) Holders(parts []port.PromptPart) []uint64 {
+func (b *Tracker) Holders(parts []port.PromptPart) []uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i := len(parts) - 1; i >= 0; i-- {
--- a/connection/engines/reports.go
+++ b/connection/engines/reports.go
@@ -6,9 +6,9 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// Own returns this process's work at its engines, and the reads since the last
+// LocalReport returns this process's work at its engines, and the reads since the last
 // call.
-func (b *Book) Own() ([]Work, []Read) {
+func (b *Tracker) LocalReport() ([]Work, []Read) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
@@ -26,7 +26,7 @@
 }
 
 // localWork returns this process's work at its engines. Callers hold b.mu.
-func (b *Book) localWork(now time.Time) []Work {
+func (b *Tracker) localWork(now time.Time) []Work {
 	var out []Work
 	for _, e := range b.engines {
 		if w := e.localWork(now); !w.Idle() {
@@ -39,7 +39,7 @@
 // Merge stores the report of another daemon, or the sum of several daemons'
 // reports, and replaces the previous report with the same name. It returns the
 // reads that were not known.
-func (b *Book) Merge(peer string, work []Work, reads []Read) []Read {
+func (b *Tracker) Merge(peer string, work []Work, reads []Read) []Read {
 	now := b.now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -74,14 +74,14 @@
 
 // MergeReads records reads of other daemons, and returns those that were not
 // known.
-func (b *Book) MergeReads(reads []Read) []Read {
+func (b *Tracker) MergeReads(reads []Read) []Read {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.mergeReads(reads)
 }
 
 // mergeReads implements MergeReads. Callers hold b.mu.
-func (b *Book) mergeReads(reads []Read) (fresh []Read) {
+func (b *Tracker) mergeReads(reads []Read) (fresh []Read) {
 	for _, r := range reads {
 		e := b.engine(r.Target, 0)
 		r.ready = b.now().Add(time.Duration(r.LeftMs) * time.Millisecond)
@@ -107,8 +107,8 @@
 	return r
 }
 
-// Forget removes the reports of all other daemons.
-func (b *Book) Forget() {
+// RemovePeers removes the reports of all other daemons.
+func (b *Tracker) RemovePeers() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for name := range b.peers {
@@ -117,7 +117,7 @@
 }
 
 // removePeer removes a daemon's report. Callers hold b.mu.
-func (b *Book) removePeer(name string) {
+func (b *Tracker) removePeer(name string) {
 	for i := range b.peers[name].work {
 		w := &b.peers[name].work[i]
 		b.engine(w.Target, 0).peers.exclude(w)
@@ -126,7 +126,7 @@
 }
 
 // expire removes the reports that are older than reportTTL. Callers hold b.mu.
-func (b *Book) expire(now time.Time) {
+func (b *Tracker) expire(now time.Time) {
 	if now.Sub(b.oldestReport) <= reportTTL {
 		return
 	}
--- a/connection/health/health.go
+++ b/connection/health/health.go
@@ -35,8 +35,8 @@
 	Refused             // the target answered that it didn't run the request, although it seemed to have capacity
 )
 
-// Book tracks the health of targets. It is safe for concurrent use.
-type Book struct {
+// Tracker tracks the health of targets. It is safe for concurrent use.
+type Tracker struct {
 	now     func() time.Time
 	ejected func(target string, until time.Time)
 
@@ -53,17 +53,17 @@
 	paceUpdated   time.Time
 }
 
-// New returns an empty Book. ejected is called with locks held when a target is
+// New returns an empty Tracker. ejected is called with locks held when a target is
 // ejected until a given time. It may be nil.
-func New(now func() time.Time, ejected func(target string, until time.Time)) *Book {
+func New(now func() time.Time, ejected func(target string, until time.Time)) *Tracker {
 	if ejected == nil {
 		ejected = func(string, time.Time) {}
 	}
-	return &Book{now: now, ejected: ejected, targets: make(map[string]*state)}
+	return &Tracker{now: now, ejected: ejected, targets: make(map[string]*state)}
 }
 
-// Note records the outcome of a request.
-func (b *Book) Note(target string, o Outcome) {
+// Observe records the outcome of a request.
+func (b *Tracker) Observe(target string, o Outcome) {
 	now := b.now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -86,7 +86,7 @@
 }
 
 // get returns the state of a target and creates it if needed. Callers hold b.mu.
-func (b *Book) get(target string, now time.Time) *state {
+func (b *Tracker) get(target string, now time.Time) *state {
 	s := b.targets[target]
 	if s == nil {
 		s = &state{rateUpdated: now, paceUpdated: now, pace: 1}
@@ -103,8 +103,8 @@
 	maxPace = 10.0
 )
 
-// NotePace records the ratio of a measured duration to the predicted one.
-func (b *Book) NotePace(target string, ratio float64) {
+// ObservePace records the ratio of a measured duration to the predicted one.
+func (b *Tracker) ObservePace(target string, ratio float64) {
 	now := b.now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -115,7 +115,7 @@
 }
 
 // Pace returns the smoothed ratio of measured to predicted durations of a target.
-func (b *Book) Pace(target string) float64 {
+func (b *Tracker) Pace(target string) float64 {
 	now := b.now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -141,8 +141,8 @@
 
 // Impaired reports whether a target performs so poorly that others have to
 // replace it.
-func (b *Book) Impaired(target string) bool {
-	return b.Ejected(target) || b.Rate(target) > impairedRate || b.Pace(target) > impairedPace
+func (b *Tracker) Impaired(target string) bool {
+	return b.Ejected(target) || b.FailureRate(target) > impairedRate || b.Pace(target) > impairedPace
 }
 
 // A target whose failure rate or pace exceeds these values is impaired.
@@ -163,15 +163,15 @@
 
 // Ejected reports whether the target is ejected: it gets no requests while other
 // targets can serve them.
-func (b *Book) Ejected(target string) bool {
+func (b *Tracker) Ejected(target string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.targets[target]
 	return s != nil && b.now().Before(s.ejectedUntil)
 }
 
-// Rate returns the target's smoothed failure rate.
-func (b *Book) Rate(target string) float64 {
+// FailureRate returns the target's smoothed failure rate.
+func (b *Tracker) FailureRate(target string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.targets[target]
@@ -183,7 +183,7 @@
 }
 
 // Retain deletes the state of the targets for which keep returns false.
-func (b *Book) Retain(keep func(target string) bool) {
+func (b *Tracker) Retain(keep func(target string) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for t := range b.targets {
--- a/connection/health/health_test.go
+++ b/connection/health/health_test.go
@@ -16,15 +16,15 @@
 
 func (c *clock) now() time.Time       { return c.t }
 func (c *clock) pass(d time.Duration) { c.t = c.t.Add(d) }
-func book() (*Book, *clock)           { c := &clock{time.Unix(1000, 0)}; return New(c.now, nil), c }
-func note(b *Book, o Outcome, times int) {
+func book() (*Tracker, *clock)        { c := &clock{time.Unix(1000, 0)}; return New(c.now, nil), c }
+func note(b *Tracker, o Outcome, times int) {
 	for range times {
-		b.Note("t", o)
+		b.Observe("t", o)
 	}
 }
-func pace(b *Book, r float64, times int) {
+func pace(b *Tracker, r float64, times int) {
 	for range times {
-		b.NotePace("t", r)
+		b.ObservePace("t", r)
 	}
 }
 
@@ -64,17 +64,17 @@
 func TestFailureRateRisesAndDecays(t *testing.T) {
 	b, c := book()
 	note(b, Failed, 15)
-	if r := b.Rate("t"); r < 0.7 {
+	if r := b.FailureRate("t"); r < 0.7 {
 		t.Errorf("rate %.2f after failures only", r)
 	}
 	if !b.Impaired("t") || b.Ejected("t") {
 		t.Error("a failing target is impaired, not ejected")
 	}
 	c.pass(4*halfLife + time.Second)
-	if r := b.Rate("t"); r > 0.1 {
+	if r := b.FailureRate("t"); r > 0.1 {
 		t.Errorf("rate %.2f long after the last request", r)
 	}
-	if b.Rate("unknown") != 0 || b.Pace("unknown") != 1 || b.Impaired("unknown") {
+	if b.FailureRate("unknown") != 0 || b.Pace("unknown") != 1 || b.Impaired("unknown") {
 		t.Error("an unknown target isn't healthy")
 	}
 }
@@ -99,7 +99,7 @@
 	b, _ := book()
 	note(b, Failed, 5)
 	b.Retain(func(string) bool { return false })
-	if b.Rate("t") != 0 {
+	if b.FailureRate("t") != 0 {
 		t.Error("the state of a removed target is retained")
 	}
 }
--- a/connection/load/engine.go
+++ b/connection/load/engine.go
@@ -54,8 +54,8 @@
 	w.mu.RLock()
 	n := len(w.watched)
 	w.mu.RUnlock()
-	budget := time.Duration(float64(n) * callsPerPoll / w.opts.Reads * float64(time.Second))
-	return max(w.opts.Poll, budget)
+	budget := time.Duration(float64(n) * callsPerPoll / w.opts.CallRate * float64(time.Second))
+	return max(w.opts.PollInterval, budget)
 }
 
 // Answered stores the load report in the header of an answer from the target at
--- a/connection/load/load_test.go
+++ b/connection/load/load_test.go
@@ -85,7 +85,7 @@
 		refuse := func(context.Context, string) (net.Conn, error) { return nil, errors.New("no network") }
 		p := pool.New(pool.Options{Dial: refuse})
 		crashes := 0
-		w := New(Options{View: h, Pool: p, Engine: func(string) port.Engine { return f }, Crashed: func(string) { crashes++ }})
+		w := New(Options{View: h, Pool: p, Engine: func(string) port.Engine { return f }, OnCrash: func(string) { crashes++ }})
 		get := func() routing.Target {
 			advance(1200 * time.Millisecond) // a few polls, state included
 			synctest.Wait()
@@ -281,7 +281,7 @@
 		h.Store(view.NewSnapshot(1, []*view.Service{svc}, nil))
 		f := &fakeEngine{}
 		p := pool.New(pool.Options{})
-		w := New(Options{View: h, Pool: p, Engine: func(string) port.Engine { return f }, Reads: reads})
+		w := New(Options{View: h, Pool: p, Engine: func(string) port.Engine { return f }, CallRate: reads})
 		<-time.After(seconds * time.Second)
 		w.Answered("e7:1", http.Header{port.LoadHeader: {port.FormatLoad(port.Load{Running: 41})}})
 		got := w.Targets(svc)[7]
--- a/connection/load/verify_test.go
+++ b/connection/load/verify_test.go
@@ -36,7 +36,7 @@
 			get()
 			reported := 0
 			second := make(chan struct{})
-			w.opts.Crashed = func(string) {
+			w.opts.OnCrash = func(string) {
 				reported++
 				go func() {
 					defer close(second)
--- a/connection/load/watcher.go
+++ b/connection/load/watcher.go
@@ -22,7 +22,7 @@
 
 const (
 	defaultPollInterval = 250 * time.Millisecond
-	defaultWatch        = 64
+	defaultWatchLimit   = 64
 	defaultCallRate     = 250.0
 	syncInterval        = 500 * time.Millisecond
 	pollsPerState       = 4 // load reads per state read
@@ -32,16 +32,16 @@
 
 // Options of a Watcher.
 type Options struct {
-	View    *view.Holder
-	Pool    *pool.Pool
-	Engine  func(addr string) port.Engine // returns the control interface of an engine
-	Process string                        // name of this process, for hashing
-	Zone    string                        // availability zone of this process
-	Poll    time.Duration                 // minimum time between two polls of an engine; default 250ms
-	Watch   int                           // approximate number of watched targets; default 64
-	Reads   float64                       // calls per second to all engines together; default 250
-	// Crashed is called once for each detected crash of a target.
-	Crashed func(target string)
+	View         *view.Holder
+	Pool         *pool.Pool
+	Engine       func(addr string) port.Engine // returns the control interface of an engine
+	Process      string                        // name of this process, for hashing
+	Zone         string                        // availability zone of this process
+	PollInterval time.Duration                 // minimum time between two polls of an engine; default 250ms
+	WatchLimit   int                           // approximate number of watched targets; default 64
+	CallRate     float64                       // calls per second to all engines together; default 250
+	// OnCrash is called once for each detected crash of a target.
+	OnCrash func(target string)
 }
 
 // Watcher polls the load and state of a subset of the targets. It is safe for
@@ -65,14 +65,14 @@
 
 // New returns a Watcher that follows the snapshots in o.View until Close.
 func New(o Options) *Watcher {
-	if o.Poll <= 0 {
-		o.Poll = defaultPollInterval
+	if o.PollInterval <= 0 {
+		o.PollInterval = defaultPollInterval
 	}
-	if o.Watch <= 0 {
-		o.Watch = defaultWatch
+	if o.WatchLimit <= 0 {
+		o.WatchLimit = defaultWatchLimit
 	}
-	if o.Reads <= 0 {
-		o.Reads = defaultCallRate
+	if o.CallRate <= 0 {
+		o.CallRate = defaultCallRate
 	}
 	w := &Watcher{opts: o, syncRequested: make(chan struct{}, 1), watched: make(map[string]*engine), services: make(map[string]watchedTargets)}
 	w.tomb.Go(w.run)
@@ -140,7 +140,7 @@
 }
 
 func (w *Watcher) choose(doc *document.Document, all int) []document.Target {
-	n := quota(w.opts.Watch, len(doc.Targets), all)
+	n := quota(w.opts.WatchLimit, len(doc.Targets), all)
 	return subset(doc.Targets, w.opts.Zone, w.opts.Process, n)
 }
 
@@ -266,8 +266,8 @@
 	w.crashMu.Lock()
 	defer w.crashMu.Unlock()
 	log.WithField("target", name).Warn("load: target crashed")
-	if w.opts.Crashed != nil {
-		w.opts.Crashed(name)
+	if w.opts.OnCrash != nil {
+		w.opts.OnCrash(name)
 	}
 }
 
--- a/process/daemon/control.go
+++ b/process/daemon/control.go
@@ -106,7 +106,7 @@
 		targets += len(svc.Doc.Targets)
 	}
 	share := min(1, float64(d.s.Control.Watch)/float64(max(targets, 1)))
-	d.router.SetDeciders(max(1, int(math.Round(float64(daemons)*share))))
+	d.router.SetRouterCount(max(1, int(math.Round(float64(daemons)*share))))
 }
 
 // refresh stores a new snapshot if anything in it changed, or if a version came
--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -279,17 +279,17 @@
 		Answered: func(addr string, h http.Header) { d.watcher.Answered(addr, h) },
 	})
 	d.watcher = load.New(load.Options{
-		View:    d.view,
-		Pool:    d.pool,
-		Engine:  func(addr string) port.Engine { return httpapi.NewEngine(addr, httpapi.Options{MaxConns: 2}) },
-		Process: d.s.VM,
-		Zone:    d.s.Zone,
-		Poll:    d.s.Control.LoadPoll,
-		Watch:   d.s.Control.Watch,
-		Reads:   d.s.Control.LoadReads,
-		Crashed: d.crashes.Crashed,
+		View:         d.view,
+		Pool:         d.pool,
+		Engine:       func(addr string) port.Engine { return httpapi.NewEngine(addr, httpapi.Options{MaxConns: 2}) },
+		Process:      d.s.VM,
+		Zone:         d.s.Zone,
+		PollInterval: d.s.Control.LoadPoll,
+		WatchLimit:   d.s.Control.Watch,
+		CallRate:     d.s.Control.LoadReads,
+		OnCrash:      d.crashes.Crashed,
 	})
-	d.router = routing.New(routing.Options{KVMoveRate: kvMoveRate})
+	d.router = routing.New(routing.Options{KVTransferRate: kvMoveRate})
 	d.burn = burn.New(burn.Options{Daemon: d.s.VM, Objectives: d.objectives})
 	d.once = d.newOnceKeeper()
 	d.entry = entry.New(entry.Options{
--- a/process/front/front.go
+++ b/process/front/front.go
@@ -71,8 +71,8 @@
 	storeAway atomic.Bool
 
 	pool        *h1.Pool
-	engines     *engines.Book
-	health      *health.Book
+	engines     *engines.Tracker
+	health      *health.Tracker
 	speed       *speed.Book
 	demand      *demand.Book
 	budget      *budget.Fleet
@@ -121,7 +121,7 @@
 			d.roster.Changed(w)
 		}
 	})
-	d.health = health.New(time.Now, d.engines.Down)
+	d.health = health.New(time.Now, d.engines.MarkDown)
 	d.store = relay.NewStore(platform.NewStore(s.Store.Addr), func() []string { return d.roster.Upstream().Peers }, func() []string { return d.roster.ReadyPeers() }, port.TopicConfig, port.TopicTargets)
 	d.reach = relay.NewReach(d.store)
 	d.store.Retry = d.callPace
--- a/process/front/warm.go
+++ b/process/front/warm.go
@@ -63,6 +63,6 @@
 		log.WithError(err).WithField("target", e.ID).Info("front: prefix cache of an engine not listed")
 		return
 	}
-	d.engines.Learn(e.ID, svc.Engine.KVTokens, parts)
+	d.engines.AddCached(e.ID, svc.Engine.KVTokens, parts)
 	log.WithFields(log.Fields{"target": e.ID, "parts": len(parts)}).Info("front: prefix cache of an engine listed")
 }
--- a/process/roles/planner.go
+++ b/process/roles/planner.go
@@ -67,8 +67,8 @@
 	Targets *discovery.Registry
 	Config  *inforce.Holder
 	Roster  *roster.Roster
-	Engines *engines.Book
-	Health  *health.Book
+	Engines *engines.Tracker
+	Health  *health.Tracker
 	Demand  *demand.Book
 	Speed   *speed.Book
 	Lease   time.Duration
@@ -278,7 +278,7 @@
 		if c, ok := p.changing[e.ID]; ok {
 			if e.Role == c.role || now >= c.until {
 				delete(p.changing, e.ID)
-				p.o.Engines.Changing(e.ID, "")
+				p.o.Engines.SetRoleChange(e.ID, "")
 			} else {
 				one.Entry.Role, one.Changing = c.role, true
 			}
@@ -346,7 +346,7 @@
 			obeys.until += drainGrace
 		}
 		p.changing[r.Target] = obeys
-		p.o.Engines.Changing(r.Target, r.Role)
+		p.o.Engines.SetRoleChange(r.Target, r.Role)
 		return true
 	case errors.Is(r.err, port.ErrFenced):
 		p.claims.Drop(svc.Name)
--- a/process/roster/aggregate.go
+++ b/process/roster/aggregate.go
@@ -197,7 +197,7 @@
 		// An earlier aggregator may not have sent the last changes.
 		p.repeat = changeRepeats
 	}
-	r.o.Book.Forget()
+	r.o.Book.RemovePeers()
 	r.o.Demand.Forget()
 	log.WithFields(log.Fields{"zone": r.self.Zone, "on": on, "daemons": 1 + len(r.peers)}).Info("roster: aggregates its zone")
 }
--- a/process/roster/aggregate_test.go
+++ b/process/roster/aggregate_test.go
@@ -225,9 +225,9 @@
 				t.Errorf("daemon %d doesn't know what was read", i+1)
 			}
 		}
-		d.books[19].Changing("g", port.RoleDecode)
-		d.books[20].Down("h", time.Now().Add(time.Minute))
-		d.books[21].Down("h", time.Now().Add(time.Minute))
+		d.books[19].SetRoleChange("g", port.RoleDecode)
+		d.books[20].MarkDown("h", time.Now().Add(time.Minute))
+		d.books[21].MarkDown("h", time.Now().Add(time.Minute))
 		rest(2 * time.Second)
 		for i, b := range d.books {
 			if b.Load("g", nil).Becomes != port.RoleDecode || !b.Load("h", nil).Unreachable() {
--- a/process/roster/digest.go
+++ b/process/roster/digest.go
@@ -223,5 +223,5 @@
 			r.o.Book.Merge(partName(d.Zone, part), nil, nil)
 		}
 	}
-	r.o.Book.Merge(partName(d.Zone, d.Part), engines.Less(d.Work, own.work), nil)
+	r.o.Book.Merge(partName(d.Zone, d.Part), engines.Subtract(d.Work, own.work), nil)
 }
--- a/process/roster/heartbeat.go
+++ b/process/roster/heartbeat.go
@@ -111,7 +111,7 @@
 // else to the aggregators.
 func (r *Roster) send(all bool) {
 	b := heartbeat{Claims: r.o.Claims.Report(), Speeds: r.o.Speeds.Report(), Demand: r.o.Demand.Report(), Clock: r.ownClock()}
-	b.Work, b.Reads = r.o.Book.Own()
+	b.Work, b.Reads = r.o.Book.LocalReport()
 	now := time.Now()
 	r.mu.Lock()
 	r.paused.tick(now)
--- a/process/roster/owner.go
+++ b/process/roster/owner.go
@@ -61,7 +61,7 @@
 // 45 ms waits 450. One daemon owns each engine's queue and receives each
 // change as it happens; a daemon that is about to choose asks the owners of a few.
 type ownership struct {
-	book *engines.Book // others' and own work at the engines kept here
+	book *engines.Tracker // others' and own work at the engines kept here
 
 	mu      sync.Mutex
 	seq     uint64
--- a/process/roster/publish.go
+++ b/process/roster/publish.go
@@ -225,7 +225,7 @@
 	if len(to) == 0 {
 		return
 	}
-	for _, one := range cut(d, rows, whole, min(r.o.Book.Known(), maxWork)) {
+	for _, one := range cut(d, rows, whole, min(r.o.Book.Count(), maxWork)) {
 		data, err := one.encode()
 		if err != nil {
 			log.WithError(err).Error("roster: digest can't be encoded")
--- a/process/roster/roster.go
+++ b/process/roster/roster.go
@@ -81,7 +81,7 @@
 type Options struct {
 	Self   Member
 	Store  port.Store
-	Book   *engines.Book
+	Book   *engines.Tracker
 	Claims Claims        // what the daemons exchange of claims
 	Speeds Speeds        // and of engines' speed
 	Demand Demand        // and of callers' demand
--- a/process/roster/roster_test.go
+++ b/process/roster/roster_test.go
@@ -69,7 +69,7 @@
 	zones  int                  // availability zones, 0: one
 	rate   func(vm int) float64 // requests a second of each, nil: not counted
 	all    []*Roster
-	books  []*engines.Book
+	books  []*engines.Tracker
 	ends   []*packetnet.End
 	claims []*claimBook
 }
--- a/request/admission/admission.go
+++ b/request/admission/admission.go
@@ -61,11 +61,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.get(a.Doc.Service)
-	if a.Decision.Finish > a.Left {
+	if a.Decision.TimeToCompletion > a.Left {
 		return nil, late(a)
 	}
 	if wait, late := startsLate(a); late {
-		return nil, code.New(code.Overloaded, "the first token would take about %v", a.Decision.First.Round(time.Millisecond)).After(wait)
+		return nil, code.New(code.Overloaded, "the first token would take about %v", a.Decision.TimeToFirstToken.Round(time.Millisecond)).After(wait)
 	}
 	full := s.fullness(a)
 	if over := full.over(a.Priority); over >= 0 {
@@ -127,8 +127,8 @@
 	if idle, ok := a.Idle(); ok && idle > a.Left {
 		return code.New(code.DeadlineTooShort, "an idle target needs about %v", idle.Round(time.Millisecond))
 	}
-	wait := clamp(a.Decision.Finish - a.Left)
-	return code.New(code.Overloaded, "the answer would take about %v", a.Decision.Finish.Round(time.Millisecond)).After(wait)
+	wait := clamp(a.Decision.TimeToCompletion - a.Left)
+	return code.New(code.Overloaded, "the answer would take about %v", a.Decision.TimeToCompletion.Round(time.Millisecond)).After(wait)
 }
 
 // firstMargin is the share of the first-token objective that the estimate may
@@ -142,12 +142,12 @@
 // that even an idle target couldn't begin to answer in time.
 func startsLate(a Ask) (time.Duration, bool) {
 	goal := time.Duration(firstMargin * float64(a.Doc.Objectives.FirstToken))
-	over := a.Decision.First - goal
+	over := a.Decision.TimeToFirstToken - goal
 	if goal <= 0 || over <= 0 || a.Priority > 0 {
 		return 0, false
 	}
 	idle, ok := a.Idle()
-	backlog := a.Decision.Finish - idle
+	backlog := a.Decision.TimeToCompletion - idle
 	return clamp(over), ok && backlog >= over
 }
 
--- a/request/admission/admission_test.go
+++ b/request/admission/admission_test.go
@@ -116,7 +116,7 @@
 		}
 		_, err := c.Admit(Ask{
 			Doc: doc, Org: tc.org, Priority: tc.priority, Cost: 1, Left: 10 * time.Second, Targets: tc.targets,
-			Decision: routing.Decision{Finish: tc.finish},
+			Decision: routing.Decision{TimeToCompletion: tc.finish},
 			Idle:     func() (time.Duration, bool) { return tc.idle, true },
 		})
 		if code.Of(err) != tc.want {
@@ -151,7 +151,7 @@
 				Doc:      &document.Document{Service: "s", Objectives: document.Objectives{FirstToken: goal}},
 				Priority: c.priority,
 				Left:     time.Minute,
-				Decision: routing.Decision{First: c.first, Finish: c.finish},
+				Decision: routing.Decision{TimeToFirstToken: c.first, TimeToCompletion: c.finish},
 				Targets:  []routing.Target{{Live: true, Limit: 100}},
 				Idle:     func() (time.Duration, bool) { return c.idle, true },
 			})
--- a/request/admission/fullness.go
+++ b/request/admission/fullness.go
@@ -112,7 +112,7 @@
 // its time says nothing about others, so the time on an idle target is taken
 // off; where the result can't reach contention the second estimate is saved.
 func waiting(a Ask) fullness {
-	if a.Decision.Finish < time.Duration(waitContention*slackUsed*float64(a.Left)) {
+	if a.Decision.TimeToCompletion < time.Duration(waitContention*slackUsed*float64(a.Left)) {
 		return fullness{}
 	}
 	idle, ok := a.Idle()
@@ -120,9 +120,9 @@
 		return fullness{}
 	}
 	longest := float64(a.Left-idle) * slackUsed
-	wait := float64(a.Decision.Finish - idle)
+	wait := float64(a.Decision.TimeToCompletion - idle)
 	calm := float64(idle) + waitContention*longest
-	return fullness{share: wait / longest, excess: float64(a.Decision.Finish) / calm}
+	return fullness{share: wait / longest, excess: float64(a.Decision.TimeToCompletion) / calm}
 }
 
 // room counts the places of the live targets.
--- a/request/admission/sim_test.go
+++ b/request/admission/sim_test.go
@@ -184,7 +184,7 @@
 		Priority: src.priority,
 		Cost:     1,
 		Left:     simLeft,
-		Decision: routing.Decision{Finish: finish},
+		Decision: routing.Decision{TimeToCompletion: finish},
 		Targets:  view,
 		Idle:     func() (time.Duration, bool) { return simWork, true },
 	})
--- a/request/attempt/attempt.go
+++ b/request/attempt/attempt.go
@@ -29,13 +29,13 @@
 
 // Answer is the answer to one attempt. Its header has been read, its body hasn't.
 type Answer struct {
-	ID     string // of the attempt
-	Target string
-	Status int
-	Header http.Header
-	Body   io.Reader // reads fail when the target makes no progress
-	Framed bool      // the end of Body is marked by length or by chunks
-	Decode bool      // another engine decodes after the first token
+	ID       string // of the attempt
+	Target   string
+	Status   int
+	Header   http.Header
+	Body     io.Reader // reads fail when the target makes no progress
+	Framed   bool      // the end of Body is marked by length or by chunks
+	Handover bool      // another engine decodes after the first token
 }
 
 // Receiver processes answers. It is used by one goroutine at a time.
@@ -91,7 +91,7 @@
 	predicted := r.refusedBefore(t.Addr, p.chosenAt)
 	id := newAttemptID(q.ID)
 	req := r.build(q, t, id, recv.Progress())
-	req.First, req.Between = p.headerTimeout, r.opts.Between
+	req.First, req.Between = p.headerTimeout, r.opts.ReadTimeout
 	resp, err := r.opts.Pool.Send(ctx, req)
 	if err != nil {
 		f := r.sendFailure(ctx, t, err)
@@ -99,8 +99,8 @@
 		return f, false
 	}
 	defer resp.Close(0)
-	if err := receive(resp, id, t, q.Model, p.handover, recv); err != nil {
-		f = failure.Read(ctx, t.Name, err)
+	if err := receive(resp, id, t, q.ToEngine, p.handover, recv); err != nil {
+		f = failure.ClassifyRead(ctx, t.Name, err)
 		r.noteSilent(f, t)
 		r.cancelSilent(f, q, t, id)
 	}
@@ -118,7 +118,7 @@
 }
 
 func (r *Runner) cancelSilent(f *failure.Failure, q *Request, t routing.Target, id string) {
-	if f.Class == failure.Silent && q.Model {
+	if f.Class == failure.Silent && q.ToEngine {
 		r.opts.Pool.Cancel(t.Addr, id)
 	}
 }
@@ -152,13 +152,13 @@
 		return &failure.Failure{Class: failure.Mismatch, Target: t.Name, Err: fmt.Errorf("%w: %.80q", errIDMismatch, got)}
 	}
 	return recv.Receive(Answer{
-		ID:     id,
-		Target: t.Name,
-		Status: resp.Status,
-		Header: resp.Header,
-		Body:   resp.Body,
-		Framed: resp.Framed,
-		Decode: decode,
+		ID:       id,
+		Target:   t.Name,
+		Status:   resp.Status,
+		Header:   resp.Header,
+		Body:     resp.Body,
+		Framed:   resp.Framed,
+		Handover: decode,
 	})
 }
 
@@ -169,5 +169,5 @@
 	if errors.Is(err, h1.ErrSilent) {
 		r.opts.Pool.Silent(t.Addr)
 	}
-	return failure.Send(ctx, t.Name, err)
+	return failure.ClassifySend(ctx, t.Name, err)
 }
--- a/request/attempt/attempt_test.go
+++ b/request/attempt/attempt_test.go
@@ -177,7 +177,7 @@
 type busyUntilThirdTry struct{ asked int }
 
 func (b *busyUntilThirdTry) Route(r routing.Request, targets []routing.Target) (routing.Decision, error) {
-	if !r.Alone {
+	if !r.Exclusive {
 		return firstAvailable{}.Route(r, targets)
 	}
 	if b.asked++; b.asked < 3 {
--- a/request/attempt/choose.go
+++ b/request/attempt/choose.go
@@ -22,7 +22,7 @@
 // the caller waits for them, rather than fall back to a failed one.
 func (u *run) choose() (routing.Target, routing.Decision, error) {
 	targets := without(u.opts.Targets.Targets(u.q.Service), u.claimedElsewhere)
-	if u.next != nil && !u.route.Alone {
+	if u.next != nil && !u.route.Exclusive {
 		if t, ok := find(targets, u.next.Target); ok && t.Live {
 			return t, *u.next, nil
 		}
@@ -63,7 +63,7 @@
 // exclusiveError replaces code.Overloaded with code.CrashSuspect for content that
 // has to run alone.
 func (u *run) exclusiveError(err error) error {
-	if !u.route.Alone {
+	if !u.route.Exclusive {
 		return err
 	}
 	var ce *code.Error
--- a/request/attempt/claim_test.go
+++ b/request/attempt/claim_test.go
@@ -36,11 +36,11 @@
 	return func(bool) {}, true
 }
 
-// aloneRecorder routes like firstAvailable and records Request.Alone of each call.
-type aloneRecorder struct{ alone []bool }
+// exclusiveRecorder routes like firstAvailable and records Request.Alone of each call.
+type exclusiveRecorder struct{ exclusive []bool }
 
-func (a *aloneRecorder) Route(r routing.Request, targets []routing.Target) (routing.Decision, error) {
-	a.alone = append(a.alone, r.Alone)
+func (a *exclusiveRecorder) Route(r routing.Request, targets []routing.Target) (routing.Decision, error) {
+	a.exclusive = append(a.exclusive, r.Exclusive)
 	return firstAvailable{}.Route(r, targets)
 }
 
@@ -53,7 +53,7 @@
 	aCrashes   bool                // the first target crashes
 	idempotent bool
 	events     string
-	alone      string
+	exclusive  string
 	err        code.Code
 }
 
@@ -98,7 +98,7 @@
 		answer(w, r)
 	}))
 	claims := &contentClaimer{fakeTracker: fakeTracker{standing: tc.standing}, refuse: tc.refuse}
-	router := &aloneRecorder{}
+	router := &exclusiveRecorder{}
 	p := pool.New(pool.Options{Dial: net.Dial})
 	r := NewRunner(Options{
 		Pool: p, Router: router, Quarantine: claims,
@@ -114,8 +114,8 @@
 	if got := fmt.Sprint(claims.events); got != tc.events {
 		t.Errorf("recorded %s, want %s", got, tc.events)
 	}
-	if got := fmt.Sprint(router.alone); got != tc.alone {
-		t.Errorf("routed alone: %s, want %s", got, tc.alone)
+	if got := fmt.Sprint(router.exclusive); got != tc.exclusive {
+		t.Errorf("routed alone: %s, want %s", got, tc.exclusive)
 	}
 	if tc.err == code.CrashSuspect {
 		checkRefusedNotRun(t, err, result, sent)
--- a/request/attempt/run.go
+++ b/request/attempt/run.go
@@ -89,11 +89,11 @@
 		u.opts.Quarantine.Begin(u.q.Fingerprint, t.Name)
 		defer u.opts.Quarantine.End(u.q.Fingerprint, t.Name)
 	}
-	u.moveKV(ctx, d.KVFrom, t.Name)
+	u.moveKV(ctx, d.KVSource, t.Name)
 	p := attemptPlan{
 		chosenAt:      u.chosenAt,
-		headerTimeout: max(u.opts.First, d.First*headerTimeoutFactor),
-		handover:      d.Decode != "" && d.Decode != t.Name && !u.handedOver,
+		headerTimeout: max(u.opts.MinHeaderTimeout, d.TimeToFirstToken*headerTimeoutFactor),
+		handover:      d.DecodeTarget != "" && d.DecodeTarget != t.Name && !u.handedOver,
 	}
 	f, unpredicted := u.try(ctx, u.q, t, p, u.recv)
 	u.unpredicted = unpredicted
@@ -110,8 +110,8 @@
 // nothing failed, and the tokens received so far are kept.
 func (u *run) handOver(ctx context.Context, d routing.Decision) {
 	u.handedOver = true
-	u.moveKV(ctx, d.Target, d.Decode)
-	u.next = &routing.Decision{Target: d.Decode, First: d.First}
+	u.moveKV(ctx, d.Target, d.DecodeTarget)
+	u.next = &routing.Decision{Target: d.DecodeTarget, TimeToFirstToken: d.TimeToFirstToken}
 }
 
 // moveKV transfers the prompt's KV cache. If this fails, the engine computes the
@@ -204,8 +204,8 @@
 		return nil
 	}
 	standing, left := u.opts.Quarantine.Check(u.q.Fingerprint)
-	u.route.Alone = standing == quarantine.Suspect
-	u.suspect = u.route.Alone || standing == quarantine.Watched
+	u.route.Exclusive = standing == quarantine.Suspect
+	u.suspect = u.route.Exclusive || standing == quarantine.Watched
 	switch standing {
 	case quarantine.Convicted:
 		return code.New(code.CrashConvicted, "").After(left)
--- a/request/attempt/runner.go
+++ b/request/attempt/runner.go
@@ -50,11 +50,11 @@
 	// Verify checks whether a target whose connection broke has crashed. It
 	// returns after a crash was reported to the tracker. Nil means a probe over a
 	// new connection.
-	Verify  func(ctx context.Context, t routing.Target)
-	KV      KV            // if nil, KV caches are computed instead of transferred
-	First   time.Duration // minimum timeout for an answer's header; default 2s
-	Between time.Duration // timeout for each read of an answer's body; default 2s
-	Now     func() time.Time
+	Verify           func(ctx context.Context, t routing.Target)
+	KV               KV            // if nil, KV caches are computed instead of transferred
+	MinHeaderTimeout time.Duration // minimum timeout for an answer's header; default 2s
+	ReadTimeout      time.Duration // timeout for each read of an answer's body; default 2s
+	Now              func() time.Time
 }
 
 // Request is one request of a caller.
@@ -68,7 +68,7 @@
 	Header      http.Header
 	Body        func(resume int) []byte // returns the body that resumes after so many tokens
 	Idempotent  bool
-	Model       bool // goes to an engine
+	ToEngine    bool // goes to an engine
 	Fingerprint uint64
 }
 
@@ -97,11 +97,11 @@
 
 // NewRunner returns a Runner.
 func NewRunner(o Options) *Runner {
-	if o.First <= 0 {
-		o.First = defaultHeaderTimeout
+	if o.MinHeaderTimeout <= 0 {
+		o.MinHeaderTimeout = defaultHeaderTimeout
 	}
-	if o.Between <= 0 {
-		o.Between = defaultReadTimeout
+	if o.ReadTimeout <= 0 {
+		o.ReadTimeout = defaultReadTimeout
 	}
 	if o.Now == nil {
 		o.Now = time.Now
--- a/request/dispatch/call.go
+++ b/request/dispatch/call.go
@@ -79,8 +79,8 @@
 	Wire    port.TargetWire
 	Pool    *h1.Pool
 	Targets Targets
-	Engines *engines.Book
-	Health  *health.Book
+	Engines *engines.Tracker
+	Health  *health.Tracker
 	Budget  *budget.Fleet
 	Control port.EngineControl
 	Queues  Queues
--- a/request/dispatch/decode.go
+++ b/request/dispatch/decode.go
@@ -37,12 +37,12 @@
 		if f == nil || f.MayHaveRun() {
 			taken = true
 			if f == nil && from.kv != nil {
-				u.opts.Health.Note(kvOf(from.at), health.OK)
+				u.opts.Health.Observe(kvOf(from.at), health.OK)
 			}
 			return f
 		}
 		if from.kv != nil && f.Class == failure.NotRun {
-			u.opts.Health.Note(kvOf(from.at), health.Refused)
+			u.opts.Health.Observe(kvOf(from.at), health.Refused)
 		}
 		if tries > 1 || from.kv == nil || !u.others(cands, to.ID) || !u.again(ctx, f, 1) {
 			return f
@@ -112,7 +112,7 @@
 			u.opts.Speed.First(u.c.Service.Name, usual+seen-predicted)
 		}
 		if usual > 0 {
-			u.opts.Health.NotePace(to.ID, u.pace(predicted, seen))
+			u.opts.Health.ObservePace(to.ID, u.pace(predicted, seen))
 		}
 	}
 	m := &paceMeter{run: u, target: to.ID, resumed: u.lastID != ""}
--- a/request/dispatch/plain.go
+++ b/request/dispatch/plain.go
@@ -96,7 +96,7 @@
 	reuse := u.reuse(sending{})
 	for _, e := range u.usable(u.consider("", nil, u.opts.Zone), nil) {
 		cost := float64(e.load.Streams) / float64(max(e.Slots, 1))
-		cost += failWeight * u.opts.Health.Rate(e.ID)
+		cost += failWeight * u.opts.Health.FailureRate(e.ID)
 		if e.Zone != u.opts.Zone {
 			cost += zoneWeight
 		}
--- a/request/dispatch/prefill.go
+++ b/request/dispatch/prefill.go
@@ -61,7 +61,7 @@
 func (u *run) choosePrefill(ctx context.Context, p prompt, f speed.Figures) reading {
 	cands := u.candidates(p, port.RolePrefill, u.opts.Zone)
 	for i := range cands {
-		cands[i].Rate += u.opts.Health.Rate(kvOf(cands[i].Entry.ID))
+		cands[i].Rate += u.opts.Health.FailureRate(kvOf(cands[i].Entry.ID))
 	}
 	decoders := u.decoders(p, u.opts.Zone)
 	// Engines that read come first, of those that keep as much: requests that
@@ -120,7 +120,7 @@
 		out = append(out, placement.Candidate{
 			Entry:   *t.TargetEntry,
 			Load:    t.load,
-			Rate:    u.opts.Health.Rate(t.ID),
+			Rate:    u.opts.Health.FailureRate(t.ID),
 			Pace:    u.opts.Health.Pace(t.ID),
 			Warm:    u.opts.Pool.Warm(t.Addr, t.ID, reuse),
 			Private: t.private,
@@ -172,7 +172,7 @@
 			Prompt: p.Tokens, Missing: ch.Missing, Before: ch.Wait + ch.Moved, Took: took,
 		})
 		if figures.Known() {
-			u.opts.Health.NotePace(to.ID, u.pace(predicted, took))
+			u.opts.Health.ObservePace(to.ID, u.pace(predicted, took))
 		}
 	}
 	u.ok(to.ID)
@@ -195,7 +195,7 @@
 		return f
 	}
 	if o, counts := f.outcome(); counts {
-		u.opts.Health.Note(f.Target, o)
+		u.opts.Health.Observe(f.Target, o)
 	}
 	f.noted = true
 	if f.Class != failure.NotWritten {
--- a/request/dispatch/relay.go
+++ b/request/dispatch/relay.go
@@ -39,7 +39,7 @@
 			return u.ended(target, resp, r, out)
 		}
 		if err != nil {
-			return &failed{Failure: failure.Read(ctx, target, err)}
+			return &failed{Failure: failure.ClassifyRead(ctx, target, err)}
 		}
 	}
 }
--- a/request/dispatch/send.go
+++ b/request/dispatch/send.go
@@ -31,7 +31,7 @@
 	u.trace.Targets = append(u.trace.Targets, s.to.ID)
 	resp, err := u.opts.Pool.Do(ctx, u.request(s))
 	if err != nil {
-		return nil, port.Verdict{}, &failed{Failure: failure.Send(ctx, s.to.ID, err)}
+		return nil, port.Verdict{}, &failed{Failure: failure.ClassifySend(ctx, s.to.ID, err)}
 	}
 	return resp, u.opts.Wire.Judge(resp.Status, resp.Header), nil
 }
@@ -85,7 +85,7 @@
 		err = errTooLarge
 	}
 	if err != nil {
-		return nil, &failed{Failure: failure.Read(ctx, target, err)}
+		return nil, &failed{Failure: failure.ClassifyRead(ctx, target, err)}
 	}
 	return &Answer{Status: resp.Status, Header: resp.Header, Body: body}, nil
 }
@@ -127,7 +127,7 @@
 		u.start(0)
 	}
 	if o, counts := f.outcome(); counts && !f.noted {
-		u.opts.Health.Note(f.Target, o)
+		u.opts.Health.Observe(f.Target, o)
 	}
 	log.WithFields(log.Fields{
 		"request": u.c.Ask.ID, "target": f.Target, "class": f.Class.String(), "cause": f.Cause(),
@@ -184,4 +184,4 @@
 	return slices.Contains(u.avoid, id)
 }
 
-func (u *run) ok(target string) { u.opts.Health.Note(target, health.OK) }
+func (u *run) ok(target string) { u.opts.Health.Observe(target, health.OK) }
--- a/request/entry/admit.go
+++ b/request/entry/admit.go
@@ -93,5 +93,5 @@
 		idle[i] = t
 	}
 	d, err := e.opts.Router.Route(q.Route, idle)
-	return d.Finish, err == nil
+	return d.TimeToCompletion, err == nil
 }
--- a/request/entry/asked_test.go
+++ b/request/entry/asked_test.go
@@ -17,7 +17,7 @@
 func (n neverInTime) Route(r routing.Request, targets []routing.Target) (routing.Decision, error) {
 	*n.routed++
 	d, err := n.leastLoaded.Route(r, targets)
-	d.Finish = 24 * time.Hour
+	d.TimeToCompletion = 24 * time.Hour
 	return d, err
 }
 
--- a/request/entry/entry.go
+++ b/request/entry/entry.go
@@ -82,14 +82,14 @@
 		admission: admission.New(time.Now),
 		streams:   limit.NewStreams(),
 		runner: attempt.NewRunner(attempt.Options{
-			Pool:       o.Pool,
-			Router:     o.Router,
-			Targets:    o.Targets,
-			Quarantine: o.Quarantine,
-			Verify:     o.Verify,
-			KV:         o.KV,
-			First:      o.First,
-			Between:    o.Between,
+			Pool:             o.Pool,
+			Router:           o.Router,
+			Targets:          o.Targets,
+			Quarantine:       o.Quarantine,
+			Verify:           o.Verify,
+			KV:               o.KV,
+			MinHeaderTimeout: o.First,
+			ReadTimeout:      o.Between,
 		}),
 	}
 	e.router = e.routes()
--- a/request/entry/fault_test.go
+++ b/request/entry/fault_test.go
@@ -221,7 +221,7 @@
 type handover struct{}
 
 func (handover) Route(routing.Request, []routing.Target) (routing.Decision, error) {
-	return routing.Decision{Target: "e0", Decode: "e1"}, nil
+	return routing.Decision{Target: "e0", DecodeTarget: "e1"}, nil
 }
 
 type moves struct{ said string }
--- a/request/entry/fixture_test.go
+++ b/request/entry/fixture_test.go
@@ -61,7 +61,7 @@
 		if !t.Live || contains(r.Exclude, t.Name) {
 			continue
 		}
-		if t.InFlight >= t.Limit || r.Alone && t.InFlight > 0 {
+		if t.InFlight >= t.Limit || r.Exclusive && t.InFlight > 0 {
 			full = true
 			continue
 		}
@@ -71,7 +71,7 @@
 	}
 	switch {
 	case best >= 0:
-		return routing.Decision{Target: targets[best].Name, Finish: l.finish}, nil
+		return routing.Decision{Target: targets[best].Name, TimeToCompletion: l.finish}, nil
 	case full:
 		return routing.Decision{}, code.New(code.Overloaded, "")
 	}
--- a/request/entry/model.go
+++ b/request/entry/model.go
@@ -184,7 +184,7 @@
 		Header:      http.Header{"Content-Type": {"application/json"}},
 		Body:        c.payload,
 		Idempotent:  true,
-		Model:       true,
+		ToEngine:    true,
 		Fingerprint: fingerprint(c.body.Model, c.prompt),
 	}
 }
--- a/request/entry/path_test.go
+++ b/request/entry/path_test.go
@@ -22,11 +22,11 @@
 	var w *load.Watcher
 	o.Pool = pool.New(pool.Options{Down: func(addr string, err error) { w.Down(addr, err) }})
 	w = load.New(load.Options{
-		View:    o.View,
-		Pool:    o.Pool,
-		Engine:  func(addr string) port.Engine { return httpapi.NewEngine(addr, httpapi.Options{}) },
-		Process: "vm",
-		Poll:    20 * time.Millisecond,
+		View:         o.View,
+		Pool:         o.Pool,
+		Engine:       func(addr string) port.Engine { return httpapi.NewEngine(addr, httpapi.Options{}) },
+		Process:      "vm",
+		PollInterval: 20 * time.Millisecond,
 	})
 	t.Cleanup(func() {
 		w.Close()
--- a/request/entry/receive.go
+++ b/request/entry/receive.go
@@ -117,7 +117,7 @@
 		return &failure.Failure{Class: failure.Failed, Target: a.Target, Err: fmt.Errorf("%w: %.80q", errNotStream, t)}
 	}
 	r.relay.HandOver(0)
-	if a.Decode {
+	if a.Handover {
 		r.relay.HandOver(1)
 	}
 	err := r.relay.Run(a.Body, a.ID)
--- a/request/failure/failure.go
+++ b/request/failure/failure.go
@@ -81,11 +81,11 @@
 	return other
 }
 
-// Send classifies an error of sending a request and reading the answer's header.
+// ClassifySend classifies an error of sending a request and reading the answer's header.
 // ctx is the request's context. The class is NotWritten only if err proves it:
 // otherwise a second attempt could run a call twice, so that a caller gets a
 // confirmation twice, for example.
-func Send(ctx context.Context, target string, err error) *Failure {
+func ClassifySend(ctx context.Context, target string, err error) *Failure {
 	f := &Failure{Class: NoAnswer, Target: target, Err: err}
 	f.refineClass(ctx)
 	var he *h1.Error
@@ -96,9 +96,9 @@
 	return f
 }
 
-// Read classifies an error of reading an answer's body. If err wraps a *Failure,
+// ClassifyRead classifies an error of reading an answer's body. If err wraps a *Failure,
 // its class is kept.
-func Read(ctx context.Context, target string, err error) *Failure {
+func ClassifyRead(ctx context.Context, target string, err error) *Failure {
 	f := &Failure{Class: ClassOf(err, Cut), Target: target, Err: err}
 	if f.Class == Cut {
 		f.refineClass(ctx)
--- a/request/failure/failure_test.go
+++ b/request/failure/failure_test.go
@@ -11,11 +11,11 @@
 	"github.com/pomelospool/pomelospool/connection/h1"
 )
 
-// TestSend checks the classes of send errors. A call that ran, but whose answer
+// TestClassifySend checks the classes of send errors. A call that ran, but whose answer
 // was lost, must not be classified as not written: it would be repeated, and a
 // booking, for example, made twice. A call that didn't run must not be classified
 // as possibly run: its caller would not retry it.
-func TestSend(t *testing.T) {
+func TestClassifySend(t *testing.T) {
 	live := context.Background()
 	gone, cancel := context.WithCancel(live)
 	cancel()
@@ -40,21 +40,21 @@
 		{"an error without proof", live, io.EOF, NoAnswer, true, false},
 	}
 	for _, tc := range cases {
-		f := Send(tc.ctx, "t", tc.err)
+		f := ClassifySend(tc.ctx, "t", tc.err)
 		if f.Class != tc.class || f.MayHaveRun() != tc.ran || f.Final() != tc.final {
 			t.Errorf("%s: %s, may have run %v, final %v", tc.name, f.Class, f.MayHaveRun(), f.Final())
 		}
 	}
 }
 
-// TestRead checks that a "not run" answer keeps its class when its body ends
+// TestClassifyRead checks that a "not run" answer keeps its class when its body ends
 // early, and that any other body that ends early has the class Cut.
-func TestRead(t *testing.T) {
+func TestClassifyRead(t *testing.T) {
 	own := &Failure{Class: NotRun, Err: io.ErrUnexpectedEOF}
-	if f := Read(context.Background(), "t", fmt.Errorf("x: %w", own)); f.Class != NotRun {
+	if f := ClassifyRead(context.Background(), "t", fmt.Errorf("x: %w", own)); f.Class != NotRun {
 		t.Errorf("class %s", f.Class)
 	}
-	if f := Read(context.Background(), "t", io.ErrUnexpectedEOF); f.Class != Cut || !f.MayHaveRun() {
+	if f := ClassifyRead(context.Background(), "t", io.ErrUnexpectedEOF); f.Class != Cut || !f.MayHaveRun() {
 		t.Errorf("class %s", f.Class)
 	}
 }
--- a/request/routing/estimate.go
+++ b/request/routing/estimate.go
@@ -47,7 +47,7 @@
 		return env
 	}
 	env.reportAge = meanAge(cands)
-	env.peerTokens = meanSentTokens(cands) * float64(p.deciders.Load()-1)
+	env.peerTokens = meanSentTokens(cands) * float64(p.routerCount.Load()-1)
 	env.decoder = p.pickDecoder(s, env)
 	env.source = env.bestSource(targets)
 	return env
@@ -118,7 +118,7 @@
 
 func (e *environment) plainEstimate(t *Target) estimate {
 	n := float64(requestsAt(t) + 1)
-	est := estimate{finish: n * e.opts.PlainTime.Seconds()}
+	est := estimate{finish: n * e.opts.PlainServiceTime.Seconds()}
 	if e.r.Zone != t.Zone {
 		est.finish += e.opts.ZoneDelay.Seconds()
 	}
--- a/request/routing/filter_pace.go
+++ b/request/routing/filter_pace.go
@@ -49,7 +49,7 @@
 	}
 	keep := cands[:0]
 	for _, c := range cands {
-		elsewhere := role(c.target) == port.RolePrefill && e.opts.KVMoveRate > 0 && e.hasDecoder
+		elsewhere := role(c.target) == port.RolePrefill && e.opts.KVTransferRate > 0 && e.hasDecoder
 		if elsewhere && e.decoder == nil {
 			continue
 		}
--- a/request/routing/kv.go
+++ b/request/routing/kv.go
@@ -10,7 +10,7 @@
 // prompt. Changing and suspect engines are not used as a source.
 func (e *environment) bestSource(targets []Target) kvSource {
 	var s kvSource
-	if e.opts.KVMoveRate <= 0 || len(e.r.Prefix) == 0 {
+	if e.opts.KVTransferRate <= 0 || len(e.r.Prefix) == 0 {
 		return s
 	}
 	for i := range targets {
@@ -54,8 +54,8 @@
 // transferTime returns the seconds needed to transfer the KV cache of n tokens,
 // or 0 if transfers are not possible.
 func (e *environment) transferTime(n int) float64 {
-	if e.opts.KVMoveRate <= 0 {
+	if e.opts.KVTransferRate <= 0 {
 		return 0
 	}
-	return e.opts.KVMoveDelay.Seconds() + float64(n)/e.opts.KVMoveRate
+	return e.opts.KVTransferDelay.Seconds() + float64(n)/e.opts.KVTransferRate
 }
--- a/request/routing/pick.go
+++ b/request/routing/pick.go
@@ -70,13 +70,13 @@
 			n++
 		}
 	}
-	since := env.reportAge + p.opts.Lag.Seconds()
+	since := env.reportAge + p.opts.ReportLag.Seconds()
 	return float64(n) * p.opts.Utilisation * since * p.peerShare()
 }
 
 // peerShare returns the share of all requests that other processes send.
 func (p *Policy) peerShare() float64 {
-	d := float64(p.deciders.Load())
+	d := float64(p.routerCount.Load())
 	return (d - 1) / d
 }
 
@@ -98,12 +98,12 @@
 // decision returns c as the result of Route.
 func (e *environment) decision(c *candidate) Decision {
 	return Decision{
-		Target:  c.target.Name,
-		Score:   c.score,
-		Finish:  seconds(c.est.finish),
-		First:   seconds(c.est.first),
-		KVFrom:  c.est.kvFrom,
-		Decode:  c.est.decode,
-		Spilled: c.est.spill,
+		Target:           c.target.Name,
+		Score:            c.score,
+		TimeToCompletion: seconds(c.est.finish),
+		TimeToFirstToken: seconds(c.est.first),
+		KVSource:         c.est.kvFrom,
+		DecodeTarget:     c.est.decode,
+		Spilled:          c.est.spill,
 	}
 }
--- a/request/routing/pick_decode.go
+++ b/request/routing/pick_decode.go
@@ -7,7 +7,7 @@
 // meanwhile from the running ones, assuming a steady state: during the lifetime
 // of one stream as many streams start as are running now.
 func (p *Policy) pickDecoder(s *scratch, env *environment) *Target {
-	if p.opts.KVMoveRate <= 0 {
+	if p.opts.KVTransferRate <= 0 {
 		return nil
 	}
 	s.decoders = s.decoders[:0]
@@ -33,7 +33,7 @@
 	}
 	out := float64(max(env.r.OutputTokens, 1))
 	lifetime := out * step / float64(len(s.decoders))
-	since := env.reportAge + p.opts.Lag.Seconds()
+	since := env.reportAge + p.opts.ReportLag.Seconds()
 	started := max(float64(streams)*since/lifetime, 1) * p.peerShare()
 	perStream := 2 * out * p.opts.StepPerStream.Seconds()
 	return choose(s, s.decoders, started*perStream, splitmix64(^seedOf(env.r))).target
--- a/request/routing/policy.go
+++ b/request/routing/policy.go
@@ -13,43 +13,43 @@
 // reported their own, and the cost of network transfers. Zero fields take
 // their defaults.
 type Options struct {
-	PrefillRate   float64       // prompt tokens/s of one engine; default 8000
-	StepBase      time.Duration // duration of a decode step with one stream; default 18ms
-	StepPerStream time.Duration // added to a step by each further stream; default 250µs
-	PlainTime     time.Duration // duration of one request of a plain service; default 20ms
-	KVMoveRate    float64       // tokens/s of KV cache transfer between engines; 0: no transfer possible
-	KVMoveDelay   time.Duration // delay before the first token is transferred; default 20ms
-	BetweenTokens time.Duration // objective for the time between tokens; 0: none
-	ZoneDelay     time.Duration // round trip to another availability zone; default 1ms
-	Lag           time.Duration // age of a load report that LoadAge doesn't include; default 100ms
-	Utilisation   float64       // assumed share of the targets' capacity in use between reports; default 0.8
-	Deciders      int           // number of processes that route to the same targets; default 1
+	PrefillRate      float64       // prompt tokens/s of one engine; default 8000
+	StepBase         time.Duration // duration of a decode step with one stream; default 18ms
+	StepPerStream    time.Duration // added to a step by each further stream; default 250µs
+	PlainServiceTime time.Duration // duration of one request of a plain service; default 20ms
+	KVTransferRate   float64       // tokens/s of KV cache transfer between engines; 0: no transfer possible
+	KVTransferDelay  time.Duration // delay before the first token is transferred; default 20ms
+	BetweenTokens    time.Duration // objective for the time between tokens; 0: none
+	ZoneDelay        time.Duration // round trip to another availability zone; default 1ms
+	ReportLag        time.Duration // age of a load report that LoadAge doesn't include; default 100ms
+	Utilisation      float64       // assumed share of the targets' capacity in use between reports; default 0.8
+	RouterCount      int           // number of processes that route to the same targets; default 1
 }
 
 // Defaults of Options, and bounds on the age of reports and on Retry-After.
 const (
-	defaultPrefillRate   = 8000
-	defaultStepBase      = 18 * time.Millisecond
-	defaultStepPerStream = 250 * time.Microsecond
-	defaultPlainTime     = 20 * time.Millisecond
-	defaultKVMoveDelay   = 20 * time.Millisecond
-	defaultZoneDelay     = time.Millisecond
-	defaultLag           = 100 * time.Millisecond
-	defaultUtilisation   = 0.8
-	maxReportAge         = 5 * time.Second // the age of older reports is capped at this value
-	minRetryAfter        = 100 * time.Millisecond
+	defaultPrefillRate      = 8000
+	defaultStepBase         = 18 * time.Millisecond
+	defaultStepPerStream    = 250 * time.Microsecond
+	defaultPlainServiceTime = 20 * time.Millisecond
+	defaultKVTransferDelay  = 20 * time.Millisecond
+	defaultZoneDelay        = time.Millisecond
+	defaultReportLag        = 100 * time.Millisecond
+	defaultUtilisation      = 0.8
+	maxReportAge            = 5 * time.Second // the age of older reports is capped at this value
+	minRetryAfter           = 100 * time.Millisecond
 )
 
 func (o Options) withDefaults() Options {
 	setFloat(&o.PrefillRate, defaultPrefillRate)
 	setDuration(&o.StepBase, defaultStepBase)
 	setDuration(&o.StepPerStream, defaultStepPerStream)
-	setDuration(&o.PlainTime, defaultPlainTime)
-	setDuration(&o.KVMoveDelay, defaultKVMoveDelay)
+	setDuration(&o.PlainServiceTime, defaultPlainServiceTime)
+	setDuration(&o.KVTransferDelay, defaultKVTransferDelay)
 	setDuration(&o.ZoneDelay, defaultZoneDelay)
-	setDuration(&o.Lag, defaultLag)
+	setDuration(&o.ReportLag, defaultReportLag)
 	setFloat(&o.Utilisation, defaultUtilisation)
-	o.Deciders = max(o.Deciders, 1)
+	o.RouterCount = max(o.RouterCount, 1)
 	return o
 }
 
@@ -68,9 +68,9 @@
 // Policy is the default Router. Its only state between requests is the number
 // of routing processes.
 type Policy struct {
-	opts     Options
-	deciders atomic.Int64
-	scratch  sync.Pool
+	opts        Options
+	routerCount atomic.Int64
+	scratch     sync.Pool
 }
 
 var _ Router = (*Policy)(nil)
@@ -79,14 +79,14 @@
 // own between-tokens objective may use a separate one.
 func New(o Options) *Policy {
 	p := &Policy{opts: o.withDefaults()}
-	p.deciders.Store(int64(p.opts.Deciders))
+	p.routerCount.Store(int64(p.opts.RouterCount))
 	p.scratch.New = func() any { return &scratch{} }
 	return p
 }
 
-// SetDeciders sets the number of processes that route to the same targets. The
+// SetRouterCount sets the number of processes that route to the same targets. The
 // policy uses it to estimate the load that the others added since a report.
-func (p *Policy) SetDeciders(n int) { p.deciders.Store(int64(max(n, 1))) }
+func (p *Policy) SetRouterCount(n int) { p.routerCount.Store(int64(max(n, 1))) }
 
 // candidate is a target that passed the filters.
 type candidate struct {
--- a/request/routing/policy_test.go
+++ b/request/routing/policy_test.go
@@ -37,7 +37,9 @@
 	return r
 }
 
-func kvOptions() Options { return Options{KVMoveRate: 200_000, BetweenTokens: 36 * time.Millisecond} }
+func kvOptions() Options {
+	return Options{KVTransferRate: 200_000, BetweenTokens: 36 * time.Millisecond}
+}
 
 // TestRoute checks the chosen target with one case for each routing rule.
 func TestRoute(t *testing.T) {
@@ -61,9 +63,9 @@
 			engine("a"), engine("b", queued(90000))}},
 		{name: "all full", err: code.Overloaded, targets: []Target{engine("a", running(64)), engine("b", running(70))}},
 		{name: "own requests fill the limit", err: code.Overloaded, targets: []Target{engine("a", with(func(t *Target) { t.InFlight = 64 }))}},
-		{name: "alone", req: func(r *Request) { r.Alone = true }, want: Decision{Target: "b"}, targets: []Target{
+		{name: "alone", req: func(r *Request) { r.Exclusive = true }, want: Decision{Target: "b"}, targets: []Target{
 			engine("a", running(1)), engine("b", queued(10000))}},
-		{name: "alone, all busy", req: func(r *Request) { r.Alone = true }, err: code.Overloaded, targets: []Target{engine("a", running(1))}},
+		{name: "alone, all busy", req: func(r *Request) { r.Exclusive = true }, err: code.Overloaded, targets: []Target{engine("a", running(1))}},
 		{name: "shorter queue", want: Decision{Target: "b"}, targets: []Target{engine("a", queued(4000)), engine("b", queued(1000))}},
 		{name: "sent since the report", want: Decision{Target: "b"}, targets: []Target{
 			engine("a", with(func(t *Target) { t.SentPrefill = 4000 })), engine("b", queued(1000))}},
@@ -72,9 +74,9 @@
 		{name: "slow decode", want: Decision{Target: "b"}, targets: []Target{
 			engine("a", running(10), with(func(t *Target) { t.Load.DecodeRate = 100 })), engine("b", running(10))}},
 		{name: "cached", want: Decision{Target: "b"}, targets: []Target{engine("a"), engine("b", queued(500), cached(1800))}},
-		{name: "cached, but far too busy", want: Decision{Target: "a", KVFrom: "b"}, targets: []Target{
+		{name: "cached, but far too busy", want: Decision{Target: "a", KVSource: "b"}, targets: []Target{
 			engine("a"), engine("b", queued(40000), cached(1800))}},
-		{name: "moves a long prefix", req: func(r *Request) { r.PromptTokens = 20000 }, want: Decision{Target: "a", KVFrom: "b"}, targets: []Target{
+		{name: "moves a long prefix", req: func(r *Request) { r.PromptTokens = 20000 }, want: Decision{Target: "a", KVSource: "b"}, targets: []Target{
 			engine("a"), engine("b", queued(40000), cached(18000))}},
 		{name: "computes a short one", req: func(r *Request) { r.PromptTokens = 200 }, want: Decision{Target: "a"}, targets: []Target{
 			engine("a"), engine("b", queued(40000), cached(100))}},
@@ -84,18 +86,18 @@
 		{name: "suspect", want: Decision{Target: "b"}, targets: []Target{
 			engine("a", with(func(t *Target) { t.Suspect = true })), engine("b", queued(8000))}},
 		{name: "suspect is all there is", want: Decision{Target: "a"}, targets: []Target{engine("a", with(func(t *Target) { t.Suspect = true }))}},
-		{name: "prefill, then decode", want: Decision{Target: "p", Decode: "d"}, targets: []Target{
+		{name: "prefill, then decode", want: Decision{Target: "p", DecodeTarget: "d"}, targets: []Target{
 			engine("d", withRole(port.RoleDecode), running(8)), engine("p", withRole(port.RolePrefill))}},
 		{name: "spills when waiting costs more", want: Decision{Target: "d", Spilled: true}, targets: []Target{
 			engine("d", withRole(port.RoleDecode), running(8)), engine("p", withRole(port.RolePrefill), queued(40000))}},
-		{name: "waits when spilling costs more", want: Decision{Target: "p", Decode: "d"}, targets: []Target{
+		{name: "waits when spilling costs more", want: Decision{Target: "p", DecodeTarget: "d"}, targets: []Target{
 			engine("d", withRole(port.RoleDecode), running(40)), engine("p", withRole(port.RolePrefill), queued(800))}},
 		{name: "only prefill engines left", want: Decision{Target: "p", Spilled: true}, targets: []Target{engine("p", withRole(port.RolePrefill))}},
-		{name: "room for one more stream", want: Decision{Target: "p", Decode: "e"}, targets: []Target{
+		{name: "room for one more stream", want: Decision{Target: "p", DecodeTarget: "e"}, targets: []Target{
 			engine("d", withRole(port.RoleDecode), withStreams(80)), engine("e", withRole(port.RoleDecode), withStreams(60)), engine("p", withRole(port.RolePrefill))}},
 		{name: "no room for one more stream", err: code.Overloaded, targets: []Target{
 			engine("d", withRole(port.RoleDecode), withStreams(80)), engine("p", withRole(port.RolePrefill))}},
-		{name: "urgent", req: func(r *Request) { r.Priority = 1 }, want: Decision{Target: "p", Decode: "d"}, targets: []Target{
+		{name: "urgent", req: func(r *Request) { r.Priority = 1 }, want: Decision{Target: "p", DecodeTarget: "d"}, targets: []Target{
 			engine("d", withRole(port.RoleDecode), withStreams(72)), engine("p", withRole(port.RolePrefill))}},
 		{name: "room by the service's own objective", req: func(r *Request) { r.BetweenTokens = 50 * time.Millisecond }, want: Decision{Target: "m"},
 			targets: []Target{engine("m", withStreams(80))}},
@@ -123,7 +125,7 @@
 			if got.Score <= 0 || got.Score > 1 {
 				t.Errorf("score %v lies outside (0,1]", got.Score)
 			}
-			got.Score, got.First, got.Finish = 0, 0, 0
+			got.Score, got.TimeToFirstToken, got.TimeToCompletion = 0, 0, 0
 			if got != c.want {
 				t.Errorf("got %+v, want %+v", got, c.want)
 			}
@@ -141,8 +143,8 @@
 		t.Fatal(err)
 	}
 	first := time.Duration(float64(4000+2000) / testRate * float64(time.Second))
-	if d.First != first || d.Finish != first+100*21*time.Millisecond {
-		t.Errorf("first %v, finish %v", d.First, d.Finish)
+	if d.TimeToFirstToken != first || d.TimeToCompletion != first+100*21*time.Millisecond {
+		t.Errorf("first %v, finish %v", d.TimeToFirstToken, d.TimeToCompletion)
 	}
 }
 
@@ -205,7 +207,7 @@
 func TestNoHerding(t *testing.T) {
 	const maxRatio = 2.5 // least loaded reaches 2.8 with 8 processes, 9.0 with 64
 	for deciders, minAdvantage := range map[int]float64{8: 1.3, 64: 3} {
-		p := New(Options{Deciders: deciders})
+		p := New(Options{RouterCount: deciders})
 		policy := herdingRatio(deciders, func(r Request, ts []Target) string {
 			d, err := p.Route(r, ts)
 			if err != nil {
@@ -229,7 +231,7 @@
 			targets[i].Role = []port.Role{port.RolePrefill, port.RoleDecode, port.RoleMixed}[i%3]
 		}
 		o := kvOptions()
-		o.Deciders = 8
+		o.RouterCount = 8
 		p := New(o)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
--- a/request/routing/types.go
+++ b/request/routing/types.go
@@ -25,7 +25,7 @@
 	Zone         string        // availability zone of the routing process
 	Seed         uint64        // random seed, so that processes choose differently; 0 uses a hash of ID
 	Exclude      []string      // targets used by earlier attempts
-	Alone        bool          // needs a target without other requests
+	Exclusive    bool          // needs a target without other requests
 
 	// BetweenTokens is the service's objective for the time between tokens; 0
 	// means that of Options.
@@ -56,13 +56,13 @@
 
 // Decision names where a request goes.
 type Decision struct {
-	Target  string
-	Score   float64
-	Finish  time.Duration // expected time until the answer is complete
-	First   time.Duration // expected time until the first token
-	KVFrom  string        // engine to copy the KV cache of the prefix from, or empty
-	Decode  string        // engine that decodes, or empty for Target
-	Spilled bool          // the engine's role doesn't match the work
+	Target           string
+	Score            float64
+	TimeToCompletion time.Duration // expected time until the answer is complete
+	TimeToFirstToken time.Duration // expected time until the first token
+	KVSource         string        // engine to copy the KV cache of the prefix from, or empty
+	DecodeTarget     string        // engine that decodes, or empty for Target
+	Spilled          bool          // the engine's role doesn't match the work
 }
 
 // Router chooses a target. It is safe for concurrent use.
