--- a/connection/engines/aggregate.go
+++ b/connection/engines/aggregate.go
@@ -6,20 +6,20 @@
 )
 
 // Count returns the number of engines for which b has state.
-func (b *Tracker) Count() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.engines)
+func (t *Tracker) Count() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.engines)
 }
 
 // Sum returns the work of all daemons at each engine.
-func (b *Tracker) Sum() []Work {
-	now := b.now()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.expire(now)
+func (t *Tracker) Sum() []Work {
+	now := t.now()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.expire(now)
 	var out []Work
-	for _, e := range b.engines {
+	for _, e := range t.engines {
 		if w := e.sum(now); !w.Idle() {
 			out = append(out, w)
 		}
@@ -29,9 +29,9 @@
 
 // Streams returns the number of requests that decode at the engines for whose
 // hashes match returns true.
-func (b *Tracker) Streams(match func(hash uint64) bool) int {
+func (t *Tracker) Streams(match func(hash uint64) bool) int {
 	n := 0
-	for _, w := range b.Sum() {
+	for _, w := range t.Sum() {
 		if w.Streams > 0 && match(w.Target) {
 			n += int(w.Streams)
 		}
@@ -66,12 +66,12 @@
 
 // SumOf returns the sum of this process's work and of the reports for whose names
 // include returns true.
-func (b *Tracker) SumOf(include func(name string) bool) []Work {
-	now := b.now()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.expire(now)
-	own := b.localWork(now)
+func (t *Tracker) SumOf(include func(name string) bool) []Work {
+	now := t.now()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.expire(now)
+	own := t.localWork(now)
 	sums := make(map[uint64]*workSum, len(own))
 	addAll := func(list []Work) {
 		for i := range list {
@@ -84,7 +84,7 @@
 		}
 	}
 	addAll(own)
-	for name, p := range b.peers {
+	for name, p := range t.peers {
 		if include(name) {
 			addAll(p.work)
 		}
--- a/connection/engines/bench_test.go
+++ b/connection/engines/bench_test.go
@@ -36,10 +36,10 @@
 func BenchmarkLoad(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(fmt.Sprintf("daemons=%d/engines=%d", s.daemons, s.engines), func(b *testing.B) {
-			book, ids := newLoadedTracker(s.daemons, s.engines)
+			tracker, ids := newLoadedTracker(s.daemons, s.engines)
 			p := parts(1, 2, 3)
 			for i := 0; b.Loop(); i++ {
-				book.Load(ids[i%len(ids)], p)
+				tracker.Load(ids[i%len(ids)], p)
 			}
 		})
 	}
@@ -49,9 +49,9 @@
 func BenchmarkMerge(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(fmt.Sprintf("daemons=%d/engines=%d", s.daemons, s.engines), func(b *testing.B) {
-			book, ids := newLoadedTracker(s.daemons, s.engines)
+			tracker, ids := newLoadedTracker(s.daemons, s.engines)
 			for i := 0; b.Loop(); i++ {
-				book.Merge(fmt.Sprint("daemon", i%s.daemons), workOf(i, ids), nil)
+				tracker.Merge(fmt.Sprint("daemon", i%s.daemons), workOf(i, ids), nil)
 			}
 		})
 	}
--- a/connection/engines/book.go
+++ b/connection/engines/book.go
@@ -24,7 +24,7 @@
 	// Becomes is the role that this daemon has ordered the engine to change to, or
 	// empty. The engine refuses requests during the change.
 	Becomes port.Role
-	Down    uint16 // number of daemons that can't reach the engine; 0 or 1 in a daemon's report
+	Down    uint16 // number of daemons that can't reach the engine; 0 or 1 unless this is a sum
 }
 
 // Idle reports whether there is nothing to report.
@@ -51,7 +51,7 @@
 	return n
 }
 
-// Key returns a hash of the target and the parts.
+// Key returns a hash of the target and the parts. Equal reads have equal keys.
 func (r Read) Key() uint64 {
 	key := r.Target
 	for _, p := range r.Parts {
@@ -101,10 +101,10 @@
 
 type engine struct {
 	own          Work
-	peers        workSum // what the reports in peers say of it
+	peers        workSum // sum of the reports of other daemons
 	cache        *prefixCache
-	readingSince time.Time // when it began with the prompt that it reads now, about
-	downUntil    time.Time // this process couldn't reach it, until then
+	readingSince time.Time // estimated start of the current prefill
+	downUntil    time.Time // this process considers it down until then
 	oldPrompts   uint32    // prompts in the report that is being replaced
 }
 
@@ -135,12 +135,12 @@
 const defaultMemory = 450_000
 
 // engine returns the state of a target and creates it if needed. tokens is the
-// target's KV memory, or 0 if unknown. Callers hold b.mu.
-func (b *Tracker) engine(target uint64, tokens int) *engine {
-	e := b.engines[target]
+// target's KV memory, or 0 if unknown. Callers hold t.mu.
+func (t *Tracker) engine(target uint64, tokens int) *engine {
+	e := t.engines[target]
 	if e == nil {
 		e = &engine{own: Work{Target: target}, peers: workSum{Work: Work{Target: target}}, cache: newPrefixCache(defaultMemory)}
-		b.engines[target] = e
+		t.engines[target] = e
 	}
 	if tokens > 0 {
 		e.cache.limit = tokens
@@ -151,35 +151,35 @@
 // Prefill records that a prompt is sent to an engine with the given KV memory.
 // wait and reading are the expected time until the prefill starts and its
 // duration. The caller calls done when the prefill has ended or failed.
-func (b *Tracker) Prefill(target string, memory int, parts []port.PromptPart, wait, reading time.Duration) (done func()) {
+func (t *Tracker) Prefill(target string, memory int, parts []port.PromptPart, wait, reading time.Duration) (done func()) {
 	hash := Hash(target)
 	cost := uint32(reading.Microseconds())
-	b.mu.Lock()
-	e := b.engine(hash, memory)
-	b.expire(b.now())
+	t.mu.Lock()
+	e := t.engine(hash, memory)
+	t.expire(t.now())
 	if e.own.Prompts+e.peers.Prompts == 0 {
-		e.readingSince = b.now()
+		e.readingSince = t.now()
 	}
 	e.own.Reading += cost
 	e.own.Prompts++
-	b.recordRead(hash, e, parts, b.now().Add(wait+reading))
-	b.unlockChanged(e)
+	t.recordRead(hash, e, parts, t.now().Add(wait+reading))
+	t.unlockChanged(e)
 	return sync.OnceFunc(func() {
-		b.mu.Lock()
+		t.mu.Lock()
 		e.own.Reading -= cost
 		e.own.Prompts--
-		e.readingSince = b.now()
+		e.readingSince = t.now()
 		e.cache.markReady(parts, e.readingSince)
-		b.unlockChanged(e)
+		t.unlockChanged(e)
 	})
 }
 
-// unlockChanged unlocks b.mu and calls b.changed with the process's own work at
-// e. Callers hold b.mu.
-func (b *Tracker) unlockChanged(e *engine) {
-	w := e.localWork(b.now())
-	b.mu.Unlock()
-	b.changed(w)
+// unlockChanged unlocks t.mu and calls t.changed with the process's own work at
+// e. Callers hold t.mu.
+func (t *Tracker) unlockChanged(e *engine) {
+	w := e.localWork(t.now())
+	t.mu.Unlock()
+	t.changed(w)
 }
 
 // localWork returns this process's work at the engine.
@@ -192,55 +192,55 @@
 }
 
 // recordRead records that an engine will have a prompt in its cache, and queues
-// the report to other daemons. Callers hold b.mu.
-func (b *Tracker) recordRead(hash uint64, e *engine, parts []port.PromptPart, ready time.Time) {
-	b.addToCache(hash, e, parts, ready)
-	if len(b.pendingReads) < maxPendingReads {
-		b.pendingReads = append(b.pendingReads, Read{Target: hash, Parts: parts, ready: ready})
+// the report to other daemons. Callers hold t.mu.
+func (t *Tracker) recordRead(hash uint64, e *engine, parts []port.PromptPart, ready time.Time) {
+	t.addToCache(hash, e, parts, ready)
+	if len(t.pendingReads) < maxPendingReads {
+		t.pendingReads = append(t.pendingReads, Read{Target: hash, Parts: parts, ready: ready})
 	}
 }
 
 // AddCached records prompt parts that an engine itself reported as cached.
-func (b *Tracker) AddCached(target string, memory int, parts []port.PromptPart) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (t *Tracker) AddCached(target string, memory int, parts []port.PromptPart) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	hash := Hash(target)
-	b.addToCache(hash, b.engine(hash, memory), parts, b.now())
+	t.addToCache(hash, t.engine(hash, memory), parts, t.now())
 }
 
 // Decode records that a request is sent to an engine for decoding. moving is the
 // time until the engine has received its KV cache. The caller calls done when the
 // request has ended.
-func (b *Tracker) Decode(target string, memory int, parts []port.PromptPart, moving time.Duration) (done func()) {
+func (t *Tracker) Decode(target string, memory int, parts []port.PromptPart, moving time.Duration) (done func()) {
 	hash := Hash(target)
-	b.mu.Lock()
-	e := b.engine(hash, memory)
+	t.mu.Lock()
+	e := t.engine(hash, memory)
 	e.own.Streams++
-	b.recordRead(hash, e, parts, b.now().Add(moving))
-	b.unlockChanged(e)
+	t.recordRead(hash, e, parts, t.now().Add(moving))
+	t.unlockChanged(e)
 	return sync.OnceFunc(func() {
-		b.mu.Lock()
+		t.mu.Lock()
 		e.own.Streams--
-		b.unlockChanged(e)
+		t.unlockChanged(e)
 	})
 }
 
 // SetRoleChange records the role that an engine is changing to by an order of this
 // process. An empty role means that the change has ended.
-func (b *Tracker) SetRoleChange(target string, becomes port.Role) {
-	b.mu.Lock()
-	e := b.engine(Hash(target), 0)
+func (t *Tracker) SetRoleChange(target string, becomes port.Role) {
+	t.mu.Lock()
+	e := t.engine(Hash(target), 0)
 	e.own.Becomes = becomes
-	b.unlockChanged(e)
+	t.unlockChanged(e)
 }
 
 // MarkDown records that this process can't reach a target and considers it down
 // until the given time.
-func (b *Tracker) MarkDown(target string, until time.Time) {
-	b.mu.Lock()
-	e := b.engine(Hash(target), 0)
+func (t *Tracker) MarkDown(target string, until time.Time) {
+	t.mu.Lock()
+	e := t.engine(Hash(target), 0)
 	e.downUntil = until
-	b.unlockChanged(e)
+	t.unlockChanged(e)
 }
 
 // Load returns the load of a target by all daemons, for a request with the given
@@ -250,20 +250,20 @@
 // priority: this predicted prefill times with a mean error of 67 ms, against
 // 124 ms for processor sharing and 134 ms for order by priority (1,600 prompts
 // that queued behind others).
-func (b *Tracker) Load(target string, parts []port.PromptPart) Load {
-	return b.LoadOf(Hash(target), parts)
+func (t *Tracker) Load(target string, parts []port.PromptPart) Load {
+	return t.LoadOf(Hash(target), parts)
 }
 
 // LoadOf is like Load, for the engine with the given hash.
-func (b *Tracker) LoadOf(hash uint64, parts []port.PromptPart) Load {
-	now := b.now()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	e := b.engines[hash]
+func (t *Tracker) LoadOf(hash uint64, parts []port.PromptPart) Load {
+	now := t.now()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	e := t.engines[hash]
 	if e == nil {
 		return Load{}
 	}
-	b.expire(now)
+	t.expire(now)
 	w := e.sum(now)
 	l := Load{Streams: int(w.Streams), Becomes: w.Becomes, Down: int(w.Down)}
 	l.Cached, l.Ready = e.cache.cached(parts, now)
@@ -295,13 +295,13 @@
 }
 
 // Retain deletes the engines without work for whose hashes keep returns false.
-func (b *Tracker) Retain(keep func(hash uint64) bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.expire(b.now())
-	for hash, e := range b.engines {
+func (t *Tracker) Retain(keep func(hash uint64) bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.expire(t.now())
+	for hash, e := range t.engines {
 		if !keep(hash) && e.own.Idle() && e.peers.Idle() {
-			delete(b.engines, hash)
+			delete(t.engines, hash)
 		}
 	}
 }
--- a/connection/engines/engines_test.go
+++ b/connection/engines/engines_test.go
@@ -20,14 +20,14 @@
 
 func (c *clock) now() time.Time { return c.t }
 
-func book() (*Tracker, *clock) {
+func newTestTracker() (*Tracker, *clock) {
 	c := &clock{t: time.Unix(1000, 0)}
 	return New(c.now, func(Work) {}), c
 }
 
 func TestCachedPartsMustBeLeading(t *testing.T) {
-	b, _ := book()
-	b.Prefill("e", 10_000, parts(1, 2, 3), 0, time.Second)()
+	tr, _ := newTestTracker()
+	tr.Prefill("e", 10_000, parts(1, 2, 3), 0, time.Second)()
 	for name, tc := range map[string]struct {
 		parts []port.PromptPart
 		want  int
@@ -37,43 +37,43 @@
 		"another first":     {parts(9, 2, 3), 0},
 		"none":              {nil, 0},
 	} {
-		if got := b.Load("e", tc.parts).Cached; got != tc.want {
+		if got := tr.Load("e", tc.parts).Cached; got != tc.want {
 			t.Errorf("%s: %d tokens cached, want %d", name, got, tc.want)
 		}
 	}
-	if got := b.Load("other", parts(1)).Cached; got != 0 {
+	if got := tr.Load("other", parts(1)).Cached; got != 0 {
 		t.Errorf("an engine that read nothing has %d tokens cached", got)
 	}
 }
 
 func TestLeastRecentlyUsedPartsAreEvicted(t *testing.T) {
-	b, _ := book()
-	b.Prefill("e", 250, parts(1), 0, time.Second)()
-	b.Prefill("e", 250, parts(2), 0, time.Second)()
-	b.Prefill("e", 250, parts(1), 0, time.Second)()
-	b.Prefill("e", 250, parts(3), 0, time.Second)()
-	if b.Load("e", parts(2)).Cached != 0 || b.Load("e", parts(1)).Cached != 100 || b.Load("e", parts(3)).Cached != 100 {
+	tr, _ := newTestTracker()
+	tr.Prefill("e", 250, parts(1), 0, time.Second)()
+	tr.Prefill("e", 250, parts(2), 0, time.Second)()
+	tr.Prefill("e", 250, parts(1), 0, time.Second)()
+	tr.Prefill("e", 250, parts(3), 0, time.Second)()
+	if tr.Load("e", parts(2)).Cached != 0 || tr.Load("e", parts(1)).Cached != 100 || tr.Load("e", parts(3)).Cached != 100 {
 		t.Error("a part other than the least recently used one was evicted")
 	}
 }
 
 func TestLoadSumsAllDaemons(t *testing.T) {
-	b, c := book()
-	done := b.Prefill("e", 1000, parts(1), 0, 40*time.Millisecond)
-	end := b.Decode("e", 1000, parts(1), 0)
-	b.Merge("peer", []Work{{Target: Hash("e"), Reading: 20_000, Prompts: 1, Streams: 2}}, []Read{{Target: Hash("e"), Parts: parts(7)}})
-	l := b.Load("e", parts(7))
+	tr, c := newTestTracker()
+	done := tr.Prefill("e", 1000, parts(1), 0, 40*time.Millisecond)
+	end := tr.Decode("e", 1000, parts(1), 0)
+	tr.Merge("peer", []Work{{Target: Hash("e"), Reading: 20_000, Prompts: 1, Streams: 2}}, []Read{{Target: Hash("e"), Parts: parts(7)}})
+	l := tr.Load("e", parts(7))
 	if l.Wait != 60*time.Millisecond || l.Streams != 3 || l.Cached != 100 {
 		t.Errorf("load %+v", l)
 	}
 	done()
 	done()
 	end()
-	if l := b.Load("e", nil); l.Wait != 20*time.Millisecond || l.Streams != 2 {
+	if l := tr.Load("e", nil); l.Wait != 20*time.Millisecond || l.Streams != 2 {
 		t.Errorf("load after the end %+v", l)
 	}
 	c.t = c.t.Add(reportTTL + time.Millisecond)
-	if l := b.Load("e", nil); l.Streams != 0 || l.Wait != 0 {
+	if l := tr.Load("e", nil); l.Streams != 0 || l.Wait != 0 {
 		t.Errorf("an expired report still counts: %+v", l)
 	}
 }
@@ -83,13 +83,13 @@
 // prefill as at its start, and prompts that it has cached would be sent to other
 // engines, which have to prefill them completely.
 func TestWaitShrinksWhileAnEngineReads(t *testing.T) {
-	b, c := book()
-	b.Prefill("e", 1000, parts(1), 0, 100*time.Millisecond)
-	second := b.Prefill("e", 1000, parts(2), 0, 300*time.Millisecond)
+	tr, c := newTestTracker()
+	tr.Prefill("e", 1000, parts(1), 0, 100*time.Millisecond)
+	second := tr.Prefill("e", 1000, parts(2), 0, 300*time.Millisecond)
 	step := func(d time.Duration, want time.Duration) {
 		t.Helper()
 		c.t = c.t.Add(d)
-		if got := b.Load("e", nil).Wait; got != want {
+		if got := tr.Load("e", nil).Wait; got != want {
 			t.Errorf("wait %v, want %v", got, want)
 		}
 	}
@@ -105,46 +105,46 @@
 // TestWaitShrinksForPeersPrompts checks the same for prompts that another daemon
 // reports.
 func TestWaitShrinksForPeersPrompts(t *testing.T) {
-	b, c := book()
+	tr, c := newTestTracker()
 	report := func(prompts, reading uint32) {
-		b.Merge("peer", []Work{{Target: Hash("e"), Prompts: prompts, Reading: reading}}, nil)
+		tr.Merge("peer", []Work{{Target: Hash("e"), Prompts: prompts, Reading: reading}}, nil)
 	}
 	report(2, 200_000)
 	c.t = c.t.Add(60 * time.Millisecond)
-	if got := b.Load("e", nil).Wait; got != 140*time.Millisecond {
+	if got := tr.Load("e", nil).Wait; got != 140*time.Millisecond {
 		t.Errorf("wait %v", got)
 	}
 	report(1, 100_000)
-	if got := b.Load("e", nil).Wait; got != 100*time.Millisecond {
+	if got := tr.Load("e", nil).Wait; got != 100*time.Millisecond {
 		t.Errorf("wait %v after one was read", got)
 	}
-	b.Merge("peer", nil, nil)
-	if got := b.Load("e", nil).Wait; got != 0 {
+	tr.Merge("peer", nil, nil)
+	if got := tr.Load("e", nil).Wait; got != 0 {
 		t.Errorf("wait %v after all were read", got)
 	}
 }
 
 func TestLocalReportsReadsOnce(t *testing.T) {
-	b, _ := book()
-	end := b.Decode("e", 1000, parts(1), 0)
-	work, reads := b.LocalReport()
+	tr, _ := newTestTracker()
+	end := tr.Decode("e", 1000, parts(1), 0)
+	work, reads := tr.LocalReport()
 	if len(work) != 1 || work[0].Streams != 1 || len(reads) != 1 {
 		t.Errorf("work %+v, reads %+v", work, reads)
 	}
-	if _, reads := b.LocalReport(); len(reads) != 0 {
+	if _, reads := tr.LocalReport(); len(reads) != 0 {
 		t.Errorf("reads reported twice: %+v", reads)
 	}
 	end()
-	if work, _ := b.LocalReport(); len(work) != 0 {
+	if work, _ := tr.LocalReport(); len(work) != 0 {
 		t.Errorf("work that has ended: %+v", work)
 	}
 }
 
 func TestRoleChangeIsReported(t *testing.T) {
-	b, _ := book()
-	b.SetRoleChange("e", port.RoleDecode)
-	work, _ := b.LocalReport()
-	other, _ := book()
+	tr, _ := newTestTracker()
+	tr.SetRoleChange("e", port.RoleDecode)
+	work, _ := tr.LocalReport()
+	other, _ := newTestTracker()
 	other.Merge("peer", work, nil)
 	if other.Load("e", nil).Becomes != port.RoleDecode {
 		t.Error("the other daemon doesn't know of the role change")
@@ -152,11 +152,11 @@
 }
 
 func TestRetainKeepsEnginesWithWork(t *testing.T) {
-	b, _ := book()
-	end := b.Decode("busy", 1000, parts(1), 0)
-	b.Decode("idle", 1000, parts(1), 0)()
-	b.Retain(func(uint64) bool { return false })
-	if b.Load("idle", parts(1)).Cached != 0 || b.Load("busy", parts(1)).Cached != 100 {
+	tr, _ := newTestTracker()
+	end := tr.Decode("busy", 1000, parts(1), 0)
+	tr.Decode("idle", 1000, parts(1), 0)()
+	tr.Retain(func(uint64) bool { return false })
+	if tr.Load("idle", parts(1)).Cached != 0 || tr.Load("busy", parts(1)).Cached != 100 {
 		t.Error("the wrong engine was deleted")
 	}
 	end()
@@ -166,9 +166,9 @@
 // it, a restarted daemon would assume that no engine has any prompt cached, and
 // refuse requests that could use the caches.
 func TestAddCachedParts(t *testing.T) {
-	b, _ := book()
-	b.AddCached("e", 10_000, parts(1, 2))
-	if got := b.Load("e", parts(1, 2, 3)).Cached; got != 200 {
+	tr, _ := newTestTracker()
+	tr.AddCached("e", 10_000, parts(1, 2))
+	if got := tr.Load("e", parts(1, 2, 3)).Cached; got != 200 {
 		t.Errorf("%d tokens cached, want 200", got)
 	}
 }
@@ -178,18 +178,18 @@
 // engines only after it, on this daemon and on others. If it were fetched too
 // early, the other engine would have to prefill it again.
 func TestPartsAreReadyOnceRead(t *testing.T) {
-	b, c := book()
-	other, oc := book()
-	look := func(b *Tracker, cached, ready int) {
+	tr, c := newTestTracker()
+	other, oc := newTestTracker()
+	look := func(tr *Tracker, cached, ready int) {
 		t.Helper()
-		if l := b.Load("e", parts(1, 2)); l.Cached != cached || l.Ready != ready {
+		if l := tr.Load("e", parts(1, 2)); l.Cached != cached || l.Ready != ready {
 			t.Errorf("%d tokens cached, %d ready, want %d and %d", l.Cached, l.Ready, cached, ready)
 		}
 	}
-	done := b.Prefill("e", 1000, parts(1, 2), 100*time.Millisecond, 200*time.Millisecond)
-	look(b, 200, 0)
+	done := tr.Prefill("e", 1000, parts(1, 2), 100*time.Millisecond, 200*time.Millisecond)
+	look(tr, 200, 0)
 	c.t = c.t.Add(50 * time.Millisecond)
-	_, reads := b.LocalReport()
+	_, reads := tr.LocalReport()
 	if len(reads) != 1 || reads[0].LeftMs != 250 {
 		t.Errorf("reported %+v", reads)
 	}
@@ -202,5 +202,5 @@
 	oc.t = oc.t.Add(150 * time.Millisecond)
 	look(other, 200, 200)
 	done()
-	look(b, 200, 200)
+	look(tr, 200, 200)
 }
--- a/connection/engines/holders.go
+++ b/connection/engines/holders.go
@@ -14,13 +14,13 @@
 )
 
 // addToCache records that an engine has a prompt in its cache from the time ready
-// on, and makes it a holder of the shared parts. Callers hold b.mu.
-func (b *Tracker) addToCache(hash uint64, e *engine, parts []port.PromptPart, ready time.Time) {
+// on, and makes it a holder of the shared parts. Callers hold t.mu.
+func (t *Tracker) addToCache(hash uint64, e *engine, parts []port.PromptPart, ready time.Time) {
 	e.cache.add(parts, ready)
 	for _, part := range shared(parts) {
-		list := b.holders[part.ID]
-		if list == nil && len(b.holders) >= maxParts {
-			b.evictHolders()
+		list := t.holders[part.ID]
+		if list == nil && len(t.holders) >= maxParts {
+			t.evictHolders()
 		}
 		kept := make([]uint64, 0, holdersPerPart)
 		kept = append(kept, hash)
@@ -29,25 +29,25 @@
 				kept = append(kept, old)
 			}
 		}
-		b.holders[part.ID] = kept
+		t.holders[part.ID] = kept
 	}
 }
 
-// evictHolders removes the holders of an arbitrary part. Callers hold b.mu.
-func (b *Tracker) evictHolders() {
-	for id := range b.holders {
-		delete(b.holders, id)
+// evictHolders removes the holders of an arbitrary part. Callers hold t.mu.
+func (t *Tracker) evictHolders() {
+	for id := range t.holders {
+		delete(t.holders, id)
 		return
 	}
 }
 
 // Holders returns the hashes of the engines known to have read the longest prefix
 // of parts. They may have evicted it since.
-func (b *Tracker) Holders(parts []port.PromptPart) []uint64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (t *Tracker) Holders(parts []port.PromptPart) []uint64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	for i := len(parts) - 1; i >= 0; i-- {
-		if list := b.holders[parts[i].ID]; len(list) > 0 {
+		if list := t.holders[parts[i].ID]; len(list) > 0 {
 			return append([]uint64(nil), list...)
 		}
 	}
--- a/connection/engines/reports.go
+++ b/connection/engines/reports.go
@@ -6,15 +6,15 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// LocalReport returns this process's work at its engines, and the reads since the last
-// call.
-func (b *Tracker) LocalReport() ([]Work, []Read) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.now()
-	reads := b.pendingReads
-	b.pendingReads = nil
-	return b.localWork(now), AsOf(reads, now)
+// LocalReport returns this process's work at its engines, and the reads since the
+// last call.
+func (t *Tracker) LocalReport() ([]Work, []Read) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.now()
+	reads := t.pendingReads
+	t.pendingReads = nil
+	return t.localWork(now), AsOf(reads, now)
 }
 
 // AsOf updates LeftMs of all reads as of now, and returns reads.
@@ -25,10 +25,10 @@
 	return reads
 }
 
-// localWork returns this process's work at its engines. Callers hold b.mu.
-func (b *Tracker) localWork(now time.Time) []Work {
+// localWork returns this process's work at its engines. Callers hold t.mu.
+func (t *Tracker) localWork(now time.Time) []Work {
 	var out []Work
-	for _, e := range b.engines {
+	for _, e := range t.engines {
 		if w := e.localWork(now); !w.Idle() {
 			out = append(out, w)
 		}
@@ -39,23 +39,23 @@
 // Merge stores the report of another daemon, or the sum of several daemons'
 // reports, and replaces the previous report with the same name. It returns the
 // reads that were not known.
-func (b *Tracker) Merge(peer string, work []Work, reads []Read) []Read {
-	now := b.now()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.expire(now)
+func (t *Tracker) Merge(peer string, work []Work, reads []Read) []Read {
+	now := t.now()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.expire(now)
 	var old []Work
-	if p := b.peers[peer]; p != nil {
+	if p := t.peers[peer]; p != nil {
 		old = p.work
 	}
-	b.peers[peer] = &peerWork{receivedAt: now, work: work}
+	t.peers[peer] = &peerWork{receivedAt: now, work: work}
 	for i := range old {
-		e := b.engine(old[i].Target, 0)
+		e := t.engine(old[i].Target, 0)
 		e.peers.exclude(&old[i])
 		e.oldPrompts = old[i].Prompts
 	}
 	for i := range work {
-		e := b.engine(work[i].Target, 0)
+		e := t.engine(work[i].Target, 0)
 		e.peers.include(&work[i])
 		begins := e.oldPrompts == 0 && work[i].Prompts > 0 && e.own.Prompts+e.peers.Prompts == work[i].Prompts
 		if work[i].Prompts < e.oldPrompts || begins {
@@ -65,30 +65,30 @@
 	}
 	for i := range old {
 		// The previous report had prompts at this engine, the new one doesn't.
-		if e := b.engine(old[i].Target, 0); e.oldPrompts > 0 {
+		if e := t.engine(old[i].Target, 0); e.oldPrompts > 0 {
 			e.readingSince, e.oldPrompts = now, 0
 		}
 	}
-	return b.mergeReads(reads)
+	return t.mergeReads(reads)
 }
 
 // MergeReads records reads of other daemons, and returns those that were not
 // known.
-func (b *Tracker) MergeReads(reads []Read) []Read {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.mergeReads(reads)
+func (t *Tracker) MergeReads(reads []Read) []Read {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.mergeReads(reads)
 }
 
-// mergeReads implements MergeReads. Callers hold b.mu.
-func (b *Tracker) mergeReads(reads []Read) (fresh []Read) {
+// mergeReads implements MergeReads. Callers hold t.mu.
+func (t *Tracker) mergeReads(reads []Read) (fresh []Read) {
 	for _, r := range reads {
-		e := b.engine(r.Target, 0)
-		r.ready = b.now().Add(time.Duration(r.LeftMs) * time.Millisecond)
+		e := t.engine(r.Target, 0)
+		r.ready = t.now().Add(time.Duration(r.LeftMs) * time.Millisecond)
 		if !e.cache.containsAll(shared(r.Parts)) {
 			fresh = append(fresh, r)
 		}
-		b.addToCache(r.Target, e, r.Parts, r.ready)
+		t.addToCache(r.Target, e, r.Parts, r.ready)
 	}
 	return fresh
 }
@@ -108,35 +108,35 @@
 }
 
 // RemovePeers removes the reports of all other daemons.
-func (b *Tracker) RemovePeers() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for name := range b.peers {
-		b.removePeer(name)
+func (t *Tracker) RemovePeers() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for name := range t.peers {
+		t.removePeer(name)
 	}
 }
 
-// removePeer removes a daemon's report. Callers hold b.mu.
-func (b *Tracker) removePeer(name string) {
-	for i := range b.peers[name].work {
-		w := &b.peers[name].work[i]
-		b.engine(w.Target, 0).peers.exclude(w)
+// removePeer removes a daemon's report. Callers hold t.mu.
+func (t *Tracker) removePeer(name string) {
+	for i := range t.peers[name].work {
+		w := &t.peers[name].work[i]
+		t.engine(w.Target, 0).peers.exclude(w)
 	}
-	delete(b.peers, name)
+	delete(t.peers, name)
 }
 
-// expire removes the reports that are older than reportTTL. Callers hold b.mu.
-func (b *Tracker) expire(now time.Time) {
-	if now.Sub(b.oldestReport) <= reportTTL {
+// expire removes the reports that are older than reportTTL. Callers hold t.mu.
+func (t *Tracker) expire(now time.Time) {
+	if now.Sub(t.oldestReport) <= reportTTL {
 		return
 	}
-	b.oldestReport = now
-	for name, p := range b.peers {
+	t.oldestReport = now
+	for name, p := range t.peers {
 		if now.Sub(p.receivedAt) <= reportTTL {
-			b.oldestReport = minTime(b.oldestReport, p.receivedAt)
+			t.oldestReport = minTime(t.oldestReport, p.receivedAt)
 			continue
 		}
-		b.removePeer(name)
+		t.removePeer(name)
 	}
 }
 
--- a/connection/engines/tally_test.go
+++ b/connection/engines/tally_test.go
@@ -21,23 +21,23 @@
 // make an engine look busy or unreachable until the process restarts.
 func TestSumEqualsUnexpiredReports(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		b, c := book()
+		tr, c := newTestTracker()
 		reports := map[string]receivedReport{}
 		for range rapid.IntRange(1, 40).Draw(rt, "steps") {
 			c.t = c.t.Add(time.Duration(rapid.IntRange(0, 900).Draw(rt, "ms")) * time.Millisecond)
 			name := fmt.Sprint("d", rapid.IntRange(0, 4).Draw(rt, "daemon"))
 			work := drawWork(rt)
-			b.Merge(name, work, nil)
+			tr.Merge(name, work, nil)
 			reports[name] = receivedReport{at: c.t, work: work}
 			if rapid.IntRange(0, 9).Draw(rt, "forget") == 0 {
-				b.Retain(func(uint64) bool { return false })
+				tr.Retain(func(uint64) bool { return false })
 			}
 			for e := range uint64(4) {
 				want := Load{}
 				for _, w := range reports {
 					want.count(e, w, c.t)
 				}
-				got := b.LoadOf(e, nil)
+				got := tr.LoadOf(e, nil)
 				if got.Streams != want.Streams || got.Down != want.Down || (got.Becomes != "") != (want.Becomes != "") {
 					rt.Fatalf("engine %d: %+v, want %+v", e, got, want)
 				}
--- a/connection/health/health.go
+++ b/connection/health/health.go
@@ -63,11 +63,11 @@
 }
 
 // Observe records the outcome of a request.
-func (b *Tracker) Observe(target string, o Outcome) {
-	now := b.now()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.get(target, now)
+func (t *Tracker) Observe(target string, o Outcome) {
+	now := t.now()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.get(target, now)
 	s.decayRate(now)
 	bad := 0.0
 	if o != OK {
@@ -81,16 +81,16 @@
 	s.failuresInRow++
 	wait := min(minEjection<<min(s.failuresInRow-1, 4), maxEjection)
 	s.ejectedUntil = now.Add(wait)
-	b.ejected(target, s.ejectedUntil)
+	t.ejected(target, s.ejectedUntil)
 	log.WithFields(log.Fields{"target": target, "in_a_row": s.failuresInRow, "for_ms": wait.Milliseconds()}).Info("health: target ejected")
 }
 
-// get returns the state of a target and creates it if needed. Callers hold b.mu.
-func (b *Tracker) get(target string, now time.Time) *state {
-	s := b.targets[target]
+// get returns the state of a target and creates it if needed. Callers hold t.mu.
+func (t *Tracker) get(target string, now time.Time) *state {
+	s := t.targets[target]
 	if s == nil {
 		s = &state{rateUpdated: now, paceUpdated: now, pace: 1}
-		b.targets[target] = s
+		t.targets[target] = s
 	}
 	return s
 }
@@ -104,22 +104,22 @@
 )
 
 // ObservePace records the ratio of a measured duration to the predicted one.
-func (b *Tracker) ObservePace(target string, ratio float64) {
-	now := b.now()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.get(target, now)
+func (t *Tracker) ObservePace(target string, ratio float64) {
+	now := t.now()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.get(target, now)
 	s.decayPace(now)
 	s.pace += paceSmoothing * (min(ratio, maxPace) - s.pace)
 	s.paceUpdated = now
 }
 
 // Pace returns the smoothed ratio of measured to predicted durations of a target.
-func (b *Tracker) Pace(target string) float64 {
-	now := b.now()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.targets[target]
+func (t *Tracker) Pace(target string) float64 {
+	now := t.now()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.targets[target]
 	if s == nil {
 		return 1
 	}
@@ -141,8 +141,8 @@
 
 // Impaired reports whether a target performs so poorly that others have to
 // replace it.
-func (b *Tracker) Impaired(target string) bool {
-	return b.Ejected(target) || b.FailureRate(target) > impairedRate || b.Pace(target) > impairedPace
+func (t *Tracker) Impaired(target string) bool {
+	return t.Ejected(target) || t.FailureRate(target) > impairedRate || t.Pace(target) > impairedPace
 }
 
 // A target whose failure rate or pace exceeds these values is impaired.
@@ -163,32 +163,32 @@
 
 // Ejected reports whether the target is ejected: it gets no requests while other
 // targets can serve them.
-func (b *Tracker) Ejected(target string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.targets[target]
-	return s != nil && b.now().Before(s.ejectedUntil)
+func (t *Tracker) Ejected(target string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.targets[target]
+	return s != nil && t.now().Before(s.ejectedUntil)
 }
 
 // FailureRate returns the target's smoothed failure rate.
-func (b *Tracker) FailureRate(target string) float64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.targets[target]
+func (t *Tracker) FailureRate(target string) float64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.targets[target]
 	if s == nil {
 		return 0
 	}
-	s.decayRate(b.now())
+	s.decayRate(t.now())
 	return s.rate
 }
 
 // Retain deletes the state of the targets for which keep returns false.
-func (b *Tracker) Retain(keep func(target string) bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for t := range b.targets {
-		if !keep(t) {
-			delete(b.targets, t)
+func (t *Tracker) Retain(keep func(target string) bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for target := range t.targets {
+		if !keep(target) {
+			delete(t.targets, target)
 		}
 	}
 }
--- a/connection/health/health_test.go
+++ b/connection/health/health_test.go
@@ -16,15 +16,15 @@
 
 func (c *clock) now() time.Time       { return c.t }
 func (c *clock) pass(d time.Duration) { c.t = c.t.Add(d) }
-func book() (*Tracker, *clock)        { c := &clock{time.Unix(1000, 0)}; return New(c.now, nil), c }
-func note(b *Tracker, o Outcome, times int) {
+func newTracker() (*Tracker, *clock)  { c := &clock{time.Unix(1000, 0)}; return New(c.now, nil), c }
+func note(tr *Tracker, o Outcome, times int) {
 	for range times {
-		b.Observe("t", o)
+		tr.Observe("t", o)
 	}
 }
-func pace(b *Tracker, r float64, times int) {
+func pace(tr *Tracker, r float64, times int) {
 	for range times {
-		b.ObservePace("t", r)
+		tr.ObservePace("t", r)
 	}
 }
 
@@ -32,29 +32,29 @@
 // with each consecutive failure. If it weren't, requests would still be sent to it
 // and wait in vain.
 func TestEjectionTimeDoubles(t *testing.T) {
-	b, c := book()
-	note(b, Unreachable, 1)
-	if !b.Ejected("t") {
+	tr, c := newTracker()
+	note(tr, Unreachable, 1)
+	if !tr.Ejected("t") {
 		t.Fatal("not ejected")
 	}
 	c.pass(minEjection)
-	if b.Ejected("t") {
+	if tr.Ejected("t") {
 		t.Error("ejected for longer than the first time")
 	}
-	note(b, Unreachable, 1)
+	note(tr, Unreachable, 1)
 	c.pass(minEjection)
-	if !b.Ejected("t") {
+	if !tr.Ejected("t") {
 		t.Error("the second time is no longer than the first")
 	}
-	note(b, Unreachable, 20)
+	note(tr, Unreachable, 20)
 	c.pass(maxEjection)
-	if b.Ejected("t") {
+	if tr.Ejected("t") {
 		t.Error("ejected beyond the longest time")
 	}
-	note(b, OK, 1)
-	note(b, Unreachable, 1)
+	note(tr, OK, 1)
+	note(tr, Unreachable, 1)
 	c.pass(minEjection)
-	if b.Ejected("t") {
+	if tr.Ejected("t") {
 		t.Error("a success between failures doesn't reset the ejection time")
 	}
 }
@@ -62,44 +62,44 @@
 // TestFailureRateRisesAndDecays checks the failure rate of a target that fails
 // requests, which a health check may not detect.
 func TestFailureRateRisesAndDecays(t *testing.T) {
-	b, c := book()
-	note(b, Failed, 15)
-	if r := b.FailureRate("t"); r < 0.7 {
+	tr, c := newTracker()
+	note(tr, Failed, 15)
+	if r := tr.FailureRate("t"); r < 0.7 {
 		t.Errorf("rate %.2f after failures only", r)
 	}
-	if !b.Impaired("t") || b.Ejected("t") {
+	if !tr.Impaired("t") || tr.Ejected("t") {
 		t.Error("a failing target is impaired, not ejected")
 	}
 	c.pass(4*halfLife + time.Second)
-	if r := b.FailureRate("t"); r > 0.1 {
+	if r := tr.FailureRate("t"); r > 0.1 {
 		t.Errorf("rate %.2f long after the last request", r)
 	}
-	if b.FailureRate("unknown") != 0 || b.Pace("unknown") != 1 || b.Impaired("unknown") {
+	if tr.FailureRate("unknown") != 0 || tr.Pace("unknown") != 1 || tr.Impaired("unknown") {
 		t.Error("an unknown target isn't healthy")
 	}
 }
 
 func TestPace(t *testing.T) {
-	b, c := book()
-	pace(b, 100, 1)
-	if p := b.Pace("t"); p > 1+paceSmoothing*maxPace {
+	tr, c := newTracker()
+	pace(tr, 100, 1)
+	if p := tr.Pace("t"); p > 1+paceSmoothing*maxPace {
 		t.Errorf("pace %.1f after a single slow one", p)
 	}
-	pace(b, 8, 20)
-	if p := b.Pace("t"); p < 7 || !b.Impaired("t") {
+	pace(tr, 8, 20)
+	if p := tr.Pace("t"); p < 7 || !tr.Impaired("t") {
 		t.Errorf("pace %.1f of a slow target", p)
 	}
 	c.pass(6 * halfLife)
-	if p := b.Pace("t"); p > 1.5 {
+	if p := tr.Pace("t"); p > 1.5 {
 		t.Errorf("pace %.1f long after", p)
 	}
 }
 
 func TestRetain(t *testing.T) {
-	b, _ := book()
-	note(b, Failed, 5)
-	b.Retain(func(string) bool { return false })
-	if b.FailureRate("t") != 0 {
+	tr, _ := newTracker()
+	note(tr, Failed, 5)
+	tr.Retain(func(string) bool { return false })
+	if tr.FailureRate("t") != 0 {
 		t.Error("the state of a removed target is retained")
 	}
 }
--- a/connection/load/load_test.go
+++ b/connection/load/load_test.go
@@ -229,12 +229,12 @@
 	for i := range 710 {
 		all = append(all, document.Target{Name: fmt.Sprint("t", i), Zone: fmt.Sprint("z", i%5)})
 	}
-	seen := make(map[string]bool)
+	watched := make(map[string]bool)
 	for p := range 360 {
 		got := subset(all, fmt.Sprint("z", p%5), fmt.Sprint("p", p), 64)
 		own := 0
 		for _, g := range got {
-			seen[g.Name] = true
+			watched[g.Name] = true
 			if g.Zone == fmt.Sprint("z", p%5) {
 				own++
 			}
@@ -243,8 +243,8 @@
 			t.Fatalf("%d targets, %d in the own zone", len(got), own)
 		}
 	}
-	if len(seen) != len(all) {
-		t.Errorf("%d of %d targets are watched by some process", len(seen), len(all))
+	if len(watched) != len(all) {
+		t.Errorf("%d of %d targets are watched by some process", len(watched), len(all))
 	}
 	before, after := subset(all, "z0", "p", 64), subset(all[1:], "z0", "p", 64)
 	kept := make(map[string]bool)
--- a/connection/load/watcher.go
+++ b/connection/load/watcher.go
@@ -51,7 +51,7 @@
 	tomb          tomb.Tomb
 	syncRequested chan struct{} // requests a sync before the next tick
 
-	crashMu  sync.Mutex // held while Options.Crashed is called
+	crashMu  sync.Mutex // held while Options.OnCrash is called
 	mu       sync.RWMutex
 	watched  map[string]*engine        // by address
 	services map[string]watchedTargets // by service name
@@ -272,7 +272,7 @@
 }
 
 // Verify checks whether t has crashed: it refuses connections, or its engine has
-// a new incarnation. It returns after Options.Crashed, also if another request
+// a new incarnation. It returns after Options.OnCrash, also if another request
 // detected the crash first. Otherwise, of two requests broken by the same crash,
 // the second could be sent to another target before the first has reported it.
 func (w *Watcher) Verify(ctx context.Context, t routing.Target) {
--- a/request/attempt/attempt.go
+++ b/request/attempt/attempt.go
@@ -76,15 +76,16 @@
 }
 
 // refusedBefore reports whether the target at addr was known to refuse requests
-// when its selection began.
+// when its selection began. A refusal between selection and sending doesn't
+// count.
 func (r *Runner) refusedBefore(addr string, chosen time.Time) bool {
 	s := r.opts.Pool.Status(addr)
 	return s.Refusing && s.RefusedAt.Before(chosen)
 }
 
-// try runs one attempt at t. unpredicted reports a refusal by a target that was
+// send runs one attempt at t. unpredicted reports a refusal by a target that was
 // not known to refuse requests when it was selected.
-func (r *Runner) try(ctx context.Context, q *Request, t routing.Target, p attemptPlan, recv Receiver) (f *failure.Failure, unpredicted bool) {
+func (r *Runner) send(ctx context.Context, q *Request, t routing.Target, p attemptPlan, recv Receiver) (f *failure.Failure, unpredicted bool) {
 	end := r.opts.Pool.Begin(t.Addr, q.Route.PromptTokens, q.Route.OutputTokens)
 	defer end()
 
@@ -145,9 +146,9 @@
 // with a different id may belong to an earlier request on the connection or to
 // another caller, and must not reach this caller. A refusal by an engine may
 // lack the id, as only its status is passed on.
-func receive(resp *h1.Response, id string, t routing.Target, model, decode bool, recv Receiver) error {
+func receive(resp *h1.Response, id string, t routing.Target, toEngine, handover bool, recv Receiver) error {
 	got := resp.Header.Get(HeaderID)
-	refusal := model && got == "" && resp.Status >= http.StatusBadRequest
+	refusal := toEngine && got == "" && resp.Status >= http.StatusBadRequest
 	if got != id && !refusal {
 		return &failure.Failure{Class: failure.Mismatch, Target: t.Name, Err: fmt.Errorf("%w: %.80q", errIDMismatch, got)}
 	}
@@ -158,7 +159,7 @@
 		Header:   resp.Header,
 		Body:     resp.Body,
 		Framed:   resp.Framed,
-		Handover: decode,
+		Handover: handover,
 	})
 }
 
--- a/request/attempt/attempt_test.go
+++ b/request/attempt/attempt_test.go
@@ -113,26 +113,26 @@
 	events   []string
 }
 
-func (b *fakeTracker) Check(uint64) (quarantine.Standing, time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.standing, time.Minute
+func (tr *fakeTracker) Check(uint64) (quarantine.Standing, time.Duration) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	return tr.standing, time.Minute
 }
-func (b *fakeTracker) Begin(uint64, string) { b.record(1, "begin") }
-func (b *fakeTracker) End(uint64, string)   { b.record(-1, "end") }
-func (b *fakeTracker) Crashed(string)       { b.record(0, "crashed") }
+func (tr *fakeTracker) Begin(uint64, string) { tr.record(1, "begin") }
+func (tr *fakeTracker) End(uint64, string)   { tr.record(-1, "end") }
+func (tr *fakeTracker) Crashed(string)       { tr.record(0, "crashed") }
 
-func (b *fakeTracker) set(s quarantine.Standing) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.standing = s
+func (tr *fakeTracker) set(s quarantine.Standing) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	tr.standing = s
 }
 
-func (b *fakeTracker) record(n int, what string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.inFlight += n
-	b.events = append(b.events, what)
+func (tr *fakeTracker) record(n int, what string) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	tr.inFlight += n
+	tr.events = append(tr.events, what)
 }
 
 // TestCrashIsRecordedInFlight checks that the crash of a target is recorded while
@@ -147,22 +147,22 @@
 			runs.Add(1)
 			panic(http.ErrAbortHandler)
 		}))
-		b := &fakeTracker{}
+		tr := &fakeTracker{}
 		p := pool.New(pool.Options{Dial: net.Dial})
 		r := NewRunner(Options{
-			Pool: p, Router: firstAvailable{}, Quarantine: b,
+			Pool: p, Router: firstAvailable{}, Quarantine: tr,
 			Targets: staticTargets{{Name: "a", Addr: "a:1", Live: true}, {Name: "b", Addr: "a:1", Live: true}},
 			Verify: func(_ context.Context, target routing.Target) {
-				b.Crashed(target.Name)
-				b.set(quarantine.Convicted)
+				tr.Crashed(target.Name)
+				tr.set(quarantine.Convicted)
 			},
 		})
 		_, err := r.Run(t.Context(), request(true), nil, &bodyReceiver{})
 		if code.Of(err) != code.TargetFailed || runs.Load() != 1 {
 			t.Errorf("%d runs, %v", runs.Load(), err)
 		}
-		if len(b.events) != 3 || b.events[0] != "begin" || b.events[1] != "crashed" || b.events[2] != "end" {
-			t.Errorf("recorded: %v", b.events)
+		if len(tr.events) != 3 || tr.events[0] != "begin" || tr.events[1] != "crashed" || tr.events[2] != "end" {
+			t.Errorf("recorded: %v", tr.events)
 		}
 		if _, err := r.Run(t.Context(), request(true), nil, &bodyReceiver{}); code.Of(err) != code.CrashConvicted {
 			t.Errorf("sent again: %v", err)
@@ -197,12 +197,12 @@
 			w.Header().Set(HeaderID, r.Header.Get(HeaderID))
 			io.WriteString(w, "whole")
 		}))
-		b := &fakeTracker{}
+		tr := &fakeTracker{}
 		p := pool.New(pool.Options{Dial: net.Dial})
 		r := NewRunner(Options{
-			Pool: p, Router: &busyUntilThirdTry{}, Quarantine: b,
+			Pool: p, Router: &busyUntilThirdTry{}, Quarantine: tr,
 			Targets: staticTargets{{Name: "a", Addr: "a:1", Live: true}, {Name: "b", Addr: "b:1", Live: true}},
-			Verify:  func(context.Context, routing.Target) { b.set(quarantine.Suspect) },
+			Verify:  func(context.Context, routing.Target) { tr.set(quarantine.Suspect) },
 		})
 		recv := &bodyReceiver{}
 		if _, err := r.Run(t.Context(), request(true), nil, recv); err != nil || recv.body != "whole" {
--- a/request/attempt/choose.go
+++ b/request/attempt/choose.go
@@ -22,17 +22,17 @@
 // the caller waits for them, rather than fall back to a failed one.
 func (u *run) choose() (routing.Target, routing.Decision, error) {
 	targets := without(u.opts.Targets.Targets(u.q.Service), u.claimedElsewhere)
-	if u.next != nil && !u.route.Exclusive {
-		if t, ok := find(targets, u.next.Target); ok && t.Live {
-			return t, *u.next, nil
+	if u.nextDecision != nil && !u.route.Exclusive {
+		if t, ok := find(targets, u.nextDecision.Target); ok && t.Live {
+			return t, *u.nextDecision, nil
 		}
 	}
 	u.route.Deadline = u.q.Deadline.Sub(u.opts.Now())
 	d, err := u.routeElsewhere(targets)
 	if err != nil && len(u.route.Exclude) > 0 && len(u.claimedElsewhere) == 0 {
-		again := u.route
-		again.Exclude = nil
-		d, err = u.opts.Router.Route(again, targets)
+		all := u.route
+		all.Exclude = nil
+		d, err = u.opts.Router.Route(all, targets)
 	}
 	if err != nil {
 		return routing.Target{}, d, u.exclusiveError(err)
@@ -48,13 +48,13 @@
 	if u.failedZone == "" {
 		return u.opts.Router.Route(u.route, targets)
 	}
-	var away []routing.Target
+	var otherZones []routing.Target
 	for _, t := range targets {
 		if t.Zone != u.failedZone {
-			away = append(away, t)
+			otherZones = append(otherZones, t)
 		}
 	}
-	if d, err := u.opts.Router.Route(u.route, away); err == nil {
+	if d, err := u.opts.Router.Route(u.route, otherZones); err == nil {
 		return d, nil
 	}
 	return u.opts.Router.Route(u.route, targets)
--- a/request/attempt/claim_test.go
+++ b/request/attempt/claim_test.go
@@ -36,7 +36,7 @@
 	return func(bool) {}, true
 }
 
-// exclusiveRecorder routes like firstAvailable and records Request.Alone of each call.
+// exclusiveRecorder routes like firstAvailable and records Request.Exclusive of each call.
 type exclusiveRecorder struct{ exclusive []bool }
 
 func (a *exclusiveRecorder) Route(r routing.Request, targets []routing.Target) (routing.Decision, error) {
@@ -63,16 +63,16 @@
 // each lose an engine before any could inform the others. If the claim is
 // refused, the error has to say that nothing ran and when to retry.
 func TestSuspectContentIsClaimed(t *testing.T) {
-	const innocent, suspect, watched = quarantine.Clear, quarantine.Suspect, quarantine.Watched
+	const clean, suspect, watched = quarantine.Clear, quarantine.Suspect, quarantine.Watched
 	cases := []claimCase{
-		{"clear", innocent, innocent, 0, false, true, "[begin end]", "[false]", code.OK},
+		{"clear", clean, clean, 0, false, true, "[begin end]", "[false]", code.OK},
 		{"suspect", suspect, suspect, 0, false, true, "[claim begin end release true]", "[true]", code.OK},
 		{"watched", watched, watched, 0, false, true, "[claim begin end release true]", "[false]", code.OK},
 		{"tried twice", suspect, suspect, 0, true, true, "[claim begin end begin end release true]", "[true true]", code.OK},
 		{"no whole answer", suspect, suspect, 0, true, false, "[claim begin end release false]", "[true]", code.TargetFailed},
 		{"not got", suspect, suspect, 1, false, true, "[claim]", "[]", code.CrashSuspect},
 		{"not got, watched", watched, watched, 1, false, true, "[claim]", "[]", code.CrashSuspect},
-		{"suspect since its first try, then not got for a while", innocent, suspect, 2, true, true,
+		{"suspect since its first try, then not got for a while", clean, suspect, 2, true, true,
 			"[begin end claim claim claim begin end release true]", "[false true]", code.OK},
 	}
 	for _, tc := range cases {
@@ -115,7 +115,7 @@
 		t.Errorf("recorded %s, want %s", got, tc.events)
 	}
 	if got := fmt.Sprint(router.exclusive); got != tc.exclusive {
-		t.Errorf("routed alone: %s, want %s", got, tc.exclusive)
+		t.Errorf("routed exclusively: %s, want %s", got, tc.exclusive)
 	}
 	if tc.err == code.CrashSuspect {
 		checkRefusedNotRun(t, err, result, sent)
--- a/request/attempt/place.go
+++ b/request/attempt/place.go
@@ -11,9 +11,9 @@
 
 // placement is the target of an attempt.
 type placement struct {
-	t       routing.Target
-	d       routing.Decision
-	release func(finished bool) // releases the claim on the target
+	target   routing.Target
+	decision routing.Decision
+	release  func(finished bool) // releases the claim on the target
 }
 
 // place selects the target of the next attempt. For suspect content it also
@@ -31,7 +31,7 @@
 			return placement{}, err
 		}
 		if release, ok := u.claimTarget(ctx, t.Name); ok {
-			return placement{t: t, d: d, release: release}, nil
+			return placement{target: t, decision: d, release: release}, nil
 		}
 		u.claimedElsewhere = append(u.claimedElsewhere, t.Name)
 	}
@@ -45,11 +45,11 @@
 	return claimer.ClaimTarget(ctx, u.q.Fingerprint, target)
 }
 
-// attemptAt makes one attempt and releases the target when it ends.
-func (u *run) attemptAt(ctx context.Context, p placement) *failure.Failure {
+// attemptAndRelease makes one attempt and releases the target when it ends.
+func (u *run) attemptAndRelease(ctx context.Context, p placement) *failure.Failure {
 	finished := false
 	defer func() { p.release(finished) }()
-	f := u.attempt(ctx, p.t, p.d)
+	f := u.attempt(ctx, p.target, p.decision)
 	finished = f == nil
 	return f
 }
--- a/request/attempt/run.go
+++ b/request/attempt/run.go
@@ -19,9 +19,9 @@
 	q                *Request
 	recv             Receiver
 	route            routing.Request
-	next             *routing.Decision
+	nextDecision     *routing.Decision
 	result           Result
-	last             *failure.Failure
+	lastFailure      *failure.Failure
 	failedZone       string              // availability zone of the last failed target
 	release          func(finished bool) // releases the claim on suspect content, or nil
 	suspect          bool                // may run only on a target that it has claimed
@@ -50,15 +50,15 @@
 			return u.routeError(err)
 		}
 		progress := u.recv.Progress()
-		f := u.attemptAt(ctx, p)
+		f := u.attemptAndRelease(ctx, p)
 		if f == nil {
 			return nil
 		}
 		if f.Class == failure.Handover {
-			u.handOver(ctx, p.d)
+			u.handOver(ctx, p.decision)
 			continue
 		}
-		u.recordFailure(f, p.t)
+		u.recordFailure(f, p.target)
 		if err := u.mayRepeat(ctx, f, u.recv.Progress() > progress); err != nil {
 			return err
 		}
@@ -70,14 +70,14 @@
 // targets are briefly full, or because it was in flight at a crash and now has
 // to run alone. A request that has not been attempted is refused immediately.
 func (u *run) shouldWait(err error) bool {
-	if err == nil || u.last == nil {
+	if err == nil || u.lastFailure == nil {
 		return false
 	}
 	c := code.Of(err)
 	return c == code.Overloaded || c == code.CrashSuspect
 }
 
-// attempt makes one attempt and reports its begin and end to the quarantine
+// attempt makes one attempt and reports its start and end to the quarantine
 // tracker. After a broken connection it verifies the target before it reports
 // the end, because the tracker suspects only content that is in flight when the
 // crash is reported.
@@ -95,7 +95,7 @@
 		headerTimeout: max(u.opts.MinHeaderTimeout, d.TimeToFirstToken*headerTimeoutFactor),
 		handover:      d.DecodeTarget != "" && d.DecodeTarget != t.Name && !u.handedOver,
 	}
-	f, unpredicted := u.try(ctx, u.q, t, p, u.recv)
+	f, unpredicted := u.send(ctx, u.q, t, p, u.recv)
 	u.unpredicted = unpredicted
 	if f != nil && mayHaveCrashed(f) {
 		vctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), verifyTimeout)
@@ -111,11 +111,12 @@
 func (u *run) handOver(ctx context.Context, d routing.Decision) {
 	u.handedOver = true
 	u.moveKV(ctx, d.Target, d.DecodeTarget)
-	u.next = &routing.Decision{Target: d.DecodeTarget, TimeToFirstToken: d.TimeToFirstToken}
+	u.nextDecision = &routing.Decision{Target: d.DecodeTarget, TimeToFirstToken: d.TimeToFirstToken}
 }
 
 // moveKV transfers the prompt's KV cache. If this fails, the engine computes the
-// prompt again, so the error is only logged.
+// prompt again: the failure costs only time, bounded by kvMoveTimeout, and is only
+// logged.
 func (u *run) moveKV(ctx context.Context, from, to string) {
 	if from == "" || u.opts.KV == nil {
 		return
@@ -129,11 +130,11 @@
 
 func (u *run) recordFailure(f *failure.Failure, t routing.Target) {
 	failureCounts.Add(f.Class.Metric(), 1)
-	u.last = f
+	u.lastFailure = f
 	u.failedZone = t.Zone
 	u.result.Written = u.result.Written || !f.Unwritten
 	u.route.Exclude = append(u.route.Exclude[:len(u.route.Exclude):len(u.route.Exclude)], t.Name)
-	u.next = nil
+	u.nextDecision = nil
 	log.WithFields(log.Fields{
 		"request": u.q.ID,
 		"target":  t.Name,
@@ -160,12 +161,12 @@
 	}
 	switch {
 	case ctx.Err() != nil || !repeatable(f, u.q.Idempotent) || u.recv.Committed():
-		return u.final(f)
+		return u.finalError(f)
 	case u.result.Attempts >= maxAttempts:
-		return u.final(f)
+		return u.finalError(f)
 	case !progressed && !u.unpredicted && !u.budgets.Take(doc.Service, doc.Retry.Budget):
 		if !u.result.Written {
-			return u.final(f)
+			return u.finalError(f)
 		}
 		return code.Wrap(code.RetryBudgetSpent, f, "after %d attempts", u.result.Attempts).After(retryAfter)
 	}
@@ -174,8 +175,8 @@
 
 const retryAfter = time.Second
 
-// final returns the request's error for its last failure.
-func (u *run) final(f *failure.Failure) error {
+// finalError returns the request's error for its last failure.
+func (u *run) finalError(f *failure.Failure) error {
 	c := classCodes[f.Class]
 	if c.Info().NotRun && u.result.Written {
 		c = code.TargetFailed
@@ -191,8 +192,8 @@
 // an attempt it is the error of that attempt: it is more specific, and
 // code.NoTarget would claim that nothing ran, which may be wrong.
 func (u *run) routeError(err error) error {
-	if u.last != nil {
-		return u.final(u.last)
+	if u.lastFailure != nil {
+		return u.finalError(u.lastFailure)
 	}
 	return err
 }
@@ -221,7 +222,7 @@
 // different error if an earlier attempt was written to a target.
 func (u *run) quarantineError(refusal error) error {
 	if u.result.Written {
-		return code.Wrap(code.TargetFailed, u.last, "the content is in quarantine")
+		return code.Wrap(code.TargetFailed, u.lastFailure, "the content is in quarantine")
 	}
 	return refusal
 }
--- a/request/attempt/runner.go
+++ b/request/attempt/runner.go
@@ -117,7 +117,7 @@
 // decision that q was admitted with, or nil. The error is a *code.Error. Its code
 // says that nothing ran only if nothing was written to a target.
 func (r *Runner) Run(ctx context.Context, q *Request, first *routing.Decision, recv Receiver) (Result, error) {
-	run := &run{Runner: r, q: q, recv: recv, route: q.Route, next: first}
+	run := &run{Runner: r, q: q, recv: recv, route: q.Route, nextDecision: first}
 	r.budgets.Request(q.Service.Doc.Service)
 	err := run.loop(ctx)
 	run.releaseClaim(err == nil)
--- a/request/routing/estimate.go
+++ b/request/routing/estimate.go
@@ -17,14 +17,14 @@
 	first        float64
 	finish       float64
 	interference float64 // delay to the other requests of the engine
-	spill        bool
+	spilled      bool
 	decode       string // engine that decodes, if another one, or empty
 }
 
 // environment holds the inputs that all candidates of one decision share.
 type environment struct {
 	opts       *Options
-	r          *Request
+	req        *Request
 	plain      bool
 	peerTokens float64 // prompt tokens that other processes sent to a target since its report
 	reportAge  float64 // mean age of the reports, seconds
@@ -41,7 +41,7 @@
 
 func (p *Policy) environment(s *scratch, r *Request, targets []Target) *environment {
 	cands := s.cands
-	env := &environment{opts: &p.opts, r: r, plain: r.Model == ""}
+	env := &environment{opts: &p.opts, req: r, plain: r.Model == ""}
 	if len(cands) == 0 || env.plain {
 		env.reportAge = meanAge(cands)
 		return env
@@ -87,11 +87,11 @@
 	rate := e.prefillRate(t)
 	est.cached, est.kvFrom = e.reusablePrefix(t, rate)
 	est.wait = e.prefillQueue(t, rate) / rate
-	est.work = float64(e.r.PromptTokens-est.cached) / rate
+	est.work = float64(e.req.PromptTokens-est.cached) / rate
 	if est.kvFrom != "" {
 		est.work += e.transferTime(est.cached)
 	}
-	if e.r.Zone != t.Zone {
+	if e.req.Zone != t.Zone {
 		est.wait += e.opts.ZoneDelay.Seconds()
 	}
 	est.first = est.wait + est.work
@@ -107,19 +107,19 @@
 	if role(t) == port.RolePrefill && e.decoder != nil && e.decoder != t {
 		at = e.decoder
 		est.decode = at.Name
-		moved = e.transferTime(e.r.PromptTokens)
+		moved = e.transferTime(e.req.PromptTokens)
 	}
 	est.step = e.stepTime(at, requestsAt(at)+1)
-	est.finish = est.first + moved + est.step*float64(e.r.OutputTokens) + e.memoryWait(at)
+	est.finish = est.first + moved + est.step*float64(e.req.OutputTokens) + e.memoryWait(at)
 	// The prefill itself yields the first output token.
-	est.spill = role(t) == port.RoleDecode || (role(t) == port.RolePrefill && at == t)
+	est.spilled = role(t) == port.RoleDecode || (role(t) == port.RolePrefill && at == t)
 	est.interference = e.interference(est, t)
 }
 
 func (e *environment) plainEstimate(t *Target) estimate {
 	n := float64(requestsAt(t) + 1)
 	est := estimate{finish: n * e.opts.PlainServiceTime.Seconds()}
-	if e.r.Zone != t.Zone {
+	if e.req.Zone != t.Zone {
 		est.finish += e.opts.ZoneDelay.Seconds()
 	}
 	est.first = est.finish
@@ -170,7 +170,7 @@
 	if t.Load.KVCapacity <= 0 {
 		return 0
 	}
-	need := t.Load.KVUsed + t.SentPrefill + t.SentDecode + e.r.PromptTokens + e.r.OutputTokens
+	need := t.Load.KVUsed + t.SentPrefill + t.SentDecode + e.req.PromptTokens + e.req.OutputTokens
 	missing := float64(need - t.Load.KVCapacity)
 	if missing <= 0 {
 		return 0
@@ -189,7 +189,7 @@
 // to the other streams there.
 func (e *environment) decodeCost(t *Target) float64 {
 	n := requestsAt(t)
-	out := float64(max(e.r.OutputTokens, 1))
+	out := float64(max(e.req.OutputTokens, 1))
 	cost := out*e.stepTime(t, n+1) + e.memoryWait(t)
 	cost += float64(n) * e.opts.StepPerStream.Seconds() * out
 	if role(t) == port.RoleMixed {
--- a/request/routing/filter_pace.go
+++ b/request/routing/filter_pace.go
@@ -23,17 +23,17 @@
 // keeps the others within the objective.
 func (e *environment) missesObjective(t *Target, n int, move float64) bool {
 	objective := e.opts.BetweenTokens
-	if e.r.BetweenTokens > 0 {
-		objective = e.r.BetweenTokens
+	if e.req.BetweenTokens > 0 {
+		objective = e.req.BetweenTokens
 	}
 	if objective <= 0 {
 		return false
 	}
 	limit := objective.Seconds() * objectiveMargin
-	if e.r.Priority > 0 {
+	if e.req.Priority > 0 {
 		limit *= urgentFactor
 	}
-	limit -= move / float64(max(e.r.OutputTokens, 1))
+	limit -= move / float64(max(e.req.OutputTokens, 1))
 	if role(t) == port.RoleMixed {
 		return e.assumedStep(n) > limit*mixedObjectiveMargin
 	}
--- a/request/routing/kv.go
+++ b/request/routing/kv.go
@@ -10,12 +10,12 @@
 // prompt. Changing and suspect engines are not used as a source.
 func (e *environment) bestSource(targets []Target) kvSource {
 	var s kvSource
-	if e.opts.KVTransferRate <= 0 || len(e.r.Prefix) == 0 {
+	if e.opts.KVTransferRate <= 0 || len(e.req.Prefix) == 0 {
 		return s
 	}
 	for i := range targets {
 		t := &targets[i]
-		if !t.Live || t.Changing || t.Suspect || !servesModel(e.r, t) {
+		if !t.Live || t.Changing || t.Suspect || !servesModel(e.req, t) {
 			continue
 		}
 		if n := e.cachedTokens(t); n > s.cached {
@@ -44,11 +44,11 @@
 // the whole prompt: the engine has to compute at least one token to produce the
 // first output token.
 func (e *environment) cachedTokens(t *Target) int {
-	if t.CachedTokens == nil || len(e.r.Prefix) == 0 {
+	if t.CachedTokens == nil || len(e.req.Prefix) == 0 {
 		return 0
 	}
-	n := t.CachedTokens(e.r.Prefix)
-	return max(min(n, e.r.PromptTokens-1), 0)
+	n := t.CachedTokens(e.req.Prefix)
+	return max(min(n, e.req.PromptTokens-1), 0)
 }
 
 // transferTime returns the seconds needed to transfer the KV cache of n tokens,
--- a/request/routing/pick.go
+++ b/request/routing/pick.go
@@ -66,7 +66,7 @@
 func (p *Policy) unreportedWork(cands []candidate, env *environment) float64 {
 	n := 0
 	for i := range cands {
-		if !cands[i].est.spill {
+		if !cands[i].est.spilled {
 			n++
 		}
 	}
@@ -76,8 +76,8 @@
 
 // peerShare returns the share of all requests that other processes send.
 func (p *Policy) peerShare() float64 {
-	d := float64(p.routerCount.Load())
-	return (d - 1) / d
+	n := float64(p.routerCount.Load())
+	return (n - 1) / n
 }
 
 func seedOf(r *Request) uint64 {
@@ -104,6 +104,6 @@
 		TimeToFirstToken: seconds(c.est.first),
 		KVSource:         c.est.kvFrom,
 		DecodeTarget:     c.est.decode,
-		Spilled:          c.est.spill,
+		Spilled:          c.est.spilled,
 	}
 }
--- a/request/routing/pick_decode.go
+++ b/request/routing/pick_decode.go
@@ -13,7 +13,7 @@
 	s.decoders = s.decoders[:0]
 	streams := 0
 	step := 0.0
-	move := env.transferTime(env.r.PromptTokens)
+	move := env.transferTime(env.req.PromptTokens)
 	for i := range s.cands {
 		t := s.cands[i].target
 		if role(t) == port.RolePrefill {
@@ -31,10 +31,10 @@
 	if len(s.decoders) == 0 {
 		return nil
 	}
-	out := float64(max(env.r.OutputTokens, 1))
+	out := float64(max(env.req.OutputTokens, 1))
 	lifetime := out * step / float64(len(s.decoders))
 	since := env.reportAge + p.opts.ReportLag.Seconds()
 	started := max(float64(streams)*since/lifetime, 1) * p.peerShare()
 	perStream := 2 * out * p.opts.StepPerStream.Seconds()
-	return choose(s, s.decoders, started*perStream, splitmix64(^seedOf(env.r))).target
+	return choose(s, s.decoders, started*perStream, splitmix64(^seedOf(env.req))).target
 }
--- a/request/routing/policy_test.go
+++ b/request/routing/policy_test.go
@@ -160,7 +160,7 @@
 // second. For each report period it divides the largest number of requests at
 // one target by the mean number at a target, and returns the mean over the
 // periods.
-func herdingRatio(deciders int, choose func(r Request, ts []Target) string) float64 {
+func herdingRatio(routers int, choose func(r Request, ts []Target) string) float64 {
 	const (
 		engines  = 12
 		periods  = 200
@@ -171,7 +171,7 @@
 	var queue [engines]int
 	seed, ratio := uint64(1), 0.0
 	for range periods {
-		views := make([][]Target, deciders)
+		views := make([][]Target, routers)
 		for d := range views {
 			for e := range engines {
 				views[d] = append(views[d], engine(fmt.Sprint(e), queued(queue[e])))
@@ -180,7 +180,7 @@
 		var got [engines]int
 		for i := range requests {
 			seed = splitmix64(seed)
-			view := views[seed%uint64(deciders)]
+			view := views[seed%uint64(routers)]
 			for e := range view {
 				view[e].LoadAge = period * time.Duration(i) / requests
 			}
@@ -206,19 +206,19 @@
 // reported queue while other engines idle.
 func TestNoHerding(t *testing.T) {
 	const maxRatio = 2.5 // least loaded reaches 2.8 with 8 processes, 9.0 with 64
-	for deciders, minAdvantage := range map[int]float64{8: 1.3, 64: 3} {
-		p := New(Options{RouterCount: deciders})
-		policy := herdingRatio(deciders, func(r Request, ts []Target) string {
+	for routers, minAdvantage := range map[int]float64{8: 1.3, 64: 3} {
+		p := New(Options{RouterCount: routers})
+		policy := herdingRatio(routers, func(r Request, ts []Target) string {
 			d, err := p.Route(r, ts)
 			if err != nil {
 				t.Fatal(err)
 			}
 			return d.Target
 		})
-		baseline := herdingRatio(deciders, func(_ Request, ts []Target) string { return leastLoaded(ts) })
-		t.Logf("%d deciders: max/mean %.2f, least loaded %.2f", deciders, policy, baseline)
+		baseline := herdingRatio(routers, func(_ Request, ts []Target) string { return leastLoaded(ts) })
+		t.Logf("%d routers: max/mean %.2f, least loaded %.2f", routers, policy, baseline)
 		if policy > maxRatio || baseline < policy*minAdvantage {
-			t.Errorf("%d deciders: max/mean %.2f (at most %v), least loaded %.2f", deciders, policy, maxRatio, baseline)
+			t.Errorf("%d routers: max/mean %.2f (at most %v), least loaded %.2f", routers, policy, maxRatio, baseline)
 		}
 	}
 }
--- a/request/routing/score_cache.go
+++ b/request/routing/score_cache.go
@@ -6,9 +6,9 @@
 const cacheWeight = 0.05
 
 func scoreCache(e *environment, c *candidate) float64 {
-	if e.plain || e.r.PromptTokens <= 0 || c.est.kvFrom != "" {
+	if e.plain || e.req.PromptTokens <= 0 || c.est.kvFrom != "" {
 		return 1 - cacheWeight
 	}
-	share := float64(c.est.cached) / float64(e.r.PromptTokens)
+	share := float64(c.est.cached) / float64(e.req.PromptTokens)
 	return 1 - cacheWeight*(1-share)
 }
--- a/request/routing/score_role.go
+++ b/request/routing/score_role.go
@@ -22,7 +22,7 @@
 	if n := t.Load.Running; n > 0 && est.decode == "" {
 		h = est.work * spillFactor * min(float64(n)/fullInterferenceStreams, 1)
 	}
-	if est.spill {
+	if est.spilled {
 		h += est.work * spillFactor
 	}
 	return h
--- a/request/routing/score_zone.go
+++ b/request/routing/score_zone.go
@@ -6,7 +6,7 @@
 const otherZoneScore = 0.99
 
 func scoreZone(e *environment, c *candidate) float64 {
-	if e.r.Zone == "" || c.target.Zone == e.r.Zone {
+	if e.req.Zone == "" || c.target.Zone == e.req.Zone {
 		return 1
 	}
 	return otherZoneScore
