--- a/connection/engines/bench_test.go
+++ b/connection/engines/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// sizes are fleets of daemons and engines.
+// sizes are the fleet sizes of the benchmarks.
 var sizes = []struct{ daemons, engines int }{{6, 12}, {90, 60}, {295, 240}, {1000, 1000}}
 
 // newLoadedTracker returns a Tracker with a report of each daemon on its work at a
--- a/connection/engines/book.go
+++ b/connection/engines/book.go
@@ -27,7 +27,7 @@
 	Down    uint16 // number of daemons that can't reach the engine; 0 or 1 unless this is a sum
 }
 
-// Idle reports whether there is nothing to report.
+// Idle reports whether w contains nothing to report.
 func (w *Work) Idle() bool {
 	return w.Streams == 0 && w.Prompts == 0 && w.Becomes == "" && w.Down == 0
 }
--- a/connection/health/health.go
+++ b/connection/health/health.go
@@ -27,7 +27,7 @@
 // Outcome is the outcome of a request at a target.
 type Outcome int
 
-// The outcomes.
+// Outcomes of requests.
 const (
 	OK          Outcome = iota
 	Failed              // the target answered with an error, an incomplete or an invalid answer
--- a/connection/load/watcher.go
+++ b/connection/load/watcher.go
@@ -30,7 +30,7 @@
 	maxReportLag        = time.Second // maximum assumed age of a load report when it is read
 )
 
-// Options of a Watcher.
+// Options configures a Watcher.
 type Options struct {
 	View         *view.Holder
 	Pool         *pool.Pool
@@ -79,7 +79,7 @@
 	return w
 }
 
-// Close stops the polling.
+// Close stops polling and waits until all polls have ended.
 func (w *Watcher) Close() error {
 	w.tomb.Kill(nil)
 	return w.tomb.Wait()
--- a/request/attempt/attempt_test.go
+++ b/request/attempt/attempt_test.go
@@ -241,7 +241,7 @@
 		name     string
 		standing quarantine.Standing
 		taken    []string
-		dies     bool // a
+		crashes  bool // target a crashes
 		want     string
 		err      code.Code
 	}{
@@ -262,7 +262,7 @@
 					io.WriteString(w, "whole")
 				}
 				net.Serve("b:1", http.HandlerFunc(answer))
-				if tc.dies {
+				if tc.crashes {
 					answer = func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 				}
 				net.Serve("a:1", http.HandlerFunc(answer))
--- a/request/attempt/claim_test.go
+++ b/request/attempt/claim_test.go
@@ -47,8 +47,8 @@
 // claimCase is a test case of TestSuspectContentIsClaimed.
 type claimCase struct {
 	name       string
-	standing   quarantine.Standing // at the first check
-	after      quarantine.Standing // once a connection broke
+	standing   quarantine.Standing // standing at the first check
+	after      quarantine.Standing // standing after a broken connection
 	refuse     int                 // number of refused claims
 	aCrashes   bool                // the first target crashes
 	idempotent bool
--- a/request/attempt/runner.go
+++ b/request/attempt/runner.go
@@ -30,7 +30,7 @@
 	Targets(svc *view.Service) []routing.Target
 }
 
-// Metrics of all runners of the process.
+// Metrics over all Runners of the process.
 var (
 	attemptCount  = expvar.NewInt("attempt_tries")
 	failureCounts = expvar.NewMap("attempt_failures") // by failure.Class.Metric
@@ -41,12 +41,12 @@
 	Move(ctx context.Context, from, to string, prefix []uint64) error
 }
 
-// Options of a Runner.
+// Options configures a Runner.
 type Options struct {
 	Pool       *pool.Pool
 	Router     routing.Router
 	Targets    Targets
-	Quarantine quarantine.Tracker // may be nil; a quarantine.Claimer is asked for claims
+	Quarantine quarantine.Tracker // may be nil; if it is a quarantine.Claimer, suspect content is claimed
 	// Verify checks whether a target whose connection broke has crashed. It
 	// returns after a crash was reported to the tracker. Nil means a probe over a
 	// new connection.
@@ -68,7 +68,7 @@
 	Header      http.Header
 	Body        func(resume int) []byte // returns the body that resumes after so many tokens
 	Idempotent  bool
-	ToEngine    bool // goes to an engine
+	ToEngine    bool // the targets are model engines
 	Fingerprint uint64
 }
 
--- a/request/failure/failure.go
+++ b/request/failure/failure.go
@@ -15,7 +15,7 @@
 // Class is the class of a failed attempt.
 type Class int
 
-// The classes.
+// Classes of failures.
 const (
 	NotWritten Class = iota // no byte of the request was written
 	NoAnswer                // the connection broke after the request was written, before an answer
--- a/request/routing/policy_test.go
+++ b/request/routing/policy_test.go
@@ -49,7 +49,7 @@
 		name    string
 		req     func(*Request)
 		targets []Target
-		want    Decision // Target, KVFrom, Decode, Spilled
+		want    Decision // Target, KVSource, DecodeTarget and Spilled are compared
 		err     code.Code
 	}{
 		{name: "nothing", err: code.NoTarget},
--- a/request/routing/types.go
+++ b/request/routing/types.go
@@ -54,7 +54,7 @@
 	CachedTokens func(prefix []uint64) int // estimated number of leading prompt tokens in its cache; may be nil
 }
 
-// Decision names where a request goes.
+// Decision is the result of routing a request.
 type Decision struct {
 	Target           string
 	Score            float64
