--- a/process/roles/planner.go
+++ b/process/roles/planner.go
@@ -70,8 +70,8 @@
 	Targets *discovery.Registry
 	Config  *inforce.Holder
 	Roster  *roster.Roster
-	Engines *engines.Book
-	Health  *health.Book
+	Engines *engines.Tracker
+	Health  *health.Tracker
 	Demand  *demand.Tracker
 	Speed   *speed.Tracker
 	Lease   time.Duration
@@ -282,7 +282,7 @@
 		if c, ok := p.changing[e.ID]; ok {
 			if e.Role == c.role || now >= c.until {
 				delete(p.changing, e.ID)
-				p.o.Engines.Changing(e.ID, "")
+				p.o.Engines.SetRoleChange(e.ID, "")
 			} else {
 				engine.Entry.Role, engine.Changing = c.role, true
 			}
@@ -350,7 +350,7 @@
 			pending.until += drainGrace
 		}
 		p.changing[r.Target] = pending
-		p.o.Engines.Changing(r.Target, r.Role)
+		p.o.Engines.SetRoleChange(r.Target, r.Role)
 		return true
 	case errors.Is(r.err, port.ErrFenced):
 		p.claims.Drop(svc.Name)
--- a/process/roster/heartbeat.go
+++ b/process/roster/heartbeat.go
@@ -112,7 +112,7 @@
 // known daemon, else to the aggregators.
 func (r *Roster) sendHeartbeat(all bool) {
 	hb := heartbeat{Claims: r.o.Claims.Report(), Speeds: r.o.Speeds.Report(), Demand: r.o.Demand.Report(), Clock: r.ownClock()}
-	hb.Work, hb.Reads = r.o.Book.Own()
+	hb.Work, hb.Reads = r.o.Book.LocalReport()
 	now := time.Now()
 	r.mu.Lock()
 	r.paused.recordActivity(now)
--- a/process/roster/owner.go
+++ b/process/roster/owner.go
@@ -62,7 +62,7 @@
 // daemon owns each engine's queue and receives each change as it happens, and a daemon
 // that is about to choose queries the owners of a few engines.
 type ownership struct {
-	book *engines.Book // work at the engines whose queues this daemon owns
+	book *engines.Tracker // work at the engines whose queues this daemon owns
 
 	mu          sync.Mutex
 	seq         uint64
--- a/process/roster/publish.go
+++ b/process/roster/publish.go
@@ -230,7 +230,7 @@
 	if len(to) == 0 {
 		return
 	}
-	for _, part := range splitDigest(d, rows, whole, min(r.o.Book.Known(), maxWorkPerDigest)) {
+	for _, part := range splitDigest(d, rows, whole, min(r.o.Book.Count(), maxWorkPerDigest)) {
 		data, err := part.encode()
 		if err != nil {
 			log.WithError(err).Error("roster: can't encode digest")
--- a/process/roster/roster.go
+++ b/process/roster/roster.go
@@ -85,7 +85,7 @@
 type Options struct {
 	Self   Member
 	Store  port.Store
-	Book   *engines.Book
+	Book   *engines.Tracker
 	Claims Claims        // claims that the daemons exchange
 	Speeds Speeds        // measured speeds of engines
 	Demand Demand        // demand of callers
--- a/process/roster/roster_test.go
+++ b/process/roster/roster_test.go
@@ -69,7 +69,7 @@
 	zones     int                  // number of availability zones, 0: one
 	rate      func(vm int) float64 // requests per second of each daemon, nil: not counted
 	all       []*Roster
-	books     []*engines.Book
+	books     []*engines.Tracker
 	ends      []*packetnet.Conn
 	claims    []*fakeClaims
 }
--- a/request/admission/admission.go
+++ b/request/admission/admission.go
@@ -63,11 +63,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.service(a.Doc.Service)
-	if a.Decision.Finish > a.TimeLeft {
+	if a.Decision.TimeToCompletion > a.TimeLeft {
 		return nil, deadlineError(a)
 	}
 	if wait, late := missesFirstToken(a); late {
-		return nil, code.New(code.Overloaded, "the first token would take about %v", a.Decision.First.Round(time.Millisecond)).After(wait)
+		return nil, code.New(code.Overloaded, "the first token would take about %v", a.Decision.TimeToFirstToken.Round(time.Millisecond)).After(wait)
 	}
 	full := s.fullness(a)
 	if over := full.excessOver(a.Priority); over >= 0 {
@@ -132,8 +132,8 @@
 	if idle, ok := a.IdleFinish(); ok && idle > a.TimeLeft {
 		return code.New(code.DeadlineTooShort, "an idle target needs about %v", idle.Round(time.Millisecond))
 	}
-	wait := clamp(a.Decision.Finish - a.TimeLeft)
-	return code.New(code.Overloaded, "the answer would take about %v", a.Decision.Finish.Round(time.Millisecond)).After(wait)
+	wait := clamp(a.Decision.TimeToCompletion - a.TimeLeft)
+	return code.New(code.Overloaded, "the answer would take about %v", a.Decision.TimeToCompletion.Round(time.Millisecond)).After(wait)
 }
 
 // firstTokenMargin is the fraction of the first-token objective that the
@@ -148,12 +148,12 @@
 // in time.
 func missesFirstToken(a Request) (time.Duration, bool) {
 	goal := time.Duration(firstTokenMargin * float64(a.Doc.Objectives.FirstToken))
-	over := a.Decision.First - goal
+	over := a.Decision.TimeToFirstToken - goal
 	if goal <= 0 || over <= 0 || a.Priority > 0 {
 		return 0, false
 	}
 	idle, ok := a.IdleFinish()
-	backlog := a.Decision.Finish - idle
+	backlog := a.Decision.TimeToCompletion - idle
 	return clamp(over), ok && backlog >= over
 }
 
--- a/request/admission/admission_test.go
+++ b/request/admission/admission_test.go
@@ -117,7 +117,7 @@
 		}
 		_, err := c.Admit(Request{
 			Doc: doc, Org: tc.org, Priority: tc.priority, Cost: 1, TimeLeft: 10 * time.Second, Targets: tc.targets,
-			Decision:   routing.Decision{Finish: tc.finish},
+			Decision:   routing.Decision{TimeToCompletion: tc.finish},
 			IdleFinish: func() (time.Duration, bool) { return tc.idle, true },
 		})
 		if code.Of(err) != tc.want {
@@ -153,7 +153,7 @@
 				Doc:        &document.Document{Service: "s", Objectives: document.Objectives{FirstToken: goal}},
 				Priority:   c.priority,
 				TimeLeft:   time.Minute,
-				Decision:   routing.Decision{First: c.first, Finish: c.finish},
+				Decision:   routing.Decision{TimeToFirstToken: c.first, TimeToCompletion: c.finish},
 				Targets:    []routing.Target{{Live: true, Limit: 100}},
 				IdleFinish: func() (time.Duration, bool) { return c.idle, true },
 			})
--- a/request/admission/fullness.go
+++ b/request/admission/fullness.go
@@ -117,7 +117,7 @@
 // time says nothing about the load. The estimate for an idle target is
 // skipped if the result can't reach contention.
 func waitFullness(a Request) fullness {
-	if a.Decision.Finish < time.Duration(waitContention*usableSlack*float64(a.TimeLeft)) {
+	if a.Decision.TimeToCompletion < time.Duration(waitContention*usableSlack*float64(a.TimeLeft)) {
 		return fullness{}
 	}
 	idle, ok := a.IdleFinish()
@@ -125,9 +125,9 @@
 		return fullness{}
 	}
 	longest := float64(a.TimeLeft-idle) * usableSlack
-	wait := float64(a.Decision.Finish - idle)
+	wait := float64(a.Decision.TimeToCompletion - idle)
 	calm := float64(idle) + waitContention*longest
-	return fullness{share: wait / longest, excess: float64(a.Decision.Finish) / calm}
+	return fullness{share: wait / longest, excess: float64(a.Decision.TimeToCompletion) / calm}
 }
 
 // slotCount returns the number of slots of the live targets.
--- a/request/admission/sim_test.go
+++ b/request/admission/sim_test.go
@@ -186,7 +186,7 @@
 		Priority:   src.priority,
 		Cost:       1,
 		TimeLeft:   simDeadline,
-		Decision:   routing.Decision{Finish: finish},
+		Decision:   routing.Decision{TimeToCompletion: finish},
 		Targets:    view,
 		IdleFinish: func() (time.Duration, bool) { return simWorkMean, true },
 	})
--- a/request/dispatch/decode.go
+++ b/request/dispatch/decode.go
@@ -38,12 +38,12 @@
 		if f == nil || f.MayHaveRun() {
 			consumed = true
 			if f == nil && from.kv != nil {
-				x.opts.Health.Note(kvHealthKey(from.engineID), health.OK)
+				x.opts.Health.Observe(kvHealthKey(from.engineID), health.OK)
 			}
 			return f
 		}
 		if from.kv != nil && f.Class == failure.NotRun {
-			x.opts.Health.Note(kvHealthKey(from.engineID), health.Refused)
+			x.opts.Health.Observe(kvHealthKey(from.engineID), health.Refused)
 		}
 		if attempt > 1 || from.kv == nil || !x.hasAlternative(cands, to.ID) || !x.mayRetry(ctx, f, 1) {
 			return f
@@ -116,7 +116,7 @@
 			x.opts.Speed.ObserveFirstEvent(x.call.Service.Name, firstEvent+took-predicted)
 		}
 		if firstEvent > 0 {
-			x.opts.Health.NotePace(to.ID, x.slowdown(predicted, took))
+			x.opts.Health.ObservePace(to.ID, x.slowdown(predicted, took))
 		}
 	}
 	m := &paceMeter{exec: x, target: to.ID, resumed: x.lastID != ""}
--- a/request/dispatch/plain.go
+++ b/request/dispatch/plain.go
@@ -98,7 +98,7 @@
 	reuse := x.connReuse(outgoing{})
 	for _, e := range x.usable(x.sampleTargets("", nil, x.opts.Zone), nil) {
 		cost := float64(e.load.Streams) / float64(max(e.Slots, 1))
-		cost += failWeight * x.opts.Health.Rate(e.ID)
+		cost += failWeight * x.opts.Health.FailureRate(e.ID)
 		if e.Zone != x.opts.Zone {
 			cost += zoneWeight
 		}
--- a/request/dispatch/prefill.go
+++ b/request/dispatch/prefill.go
@@ -62,7 +62,7 @@
 func (x *execution) choosePrefill(ctx context.Context, p prompt, f speed.Estimates) prefillChoice {
 	cands := x.candidates(p, port.RolePrefill, x.opts.Zone)
 	for i := range cands {
-		cands[i].FailureRate += x.opts.Health.Rate(kvHealthKey(cands[i].Entry.ID))
+		cands[i].FailureRate += x.opts.Health.FailureRate(kvHealthKey(cands[i].Entry.ID))
 	}
 	decoders := x.decoders(p, x.opts.Zone)
 	// Among engines that hold equally much, prefill engines come first: running
@@ -122,7 +122,7 @@
 		out = append(out, placement.Candidate{
 			Entry:       *t.TargetEntry,
 			Load:        t.load,
-			FailureRate: x.opts.Health.Rate(t.ID),
+			FailureRate: x.opts.Health.FailureRate(t.ID),
 			Slowdown:    x.opts.Health.Pace(t.ID),
 			HasIdleConn: x.opts.Pool.Warm(t.Addr, t.ID, reuse),
 			LocalOnly:   t.localOnly,
@@ -175,7 +175,7 @@
 			Prompt: p.Tokens, Missing: ch.MissingTokens, PredictedWait: ch.PredictedWait + ch.FetchTime, Duration: took,
 		})
 		if figures.Known() {
-			x.opts.Health.NotePace(to.ID, x.slowdown(predicted, took))
+			x.opts.Health.ObservePace(to.ID, x.slowdown(predicted, took))
 		}
 	}
 	x.recordSuccess(to.ID)
@@ -198,7 +198,7 @@
 		return f
 	}
 	if o, known := f.healthOutcome(); known {
-		x.opts.Health.Note(f.Target, o)
+		x.opts.Health.Observe(f.Target, o)
 	}
 	f.healthRecorded = true
 	if f.Class != failure.NotWritten {
--- a/request/dispatch/relay.go
+++ b/request/dispatch/relay.go
@@ -39,7 +39,7 @@
 			return x.checkEnd(target, resp, r, out)
 		}
 		if err != nil {
-			return &sendFailure{Failure: failure.Read(ctx, target, err)}
+			return &sendFailure{Failure: failure.ClassifyRead(ctx, target, err)}
 		}
 	}
 }
--- a/request/dispatch/send.go
+++ b/request/dispatch/send.go
@@ -31,7 +31,7 @@
 	x.trace.Targets = append(x.trace.Targets, s.target.ID)
 	resp, err := x.opts.Pool.Do(ctx, x.request(s))
 	if err != nil {
-		return nil, port.Verdict{}, &sendFailure{Failure: failure.Send(ctx, s.target.ID, err)}
+		return nil, port.Verdict{}, &sendFailure{Failure: failure.ClassifySend(ctx, s.target.ID, err)}
 	}
 	return resp, x.opts.Wire.Judge(resp.Status, resp.Header), nil
 }
@@ -85,7 +85,7 @@
 		err = errTooLarge
 	}
 	if err != nil {
-		return nil, &sendFailure{Failure: failure.Read(ctx, target, err)}
+		return nil, &sendFailure{Failure: failure.ClassifyRead(ctx, target, err)}
 	}
 	return &Answer{Status: resp.Status, Header: resp.Header, Body: body}, nil
 }
@@ -128,7 +128,7 @@
 		x.markStarted(0)
 	}
 	if o, known := f.healthOutcome(); known && !f.healthRecorded {
-		x.opts.Health.Note(f.Target, o)
+		x.opts.Health.Observe(f.Target, o)
 	}
 	log.WithFields(log.Fields{
 		"request": x.call.Ask.ID, "target": f.Target, "class": f.Class.String(), "cause": f.Cause(),
@@ -188,4 +188,4 @@
 	return slices.Contains(x.failedTargets, id)
 }
 
-func (x *execution) recordSuccess(target string) { x.opts.Health.Note(target, health.OK) }
+func (x *execution) recordSuccess(target string) { x.opts.Health.Observe(target, health.OK) }
--- a/request/routing/policy_test.go
+++ b/request/routing/policy_test.go
@@ -22,8 +22,8 @@
 	return t
 }
 
-func queued(n int) func(*Target)   { return func(t *Target) { t.Load.QueuedPrefill = n } }
-func as(r port.Role) func(*Target) { return func(t *Target) { t.Role = r } }
+func queued(n int) func(*Target)         { return func(t *Target) { t.Load.QueuedPrefill = n } }
+func withRole(r port.Role) func(*Target) { return func(t *Target) { t.Role = r } }
 func cached(n int) func(*Target) {
 	return func(t *Target) { t.CachedTokens = func([]uint64) int { return n } }
 }
@@ -37,17 +37,19 @@
 	return r
 }
 
-func kvOptions() Options { return Options{KVMoveRate: 200_000, BetweenTokens: 36 * time.Millisecond} }
+func kvOptions() Options {
+	return Options{KVTransferRate: 200_000, BetweenTokens: 36 * time.Millisecond}
+}
 
-// TestRoute holds one case for each rule: what the rule sees, and who is chosen.
+// TestRoute checks the chosen target with one case for each routing rule.
 func TestRoute(t *testing.T) {
 	running := func(n int) func(*Target) { return func(t *Target) { t.Load.Running = n; t.InFlight = n } }
-	crowd := func(n int) func(*Target) { return func(t *Target) { running(n)(t); t.Limit = 200 } }
+	withStreams := func(n int) func(*Target) { return func(t *Target) { running(n)(t); t.Limit = 200 } }
 	cases := []struct {
 		name    string
 		req     func(*Request)
 		targets []Target
-		want    Decision // Target, KVFrom, Decode, Spilled
+		want    Decision // Target, KVSource, DecodeTarget and Spilled are compared
 		err     code.Code
 	}{
 		{name: "nothing", err: code.NoTarget},
@@ -61,9 +63,9 @@
 			engine("a"), engine("b", queued(90000))}},
 		{name: "all full", err: code.Overloaded, targets: []Target{engine("a", running(64)), engine("b", running(70))}},
 		{name: "own requests fill the limit", err: code.Overloaded, targets: []Target{engine("a", with(func(t *Target) { t.InFlight = 64 }))}},
-		{name: "alone", req: func(r *Request) { r.Alone = true }, want: Decision{Target: "b"}, targets: []Target{
+		{name: "alone", req: func(r *Request) { r.Exclusive = true }, want: Decision{Target: "b"}, targets: []Target{
 			engine("a", running(1)), engine("b", queued(10000))}},
-		{name: "alone, all busy", req: func(r *Request) { r.Alone = true }, err: code.Overloaded, targets: []Target{engine("a", running(1))}},
+		{name: "alone, all busy", req: func(r *Request) { r.Exclusive = true }, err: code.Overloaded, targets: []Target{engine("a", running(1))}},
 		{name: "shorter queue", want: Decision{Target: "b"}, targets: []Target{engine("a", queued(4000)), engine("b", queued(1000))}},
 		{name: "sent since the report", want: Decision{Target: "b"}, targets: []Target{
 			engine("a", with(func(t *Target) { t.SentPrefill = 4000 })), engine("b", queued(1000))}},
@@ -72,9 +74,9 @@
 		{name: "slow decode", want: Decision{Target: "b"}, targets: []Target{
 			engine("a", running(10), with(func(t *Target) { t.Load.DecodeRate = 100 })), engine("b", running(10))}},
 		{name: "cached", want: Decision{Target: "b"}, targets: []Target{engine("a"), engine("b", queued(500), cached(1800))}},
-		{name: "cached, but far too busy", want: Decision{Target: "a", KVFrom: "b"}, targets: []Target{
+		{name: "cached, but far too busy", want: Decision{Target: "a", KVSource: "b"}, targets: []Target{
 			engine("a"), engine("b", queued(40000), cached(1800))}},
-		{name: "moves a long prefix", req: func(r *Request) { r.PromptTokens = 20000 }, want: Decision{Target: "a", KVFrom: "b"}, targets: []Target{
+		{name: "moves a long prefix", req: func(r *Request) { r.PromptTokens = 20000 }, want: Decision{Target: "a", KVSource: "b"}, targets: []Target{
 			engine("a"), engine("b", queued(40000), cached(18000))}},
 		{name: "computes a short one", req: func(r *Request) { r.PromptTokens = 200 }, want: Decision{Target: "a"}, targets: []Target{
 			engine("a"), engine("b", queued(40000), cached(100))}},
@@ -84,22 +86,22 @@
 		{name: "suspect", want: Decision{Target: "b"}, targets: []Target{
 			engine("a", with(func(t *Target) { t.Suspect = true })), engine("b", queued(8000))}},
 		{name: "suspect is all there is", want: Decision{Target: "a"}, targets: []Target{engine("a", with(func(t *Target) { t.Suspect = true }))}},
-		{name: "prefill, then decode", want: Decision{Target: "p", Decode: "d"}, targets: []Target{
-			engine("d", as(port.RoleDecode), running(8)), engine("p", as(port.RolePrefill))}},
+		{name: "prefill, then decode", want: Decision{Target: "p", DecodeTarget: "d"}, targets: []Target{
+			engine("d", withRole(port.RoleDecode), running(8)), engine("p", withRole(port.RolePrefill))}},
 		{name: "spills when waiting costs more", want: Decision{Target: "d", Spilled: true}, targets: []Target{
-			engine("d", as(port.RoleDecode), running(8)), engine("p", as(port.RolePrefill), queued(40000))}},
-		{name: "waits when spilling costs more", want: Decision{Target: "p", Decode: "d"}, targets: []Target{
-			engine("d", as(port.RoleDecode), running(40)), engine("p", as(port.RolePrefill), queued(800))}},
-		{name: "only prefill engines left", want: Decision{Target: "p", Spilled: true}, targets: []Target{engine("p", as(port.RolePrefill))}},
-		{name: "room for one more stream", want: Decision{Target: "p", Decode: "e"}, targets: []Target{
-			engine("d", as(port.RoleDecode), crowd(80)), engine("e", as(port.RoleDecode), crowd(60)), engine("p", as(port.RolePrefill))}},
+			engine("d", withRole(port.RoleDecode), running(8)), engine("p", withRole(port.RolePrefill), queued(40000))}},
+		{name: "waits when spilling costs more", want: Decision{Target: "p", DecodeTarget: "d"}, targets: []Target{
+			engine("d", withRole(port.RoleDecode), running(40)), engine("p", withRole(port.RolePrefill), queued(800))}},
+		{name: "only prefill engines left", want: Decision{Target: "p", Spilled: true}, targets: []Target{engine("p", withRole(port.RolePrefill))}},
+		{name: "room for one more stream", want: Decision{Target: "p", DecodeTarget: "e"}, targets: []Target{
+			engine("d", withRole(port.RoleDecode), withStreams(80)), engine("e", withRole(port.RoleDecode), withStreams(60)), engine("p", withRole(port.RolePrefill))}},
 		{name: "no room for one more stream", err: code.Overloaded, targets: []Target{
-			engine("d", as(port.RoleDecode), crowd(80)), engine("p", as(port.RolePrefill))}},
-		{name: "urgent", req: func(r *Request) { r.Priority = 1 }, want: Decision{Target: "p", Decode: "d"}, targets: []Target{
-			engine("d", as(port.RoleDecode), crowd(72)), engine("p", as(port.RolePrefill))}},
+			engine("d", withRole(port.RoleDecode), withStreams(80)), engine("p", withRole(port.RolePrefill))}},
+		{name: "urgent", req: func(r *Request) { r.Priority = 1 }, want: Decision{Target: "p", DecodeTarget: "d"}, targets: []Target{
+			engine("d", withRole(port.RoleDecode), withStreams(72)), engine("p", withRole(port.RolePrefill))}},
 		{name: "room by the service's own objective", req: func(r *Request) { r.BetweenTokens = 50 * time.Millisecond }, want: Decision{Target: "m"},
-			targets: []Target{engine("m", crowd(80))}},
-		{name: "no room on a mixed engine", err: code.Overloaded, targets: []Target{engine("m", crowd(80))}},
+			targets: []Target{engine("m", withStreams(80))}},
+		{name: "no room on a mixed engine", err: code.Overloaded, targets: []Target{engine("m", withStreams(80))}},
 		{name: "plain", req: func(r *Request) { r.Model = "" }, want: Decision{Target: "b"}, targets: []Target{
 			{Name: "a", Live: true, InFlight: 5}, {Name: "b", Live: true, InFlight: 2}}},
 	}
@@ -123,7 +125,7 @@
 			if got.Score <= 0 || got.Score > 1 {
 				t.Errorf("score %v lies outside (0,1]", got.Score)
 			}
-			got.Score, got.First, got.Finish = 0, 0, 0
+			got.Score, got.TimeToFirstToken, got.TimeToCompletion = 0, 0, 0
 			if got != c.want {
 				t.Errorf("got %+v, want %+v", got, c.want)
 			}
@@ -131,7 +133,8 @@
 	}
 }
 
-// TestEstimate checks the times that admission reads against sums made by hand.
+// TestEstimate compares the expected times of a decision, which admission uses,
+// with values computed by hand.
 func TestEstimate(t *testing.T) {
 	targets := []Target{engine("a", queued(4000), func(t *Target) { t.Load.Running = 1 })}
 	o := Options{StepBase: 20 * time.Millisecond, StepPerStream: time.Millisecond}
@@ -140,23 +143,24 @@
 		t.Fatal(err)
 	}
 	first := time.Duration(float64(4000+2000) / testRate * float64(time.Second))
-	if d.First != first || d.Finish != first+100*21*time.Millisecond {
-		t.Errorf("first %v, finish %v", d.First, d.Finish)
+	if d.TimeToFirstToken != first || d.TimeToCompletion != first+100*21*time.Millisecond {
+		t.Errorf("first %v, finish %v", d.TimeToFirstToken, d.TimeToCompletion)
 	}
 }
 
-// leastLoaded is the baseline: the shortest queue by the report and what this
-// process sent itself.
+// leastLoaded is the baseline policy. It chooses the shortest queue, counting
+// reported prompt tokens and those that this process sent since.
 func leastLoaded(targets []Target) string {
 	return slices.MinFunc(targets, func(a, b Target) int {
 		return a.Load.QueuedPrefill + a.SentPrefill - b.Load.QueuedPrefill - b.SentPrefill
 	}).Name
 }
 
-// herd lets processes route against reports that are renewed every half second and
-// returns the mean over the reports of (most requests at one target) / (mean
-// over the targets).
-func herd(deciders int, choose func(r Request, ts []Target) string) float64 {
+// herdingRatio simulates processes that route by load reports renewed every half
+// second. For each report period it divides the largest number of requests at
+// one target by the mean number at a target, and returns the mean over the
+// periods.
+func herdingRatio(routers int, choose func(r Request, ts []Target) string) float64 {
 	const (
 		engines  = 12
 		periods  = 200
@@ -167,7 +171,7 @@
 	var queue [engines]int
 	seed, ratio := uint64(1), 0.0
 	for range periods {
-		views := make([][]Target, deciders)
+		views := make([][]Target, routers)
 		for d := range views {
 			for e := range engines {
 				views[d] = append(views[d], engine(fmt.Sprint(e), queued(queue[e])))
@@ -175,8 +179,8 @@
 		}
 		var got [engines]int
 		for i := range requests {
-			seed = mix(seed)
-			view := views[seed%uint64(deciders)]
+			seed = splitmix64(seed)
+			view := views[seed%uint64(routers)]
 			for e := range view {
 				view[e].LoadAge = period * time.Duration(i) / requests
 			}
@@ -196,25 +200,25 @@
 	return ratio
 }
 
-// A caller sees some answers come late while most engines idle.
-// All processes read the same load reports, half a second old, and each sends
-// its next requests to the engine with the shortest queue, which is the same
-// one for all. The cause is that none reckons with the others.
+// TestNoHerding checks that processes that share load reports of half a second's
+// age don't all route to the same engine. If no process accounts for the
+// requests of the others, all of them overload the engine with the shortest
+// reported queue while other engines idle.
 func TestNoHerding(t *testing.T) {
-	const policyMost = 2.5 // least loaded reaches 2.8 with 8 processes, 9.0 with 64
-	for deciders, baselineMore := range map[int]float64{8: 1.3, 64: 3} {
-		p := New(Options{Deciders: deciders})
-		policy := herd(deciders, func(r Request, ts []Target) string {
+	const maxRatio = 2.5 // least loaded reaches 2.8 with 8 processes, 9.0 with 64
+	for routers, minAdvantage := range map[int]float64{8: 1.3, 64: 3} {
+		p := New(Options{RouterCount: routers})
+		policy := herdingRatio(routers, func(r Request, ts []Target) string {
 			d, err := p.Route(r, ts)
 			if err != nil {
 				t.Fatal(err)
 			}
 			return d.Target
 		})
-		baseline := herd(deciders, func(_ Request, ts []Target) string { return leastLoaded(ts) })
-		t.Logf("%d deciders: most/mean %.2f, least loaded %.2f", deciders, policy, baseline)
-		if policy > policyMost || baseline < policy*baselineMore {
-			t.Errorf("%d deciders: most/mean %.2f (at most %v), least loaded %.2f", deciders, policy, policyMost, baseline)
+		baseline := herdingRatio(routers, func(_ Request, ts []Target) string { return leastLoaded(ts) })
+		t.Logf("%d routers: max/mean %.2f, least loaded %.2f", routers, policy, baseline)
+		if policy > maxRatio || baseline < policy*minAdvantage {
+			t.Errorf("%d routers: max/mean %.2f (at most %v), least loaded %.2f", routers, policy, maxRatio, baseline)
 		}
 	}
 }
@@ -227,7 +231,7 @@
 			targets[i].Role = []port.Role{port.RolePrefill, port.RoleDecode, port.RoleMixed}[i%3]
 		}
 		o := kvOptions()
-		o.Deciders = 8
+		o.RouterCount = 8
 		p := New(o)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
