--- a/request/admission/admission.go
+++ b/request/admission/admission.go
@@ -71,7 +71,7 @@
 	}
 	full := s.fullness(a)
 	if over := full.excessOver(a.Priority); over >= 0 {
-		return nil, code.New(code.Overloaded, "targets are %.0f%% full", full.share*100).
+		return nil, code.New(code.Overloaded, "%.0f%% of the room is taken", full.share*100).
 			After(s.retryAfter(over, slotCount(a.Targets)))
 	}
 	if over := full.excess - 1; over >= 0 && a.Priority <= 0 && s.overShare(a, 1/full.excess, c.now()) {
@@ -87,7 +87,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.service(doc.Service)
-	return code.New(code.Overloaded, "all targets are full").
+	return code.New(code.Overloaded, "every target is full").
 		After(s.retryAfter(0, slotCount(targets)))
 }
 
--- a/request/attempt/attempt.go
+++ b/request/attempt/attempt.go
@@ -140,7 +140,7 @@
 	}
 }
 
-const errIDMismatch = failure.Detail("answer has a different request id")
+const errIDMismatch = failure.Detail("answer has another id")
 
 // receive checks the id of the answer and passes the answer to recv. An answer
 // with a different id may belong to an earlier request on the connection or to
--- a/request/dispatch/failure.go
+++ b/request/dispatch/failure.go
@@ -38,11 +38,11 @@
 
 // Causes of failures that this package detects itself.
 const (
-	errUnsigned    = failure.Detail("the answer lacks the target's response stamp")
+	errUnsigned    = failure.Detail("the answer isn't the target's own")
 	errTooLarge    = failure.Detail("the answer is too large")
-	errWrongTarget = failure.Detail("the address belongs to another target")
-	errNotRun      = failure.Detail("the target reported that it ran nothing")
-	errNoDecoder   = failure.Detail("no decoding engine is available")
+	errWrongTarget = failure.Detail("another target has the address")
+	errNotRun      = failure.Detail("the target says that it ran nothing")
+	errNoDecoder   = failure.Detail("no engine decodes")
 )
 
 // finalError returns the error that ends the call. It states that nothing
