--- a/request/once/attempts.go
+++ b/request/once/attempts.go
@@ -10,23 +10,23 @@
 	"github.com/pomelospool/pomelospool/process/record"
 )
 
-// Bounds of what a process remembers of its own attempts.
+// Limits on the attempts and answers that a process keeps in memory.
 const (
-	keepFor      = 10 * time.Minute // a whole answer, at most
-	keepBytes    = 64 << 20         // of all whole answers
-	maxWon       = 1 << 20          // attempts remembered as run
-	maxKeptSmall = 4 << 10          // bytes of an answer that goes into the log
+	answerRetention = 10 * time.Minute // maximum age of a complete answer
+	maxAnswerBytes  = 64 << 20         // total size of the complete answers
+	maxTickets      = 1 << 20          // attempts recorded as having received a ticket
+	maxLoggedBody   = 4 << 10          // largest answer body stored in the log, in bytes
 )
 
-// attempt is one try of this process to run a call.
+// attempt is one attempt of this process to run a call.
 type attempt struct {
-	call   Call
-	id     string
-	seq    uint64
-	key    keyID
-	window time.Duration
-	over   chan struct{}  // closed once final is set
-	final  *record.Result // with the whole answer
+	call     Call
+	id       string
+	seq      uint64
+	key      keyID
+	window   time.Duration
+	finished chan struct{}  // closed once final is set
+	final    *record.Result // includes the complete answer
 }
 
 func (a *attempt) shard(n int) int { return a.key.shardOf(n) }
@@ -42,25 +42,26 @@
 	}
 }
 
-// attempts are the attempts of this process. It is safe for concurrent use.
-type attempts struct {
+// attemptTable holds the attempts of this process. It is safe for concurrent
+// use.
+type attemptTable struct {
 	self string
 	now  func() time.Time
 
-	mu      sync.Mutex
-	seq     uint64
-	pending map[uint64]*attempt // proposed, not decided
-	running map[uint64]*attempt // won, without a result
-	kept    map[uint64]*list.Element
-	byKey   map[keyID]uint64 // running or kept, unless not run
-	order   *list.List       // of keptAnswer, oldest first
-	bytes   int
-	ran     map[uint64]struct{} // every attempt that got a ticket
-	ranList []uint64            // the same in order
-	floor   uint64              // up to it, ran is no longer complete
+	mu          sync.Mutex
+	seq         uint64
+	pending     map[uint64]*attempt // proposed, without a decision
+	running     map[uint64]*attempt // holds a ticket, without a result
+	answers     map[uint64]*list.Element
+	seqByKey    map[keyID]uint64 // running or finished attempt of a key, except those that did not run
+	order       *list.List       // finishedAttempt elements, oldest first
+	bytes       int
+	ticketed    map[uint64]struct{} // attempts that received a ticket
+	ticketOrder []uint64            // sequence numbers of ticketed, oldest first
+	evictedUpTo uint64              // ticketed is incomplete up to this sequence number
 }
 
-type keptAnswer struct {
+type finishedAttempt struct {
 	seq  uint64
 	key  keyID
 	at   time.Time
@@ -68,21 +69,21 @@
 	r    *record.Result
 }
 
-func newAttempts(self string, now func() time.Time) *attempts {
-	return &attempts{
-		self:    self,
-		now:     now,
-		pending: make(map[uint64]*attempt),
-		running: make(map[uint64]*attempt),
-		kept:    make(map[uint64]*list.Element),
-		byKey:   make(map[keyID]uint64),
-		order:   list.New(),
-		ran:     make(map[uint64]struct{}),
+func newAttemptTable(self string, now func() time.Time) *attemptTable {
+	return &attemptTable{
+		self:     self,
+		now:      now,
+		pending:  make(map[uint64]*attempt),
+		running:  make(map[uint64]*attempt),
+		answers:  make(map[uint64]*list.Element),
+		seqByKey: make(map[keyID]uint64),
+		order:    list.New(),
+		ticketed: make(map[uint64]struct{}),
 	}
 }
 
-func (t *attempts) begin(c Call, window time.Duration) *attempt {
-	a := &attempt{call: c, key: newKeyID(c.Service, c.Key), window: window, over: make(chan struct{})}
+func (t *attemptTable) begin(c Call, window time.Duration) *attempt {
+	a := &attempt{call: c, key: newKeyID(c.Service, c.Key), window: window, finished: make(chan struct{})}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.seq++
@@ -92,8 +93,9 @@
 	return a
 }
 
-// won moves an attempt to those that run. False: it was given up before.
-func (t *attempts) won(a *attempt) bool {
+// start moves a pending attempt to the running ones. It returns false if the
+// attempt has been discarded.
+func (t *attemptTable) start(a *attempt) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.pending[a.seq] != a {
@@ -101,108 +103,111 @@
 	}
 	delete(t.pending, a.seq)
 	t.running[a.seq] = a
-	t.byKey[a.key] = a.seq
-	t.ran[a.seq] = struct{}{}
-	t.ranList = append(t.ranList, a.seq)
-	if len(t.ranList) > maxWon {
-		t.floor = max(t.floor, t.ranList[0])
-		delete(t.ran, t.ranList[0])
-		t.ranList = t.ranList[1:]
+	t.seqByKey[a.key] = a.seq
+	t.ticketed[a.seq] = struct{}{}
+	t.ticketOrder = append(t.ticketOrder, a.seq)
+	if len(t.ticketOrder) > maxTickets {
+		t.evictedUpTo = max(t.evictedUpTo, t.ticketOrder[0])
+		delete(t.ticketed, t.ticketOrder[0])
+		t.ticketOrder = t.ticketOrder[1:]
 	}
 	return true
 }
 
-// lost ends an attempt that got no ticket and never will.
-func (t *attempts) lost(a *attempt) {
+// discard removes a pending attempt that will never receive a ticket.
+func (t *attemptTable) discard(a *attempt) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.pending, a.seq)
 }
 
 // finish ends a running attempt and keeps its result for Lookup.
-func (t *attempts) finish(a *attempt, r *record.Result) {
+func (t *attemptTable) finish(a *attempt, r *record.Result) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.running, a.seq)
 	a.final = r
-	close(a.over)
+	close(a.finished)
 	if r.Code.Info().NotRun {
-		t.forget(a.key, a.seq)
+		t.dropKey(a.key, a.seq)
 	}
-	k := &keptAnswer{seq: a.seq, key: a.key, at: t.now(), size: len(r.Body) + len(r.Key) + 256, r: r}
-	t.kept[a.seq] = t.order.PushBack(k)
+	k := &finishedAttempt{seq: a.seq, key: a.key, at: t.now(), size: len(r.Body) + len(r.Key) + 256, r: r}
+	t.answers[a.seq] = t.order.PushBack(k)
 	t.bytes += k.size
-	t.trim()
+	t.evict()
 }
 
-func (t *attempts) trim() {
+// evict removes the oldest answers that exceed the limits on age and size.
+func (t *attemptTable) evict() {
 	for e := t.order.Front(); e != nil; e = t.order.Front() {
-		k := e.Value.(*keptAnswer)
-		if t.bytes <= keepBytes && t.now().Sub(k.at) < keepFor {
+		k := e.Value.(*finishedAttempt)
+		if t.bytes <= maxAnswerBytes && t.now().Sub(k.at) < answerRetention {
 			return
 		}
 		t.order.Remove(e)
-		delete(t.kept, k.seq)
-		t.forget(k.key, k.seq)
+		delete(t.answers, k.seq)
+		t.dropKey(k.key, k.seq)
 		t.bytes -= k.size
 	}
 }
 
-func (t *attempts) forget(key keyID, seq uint64) {
-	if t.byKey[key] == seq {
-		delete(t.byKey, key)
+func (t *attemptTable) dropKey(key keyID, seq uint64) {
+	if t.seqByKey[key] == seq {
+		delete(t.seqByKey, key)
 	}
 }
 
-// own returns the attempt of this process that runs or has run the call, with
-// its digest. With the log down it is all that can tell the first answer.
-func (t *attempts) own(key keyID) (id string, digest uint64, ok bool) {
+// ownAttempt returns the ID and digest of the attempt of this process that runs
+// or has run the call. While the log is unavailable, it is the only source of
+// the first answer.
+func (t *attemptTable) ownAttempt(key keyID) (id string, digest uint64, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	seq, ok := t.byKey[key]
+	seq, ok := t.seqByKey[key]
 	if !ok {
 		return "", 0, false
 	}
 	if a := t.running[seq]; a != nil {
 		return a.id, a.call.Digest, true
 	}
-	r := t.kept[seq].Value.(*keptAnswer).r
+	r := t.answers[seq].Value.(*finishedAttempt).r
 	return r.Attempt, r.Digest, true
 }
 
-// found is what a process knows of an attempt of its own.
-type found struct {
-	running *attempt       // not over
-	result  *record.Result // over
-	never   bool           // got no ticket and never will
+// attemptStatus is what this process knows about one of its own attempts. The
+// zero value means that the attempt may have run and that its answer is no
+// longer kept.
+type attemptStatus struct {
+	running  *attempt       // not finished
+	result   *record.Result // result of a finished attempt
+	neverRan bool           // received no ticket and never will
 }
 
-// find looks an attempt up. The zero found: it may have run, and the answer is
-// no longer kept.
-func (t *attempts) find(id string) found {
+// find returns the status of an attempt.
+func (t *attemptTable) find(id string) attemptStatus {
 	seq, ok := seqOf(id)
 	if !ok || writerOf(id) != t.self {
-		return found{}
+		return attemptStatus{}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if a := t.pending[seq]; a != nil {
-		return found{running: a}
+		return attemptStatus{running: a}
 	}
 	if a := t.running[seq]; a != nil {
-		return found{running: a}
+		return attemptStatus{running: a}
 	}
-	if e := t.kept[seq]; e != nil {
-		return found{result: e.Value.(*keptAnswer).r}
+	if e := t.answers[seq]; e != nil {
+		return attemptStatus{result: e.Value.(*finishedAttempt).r}
 	}
-	_, ran := t.ran[seq]
-	return found{never: !ran && seq > t.floor && seq <= t.seq}
+	_, ran := t.ticketed[seq]
+	return attemptStatus{neverRan: !ran && seq > t.evictedUpTo && seq <= t.seq}
 }
 
-// stored returns the form of a result that goes into the log: a large answer
-// stays behind.
-func stored(r *record.Result) *record.Result {
-	if len(r.Body) <= maxKeptSmall {
+// resultForLog returns the form of a result that is stored in the log. It omits
+// an answer body that exceeds maxLoggedBody.
+func resultForLog(r *record.Result) *record.Result {
+	if len(r.Body) <= maxLoggedBody {
 		return r
 	}
 	small := *r
--- a/request/once/bench_test.go
+++ b/request/once/bench_test.go
@@ -16,44 +16,44 @@
 )
 
 const (
-	fleetAppends = 300.0 // a second, of the whole log
+	fleetAppends = 300.0 // per second, for the whole log
 	benchDaemons = 8
 	benchTime    = 10 * time.Second
 )
 
-// BenchmarkThroughput has 8 daemons run new keys over one log of 300 appends a
-// second, with a number of callers that each wait for their answer. Real time;
-// one iteration is one run of 10 s.
+// BenchmarkThroughput runs new keys on 8 daemons over one log limited to 300
+// appends per second. Each caller waits for its answer before it sends the next
+// call. It uses real time; one iteration takes 10 s.
 func BenchmarkThroughput(b *testing.B) {
 	for _, callers := range []int{64, 512, 4096} {
 		b.Run(fmt.Sprintf("callers=%d", callers), func(b *testing.B) {
 			for range b.N {
-				measure(b, callers)
+				measureThroughput(b, callers)
 			}
 		})
 	}
 }
 
-func measure(b *testing.B, callers int) {
+func measureThroughput(b *testing.B, callers int) {
 	f := &fleet{t: b, log: logsvc.New(logsvc.Options{Latency: time.Millisecond, Rate: fleetAppends}), runs: map[string]int{}}
 	f.opts.Rate = fleetAppends / benchDaemons
 	for range benchDaemons {
 		f.start()
 	}
 	var mu sync.Mutex
-	var took []time.Duration
+	var latencies []time.Duration
 	failed := 0
 	end := time.Now().Add(benchTime)
 	var wg sync.WaitGroup
 	for c := range callers {
 		wg.Go(func() {
-			n := f.nodes[c%benchDaemons]
+			d := f.daemons[c%benchDaemons]
 			for i := 0; time.Now().Before(end); i++ {
 				began := time.Now()
-				got := n.send(call(fmt.Sprint(c, "-", i)))
-				d := time.Since(began)
+				got := d.send(call(fmt.Sprint(c, "-", i)))
+				latency := time.Since(began)
 				mu.Lock()
-				took = append(took, d)
+				latencies = append(latencies, latency)
 				if got[0] != 'h' {
 					failed++
 				}
@@ -64,14 +64,14 @@
 	wg.Wait()
 	counters := f.log.Counters()
 	f.stop()
-	slices.Sort(took)
-	n := float64(len(took))
+	slices.Sort(latencies)
+	n := float64(len(latencies))
 	b.ReportMetric(n/benchTime.Seconds(), "requests/s")
 	b.ReportMetric(float64(counters.Appends)/n, "appends/request")
 	b.ReportMetric(float64(counters.Appends)/benchTime.Seconds(), "appends/s")
 	b.ReportMetric(float64(counters.Bytes)/n, "logbytes/request")
-	b.ReportMetric(took[len(took)/2].Seconds()*1e3, "p50-ms")
-	b.ReportMetric(took[len(took)*99/100].Seconds()*1e3, "p99-ms")
+	b.ReportMetric(latencies[len(latencies)/2].Seconds()*1e3, "p50-ms")
+	b.ReportMetric(latencies[len(latencies)*99/100].Seconds()*1e3, "p99-ms")
 	b.ReportMetric(float64(failed), "refused")
 	for key, runs := range f.runs {
 		if runs > 1 {
@@ -80,12 +80,12 @@
 	}
 }
 
-// BenchmarkRecovery reads a stream anew, as a daemon does that becomes a
-// shard's batcher, and gives the memory of each key.
+// BenchmarkRecovery reads a stream from the start, as a daemon does when it
+// becomes the batcher of a shard, and reports the memory used per key.
 func BenchmarkRecovery(b *testing.B) {
 	for _, keys := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("keys=%d", keys), func(b *testing.B) {
-			l := filled(keys)
+			l := filledLog(keys)
 			for b.Loop() {
 				recoverOnce(b, l, keys)
 			}
@@ -93,8 +93,8 @@
 	}
 }
 
-// filled is a log with keys that were answered, 20 to a batch.
-func filled(keys int) *logsvc.Log {
+// filledLog returns a log with answered keys, 20 per batch.
+func filledLog(keys int) *logsvc.Log {
 	const perBatch = 20
 	l := logsvc.New(logsvc.Options{})
 	var batch record.Batch
@@ -115,8 +115,8 @@
 func recoverOnce(b *testing.B, l *logsvc.Log, keys int) {
 	before := heap()
 	s := newShard(0, l, nil, &health{})
-	if !s.recover(b.Context()) || s.fold.Len() != keys {
-		b.Fatalf("recovered %d keys", s.fold.Len())
+	if !s.loadState(b.Context()) || s.state.Len() != keys {
+		b.Fatalf("recovered %d keys", s.state.Len())
 	}
 	b.ReportMetric(float64(heap()-before)/float64(keys), "bytes/key")
 	runtime.KeepAlive(s)
--- a/request/once/closer.go
+++ b/request/once/closer.go
@@ -11,44 +11,45 @@
 	"github.com/pomelospool/pomelospool/process/record"
 )
 
-// Bounds of a closer.
+// Limits and delays of a resultWriter.
 const (
-	maxQueued    = 8192 // results that wait for the log
-	closeBatch   = 256
-	closeWait    = 200 * time.Millisecond // after a failure, doubled up to closeMost
-	closeMost    = 5 * time.Second
-	closeTimeout = 10 * time.Second
+	maxQueuedResults    = 8192 // results waiting to be appended to the log
+	resultBatchSize     = 256
+	minResultRetryDelay = 200 * time.Millisecond // after a failure; doubles up to maxResultRetryDelay
+	maxResultRetryDelay = 5 * time.Second
+	resultTimeout       = 10 * time.Second
 )
 
-// closer records the results of one shard, in order, until each stands in the
-// log. The queue is bounded; what falls out of it in a long outage leaves its
-// key open, and its outcome is found by Lookup while this process lives.
-type closer struct {
+// resultWriter appends the results of one shard to the log in order and retries
+// until each is recorded. The queue is bounded. A result that is dropped from it
+// during a long outage leaves its key open; Lookup still finds the outcome while
+// this process runs.
+type resultWriter struct {
 	l     *Log
 	shard int
 	wake  chan struct{}
 
-	mu    sync.Mutex
-	queue []record.Envelope
-	busy  int // taken from the queue and not yet recorded
-	empty chan struct{}
+	mu       sync.Mutex
+	queue    []record.Envelope
+	inFlight int           // records taken from the queue and not yet recorded
+	empty    chan struct{} // closed while no result is queued or in flight
 }
 
-func newCloser(l *Log, shard int) *closer {
-	c := &closer{l: l, shard: shard, wake: make(chan struct{}, 1), empty: make(chan struct{})}
+func newResultWriter(l *Log, shard int) *resultWriter {
+	c := &resultWriter{l: l, shard: shard, wake: make(chan struct{}, 1), empty: make(chan struct{})}
 	close(c.empty)
 	return c
 }
 
-func (c *closer) add(r *record.Result) {
+func (c *resultWriter) enqueue(r *record.Result) {
 	body, _ := json.Marshal(r)
 	env := record.Envelope{ID: r.Attempt + "/r", Kind: record.KindResult, Writer: c.l.o.Self, Body: body}
 	c.mu.Lock()
-	if len(c.queue)+c.busy == 0 {
+	if len(c.queue)+c.inFlight == 0 {
 		c.empty = make(chan struct{})
 	}
 	c.queue = append(c.queue, env)
-	if len(c.queue) > maxQueued {
+	if len(c.queue) > maxQueuedResults {
 		c.queue = c.queue[1:]
 		counts.Add("results_dropped", 1)
 	}
@@ -59,28 +60,28 @@
 	}
 }
 
-func (c *closer) take() []record.Envelope {
+func (c *resultWriter) nextBatch() []record.Envelope {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n := min(len(c.queue), closeBatch)
+	n := min(len(c.queue), resultBatchSize)
 	batch := append([]record.Envelope(nil), c.queue[:n]...)
 	c.queue = append([]record.Envelope(nil), c.queue[n:]...)
-	c.busy = n
+	c.inFlight = n
 	return batch
 }
 
-// settled puts back what wasn't recorded.
-func (c *closer) settled(left []record.Envelope) {
+// finishBatch returns the records that were not recorded to the queue.
+func (c *resultWriter) finishBatch(unrecorded []record.Envelope) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.busy = 0
-	c.queue = append(left, c.queue...)
+	c.inFlight = 0
+	c.queue = append(unrecorded, c.queue...)
 	if len(c.queue) == 0 {
 		close(c.empty)
 	}
 }
 
-func (c *closer) drain(ctx context.Context) error {
+func (c *resultWriter) drain(ctx context.Context) error {
 	c.mu.Lock()
 	empty := c.empty
 	c.mu.Unlock()
@@ -92,42 +93,42 @@
 	}
 }
 
-func (c *closer) run() error {
-	wait := closeWait
+func (c *resultWriter) run() error {
+	delay := minResultRetryDelay
 	for {
 		select {
 		case <-c.l.tomb.Dying():
 			return nil
 		case <-c.wake:
 		}
-		for batch := c.take(); len(batch) > 0; batch = c.take() {
-			left := c.send(batch)
-			c.settled(left)
-			if len(left) == 0 {
-				wait = closeWait
+		for batch := c.nextBatch(); len(batch) > 0; batch = c.nextBatch() {
+			unrecorded := c.send(batch)
+			c.finishBatch(unrecorded)
+			if len(unrecorded) == 0 {
+				delay = minResultRetryDelay
 				continue
 			}
-			if pause.For(c.l.tomb.Context(context.Background()), wait) != nil {
+			if pause.For(c.l.tomb.Context(context.Background()), delay) != nil {
 				return nil
 			}
-			wait = min(2*wait, closeMost)
+			delay = min(2*delay, maxResultRetryDelay)
 		}
 	}
 }
 
-// send proposes the results and returns those that aren't recorded.
-func (c *closer) send(batch []record.Envelope) []record.Envelope {
-	ctx, cancel := context.WithTimeout(c.l.tomb.Context(context.Background()), closeTimeout)
+// send proposes the results and returns those that were not recorded.
+func (c *resultWriter) send(batch []record.Envelope) []record.Envelope {
+	ctx, cancel := context.WithTimeout(c.l.tomb.Context(context.Background()), resultTimeout)
 	defer cancel()
 	outcomes, err := c.l.proposeAll(ctx, c.shard, batch)
 	if err != nil || len(outcomes) != len(batch) {
 		return batch
 	}
-	var left []record.Envelope
+	var unrecorded []record.Envelope
 	for i, o := range outcomes {
 		if o.Kind != peerpb.Outcome_RECORDED {
-			left = append(left, batch[i])
+			unrecorded = append(unrecorded, batch[i])
 		}
 	}
-	return left
+	return unrecorded
 }
--- a/request/once/fleet_test.go
+++ b/request/once/fleet_test.go
@@ -19,8 +19,8 @@
 	"github.com/pomelospool/pomelospool/standin/logsvc"
 )
 
-// TestMain keeps the log lines of provoked faults out of the output, and sets
-// how many random histories are tried; the command line comes after it.
+// TestMain hides the log lines that the provoked faults cause, and sets the
+// number of random histories. Flags of the command line override it.
 func TestMain(m *testing.M) {
 	log.SetLevel(log.FatalLevel)
 	_ = flag.Set("rapid.checks", "3000")
@@ -28,26 +28,27 @@
 	m.Run()
 }
 
-// fleet is a set of daemons over one log, which call each other in process,
-// and one target that counts what it runs.
+// fleet is a set of daemons that share one log and call each other in process,
+// and one target that counts the calls it runs.
 type fleet struct {
-	t     testing.TB
-	log   *logsvc.Log
-	mu    sync.Mutex
-	nodes []*node
-	runs  map[string]int
-	opts  Options // changes to the defaults
+	t       testing.TB
+	log     *logsvc.Log
+	mu      sync.Mutex
+	daemons []*daemon
+	runs    map[string]int
+	opts    Options // overrides of the defaults
 }
 
-// node is one daemon.
-type node struct {
-	f     *fleet
-	name  string
-	l     *Log
-	awake chan struct{} // closed while the process runs
-	dead  bool          // killed
-	gone  bool          // held for dead by the members
-	old   bool          // not in the members' list any more
+// daemon is one simulated process. It implements port.Log and forwards to the
+// log of the fleet.
+type daemon struct {
+	f            *fleet
+	name         string
+	l            *Log
+	running      chan struct{} // closed while the process is not paused
+	dead         bool          // killed
+	reportedDead bool          // not live in the member list
+	unlisted     bool          // missing from the member list
 }
 
 func newFleet(t testing.TB, n int, o logsvc.Options) *fleet {
@@ -58,142 +59,144 @@
 	return f
 }
 
-func (f *fleet) start() *node {
+func (f *fleet) start() *daemon {
 	f.mu.Lock()
-	n := &node{f: f, name: fmt.Sprintf("daemon-%d", len(f.nodes)), awake: make(chan struct{})}
-	close(n.awake)
-	f.nodes = append(f.nodes, n)
+	d := &daemon{f: f, name: fmt.Sprintf("daemon-%d", len(f.daemons)), running: make(chan struct{})}
+	close(d.running)
+	f.daemons = append(f.daemons, d)
 	f.mu.Unlock()
 	o := f.opts
-	o.Self, o.Log, o.Members, o.Client = n.name, n, f.members, n.client
-	n.l = New(o)
-	n.l.Start()
-	return n
+	o.Self, o.Log, o.Members, o.Client = d.name, d, f.members, d.client
+	d.l = New(o)
+	d.l.Start()
+	return d
 }
 
 func (f *fleet) members() []Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []Member
-	for _, n := range f.nodes {
-		if n.old {
+	for _, d := range f.daemons {
+		if d.unlisted {
 			continue
 		}
-		out = append(out, Member{Incarnation: n.name, Addr: n.name, Live: !n.gone})
+		out = append(out, Member{Incarnation: d.name, Addr: d.name, Live: !d.reportedDead})
 	}
 	return out
 }
 
-func (f *fleet) node(addr string) *node {
+func (f *fleet) daemonAt(addr string) *daemon {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, n := range f.nodes {
-		if n.name == addr {
-			return n
+	for _, d := range f.daemons {
+		if d.name == addr {
+			return d
 		}
 	}
 	return nil
 }
 
 func (f *fleet) stop() {
-	for _, n := range f.nodes {
-		n.wake()
-		_ = n.l.Stop()
+	for _, d := range f.daemons {
+		d.resume()
+		_ = d.l.Stop()
 	}
 }
 
-func (n *node) set(change func()) {
-	n.f.mu.Lock()
-	defer n.f.mu.Unlock()
+func (d *daemon) update(change func()) {
+	d.f.mu.Lock()
+	defer d.f.mu.Unlock()
 	change()
 }
 
-// kill ends the process; the members notice at once.
-func (n *node) kill() {
-	n.set(func() { n.dead, n.gone = true, true })
-	_ = n.l.Stop()
+// kill ends the process and marks it as dead in the member list.
+func (d *daemon) kill() {
+	d.update(func() { d.dead, d.reportedDead = true, true })
+	_ = d.l.Stop()
 }
 
-// pause stops the process at its next call out or in.
-func (n *node) pause() { n.set(func() { n.awake = make(chan struct{}) }) }
+// pause blocks the process at its next call to the log or from a peer.
+func (d *daemon) pause() { d.update(func() { d.running = make(chan struct{}) }) }
 
-func (n *node) wake() {
-	n.set(func() {
+func (d *daemon) resume() {
+	d.update(func() {
 		select {
-		case <-n.awake:
+		case <-d.running:
 		default:
-			close(n.awake)
+			close(d.running)
 		}
 	})
 }
 
 var errDead = errors.New("no such process")
 
-// gate waits while the process is paused.
-func (n *node) gate(ctx context.Context) error {
-	n.f.mu.Lock()
-	awake, dead := n.awake, n.dead
-	n.f.mu.Unlock()
+// waitWhilePaused blocks while the process is paused. It returns errDead if the
+// process was killed.
+func (d *daemon) waitWhilePaused(ctx context.Context) error {
+	d.f.mu.Lock()
+	running, dead := d.running, d.dead
+	d.f.mu.Unlock()
 	if dead {
 		return errDead
 	}
 	select {
-	case <-awake:
+	case <-running:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// Append implements port.Log. A pause holds it before and after.
-func (n *node) Append(ctx context.Context, stream string, data []byte) (int64, error) {
-	if err := n.gate(context.Background()); err != nil {
+// Append implements port.Log. It blocks while the process is paused, both before
+// and after the append.
+func (d *daemon) Append(ctx context.Context, stream string, data []byte) (int64, error) {
+	if err := d.waitWhilePaused(context.Background()); err != nil {
 		return 0, fmt.Errorf("%w: %w", port.ErrUnavailable, err)
 	}
-	offset, err := n.f.log.Append(ctx, stream, data)
-	_ = n.gate(context.Background())
+	offset, err := d.f.log.Append(ctx, stream, data)
+	_ = d.waitWhilePaused(context.Background())
 	return offset, err
 }
 
 // Read implements port.Log.
-func (n *node) Read(ctx context.Context, stream string, from int64, limit int, wait time.Duration) ([]port.Record, int64, error) {
-	_ = n.gate(context.Background())
-	return n.f.log.Read(ctx, stream, from, limit, wait)
+func (d *daemon) Read(ctx context.Context, stream string, from int64, limit int, wait time.Duration) ([]port.Record, int64, error) {
+	_ = d.waitWhilePaused(context.Background())
+	return d.f.log.Read(ctx, stream, from, limit, wait)
 }
 
 // Earliest implements port.Log.
-func (n *node) Earliest(ctx context.Context, stream string) (int64, error) {
-	return n.f.log.Earliest(ctx, stream)
+func (d *daemon) Earliest(ctx context.Context, stream string) (int64, error) {
+	return d.f.log.Earliest(ctx, stream)
 }
 
-// client calls another daemon.
-func (n *node) client(addr string) (peerpb.PeerClient, error) {
-	return &link{to: n.f.node(addr)}, nil
+// client returns a client of another daemon.
+func (d *daemon) client(addr string) (peerpb.PeerClient, error) {
+	return &peerClient{to: d.f.daemonAt(addr)}, nil
 }
 
-type link struct {
+type peerClient struct {
 	peerpb.PeerClient
-	to *node
+	to *daemon
 }
 
-func (k *link) Propose(ctx context.Context, r *peerpb.ProposeRequest, _ ...grpc.CallOption) (*peerpb.ProposeReply, error) {
-	if err := k.to.gate(ctx); err != nil {
+func (k *peerClient) Propose(ctx context.Context, r *peerpb.ProposeRequest, _ ...grpc.CallOption) (*peerpb.ProposeReply, error) {
+	if err := k.to.waitWhilePaused(ctx); err != nil {
 		return nil, err
 	}
 	return k.to.l.HandlePropose(ctx, r)
 }
 
-func (k *link) Lookup(ctx context.Context, r *peerpb.LookupRequest, _ ...grpc.CallOption) (*peerpb.LookupReply, error) {
-	if err := k.to.gate(ctx); err != nil {
+func (k *peerClient) Lookup(ctx context.Context, r *peerpb.LookupRequest, _ ...grpc.CallOption) (*peerpb.LookupReply, error) {
+	if err := k.to.waitWhilePaused(ctx); err != nil {
 		return nil, err
 	}
 	return k.to.l.HandleLookup(ctx, r)
 }
 
-// call is what a caller's key and content stand for in these tests.
+// call returns the call that the tests send for a key.
 func call(key string) Call { return Call{Service: "app", Key: key, Digest: 1} }
 
-// run has the target run a key, and gives its answer.
+// run counts a run of the key on the target and returns its answer.
 func (f *fleet) run(key string) Answer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -201,61 +204,61 @@
 	return Answer{Status: 201, Type: "text/plain", Body: []byte("held " + key)}
 }
 
-// send does what the entry does with a caller's request, and returns what the
-// caller sees: "held k", or the number of a code.
-func (n *node) send(c Call) string { return n.sendBefore(context.Background(), c) }
+// send handles a request of a caller as request/entry does, and returns the body
+// of the answer or the number of the result code.
+func (d *daemon) send(c Call) string { return d.sendWithContext(context.Background(), c) }
 
-func (n *node) sendBefore(ctx context.Context, c Call) string {
-	ticket, answer, err := n.l.Begin(ctx, c)
+func (d *daemon) sendWithContext(ctx context.Context, c Call) string {
+	ticket, answer, err := d.l.Begin(ctx, c)
 	switch {
 	case err != nil:
-		return seen(err)
+		return codeNumber(err)
 	case answer != nil:
 		return string(answer.Body)
 	}
-	a := n.f.run(c.Key)
+	a := d.f.run(c.Key)
 	ticket.Done(a)
 	return string(a.Body)
 }
 
-func seen(err error) string { return fmt.Sprint(int(code.Of(err))) }
+func codeNumber(err error) string { return fmt.Sprint(int(code.Of(err))) }
 
-// begin takes the ticket of a key and leaves it to the test.
-func (n *node) begin(key string) Ticket {
-	ticket, _, err := n.l.Begin(context.Background(), call(key))
+// begin returns a ticket for a key, which the test itself ends.
+func (d *daemon) begin(key string) Ticket {
+	ticket, _, err := d.l.Begin(context.Background(), call(key))
 	if err != nil || ticket == nil {
-		n.f.t.Errorf("%s: no ticket for %s: %v", n.name, key, err)
+		d.f.t.Errorf("%s: no ticket for %s: %v", d.name, key, err)
 	}
 	return ticket
 }
 
-// batcherOf is the daemon that batches a key's shard.
-func (f *fleet) batcherOf(key string) *node {
-	l := f.nodes[0].l
+// batcherOf returns the daemon that batches the shard of a key.
+func (f *fleet) batcherOf(key string) *daemon {
+	l := f.daemons[0].l
 	addr := l.batchers(newKeyID("app", key).shardOf(l.o.Shards))[0]
 	if addr == "" {
-		return f.nodes[0]
+		return f.daemons[0]
 	}
-	return f.node(addr)
+	return f.daemonAt(addr)
 }
 
-// other is a live daemon that isn't n.
-func (f *fleet) other(not ...*node) *node {
-	for _, n := range f.nodes {
-		ok := !n.dead
-		for _, x := range not {
-			ok = ok && n != x
+// other returns a live daemon that is not in exclude.
+func (f *fleet) other(exclude ...*daemon) *daemon {
+	for _, d := range f.daemons {
+		ok := !d.dead
+		for _, x := range exclude {
+			ok = ok && d != x
 		}
 		if ok {
-			return n
+			return d
 		}
 	}
 	f.t.Fatal("no other daemon")
 	return nil
 }
 
-// ranOnce checks the invariant for a key.
-func (f *fleet) ran(key string, want int) {
+// expectRuns checks how often the target ran a key.
+func (f *fleet) expectRuns(key string, want int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.runs[key] != want {
@@ -263,7 +266,7 @@
 	}
 }
 
-// expect compares what a caller saw.
+// expect compares what a caller received with what it should receive.
 func (f *fleet) expect(what, got, want string) {
 	f.t.Helper()
 	if got != want {
@@ -271,14 +274,14 @@
 	}
 }
 
-// advance lets the virtual clock of the synctest bubble run on.
+// advance moves the virtual clock of the synctest bubble forward.
 func advance(d time.Duration) { <-time.After(d) }
 
-// bubble runs a test of a fleet with virtual time.
-func bubble(t *testing.T, n int, o logsvc.Options, test func(f *fleet)) {
+// runFleet runs a test with a fleet of n daemons in virtual time.
+func runFleet(t *testing.T, n int, o logsvc.Options, test func(f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, n, o)
-		advance(2 * settleTime)
+		advance(2 * membershipSettleTime)
 		test(f)
 		f.stop()
 	})
--- a/request/once/fold.go
+++ b/request/once/fold.go
@@ -13,26 +13,27 @@
 	"github.com/pomelospool/pomelospool/process/record"
 )
 
-// state is what the log says of a key.
-type state uint8
+// keyState is the state of a key according to the log.
+type keyState uint8
 
 const (
-	free    state = iota // no attempt holds the key
-	open                 // an attempt holds it and may be running
-	done                 // answered
-	unknown              // may have run, and nobody knows
+	free    keyState = iota // no attempt holds the key
+	open                    // an attempt holds the key and may be running
+	done                    // answered
+	unknown                 // the call may have run; the outcome is not known
 )
 
-// entry is one key. Answers aren't in it: they are read back from the log.
+// entry is the state of one key. It does not contain the answer, which is read
+// back from the log.
 type entry struct {
-	digest  uint64
-	touched int64    // log time in ms of the last record that changed the entry
-	window  int64    // ms
-	offset  int64    // of the batch that closed the key
-	attempt string   // that holds or closed the key
-	writer  string   // incarnation of that attempt's process
-	dead    []string // attempts that will never run
-	state   state
+	digest    uint64
+	changedAt int64    // log time in ms of the last record that changed the entry
+	window    int64    // ms
+	offset    int64    // offset of the batch that closed the key
+	attempt   string   // attempt that holds or closed the key
+	writer    string   // incarnation of that attempt's process
+	neverRun  []string // attempts that will never run
+	state     keyState
 }
 
 // item is one parsed record: an intent or a result.
@@ -43,7 +44,7 @@
 	result *record.Result
 }
 
-// parse reads an envelope that came from the log or from a peer.
+// parse decodes an envelope received from the log or from a peer.
 func parse(env record.Envelope) (item, error) {
 	it := item{env: env}
 	var service, key string
@@ -67,44 +68,45 @@
 	return it, nil
 }
 
-// Fold is the state of one shard after a prefix of its stream. Every process
-// that folds the same records comes to the same state: it depends on nothing
-// but the records and the log's own times. It is not safe for concurrent use.
+// StateMachine is the state of one shard after a prefix of its stream. It
+// depends only on the records and on the log's timestamps, so that every process
+// that applies the same records reaches the same state. It is not safe for
+// concurrent use.
 //
-// The rules, in which "first" is by log order:
-//   - the first intent of a key that no attempt holds wins; later ones change
-//     nothing, and neither does a second copy of one
-//   - an OK result closes its key, whatever stood before: only a winner runs,
-//     so it is true; the first one counts
-//   - an unknown result closes its key unless it is answered, or the attempt
-//     is known never to run
-//   - a result that says "not run" frees the key if its attempt holds it, and
-//     the attempt can never win after that, even if its intent comes later;
-//     only the process that made the attempt may say so
-//   - a key is forgotten once its window has passed, by the log's clock, since
-//     the last record that changed it
-type Fold struct {
+// The rules, in which "first" refers to the order of the log:
+//   - The first intent for a key that no attempt holds wins. Later intents and
+//     duplicate copies change nothing.
+//   - An OK result closes its key whatever its state, because only the winner
+//     runs the call. The first OK result counts.
+//   - An unknown result closes its key unless the key is answered or the attempt
+//     is known never to run.
+//   - A "not run" result frees the key if its attempt holds it. The attempt can
+//     never win afterwards, even if its intent arrives later. Only the process
+//     that made the attempt may write this result.
+//   - A key is removed once its window has passed since the last record that
+//     changed it, measured by the log's timestamps.
+type StateMachine struct {
 	next    int64 // offset of the next record
 	now     int64 // newest log time in ms
-	swept   int64
+	sweptAt int64 // log time in ms of the last sweep
 	keys    map[keyID]*entry
-	writers map[string]string // one copy of each incarnation's name
-	skipped int               // records that can't be parsed
+	writers map[string]string // interned incarnation names
+	skipped int               // records that could not be parsed
 }
 
-// NewFold returns the state before the record at offset from.
-func NewFold(from int64) *Fold {
-	return &Fold{next: from, keys: make(map[keyID]*entry), writers: make(map[string]string)}
+// NewStateMachine returns the state before the record at offset from.
+func NewStateMachine(from int64) *StateMachine {
+	return &StateMachine{next: from, keys: make(map[keyID]*entry), writers: make(map[string]string)}
 }
 
-// Next is the offset of the first record that isn't folded.
-func (f *Fold) Next() int64 { return f.next }
+// Next returns the offset of the first record that has not been applied.
+func (f *StateMachine) Next() int64 { return f.next }
 
-// Len is the number of keys held.
-func (f *Fold) Len() int { return len(f.keys) }
+// Len returns the number of keys held.
+func (f *StateMachine) Len() int { return len(f.keys) }
 
-// Apply folds the next record of the stream.
-func (f *Fold) Apply(r port.Record) {
+// Apply applies the next record of the stream.
+func (f *StateMachine) Apply(r port.Record) {
 	f.next = r.Offset + 1
 	f.now = max(f.now, r.Time.UnixMilli())
 	var b record.Batch
@@ -123,7 +125,7 @@
 	f.sweep()
 }
 
-func (f *Fold) apply(it *item, offset int64) {
+func (f *StateMachine) apply(it *item, offset int64) {
 	switch {
 	case it.intent != nil:
 		f.applyIntent(it)
@@ -136,12 +138,12 @@
 	}
 }
 
-func (f *Fold) applyIntent(it *item) {
+func (f *StateMachine) applyIntent(it *item) {
 	e := f.lookup(it.id)
 	if e == nil {
 		e = f.insert(it.id)
 	}
-	if e.state != free || slices.Contains(e.dead, it.intent.Attempt) {
+	if e.state != free || slices.Contains(e.neverRun, it.intent.Attempt) {
 		return
 	}
 	e.state = open
@@ -151,15 +153,15 @@
 	f.touch(e, it.intent.Window)
 }
 
-func (f *Fold) applyUnknown(it *item, offset int64) {
+func (f *StateMachine) applyUnknown(it *item, offset int64) {
 	e := f.lookup(it.id)
-	if e != nil && slices.Contains(e.dead, it.result.Attempt) {
+	if e != nil && slices.Contains(e.neverRun, it.result.Attempt) {
 		return
 	}
 	f.close(it, offset, unknown)
 }
 
-func (f *Fold) close(it *item, offset int64, to state) {
+func (f *StateMachine) close(it *item, offset int64, to keyState) {
 	e := f.lookup(it.id)
 	if e == nil {
 		e = f.insert(it.id)
@@ -172,11 +174,11 @@
 	e.attempt = it.result.Attempt
 	e.writer = f.intern(writerOf(it.result.Attempt))
 	e.digest = it.result.Digest
-	e.dead = nil
+	e.neverRun = nil
 	f.touch(e, it.result.Window)
 }
 
-func (f *Fold) applyNotRun(it *item) {
+func (f *StateMachine) applyNotRun(it *item) {
 	a := it.result.Attempt
 	if writerOf(a) != it.env.Writer {
 		return
@@ -185,45 +187,46 @@
 	if e == nil {
 		e = f.insert(it.id)
 	}
-	if e.state == done || e.state == unknown || slices.Contains(e.dead, a) {
+	if e.state == done || e.state == unknown || slices.Contains(e.neverRun, a) {
 		return
 	}
-	// The oldest tombstone may go: its attempt can win again by a late copy of
-	// its intent, but never runs, and its process says so when asked.
-	if len(e.dead) >= maxDead {
-		e.dead = slices.Delete(e.dead, 0, 1)
+	// Dropping the oldest tombstone is safe. A late copy of the intent can let
+	// its attempt win, but the attempt never runs, and its process reports that
+	// on Lookup.
+	if len(e.neverRun) >= maxNeverRun {
+		e.neverRun = slices.Delete(e.neverRun, 0, 1)
 	}
-	e.dead = append(e.dead, a)
+	e.neverRun = append(e.neverRun, a)
 	f.touch(e, it.result.Window)
 	if e.state == open && e.attempt == a {
 		e.state, e.attempt, e.writer = free, "", ""
 	}
 }
 
-// maxDead bounds the tombstones of one key.
-const maxDead = 32
+// maxNeverRun limits the tombstones of one key.
+const maxNeverRun = 32
 
-// lookup returns the entry unless its window has passed.
-func (f *Fold) lookup(id keyID) *entry {
+// lookup returns the entry of a key, or nil if its window has passed.
+func (f *StateMachine) lookup(id keyID) *entry {
 	e := f.keys[id]
-	if e == nil || e.touched+e.window <= f.now {
+	if e == nil || e.changedAt+e.window <= f.now {
 		return nil
 	}
 	return e
 }
 
-func (f *Fold) insert(id keyID) *entry {
+func (f *StateMachine) insert(id keyID) *entry {
 	e := &entry{}
 	f.keys[id] = e
 	return e
 }
 
-func (f *Fold) touch(e *entry, window int64) {
-	e.touched = f.now
+func (f *StateMachine) touch(e *entry, window int64) {
+	e.changedAt = f.now
 	e.window = max(e.window, window)
 }
 
-func (f *Fold) intern(s string) string {
+func (f *StateMachine) intern(s string) string {
 	if known, ok := f.writers[s]; ok {
 		return known
 	}
@@ -232,37 +235,38 @@
 	return s
 }
 
-// sweepEvery is the log time between two passes over all keys, in ms.
+// sweepEvery is the log time between two sweeps, in ms.
 const sweepEvery = int64(time.Minute / time.Millisecond)
 
-// sweep frees the memory of the keys whose window has passed.
-func (f *Fold) sweep() {
-	if f.now-f.swept < sweepEvery {
+// sweep removes the keys whose window has passed.
+func (f *StateMachine) sweep() {
+	if f.now-f.sweptAt < sweepEvery {
 		return
 	}
-	f.swept = f.now
+	f.sweptAt = f.now
 	for id, e := range f.keys {
-		if e.touched+e.window <= f.now {
+		if e.changedAt+e.window <= f.now {
 			delete(f.keys, id)
 		}
 	}
 }
 
-// decision is what a prefix of the log says about one record.
+// decision is the outcome of one record according to a prefix of the log.
 type decision struct {
 	kind    peerpb.Outcome_Kind
-	attempt string // that holds or closed the key
+	attempt string // attempt that holds or closed the key
 	writer  string
 	offset  int64 // of the batch that closed the key
 	final   bool  // no later record changes it within the window
 }
 
-// Decide tells what the folded prefix decided about a record, or false when it
-// decided nothing yet, so that the record has to be appended. It holds for a
-// record that stands once, twice, or not at all: a lost answer to an append
-// needs no other treatment. Once it says WON, no longer prefix gives the key
-// to another attempt before a result of this one.
-func (f *Fold) decide(it *item) (decision, bool) {
+// decide returns the outcome of a record according to the applied prefix. It
+// returns false if the prefix contains no decision, in which case the record
+// must be appended. The result is the same whether the stream contains the
+// record once, twice or not at all, so that a lost reply to an append needs no
+// special handling. After a WON outcome, no longer prefix gives the key to
+// another attempt before a result of this one.
+func (f *StateMachine) decide(it *item) (decision, bool) {
 	e := f.lookup(it.id)
 	if it.result != nil {
 		return decision{kind: peerpb.Outcome_RECORDED}, e != nil && recorded(e, it.result)
@@ -275,7 +279,7 @@
 	switch {
 	case e.state == open && e.attempt == a:
 		d.kind = peerpb.Outcome_WON
-	case slices.Contains(e.dead, a):
+	case slices.Contains(e.neverRun, a):
 		d.kind = peerpb.Outcome_UNKNOWN
 	case e.state == free:
 		return d, false
@@ -289,9 +293,9 @@
 	return d, true
 }
 
-// recorded reports whether the entry shows all that r would change.
+// recorded reports whether the entry already reflects r.
 func recorded(e *entry, r *record.Result) bool {
-	if e.state == done || slices.Contains(e.dead, r.Attempt) {
+	if e.state == done || slices.Contains(e.neverRun, r.Attempt) {
 		return true
 	}
 	return e.state == unknown && r.Code != code.OK
--- a/request/once/handlers.go
+++ b/request/once/handlers.go
@@ -11,12 +11,12 @@
 	"github.com/pomelospool/pomelospool/process/record"
 )
 
-// lookupWait is how long a lookup waits for a running attempt. It is short, so
-// that an asker notices soon when the process it asks has died.
+// lookupWait is how long a lookup waits for a running attempt. It is short so
+// that the requester soon notices when the process it queries has died.
 const lookupWait = time.Second
 
-// HandlePropose answers a peer's proposal; the grpc server calls it. A reply
-// without outcomes says that nothing was appended.
+// HandlePropose handles the Propose call of a peer. A reply without outcomes
+// means that nothing was appended.
 func (l *Log) HandlePropose(ctx context.Context, r *peerpb.ProposeRequest) (*peerpb.ProposeReply, error) {
 	if r.Shard < 0 || int(r.Shard) >= l.o.Shards || len(r.Records) == 0 {
 		return &peerpb.ProposeReply{}, nil
@@ -37,39 +37,39 @@
 	return &peerpb.ProposeReply{Outcomes: outcomes}, nil
 }
 
-// HandleLookup tells what this process knows of an attempt of its own; the
-// grpc server calls it. It waits a moment for one that is running.
+// HandleLookup handles the Lookup call of a peer and returns the status of an
+// attempt of this process. It waits up to lookupWait for a running attempt.
 func (l *Log) HandleLookup(ctx context.Context, r *peerpb.LookupRequest) (*peerpb.LookupReply, error) {
 	f := l.attempts.find(r.Attempt)
 	if f.running != nil {
-		f = l.waitFor(ctx, f, r.Attempt)
+		f = l.waitForAttempt(ctx, f, r.Attempt)
 	}
 	switch {
 	case f.running != nil:
 		return &peerpb.LookupReply{Known: true, Running: true}, nil
 	case f.result != nil:
 		return &peerpb.LookupReply{Known: true, Result: marshalResult(f.result)}, nil
-	case f.never:
-		return l.neverRan(r), nil
+	case f.neverRan:
+		return l.replyNeverRan(r), nil
 	}
 	return &peerpb.LookupReply{}, nil
 }
 
-func (l *Log) waitFor(ctx context.Context, f found, attempt string) found {
+func (l *Log) waitForAttempt(ctx context.Context, f attemptStatus, attempt string) attemptStatus {
 	t := time.NewTimer(lookupWait)
 	defer t.Stop()
 	select {
-	case <-f.running.over:
+	case <-f.running.finished:
 	case <-t.C:
 	case <-ctx.Done():
 	}
 	return l.attempts.find(attempt)
 }
 
-// neverRan tells that an attempt got no ticket. It wins all the same when a
-// copy of its intent that was given up reaches the log late; without a result
-// the key would stay closed to a call that never ran.
-func (l *Log) neverRan(r *peerpb.LookupRequest) *peerpb.LookupReply {
+// replyNeverRan reports that an attempt received no ticket, and queues a result
+// that says so. A late copy of its abandoned intent can still win in the log;
+// without a result the key would stay held by a call that never ran.
+func (l *Log) replyNeverRan(r *peerpb.LookupRequest) *peerpb.LookupReply {
 	result := &record.Result{
 		Service: r.Service,
 		Key:     r.Key,
@@ -78,6 +78,6 @@
 		Window:  l.o.Window(r.Service).Milliseconds(),
 	}
 	id := newKeyID(r.Service, r.Key)
-	l.closers[id.shardOf(l.o.Shards)].add(result)
+	l.resultWriters[id.shardOf(l.o.Shards)].enqueue(result)
 	return &peerpb.LookupReply{Known: true, Result: marshalResult(result)}
 }
--- a/request/once/health.go
+++ b/request/once/health.go
@@ -9,30 +9,30 @@
 	"github.com/pomelospool/pomelospool/process/record"
 )
 
-// counts are the metrics of at most once in this process.
+// counts are the metrics of this package.
 var counts = expvar.NewMap("once")
 
-// probePeriod is the time between two looks at a log that is down.
+// probePeriod is the time between two probes of an unavailable log.
 const probePeriod = 250 * time.Millisecond
 
-// health remembers that the log failed, so that requests are refused at once
-// instead of each waiting for the same time-out. No request is a probe: one
-// that was would wait for the log in its caller's stead.
+// health records whether the log is available, so that requests fail at once
+// instead of each waiting for the same timeout. Requests are not used as probes,
+// because the caller of such a request would wait for the log.
 type health struct {
 	mu       sync.Mutex
 	failed   bool
-	readable bool // again, since it failed
+	readable bool // a read has succeeded since the failure
 }
 
-// ok reports whether the log may be used now.
-func (h *health) ok() bool {
+// available reports whether the log may be used.
+func (h *health) available() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return !h.failed || h.readable
 }
 
-// down notes a failure and reports whether the log was up before.
-func (h *health) down() bool {
+// markDown records a failure and reports whether the log was available before.
+func (h *health) markDown() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	first := !h.failed
@@ -41,21 +41,21 @@
 	return first
 }
 
-// canRead notes that a read worked: appends may be tried.
-func (h *health) canRead() {
+// markReadable records a successful read, after which appends may be tried.
+func (h *health) markReadable() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.readable = true
 }
 
-// up notes that an append worked.
-func (h *health) up() {
+// markUp records a successful append.
+func (h *health) markUp() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.failed = false
 }
 
-// probe looks at the log while it is down.
+// probe reads from the log periodically while it is unavailable.
 func (l *Log) probe() error {
 	tick := time.NewTicker(probePeriod)
 	defer tick.Stop()
@@ -65,16 +65,16 @@
 			return nil
 		case <-tick.C:
 		}
-		if !l.health.ok() {
-			l.look()
+		if !l.health.available() {
+			l.probeOnce()
 		}
 	}
 }
 
-func (l *Log) look() {
+func (l *Log) probeOnce() {
 	ctx, cancel := context.WithTimeout(l.tomb.Context(context.Background()), readTimeout)
 	defer cancel()
 	if _, _, err := l.o.Log.Read(ctx, record.OnceStream(0), 1<<62, 1, 0); err == nil {
-		l.health.canRead()
+		l.health.markReadable()
 	}
 }
--- a/request/once/keeper.go
+++ b/request/once/keeper.go
@@ -15,52 +15,52 @@
 	"github.com/pomelospool/pomelospool/process/record"
 )
 
-// Defaults of Options, and fixed times.
+// Defaults of Options, and fixed durations.
 const (
 	DefaultShards    = 16
 	DefaultRate      = 30.0
 	DefaultRetention = 24 * time.Hour
 	DefaultWindow    = time.Hour
 
-	proposeLimit    = 3 * time.Second // from an intent to its answer
-	retentionMargin = time.Minute     // more than the longest proposal and its results take
-	retryAfter      = time.Second
-	settleTime      = 5 * time.Second // after a start, until missing members count as dead
+	proposeTimeout       = 3 * time.Second // from sending an intent to its outcome
+	retentionMargin      = time.Minute     // longer than the longest proposal and its results take
+	retryAfter           = time.Second
+	membershipSettleTime = 5 * time.Second // after a start, until unlisted members count as dead
 )
 
-// Member is what a Keeper needs to know of a daemon.
+// Member describes a daemon to a Keeper.
 type Member struct {
 	Incarnation string
-	Addr        string // of its peer server, host:port
+	Addr        string // address of its peer server, host:port
 	Live        bool
-	Leaving     bool // still answers Lookup, batches no more
+	Leaving     bool // still answers Lookup, but no longer batches
 }
 
-// Options of a Log. Self and Log are required; without Members and Client the
-// process works alone.
+// Options configures a Log. Self and Log are required. Without Members and
+// Client the process works alone.
 type Options struct {
 	Self      string // incarnation of this process
 	Log       port.Log
-	Members   func() []Member                              // the others, dead ones too
-	Client    func(addr string) (peerpb.PeerClient, error) // peer.Dialer.Client
-	Window    func(service string) time.Duration           // how long keys are remembered; DefaultWindow
-	Shards    int                                          // the same in the whole fleet
-	Rate      float64                                      // appends a second of this process
-	Retention time.Duration                                // for which the log surely keeps records
+	Members   func() []Member                              // the other daemons, including dead ones
+	Client    func(addr string) (peerpb.PeerClient, error) // connects to a peer, as peer.Dialer.Client does
+	Window    func(service string) time.Duration           // how long keys are kept; DefaultWindow
+	Shards    int                                          // must be the same on all daemons
+	Rate      float64                                      // appends per second of this process
+	Retention time.Duration                                // how long the log is guaranteed to keep records
 	Wait      time.Duration                                // longest wait for another attempt's answer; 10s
 	Now       func() time.Time
 }
 
-// Log is the Keeper whose decisions are those of the log's order.
+// Log is a Keeper that decides by the order of records in a replicated log.
 type Log struct {
-	o        Options
-	tomb     tomb.Tomb
-	started  time.Time
-	health   *health
-	limit    *rate.Limiter
-	attempts *attempts
-	closers  []*closer
-	avoid    *avoidList
+	o             Options
+	tomb          tomb.Tomb
+	started       time.Time
+	health        *health
+	limit         *rate.Limiter
+	attempts      *attemptTable
+	resultWriters []*resultWriter
+	avoid         *avoidList
 
 	mu      sync.Mutex
 	shards  map[int]*shard
@@ -69,7 +69,7 @@
 
 var _ Keeper = (*Log)(nil)
 
-// New returns a Keeper. Start starts its work.
+// New returns a Log. Start starts its goroutines.
 func New(o Options) *Log {
 	o = withDefaults(o)
 	l := &Log{
@@ -77,12 +77,12 @@
 		started:  o.Now(),
 		health:   &health{},
 		limit:    rate.NewLimiter(rate.Limit(o.Rate), max(1, int(o.Rate/10))),
-		attempts: newAttempts(o.Self, o.Now),
+		attempts: newAttemptTable(o.Self, o.Now),
 		avoid:    &avoidList{now: o.Now, until: make(map[string]time.Time)},
 		shards:   make(map[int]*shard),
 	}
 	for n := range o.Shards {
-		l.closers = append(l.closers, newCloser(l, n))
+		l.resultWriters = append(l.resultWriters, newResultWriter(l, n))
 	}
 	return l
 }
@@ -112,10 +112,10 @@
 	return o
 }
 
-// Start starts the goroutines that record results.
+// Start starts the goroutines that record results and probe the log.
 func (l *Log) Start() {
 	l.tomb.Go(func() error {
-		for _, c := range l.closers {
+		for _, c := range l.resultWriters {
 			l.tomb.Go(c.run)
 		}
 		l.tomb.Go(l.probe)
@@ -124,10 +124,11 @@
 	})
 }
 
-// Drain waits until every result of this process stands in the log, or ctx
-// ends. What isn't recorded when the process ends is unknown for good.
+// Drain waits until all results of this process are in the log, or until ctx
+// ends. The outcome of a call whose result is not recorded when the process
+// exits stays unknown.
 func (l *Log) Drain(ctx context.Context) error {
-	for _, c := range l.closers {
+	for _, c := range l.resultWriters {
 		if err := c.drain(ctx); err != nil {
 			return err
 		}
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// Stop ends all work.
+// Stop stops all goroutines.
 func (l *Log) Stop() error {
 	l.mu.Lock()
 	l.stopped = true
@@ -144,8 +145,8 @@
 	return l.tomb.Wait()
 }
 
-// shard returns the running shard n, starting it at first use. After Stop it
-// returns nil.
+// shard returns the running shard n and starts it on first use. It returns nil
+// after Stop.
 func (l *Log) shard(n int) *shard {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -163,10 +164,10 @@
 
 // Begin implements Keeper.
 //
-// The guard of the whole package is here: a ticket is given only for an
-// attempt that the log order made the winner, to the goroutine that made the
-// attempt, and only once. An attempt whose outcome wasn't learnt in time is
-// given up here for good; should the log make it win later, nobody runs it.
+// It enforces the at-most-once guarantee of the package: it returns a ticket
+// only for an attempt that won by log order, only to the goroutine that made the
+// attempt, and only once. An attempt without a decision within the time limit is
+// abandoned for good. If it wins later in the log, nobody runs it.
 func (l *Log) Begin(ctx context.Context, c Call) (Ticket, *Answer, error) {
 	window, err := l.window(c.Service)
 	if err != nil {
@@ -174,29 +175,29 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, l.o.Wait)
 	defer cancel()
-	held := false
+	otherSeen := false
 	for {
 		a := l.attempts.begin(c, window)
-		o, err := l.place(ctx, a)
+		o, err := l.decideAttempt(ctx, a)
 		if err == nil && o.Kind == peerpb.Outcome_WON {
-			return l.win(a)
+			return l.grantTicket(a)
 		}
-		l.attempts.lost(a)
+		l.attempts.discard(a)
 		if err != nil || o.Kind == peerpb.Outcome_UNKNOWN {
-			return nil, nil, l.giveUp(a, err, held)
+			return nil, nil, l.abandon(a, err, otherSeen)
 		}
-		held = true
-		answer, again, err := l.resolve(ctx, a, o)
-		if !again {
+		otherSeen = true
+		answer, retry, err := l.resolve(ctx, a, o)
+		if !retry {
 			return nil, answer, err
 		}
 	}
 }
 
-// place finds the attempt's place among those of its key: in this process if
-// it has one of them, else by the log.
-func (l *Log) place(ctx context.Context, a *attempt) (*peerpb.Outcome, error) {
-	id, digest, ok := l.attempts.own(a.key)
+// decideAttempt returns the outcome of an attempt. If this process already has
+// an attempt for the key, that one decides, otherwise the log does.
+func (l *Log) decideAttempt(ctx context.Context, a *attempt) (*peerpb.Outcome, error) {
+	id, digest, ok := l.attempts.ownAttempt(a.key)
 	switch {
 	case !ok:
 		return l.propose(ctx, a)
@@ -211,39 +212,39 @@
 	if w <= 0 {
 		w = DefaultWindow
 	}
-	// Records that the log drops while their key must be remembered would let
-	// a call run twice after a restart. Such a service is refused at once.
+	// If the log dropped records within the window of their key, a call could run
+	// twice after a restart. Such a service is refused at once.
 	if w+retentionMargin > l.o.Retention {
 		return 0, code.New(code.OnceUnavailable, "the log keeps records for %v, the service's window is %v", l.o.Retention, w)
 	}
 	return w, nil
 }
 
-func (l *Log) win(a *attempt) (Ticket, *Answer, error) {
-	if !l.attempts.won(a) {
-		return nil, nil, l.giveUp(a, nil, false)
+func (l *Log) grantTicket(a *attempt) (Ticket, *Answer, error) {
+	if !l.attempts.start(a) {
+		return nil, nil, l.abandon(a, nil, false)
 	}
 	counts.Add("won", 1)
 	return &ticket{l: l, a: a}, nil, nil
 }
 
-// giveUp refuses a call whose intent the log didn't decide in time. It was not
-// run and never will be under this attempt; if the intent may stand in the
-// log, a result frees the key as soon as the log takes it. When another
-// attempt was seen to hold the key, "not run" would deceive the caller about
-// that one, so the key is busy.
-func (l *Log) giveUp(a *attempt, err error, held bool) error {
+// abandon returns the error of a call whose intent was not decided in time. The
+// call did not run and never will under this attempt. If the intent may be in
+// the log, a queued result frees the key as soon as the log accepts it. If
+// another attempt was seen to hold the key, the error is KeyBusy, because "not
+// run" would be misleading about that attempt.
+func (l *Log) abandon(a *attempt, err error, otherSeen bool) error {
 	counts.Add("given_up", 1)
 	if !errors.Is(err, errNotAppended) {
-		l.record(a, a.result(code.OnceUnavailable))
+		l.queueResult(a, a.result(code.OnceUnavailable))
 	}
-	if held {
+	if otherSeen {
 		return busy()
 	}
 	return code.Wrap(code.OnceUnavailable, err, "").After(retryAfter)
 }
 
-// record queues a result for the log.
-func (l *Log) record(a *attempt, r *record.Result) {
-	l.closers[a.shard(l.o.Shards)].add(r)
+// queueResult queues a result to be written to the log.
+func (l *Log) queueResult(a *attempt, r *record.Result) {
+	l.resultWriters[a.shard(l.o.Shards)].enqueue(r)
 }
--- a/request/once/key.go
+++ b/request/once/key.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// keyID stands for a service and a key. It is cut from a cryptographic hash:
-// callers choose their keys, and one that could make two keys meet would get
-// another caller's answer.
+// keyID identifies a service and a key. It is truncated from a cryptographic
+// hash because callers choose their keys: a caller who could produce a collision
+// would receive the answer of another caller.
 type keyID [16]byte
 
 func newKeyID(service, key string) keyID {
@@ -24,23 +24,23 @@
 	return id
 }
 
-// shardOf returns the shard of a key among n.
+// shardOf returns the shard of a key among n shards.
 func (id keyID) shardOf(n int) int {
 	return int(binary.BigEndian.Uint64(id[8:]) % uint64(n))
 }
 
-// attemptID names try seq of one process: "incarnation#seq".
+// attemptID returns the ID of attempt seq of a process: "incarnation#seq".
 func attemptID(incarnation string, seq uint64) string {
 	return incarnation + "#" + strconv.FormatUint(seq, 36)
 }
 
-// writerOf returns the incarnation of an attempt.
+// writerOf returns the incarnation of the process that made an attempt.
 func writerOf(attempt string) string {
 	i := strings.LastIndexByte(attempt, '#')
 	return attempt[:max(i, 0)]
 }
 
-// seqOf returns the number of an attempt.
+// seqOf returns the sequence number of an attempt.
 func seqOf(attempt string) (uint64, bool) {
 	seq, err := strconv.ParseUint(attempt[strings.LastIndexByte(attempt, '#')+1:], 36, 64)
 	return seq, err == nil
--- a/request/once/propose.go
+++ b/request/once/propose.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	tryTimeout = 1500 * time.Millisecond // one peer's answer to a proposal
-	avoidFor   = 2 * time.Second         // a peer that didn't answer
+	peerTimeout   = 1500 * time.Millisecond // limit on the reply of one peer
+	avoidDuration = 2 * time.Second         // how long a peer that did not answer is skipped
 )
 
 var errStopped = errors.New("once: stopped")
 
-// avoidList remembers the peers that failed to answer lately, so that not
-// each request waits for the same time-out.
+// avoidList holds the peers that recently failed to answer, so that requests do
+// not each wait for the same timeout.
 type avoidList struct {
 	now   func() time.Time
 	mu    sync.Mutex
@@ -32,7 +32,7 @@
 func (a *avoidList) add(addr string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.until[addr] = a.now().Add(avoidFor)
+	a.until[addr] = a.now().Add(avoidDuration)
 }
 
 func (a *avoidList) has(addr string) bool {
@@ -46,9 +46,9 @@
 	return ok
 }
 
-// propose asks for an attempt's place in the log order.
+// propose sends the intent of an attempt to the log and returns its outcome.
 func (l *Log) propose(ctx context.Context, a *attempt) (*peerpb.Outcome, error) {
-	ctx, cancel := context.WithTimeout(ctx, proposeLimit)
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	body, _ := json.Marshal(record.Intent{
 		Service: a.call.Service,
@@ -66,25 +66,25 @@
 	return outcomes[0], nil
 }
 
-// proposeAll sends records of one shard to its batcher, and if that doesn't
-// answer to the next one, and at last batches them here. Which daemon batches
-// is a matter of cost only: all of them answer by the log. The error is
-// errNotAppended only if no daemon can have appended anything.
+// proposeAll sends records of one shard to its batcher, then to the next one if
+// that fails, and finally batches them in this process. The choice of batcher
+// affects only the cost, because every daemon answers from the log. The error is
+// errNotAppended only if no daemon can have appended any of the records.
 func (l *Log) proposeAll(ctx context.Context, shard int, envs []record.Envelope) ([]*peerpb.Outcome, error) {
-	maybe := false
+	maybeAppended := false
 	for _, addr := range l.batchers(shard) {
 		outcomes, err := l.proposeTo(ctx, addr, shard, envs)
 		if err == nil {
 			return outcomes, nil
 		}
 		if !errors.Is(err, errNotAppended) {
-			maybe = true
+			maybeAppended = true
 		}
 		if ctx.Err() != nil {
 			break
 		}
 	}
-	if maybe {
+	if maybeAppended {
 		return nil, fmt.Errorf("once: shard %d: no batcher answered", shard)
 	}
 	return nil, errNotAppended
@@ -97,20 +97,21 @@
 	return l.proposeRemote(ctx, addr, shard, envs)
 }
 
-// batchers returns up to two addresses, and at last this process: the order of
-// rendezvous hashing over the live members. Empty stands for this process.
+// batchers returns the addresses to try, ordered by rendezvous hashing over the
+// live members: at most two peers, then this process. The empty address means
+// this process.
 func (l *Log) batchers(shard int) []string {
-	type place struct {
+	type candidate struct {
 		addr  string
 		score uint64
 	}
-	first := place{"", score(shard, l.o.Self)}
-	second := place{}
+	first := candidate{"", score(shard, l.o.Self)}
+	second := candidate{}
 	for _, m := range l.o.Members() {
 		if !m.Live || m.Leaving || m.Incarnation == l.o.Self || l.o.Client == nil || l.avoid.has(m.Addr) {
 			continue
 		}
-		p := place{m.Addr, score(shard, m.Incarnation)}
+		p := candidate{m.Addr, score(shard, m.Incarnation)}
 		if p.score > first.score {
 			first, second = p, first
 		} else if p.score > second.score {
@@ -140,7 +141,7 @@
 		data, _ := json.Marshal(e)
 		req.Records = append(req.Records, data)
 	}
-	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	reply, err := c.Propose(ctx, req)
 	if err != nil {
@@ -175,8 +176,8 @@
 	return l.collect(ctx, out)
 }
 
-// collect waits for all answers. It gives errNotAppended when none of the
-// records reached an append.
+// collect waits for all outcomes. It returns errNotAppended if none of the
+// records was passed to an append.
 func (l *Log) collect(ctx context.Context, ps []*proposal) ([]*peerpb.Outcome, error) {
 	refused := 0
 	outcomes := make([]*peerpb.Outcome, len(ps))
--- a/request/once/rapid_test.go
+++ b/request/once/rapid_test.go
@@ -15,24 +15,24 @@
 )
 
 // history is a random interleaving of proposers, batchers and a log that loses
-// answers and lets appends take effect late. The proposers obey the rules of
-// Begin and of the tickets; batchers read any prefix.
+// replies and delays appends. The proposers follow the rules of Begin and of
+// tickets. Each batcher may have read any prefix of the stream.
 type history struct {
-	t       *rapid.T
-	stream  []port.Record
-	late    [][]record.Envelope // appends on their way
-	readers []*Fold
-	tries   []*try
-	runs    map[string]int
-	at      time.Time
+	t        *rapid.T
+	stream   []port.Record
+	delayed  [][]record.Envelope // appends that have not taken effect yet
+	batchers []*StateMachine
+	attempts []*simulatedAttempt
+	runs     map[string]int
+	at       time.Time
 }
 
-// try is one attempt of one process.
-type try struct {
-	it     item
-	gaveUp bool
-	ran    bool
-	over   bool
+// simulatedAttempt is one attempt of one process.
+type simulatedAttempt struct {
+	it       item
+	gaveUp   bool
+	ran      bool
+	finished bool
 }
 
 func result(it item, c code.Code) record.Envelope {
@@ -42,7 +42,7 @@
 }
 
 func (h *history) begin() {
-	n := len(h.tries)
+	n := len(h.attempts)
 	in := record.Intent{
 		Service: "app",
 		Key:     fmt.Sprint("k", rapid.IntRange(0, 1).Draw(h.t, "key")),
@@ -54,17 +54,17 @@
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	h.tries = append(h.tries, &try{it: it})
+	h.attempts = append(h.attempts, &simulatedAttempt{it: it})
 	h.send(it.env)
 }
 
-// send appends now, late, or both, once or twice.
+// send appends a record immediately, later, or both.
 func (h *history) send(env record.Envelope) {
 	switch rapid.IntRange(0, 3).Draw(h.t, "append") {
 	case 0:
-		h.late = append(h.late, []record.Envelope{env})
+		h.delayed = append(h.delayed, []record.Envelope{env})
 	case 1:
-		h.late = append(h.late, []record.Envelope{env})
+		h.delayed = append(h.delayed, []record.Envelope{env})
 		h.append(env)
 	default:
 		h.append(env)
@@ -77,41 +77,42 @@
 	h.stream = append(h.stream, port.Record{Offset: int64(len(h.stream) + 1), Time: h.at, Data: data})
 }
 
-func (h *history) arrive() {
-	if len(h.late) == 0 {
+func (h *history) deliverDelayed() {
+	if len(h.delayed) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(h.late)-1).Draw(h.t, "late")
-	h.append(h.late[i]...)
-	h.late = append(h.late[:i], h.late[i+1:]...)
+	i := rapid.IntRange(0, len(h.delayed)-1).Draw(h.t, "late")
+	h.append(h.delayed[i]...)
+	h.delayed = append(h.delayed[:i], h.delayed[i+1:]...)
 }
 
-func (h *history) reader() *Fold {
-	return h.readers[rapid.IntRange(0, len(h.readers)-1).Draw(h.t, "reader")]
+func (h *history) anyBatcher() *StateMachine {
+	return h.batchers[rapid.IntRange(0, len(h.batchers)-1).Draw(h.t, "reader")]
 }
 
-// read lets one batcher read on, a part or all.
+// read lets one batcher read up to four more records.
 func (h *history) read() {
-	f := h.reader()
+	f := h.anyBatcher()
 	for n := rapid.IntRange(1, 4).Draw(h.t, "n"); n > 0 && int(f.Next()) <= len(h.stream); n-- {
 		f.Apply(h.stream[f.Next()-1])
 	}
 }
 
-func (h *history) some() *try {
-	if len(h.tries) == 0 {
+func (h *history) anyAttempt() *simulatedAttempt {
+	if len(h.attempts) == 0 {
 		return nil
 	}
-	return h.tries[rapid.IntRange(0, len(h.tries)-1).Draw(h.t, "try")]
+	return h.attempts[rapid.IntRange(0, len(h.attempts)-1).Draw(h.t, "try")]
 }
 
-// learn asks a batcher, and dispatches on WON.
-func (h *history) learn() {
-	t := h.some()
+// applyDecision asks a batcher for the outcome of an attempt and runs the call
+// if it has won.
+func (h *history) applyDecision() {
+	t := h.anyAttempt()
 	if t == nil || t.gaveUp || t.ran {
 		return
 	}
-	d, ok := h.reader().decide(&t.it)
+	d, ok := h.anyBatcher().decide(&t.it)
 	if !ok {
 		return
 	}
@@ -123,29 +124,29 @@
 	h.runs[t.it.intent.Key]++
 }
 
-// giveUp ends a try whose answer is late, and says that it never runs.
+// giveUp abandons an attempt without a decision and writes that it never runs.
 func (h *history) giveUp() {
-	if t := h.some(); t != nil && !t.ran {
+	if t := h.anyAttempt(); t != nil && !t.ran {
 		t.gaveUp = true
 		h.send(result(t.it, code.OnceUnavailable))
 	}
 }
 
 func (h *history) finish() {
-	if t := h.some(); t != nil && t.ran && !t.over {
-		t.over = true
+	if t := h.anyAttempt(); t != nil && t.ran && !t.finished {
+		t.finished = true
 		h.send(result(t.it, rapid.SampledFrom([]code.Code{code.OK, code.OutcomeUnknown}).Draw(h.t, "code")))
 	}
 }
 
-// declare closes the key of an attempt that a batcher sees as the holder, as
-// is done when its process is held for dead.
-func (h *history) declare() {
-	t := h.some()
+// declareUnknown closes the key of an attempt that a batcher sees as the holder,
+// as a daemon does when it considers the process of the attempt dead.
+func (h *history) declareUnknown() {
+	t := h.anyAttempt()
 	if t == nil {
 		return
 	}
-	d, ok := h.reader().decide(&t.it)
+	d, ok := h.anyBatcher().decide(&t.it)
 	if ok && d.kind == peerpb.Outcome_WON {
 		env := result(t.it, code.OutcomeUnknown)
 		env.Writer = "another"
@@ -153,18 +154,19 @@
 	}
 }
 
-// restart loses a batcher's state, and reads the stream anew.
+// restart drops the state of a batcher, which then reads the stream from the
+// start.
 func (h *history) restart() {
-	h.readers[rapid.IntRange(0, len(h.readers)-1).Draw(h.t, "restart")] = NewFold(1)
+	h.batchers[rapid.IntRange(0, len(h.batchers)-1).Draw(h.t, "restart")] = NewStateMachine(1)
 }
 
-// TestHistories: whatever the order in which copies of records reach the log
-// and batchers read it, no key runs twice, and all who have read the whole
-// stream agree.
-func TestHistories(t *testing.T) {
+// TestRandomHistories checks that no key runs twice in whatever order copies of
+// records reach the log and batchers read it, and that all batchers that have
+// read the whole stream agree.
+func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		h := &history{t: rt, runs: map[string]int{}, readers: []*Fold{NewFold(1), NewFold(1)}, at: time.Unix(1e9, 0)}
-		steps := []func(){h.begin, h.begin, h.read, h.read, h.learn, h.learn, h.learn, h.giveUp, h.finish, h.arrive, h.declare, h.restart}
+		h := &history{t: rt, runs: map[string]int{}, batchers: []*StateMachine{NewStateMachine(1), NewStateMachine(1)}, at: time.Unix(1e9, 0)}
+		steps := []func(){h.begin, h.begin, h.read, h.read, h.applyDecision, h.applyDecision, h.applyDecision, h.giveUp, h.finish, h.deliverDelayed, h.declareUnknown, h.restart}
 		for range rapid.IntRange(10, 60).Draw(rt, "steps") {
 			steps[rapid.IntRange(0, len(steps)-1).Draw(rt, "step")]()
 			for key, n := range h.runs {
@@ -173,31 +175,32 @@
 				}
 			}
 		}
-		h.agree()
+		h.checkAgreement()
 	})
 }
 
-func (h *history) agree() {
-	for _, f := range h.readers {
+func (h *history) checkAgreement() {
+	for _, f := range h.batchers {
 		for int(f.Next()) <= len(h.stream) {
 			f.Apply(h.stream[f.Next()-1])
 		}
 	}
-	for id, a := range h.readers[0].keys {
-		b := h.readers[1].keys[id]
+	for id, a := range h.batchers[0].keys {
+		b := h.batchers[1].keys[id]
 		if b == nil || a.state != b.state || a.attempt != b.attempt {
-			h.t.Fatalf("%+v here, %+v there", a, b)
+			h.t.Fatalf("the first batcher has %+v, the second one %+v", a, b)
 		}
 	}
 }
 
-// TestUntrueResults: only the process of an attempt may say that it never ran,
-// and an answered key stays so whatever another daemon holds for unknown.
-func TestUntrueResults(t *testing.T) {
+// TestConflictingResults checks that only the process of an attempt may write
+// that it never ran, and that an answered key stays answered when another daemon
+// declares its outcome unknown.
+func TestConflictingResults(t *testing.T) {
 	cases := []struct {
 		name  string
-		codes []code.Code // the last one is another process's word
-		want  state
+		codes []code.Code // the last one is written by another process
+		want  keyState
 	}{
 		{"not run, by another", []code.Code{code.TargetUnreachable}, open},
 		{"unknown, after the answer", []code.Code{code.OK, code.OutcomeUnknown}, done},
@@ -214,7 +217,7 @@
 		}
 		envs[len(envs)-1].Writer = "another"
 		h.append(envs...)
-		f := NewFold(1)
+		f := NewStateMachine(1)
 		f.Apply(h.stream[0])
 		if got := f.keys[it.id].state; got != tc.want {
 			t.Errorf("%s: state %d, want %d", tc.name, got, tc.want)
@@ -222,9 +225,9 @@
 	}
 }
 
-// TestWindow: a key is forgotten once its window has passed by the log's
-// clock, and its memory is freed.
-func TestWindow(t *testing.T) {
+// TestKeyExpiresAfterWindow checks that a key is removed and its memory freed
+// once its window has passed by the log's clock.
+func TestKeyExpiresAfterWindow(t *testing.T) {
 	h := &history{at: time.Unix(1e9, 0)}
 	for i := range 2 {
 		in := record.Intent{Service: "app", Key: "k", Attempt: attemptID("p", uint64(i)), Window: time.Hour.Milliseconds()}
@@ -233,11 +236,11 @@
 		h.append(it.env, result(it, code.OK))
 		h.at = h.at.Add(time.Hour)
 	}
-	f := NewFold(1)
+	f := NewStateMachine(1)
 	for i, r := range h.stream {
 		f.Apply(r)
 		if id := newKeyID("app", "k"); f.keys[id].attempt != attemptID("p", uint64(i)) {
-			t.Errorf("after record %d attempt %s stands", i, f.keys[id].attempt)
+			t.Errorf("after record %d the key is held by attempt %s", i, f.keys[id].attempt)
 		}
 	}
 	h.append()
--- a/request/once/resolve.go
+++ b/request/once/resolve.go
@@ -11,16 +11,16 @@
 	"github.com/pomelospool/pomelospool/process/record"
 )
 
-const lookupPause = 100 * time.Millisecond // between two tries to reach the winner
+const lookupPause = 100 * time.Millisecond // between two lookups of the winning attempt
 
-// resolve answers a call whose key another attempt holds or closed. again: the
-// key may be free now, and the call may try anew.
-func (l *Log) resolve(ctx context.Context, a *attempt, o *peerpb.Outcome) (answer *Answer, again bool, err error) {
+// resolve answers a call whose key is held or closed by another attempt. retry
+// is true if the key may be free now and the call may be attempted again.
+func (l *Log) resolve(ctx context.Context, a *attempt, o *peerpb.Outcome) (answer *Answer, retry bool, err error) {
 	switch o.Kind {
 	case peerpb.Outcome_REUSED:
 		return nil, false, code.New(code.KeyReused, "")
 	case peerpb.Outcome_CLOSED:
-		answer, err := l.closed(ctx, a, o)
+		answer, err := l.closedAnswer(ctx, a, o)
 		return answer, false, err
 	case peerpb.Outcome_BUSY:
 		return l.await(ctx, a, o)
@@ -28,11 +28,12 @@
 	return nil, false, code.New(code.Internal, "outcome %v", o.Kind)
 }
 
-// closed returns the first answer of a key that has a result. An answer too
-// large for the log is kept by the process that ran the call. While that may
-// live but isn't reached, as when it is paused or this process has just
-// started, "not kept" would be untrue and final; the caller may ask again.
-func (l *Log) closed(ctx context.Context, a *attempt, o *peerpb.Outcome) (*Answer, error) {
+// closedAnswer returns the first answer of a key that has a result. An answer
+// that is too large for the log is kept by the process that ran the call. If
+// that process may be alive but is not reachable, for example because it is
+// paused or because this process has just started, the error is KeyBusy and the
+// caller may retry; AnswerNotKept would be wrong and final.
+func (l *Log) closedAnswer(ctx context.Context, a *attempt, o *peerpb.Outcome) (*Answer, error) {
 	var r record.Result
 	if json.Unmarshal(o.Result, &r) != nil {
 		return nil, code.New(code.KeyBusy, "its result can't be read now").After(retryAfter)
@@ -42,7 +43,7 @@
 	}
 	if !r.Kept {
 		whole, reached := l.lookup(ctx, a.call, o)
-		if !reached && l.mayLive(o.Writer) {
+		if !reached && l.mayBeAlive(o.Writer) {
 			return nil, busy()
 		}
 		if !reached || whole.Result == nil || json.Unmarshal(whole.Result, &r) != nil || !r.Kept {
@@ -53,12 +54,12 @@
 	return &Answer{Status: r.Status, Type: r.Type, Body: r.Body}, nil
 }
 
-// await waits for the attempt that holds the key, as long as its process
-// lives and the caller waits. A caller that sends again wants the first
-// answer, and would only ask again after a refusal.
+// await waits for the attempt that holds the key while its process is alive and
+// the caller waits. A caller that sends a request again wants the first answer
+// and would only retry after a refusal.
 func (l *Log) await(ctx context.Context, a *attempt, o *peerpb.Outcome) (*Answer, bool, error) {
 	for ctx.Err() == nil {
-		if !l.mayLive(o.Writer) {
+		if !l.mayBeAlive(o.Writer) {
 			return l.declareUnknown(ctx, a, o)
 		}
 		reply, reached := l.lookup(ctx, a.call, o)
@@ -66,7 +67,7 @@
 		case reached && !reply.Known:
 			return l.declareUnknown(ctx, a, o)
 		case reached && !reply.Running:
-			return l.finished(ctx, a, o, reply)
+			return l.finishedAnswer(ctx, a, o, reply)
 		}
 		_ = pause.For(ctx, lookupPause)
 	}
@@ -75,8 +76,9 @@
 
 func busy() error { return code.New(code.KeyBusy, "").After(retryAfter) }
 
-// finished takes the result that the winner's process gave.
-func (l *Log) finished(ctx context.Context, a *attempt, o *peerpb.Outcome, reply *peerpb.LookupReply) (*Answer, bool, error) {
+// finishedAnswer handles the result that the process of the winning attempt
+// returned.
+func (l *Log) finishedAnswer(ctx context.Context, a *attempt, o *peerpb.Outcome, reply *peerpb.LookupReply) (*Answer, bool, error) {
 	var r record.Result
 	if json.Unmarshal(reply.Result, &r) != nil {
 		return nil, false, busy()
@@ -85,14 +87,14 @@
 		_ = pause.For(ctx, lookupPause)
 		return nil, ctx.Err() == nil, busy()
 	}
-	answer, err := l.closed(ctx, a, &peerpb.Outcome{Attempt: o.Attempt, Writer: o.Writer, Result: reply.Result})
+	answer, err := l.closedAnswer(ctx, a, &peerpb.Outcome{Attempt: o.Attempt, Writer: o.Writer, Result: reply.Result})
 	return answer, false, err
 }
 
-// mayLive reports whether the process of an incarnation may still be running.
-// One that no member list knows is of the past, but right after the start the
-// list isn't whole.
-func (l *Log) mayLive(incarnation string) bool {
+// mayBeAlive reports whether the process of an incarnation may still be running.
+// An incarnation that is missing from the member list has ended, except shortly
+// after the start, when the list is incomplete.
+func (l *Log) mayBeAlive(incarnation string) bool {
 	if incarnation == l.o.Self {
 		return true
 	}
@@ -101,11 +103,12 @@
 			return m.Live
 		}
 	}
-	return l.o.Now().Sub(l.started) < settleTime
+	return l.o.Now().Sub(l.started) < membershipSettleTime
 }
 
-// declareUnknown closes a key whose winner can't tell any more. It is final
-// only once it stands in the log: until then another outcome may come first.
+// declareUnknown closes a key as unknown because the outcome of the winning
+// attempt can no longer be determined. This is final only once it is recorded in
+// the log; another outcome may be recorded first.
 func (l *Log) declareUnknown(ctx context.Context, a *attempt, o *peerpb.Outcome) (*Answer, bool, error) {
 	r := a.result(code.OutcomeUnknown)
 	r.Attempt = o.Attempt
@@ -119,8 +122,8 @@
 	return nil, true, nil
 }
 
-// lookup asks the process of the winner. reached is false when it gave no
-// answer.
+// lookup queries the process of the winning attempt. reached is false if that
+// process did not reply.
 func (l *Log) lookup(ctx context.Context, c Call, o *peerpb.Outcome) (reply *peerpb.LookupReply, reached bool) {
 	req := &peerpb.LookupRequest{Service: c.Service, Key: c.Key, Attempt: o.Attempt}
 	if o.Writer == l.o.Self {
@@ -135,7 +138,7 @@
 	if err != nil {
 		return nil, false
 	}
-	ctx, cancel := context.WithTimeout(ctx, lookupWait+tryTimeout)
+	ctx, cancel := context.WithTimeout(ctx, lookupWait+peerTimeout)
 	defer cancel()
 	reply, err = client.Lookup(ctx, req)
 	return reply, err == nil
--- a/request/once/shard.go
+++ b/request/once/shard.go
@@ -15,31 +15,31 @@
 	"github.com/pomelospool/pomelospool/process/record"
 )
 
-// Bounds of a shard.
+// Limits of a shard.
 const (
-	maxBatchRecords = 2000
-	maxBatchBytes   = 1 << 20
-	maxPending      = 4096 // proposals that wait for a batch
-	readMax         = 256  // records a read
-	appendTimeout   = time.Second
-	readTimeout     = time.Second
-	findTimeout     = 300 * time.Millisecond // a read after a failed append
-	freshFor        = 100 * time.Millisecond // the state after a read
-	retryFirst      = 50 * time.Millisecond
-	retryMost       = time.Second
-	maxFails        = 2
-	shardIdle       = 2 * time.Minute // without proposals until the state is dropped
+	maxBatchRecords         = 2000
+	maxBatchBytes           = 1 << 20
+	maxPending              = 4096 // proposals waiting for a batch
+	maxReadRecords          = 256  // records per read
+	appendTimeout           = time.Second
+	readTimeout             = time.Second
+	failedAppendReadTimeout = 300 * time.Millisecond // reads after a failed append
+	maxStateAge             = 100 * time.Millisecond // after which a non-final decision needs a new read
+	minAppendBackoff        = 50 * time.Millisecond
+	maxAppendBackoff        = time.Second
+	maxAppendFailures       = 2
+	shardIdleTimeout        = 2 * time.Minute // time without proposals after which the state is dropped
 )
 
-// errNotAppended means that a proposal certainly reached no append.
+// errNotAppended means that a proposal was not passed to any append.
 var errNotAppended = errors.New("once: not appended")
 
-// proposal is one record on its way into the log.
+// proposal is a record submitted to a shard.
 type proposal struct {
 	item
 	size     int
 	ctx      context.Context
-	appended bool // some append that carried it was tried
+	appended bool // an append that contains it was tried
 	out      chan outcome
 }
 
@@ -50,7 +50,7 @@
 
 func (p *proposal) answer(o *peerpb.Outcome, err error) { p.out <- outcome{o, err} }
 
-// giveUp answers a proposal of which the log decided nothing in time.
+// giveUp answers a proposal that the log did not decide in time.
 func (p *proposal) giveUp() {
 	if !p.appended {
 		p.answer(nil, errNotAppended)
@@ -59,9 +59,10 @@
 	p.answer(&peerpb.Outcome{Kind: peerpb.Outcome_UNKNOWN}, nil)
 }
 
-// shard appends the proposals of one shard in batches and answers each by the
-// fold of the stream. Any number of processes may do that for the same shard
-// at once: each answers by the log alone. One goroutine owns the state.
+// shard appends the proposals of one shard in batches and answers each from the
+// state that the stream yields. Any number of processes may do so for the same
+// shard at the same time, because each answers only from the log. One goroutine
+// owns the state.
 type shard struct {
 	stream string
 	log    port.Log
@@ -69,12 +70,12 @@
 	health *health
 	in     chan *proposal
 
-	// Owned by the loop goroutine.
-	fold    *Fold // nil before the stream was read
-	pending []*proposal
-	backoff time.Duration
-	read    time.Time // when the newest record was read last
-	fails   int       // appends in a row that had no effect
+	// Owned by the goroutine of run.
+	state          *StateMachine // nil until the stream has been read
+	pending        []*proposal
+	backoff        time.Duration
+	lastRead       time.Time // when the end of the stream was last reached
+	appendFailures int       // consecutive failed appends without effect
 }
 
 func newShard(n int, l port.Log, limit *rate.Limiter, h *health) *shard {
@@ -87,10 +88,11 @@
 	}
 }
 
-// submit hands a proposal in. A full shard refuses it, and so does one whose
-// log failed a moment ago, even while its goroutine waits for the log.
+// submit queues a proposal. It returns errNotAppended if the queue is full or
+// the log is marked unavailable, even while the goroutine of the shard is
+// blocked on the log.
 func (s *shard) submit(p *proposal) error {
-	if !s.health.ok() {
+	if !s.health.available() {
 		return errNotAppended
 	}
 	select {
@@ -102,27 +104,28 @@
 	}
 }
 
-// run works until it is told to end, or no proposal came for shardIdle.
+// run processes proposals until the tomb is dying. It drops the state after
+// shardIdleTimeout without proposals.
 func (s *shard) run(t *tomb.Tomb) error {
 	ctx := t.Context(context.Background())
-	idle := time.NewTimer(shardIdle)
+	idle := time.NewTimer(shardIdleTimeout)
 	defer idle.Stop()
 	for {
 		select {
 		case <-t.Dying():
-			s.refuseAll()
+			s.giveUpAll()
 			return nil
 		case <-idle.C:
-			s.fold = nil
+			s.state = nil
 		case p := <-s.in:
-			s.take(p)
-			s.work(ctx, t)
-			idle.Reset(shardIdle)
+			s.accept(p)
+			s.appendPending(ctx, t)
+			idle.Reset(shardIdleTimeout)
 		}
 	}
 }
 
-func (s *shard) refuseAll() {
+func (s *shard) giveUpAll() {
 	for {
 		select {
 		case p := <-s.in:
@@ -138,9 +141,10 @@
 	s.pending = nil
 }
 
-// take keeps a proposal that the fold doesn't answer by itself.
-func (s *shard) take(p *proposal) {
-	if d, ok := s.known(p); ok {
+// accept answers a proposal from the current state, or keeps it as pending if
+// the state contains no decision.
+func (s *shard) accept(p *proposal) {
+	if d, ok := s.decideFromState(p); ok {
 		counts.Add("answered_without_append", 1)
 		p.answer(s.outcome(p.ctx, d), nil)
 		return
@@ -148,35 +152,36 @@
 	s.pending = append(s.pending, p)
 }
 
-// known decides by what was read already. An answered key stays so; anything
-// else may have changed through another batcher, so that a caller would be
-// told "busy" for good: then the stream is read on first.
-func (s *shard) known(p *proposal) (decision, bool) {
-	if s.fold == nil {
+// decideFromState returns a decision from the records already read. An answered
+// key is final. Any other decision may have changed through another batcher, and
+// a stale one could report a key as busy forever, so the stream is read first
+// unless the state is recent.
+func (s *shard) decideFromState(p *proposal) (decision, bool) {
+	if s.state == nil {
 		return decision{}, false
 	}
-	d, ok := s.fold.decide(&p.item)
-	if !ok || d.final || time.Since(s.read) < freshFor {
+	d, ok := s.state.decide(&p.item)
+	if !ok || d.final || time.Since(s.lastRead) < maxStateAge {
 		return d, ok
 	}
-	if s.catchUp(p.ctx, 0) != nil || s.fold == nil {
+	if s.catchUp(p.ctx, 0) != nil || s.state == nil {
 		return decision{}, false
 	}
-	return s.fold.decide(&p.item)
+	return s.state.decide(&p.item)
 }
 
-// work appends until nothing is pending.
-func (s *shard) work(ctx context.Context, t *tomb.Tomb) {
+// appendPending appends batches until no proposal is pending.
+func (s *shard) appendPending(ctx context.Context, t *tomb.Tomb) {
 	for len(s.pending) > 0 && ctx.Err() == nil {
-		if !s.health.ok() {
-			s.refuseAll()
+		if !s.health.available() {
+			s.giveUpAll()
 			return
 		}
-		if !s.recover(ctx) {
+		if !s.loadState(ctx) {
 			continue
 		}
-		s.settle()
-		s.gather(t)
+		s.answerDecided()
+		s.collectUntilAppend(t)
 		s.dropExpired()
 		if len(s.pending) > 0 {
 			s.appendBatch(ctx)
@@ -184,20 +189,21 @@
 	}
 }
 
-// gather waits for the right to append and takes what comes meanwhile.
-func (s *shard) gather(t *tomb.Tomb) {
+// collectUntilAppend waits for the rate limit and the backoff, and accepts
+// proposals in the meantime.
+func (s *shard) collectUntilAppend(t *tomb.Tomb) {
 	timer := time.NewTimer(s.limit.Reserve().Delay() + s.backoff)
 	defer timer.Stop()
 	for {
 		select {
 		case p := <-s.in:
-			s.take(p)
+			s.accept(p)
 			continue
 		default:
 		}
 		select {
 		case p := <-s.in:
-			s.take(p)
+			s.accept(p)
 		case <-timer.C:
 			return
 		case <-t.Dying():
@@ -206,7 +212,7 @@
 	}
 }
 
-// dropExpired answers the proposals whose callers no longer wait.
+// dropExpired gives up the proposals whose callers no longer wait.
 func (s *shard) dropExpired() {
 	kept := s.pending[:0]
 	for _, p := range s.pending {
@@ -220,12 +226,13 @@
 	s.pending = kept
 }
 
-// appendBatch appends what is pending, reads the stream back and answers.
+// appendBatch appends the pending proposals, reads the stream back and answers
+// them.
 //
-// The guard is against a lost answer: the append took effect and the log said
-// that it failed. So after a failure the stream is read before anything is
-// appended again, and what stands there is answered from there. A copy that
-// comes in later, from the log's own queue, changes nothing in the fold.
+// It guards against a lost reply, where the append took effect but the log
+// reported an error. After a failure the stream is read before anything is
+// appended again, and proposals found there are answered from it. A duplicate
+// that arrives later from the log's own queue does not change the state.
 func (s *shard) appendBatch(ctx context.Context) {
 	batch, data := s.batch()
 	for _, p := range batch {
@@ -238,35 +245,36 @@
 	counts.Add("appended_records", int64(len(batch)))
 	cctx := ctx
 	if err != nil {
-		cctx, cancel = context.WithTimeout(ctx, findTimeout)
+		cctx, cancel = context.WithTimeout(ctx, failedAppendReadTimeout)
 		defer cancel()
 		counts.Add("append_errors", 1)
 		offset = 0
-		s.backoff = min(max(2*s.backoff, retryFirst), retryMost)
+		s.backoff = min(max(2*s.backoff, minAppendBackoff), maxAppendBackoff)
 	}
 	if cerr := s.catchUp(cctx, offset); cerr != nil {
-		s.down(errors.Join(err, cerr))
+		s.failPending(errors.Join(err, cerr))
 		return
 	}
-	s.settle()
+	s.answerDecided()
 	if err == nil {
 		s.backoff = 0
-		s.fails = 0
-		s.health.up()
+		s.appendFailures = 0
+		s.health.markUp()
 		return
 	}
 	s.appendFailed(err)
 }
 
-// appendFailed ends the tries when the log can be read but takes no append.
+// appendFailed gives up after maxAppendFailures when the log can be read but
+// accepts no appends.
 func (s *shard) appendFailed(err error) {
 	if len(s.pending) == 0 {
 		return
 	}
-	s.fails++
-	if s.fails >= maxFails {
-		s.fails = 0
-		s.down(err)
+	s.appendFailures++
+	if s.appendFailures >= maxAppendFailures {
+		s.appendFailures = 0
+		s.failPending(err)
 	}
 }
 
@@ -286,11 +294,11 @@
 	return s.pending[:n], data
 }
 
-// settle answers what the fold decides.
-func (s *shard) settle() {
+// answerDecided answers the pending proposals that the state decides.
+func (s *shard) answerDecided() {
 	kept := s.pending[:0]
 	for _, p := range s.pending {
-		d, ok := s.fold.decide(&p.item)
+		d, ok := s.state.decide(&p.item)
 		if !ok {
 			kept = append(kept, p)
 			continue
@@ -301,10 +309,11 @@
 	s.pending = kept
 }
 
-// down gives all proposals up at once: a caller is not held back by an outage.
-func (s *shard) down(err error) {
-	if s.health.down() {
-		log.WithField("stream", s.stream).WithError(err).Warn("once: log is down")
+// failPending marks the log unavailable and gives up all proposals, so that no
+// caller waits for the end of an outage.
+func (s *shard) failPending(err error) {
+	if s.health.markDown() {
+		log.WithField("stream", s.stream).WithError(err).Warn("once: log is unavailable")
 	}
-	s.refuseAll()
+	s.giveUpAll()
 }
--- a/request/once/shardanswer.go
+++ b/request/once/shardanswer.go
@@ -10,10 +10,11 @@
 	"github.com/pomelospool/pomelospool/process/record"
 )
 
-// outcome turns a decision into what the proposer is told. A closed key's
-// result is read back from the log, which keeps it longer than the window:
-// the state stays small whatever the answers' size. Without a result the key is
-// closed and its result can't be read now.
+// outcome converts a decision to the reply to the proposer. The result of a
+// closed key is read back from the log, which keeps it longer than the window;
+// the memory per key is therefore independent of the size of the answers. A
+// CLOSED outcome without a result means that the result cannot be read at the
+// moment.
 func (s *shard) outcome(ctx context.Context, d decision) *peerpb.Outcome {
 	o := &peerpb.Outcome{Kind: d.kind, Attempt: d.attempt, Writer: d.writer}
 	if d.kind != peerpb.Outcome_CLOSED {
@@ -29,7 +30,7 @@
 	return o
 }
 
-// findResult returns the result of an attempt out of a batch.
+// findResult returns the result of an attempt from a batch.
 func findResult(r port.Record, attempt string) []byte {
 	var b record.Batch
 	if json.Unmarshal(r.Data, &b) != nil {
--- a/request/once/ticket.go
+++ b/request/once/ticket.go
@@ -18,26 +18,27 @@
 func (t *ticket) Done(a Answer) {
 	r := t.a.result(code.OK)
 	r.Status, r.Type, r.Body, r.Kept = a.Status, a.Type, a.Body, true
-	t.end(r)
+	t.finish(r)
 }
 
-// NotRun implements Ticket. A code that doesn't say that nothing ran is
-// recorded as one that does: the caller of this method has the proof.
+// NotRun implements Ticket. A code that does not imply "not run" is replaced by
+// TargetUnreachable, because the caller of this method has proof that nothing
+// ran.
 func (t *ticket) NotRun(c code.Code) {
 	if !c.Info().NotRun {
 		c = code.TargetUnreachable
 	}
-	t.end(t.a.result(c))
+	t.finish(t.a.result(c))
 }
 
 // Unknown implements Ticket.
-func (t *ticket) Unknown() { t.end(t.a.result(code.OutcomeUnknown)) }
+func (t *ticket) Unknown() { t.finish(t.a.result(code.OutcomeUnknown)) }
 
-func (t *ticket) end(r *record.Result) {
+func (t *ticket) finish(r *record.Result) {
 	if t.used.Swap(true) {
 		counts.Add("ticket_used_twice", 1)
 		return
 	}
 	t.l.attempts.finish(t.a, r)
-	t.l.record(t.a, stored(r))
+	t.l.queueResult(t.a, resultForLog(r))
 }
