--- a/request/quarantine/broadcast.go
+++ b/request/quarantine/broadcast.go
@@ -8,26 +8,26 @@
 	"github.com/pomelospool/pomelospool/peer/peerpb"
 )
 
-// maxCalls bounds the peers that one broadcast calls at the same time.
-const maxCalls = 64
+// maxConcurrentCalls limits the peers that one broadcast calls at the same time.
+const maxConcurrentCalls = 64
 
-// Fleet reaches the peers of this process.
+// Fleet sends updates to the peers of this process.
 type Fleet struct {
-	Self   func() *peerpb.Member                        // as on heartbeats
-	Addrs  func() []string                              // peer addresses of the live members, without self
-	Client func(addr string) (peerpb.PeerClient, error) // peer.Dialer.Client
+	Self   func() *peerpb.Member                        // member entry of this process, as sent in heartbeats
+	Addrs  func() []string                              // peer addresses of the live members, excluding this process
+	Client func(addr string) (peerpb.PeerClient, error) // connects to a peer, as peer.Dialer.Client does
 }
 
-// Broadcast sends news to every live peer as a heartbeat, and hands the news
-// in the replies to incoming. It returns when all have answered or ctx ends.
-// It is meant for Options.Broadcast; a peer that doesn't answer is left to the
-// membership to judge.
-func (f *Fleet) Broadcast(ctx context.Context, news []*peerpb.Conviction, incoming func([]*peerpb.Conviction)) {
+// Broadcast sends updates to every live peer in a heartbeat and passes the
+// updates in the replies to incoming. It returns when all peers have replied or
+// ctx ends. It is meant for Options.Broadcast. A peer that does not reply is
+// ignored here; membership decides whether it is alive.
+func (f *Fleet) Broadcast(ctx context.Context, updates []*peerpb.Conviction, incoming func([]*peerpb.Conviction)) {
 	var g errgroup.Group
-	g.SetLimit(maxCalls)
+	g.SetLimit(maxConcurrentCalls)
 	for _, addr := range f.Addrs() {
 		g.Go(func() error {
-			if reply := f.tell(ctx, addr, news); reply != nil {
+			if reply := f.sendHeartbeat(ctx, addr, updates); reply != nil {
 				incoming(reply.Convictions)
 			}
 			return nil
@@ -36,12 +36,12 @@
 	_ = g.Wait()
 }
 
-func (f *Fleet) tell(ctx context.Context, addr string, news []*peerpb.Conviction) *peerpb.HeartbeatReply {
+func (f *Fleet) sendHeartbeat(ctx context.Context, addr string, updates []*peerpb.Conviction) *peerpb.HeartbeatReply {
 	client, err := f.Client(addr)
 	if err != nil {
 		return nil
 	}
-	reply, err := client.Heartbeat(ctx, &peerpb.HeartbeatRequest{From: f.Self(), Convictions: news})
+	reply, err := client.Heartbeat(ctx, &peerpb.HeartbeatRequest{From: f.Self(), Convictions: updates})
 	if err != nil {
 		counts.Add("broadcast_failed", 1)
 		return nil
--- a/request/quarantine/claim.go
+++ b/request/quarantine/claim.go
@@ -11,16 +11,17 @@
 )
 
 const (
-	// claimFor bounds a claim whose process doesn't give it back.
-	claimFor = 2 * time.Minute
-	// maxWatched bounds the Watched contents that one process runs at a time,
-	// so that few meet at one target and are convicted together.
-	maxWatched = 1
+	// claimTTL limits a claim that its process does not release.
+	claimTTL = 2 * time.Minute
+	// maxSharedRuns limits the Watched contents that one process runs at the
+	// same time, so that few of them run on the same target and are convicted
+	// together.
+	maxSharedRuns = 1
 )
 
-// before tells which of two claims stands: a confirmed one, else that of the
-// lower incarnation.
-func (k claim) before(other claim) bool {
+// precedes reports whether k takes precedence over other. A confirmed claim
+// does, otherwise the one of the lower incarnation.
+func (k claim) precedes(other claim) bool {
 	if k.confirmed != other.confirmed {
 		return k.confirmed
 	}
@@ -29,41 +30,43 @@
 
 // Claim implements Claimer.
 //
-// The guard is against a caller that sends suspect content to all daemons at
-// once: each would run it alone, and each would lose a target. A claim counts
-// once all peers that can be reached know it and none knows a better one. Two
-// that claim at once learn of each other before either runs, by the broadcast
-// or by its answers, and the higher incarnation gives way.
+// It guards against a caller that sends suspect content to all daemons at once:
+// each daemon would run it alone, and each would lose a target. A claim is
+// granted once all reachable peers know it and none has a claim that takes
+// precedence. Two processes that claim at the same time learn of each other
+// before either runs the content, by the broadcast or by the replies to it, and
+// the higher incarnation withdraws.
 func (b *Book) Claim(ctx context.Context, fp uint64) (func(finished bool), bool) {
-	news, beside, ok := b.propose(fp)
+	updates, shared, ok := b.propose(fp)
 	if !ok {
 		counts.Add("claims_refused", 1)
 		return nil, false
 	}
-	if news == nil {
+	if updates == nil {
 		return func(bool) {}, true
 	}
-	b.send(news)
+	b.broadcast(updates)
 	if ctx.Err() != nil || !b.confirm(fp) {
-		b.release(fp, beside, false)
+		b.release(fp, shared, false)
 		counts.Add("claims_refused", 1)
 		return nil, false
 	}
 	var once sync.Once
-	return func(finished bool) { once.Do(func() { b.release(fp, beside, finished) }) }, true
+	return func(finished bool) { once.Do(func() { b.release(fp, shared, finished) }) }, true
 }
 
-// object answers a peer's claim with one of its own when the content is in
-// flight here already, from before anybody knew of a crash.
+// counterClaim answers a peer's claim with a claim of this process if the
+// content is already in flight here, sent before any crash was known.
 //
-// The guard is against a third lost target: the content is at two, one dies,
-// and its daemon would run it again alone while the other is still to die.
-func (b *Book) object(c *content, k claim, now time.Time) bool {
-	if k.by == b.o.Self || !now.Before(k.until) || c.claim.own && now.Before(c.claim.until) || !b.isRunning(c.fp) {
+// It guards against the loss of a third target: the content runs on two targets,
+// one dies, and the daemon of that target would run the content again alone
+// while the other target is still about to die.
+func (b *Book) counterClaim(c *content, k claim, now time.Time) bool {
+	if k.by == b.o.Self || !now.Before(k.until) || c.claim.local && now.Before(c.claim.until) || !b.isRunning(c.fp) {
 		return false
 	}
-	b.claims++
-	c.claim = claim{by: b.o.Self, seq: b.claims, own: true, running: true, confirmed: true, until: now.Add(claimFor)}
+	b.claimSeq++
+	c.claim = claim{by: b.o.Self, seq: b.claimSeq, local: true, running: true, confirmed: true, until: now.Add(claimTTL)}
 	return true
 }
 
@@ -76,8 +79,9 @@
 	return false
 }
 
-// ranOut ends the claim of a content that was in flight and no longer is.
-func (b *Book) ranOut(fp uint64, now time.Time) {
+// endRunningClaim ends the claim of a content that was in flight and no longer
+// is.
+func (b *Book) endRunningClaim(fp uint64, now time.Time) {
 	c := b.contents[fp]
 	if c == nil || !c.claim.running || b.isRunning(fp) {
 		return
@@ -87,14 +91,15 @@
 		return
 	}
 	c.claim.until = until
-	b.post([]*peerpb.Conviction{claimNews(c, now)})
+	b.enqueue([]*peerpb.Conviction{claimUpdate(c, now)})
 }
 
-// mark writes a claim as the target of its news; readMark reads it.
-func (k claim) mark() string { return claimMark + k.by + "#" + strconv.FormatUint(k.seq, 10) }
+// encode returns the claim in the form used as the target of an update.
+// parseClaim is the inverse.
+func (k claim) encode() string { return claimPrefix + k.by + "#" + strconv.FormatUint(k.seq, 10) }
 
-func readMark(target string) (claim, bool) {
-	name, ok := strings.CutPrefix(target, claimMark)
+func parseClaim(target string) (claim, bool) {
+	name, ok := strings.CutPrefix(target, claimPrefix)
 	i := strings.LastIndexByte(name, '#')
 	if !ok || i < 0 {
 		return claim{}, false
@@ -103,9 +108,10 @@
 	return claim{by: name[:i], seq: seq}, err == nil
 }
 
-// propose enters a claim, and returns the news of it. No news and true: the
-// content needs no claim.
-func (b *Book) propose(fp uint64) (news []*peerpb.Conviction, beside, ok bool) {
+// propose adds a claim and returns the update about it. It returns no update and
+// true if the content needs no claim. shared is true if the content runs beside
+// other requests.
+func (b *Book) propose(fp uint64) (updates []*peerpb.Conviction, shared, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.tick()
@@ -113,26 +119,26 @@
 	if c == nil {
 		return nil, false, true
 	}
-	standing, _ := c.standing(now)
+	standing, _ := c.status(now)
 	switch {
 	case standing == Clear:
 		return nil, false, true
 	case standing == Convicted || now.Before(c.claim.until):
 		return nil, false, false
-	case standing == Watched && b.watched >= maxWatched:
+	case standing == Watched && b.sharedRuns >= maxSharedRuns:
 		return nil, false, false
 	}
 	if standing == Watched {
-		b.watched++
+		b.sharedRuns++
 	}
-	b.claims++
+	b.claimSeq++
 	c.claim = claim{
 		by:    b.o.Self,
-		seq:   b.claims,
-		own:   true,
-		until: now.Add(claimFor),
+		seq:   b.claimSeq,
+		local: true,
+		until: now.Add(claimTTL),
 	}
-	return []*peerpb.Conviction{claimNews(c, now)}, standing == Watched, true
+	return []*peerpb.Conviction{claimUpdate(c, now)}, standing == Watched, true
 }
 
 func (b *Book) confirm(fp uint64) bool {
@@ -143,50 +149,50 @@
 	if c == nil {
 		return true
 	}
-	if now.Before(c.convicted) || !c.claim.own {
+	if now.Before(c.convictedUntil) || !c.claim.local {
 		return false
 	}
 	c.claim.confirmed = true
 	return true
 }
 
-// release gives a claim back after the moment in which a crash may still be
-// noticed, and tells the peers.
-func (b *Book) release(fp uint64, beside, finished bool) {
+// release ends a claim after settleTime, in which a crash may still be noticed,
+// and informs the peers.
+func (b *Book) release(fp uint64, shared, finished bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.tick()
-	if beside {
-		b.watched--
+	if shared {
+		b.sharedRuns--
 	}
 	c := b.contents[fp]
-	if c == nil || !c.claim.own {
+	if c == nil || !c.claim.local {
 		return
 	}
 	c.claim.until = now.Add(settleTime)
 	if finished {
-		c.clears = c.claim.until
-		b.clearing = append(b.clearing, fp)
+		c.clearAt = c.claim.until
+		b.pendingClears = append(b.pendingClears, fp)
 	}
-	b.post([]*peerpb.Conviction{claimNews(c, now)})
+	b.enqueue([]*peerpb.Conviction{claimUpdate(c, now)})
 }
 
-// clear lets off the contents that ran alone to their end.
-func (b *Book) clear(now time.Time) {
-	kept := b.clearing[:0]
-	for _, fp := range b.clearing {
+// clearFinished clears the contents that ran exclusively and finished.
+func (b *Book) clearFinished(now time.Time) {
+	kept := b.pendingClears[:0]
+	for _, fp := range b.pendingClears {
 		c := b.contents[fp]
-		if c == nil || c.clears.IsZero() {
+		if c == nil || c.clearAt.IsZero() {
 			continue
 		}
-		if now.Before(c.clears) {
+		if now.Before(c.clearAt) {
 			kept = append(kept, fp)
 			continue
 		}
-		c.clears = time.Time{}
-		c.forgive()
-		b.post(b.newsOne(c, now))
+		c.clearAt = time.Time{}
+		c.dismissCrashes()
+		b.enqueue(b.contentUpdates(c, now))
 		counts.Add("cleared", 1)
 	}
-	b.clearing = kept
+	b.pendingClears = kept
 }
--- a/request/quarantine/content.go
+++ b/request/quarantine/content.go
@@ -6,144 +6,147 @@
 )
 
 const (
-	sameCrash  = 10 * time.Second // two reports of one target's death lie closer
-	maxCrashes = 4                // remembered of one content
-	suspectFor = 30 * time.Minute // after a crash, without a run to the end
-	aloneFor   = 5 * time.Second  // from the first try of suspect content, while it waits for an idle target
-	convictMax = 4 * time.Hour
-	// convictShort is for contents that can't be told apart: some are innocent.
-	convictShort = 2 * time.Minute
+	sameCrashWindow = 10 * time.Second // reports about one target within this time are about the same crash
+	maxCrashes      = 4                // kept per content
+	suspectTTL      = 30 * time.Minute // after a crash, unless a run finishes
+	exclusiveWait   = 5 * time.Second  // how long suspect content waits for an idle target, from its first try
+	maxConviction   = 4 * time.Hour
+	// shortConviction applies if several contents may have caused the same
+	// crash, because some of them are harmless.
+	shortConviction = 2 * time.Minute
 )
 
-// crash is the death of a target with the content in flight.
+// crash is the death of a target while the content was in flight there.
 type crash struct {
-	target   string
-	at       time.Time
-	local    bool // seen by this process
-	forgiven bool // something else is known to be the cause
+	target    string
+	at        time.Time
+	local     bool // seen by this process
+	dismissed bool // known to have another cause
 }
 
-// claim is the right to run suspect content.
+// claim is the exclusive right to run suspect content.
 type claim struct {
-	by        string // incarnation, empty for none
-	seq       uint64 // number of the claim there
-	own       bool   // of this process
-	running   bool   // own, and only because the content was already in flight
+	by        string // incarnation of the claimant, empty for none
+	seq       uint64 // sequence number of the claim at the claimant
+	local     bool   // made by this process
+	running   bool   // local, and made only because the content was already in flight
 	until     time.Time
-	confirmed bool // every peer that could be reached knows it
+	confirmed bool // known to every reachable peer
 }
 
-// content is what is held against one fingerprint.
+// content is the state of one fingerprint.
 type content struct {
-	fp          uint64
-	crashes     []crash
-	claim       claim
-	convicted   time.Time // until
-	suspect     time.Time // until
-	convictions int
-	tried       time.Time // first try as a suspect, zero for none
-	clears      time.Time // when it is let off, zero for never
+	fp             uint64
+	crashes        []crash
+	claim          claim
+	convictedUntil time.Time
+	suspectUntil   time.Time
+	convictions    int
+	firstTry       time.Time // first try as a suspect, zero for none
+	clearAt        time.Time // when the content is cleared, zero for never
 }
 
-// standing of the content, and until when.
-func (c *content) standing(now time.Time) (Standing, time.Time) {
-	if now.Before(c.convicted) {
-		return Convicted, c.convicted
+// status returns the standing of the content and when it ends.
+func (c *content) status(now time.Time) (Standing, time.Time) {
+	if now.Before(c.convictedUntil) {
+		return Convicted, c.convictedUntil
 	}
-	if now.Before(c.suspect) && c.counted() > 0 {
-		if c.tried.IsZero() || now.Sub(c.tried) < aloneFor {
-			return Suspect, c.suspect
+	if now.Before(c.suspectUntil) && c.crashCount() > 0 {
+		if c.firstTry.IsZero() || now.Sub(c.firstTry) < exclusiveWait {
+			return Suspect, c.suspectUntil
 		}
-		return Watched, c.suspect
+		return Watched, c.suspectUntil
 	}
 	return Clear, now
 }
 
-// counted is the number of crashes held against the content.
-func (c *content) counted() int {
+// crashCount returns the number of crashes that have not been dismissed.
+func (c *content) crashCount() int {
 	n := 0
 	for _, k := range c.crashes {
-		if !k.forgiven {
+		if !k.dismissed {
 			n++
 		}
 	}
 	return n
 }
 
-func (c *content) seenHere() bool {
-	return slices.ContainsFunc(c.crashes, func(k crash) bool { return k.local && !k.forgiven })
+func (c *content) hasLocalCrash() bool {
+	return slices.ContainsFunc(c.crashes, func(k crash) bool { return k.local && !k.dismissed })
 }
 
-// add notes a crash and reports whether it is a new one. Several daemons report
-// the same death; counting it twice would convict innocents at one crash.
-func (c *content) add(k crash) bool {
+// addCrash records a crash and reports whether it is new. Several daemons report
+// the same death; counting it twice would convict harmless content after one
+// crash.
+func (c *content) addCrash(k crash) bool {
 	for i, old := range c.crashes {
-		if old.target == k.target && k.at.Sub(old.at).Abs() < sameCrash {
+		if old.target == k.target && k.at.Sub(old.at).Abs() < sameCrashWindow {
 			c.crashes[i].local = old.local || k.local
 			return false
 		}
 	}
-	c.push(k)
+	c.appendCrash(k)
 	return true
 }
 
-func (c *content) push(k crash) {
+func (c *content) appendCrash(k crash) {
 	if len(c.crashes) >= maxCrashes {
 		c.crashes = slices.Delete(c.crashes, 0, 1)
 	}
 	c.crashes = append(c.crashes, k)
-	c.tried = time.Time{}
-	if until := k.at.Add(suspectFor); until.After(c.suspect) {
-		c.suspect = until
+	c.firstTry = time.Time{}
+	if until := k.at.Add(suspectTTL); until.After(c.suspectUntil) {
+		c.suspectUntil = until
 	}
 }
 
-// alone reports whether this process has the right to run the content alone.
-func (c *content) alone(now time.Time) bool {
-	return c.claim.own && !c.claim.running && now.Before(c.claim.until)
+// runsExclusively reports whether this process has the right to run the content
+// alone.
+func (c *content) runsExclusively(now time.Time) bool {
+	return c.claim.local && !c.claim.running && now.Before(c.claim.until)
 }
 
-// blame notes a death that this process saw and reports whether it is new. One
-// of the content's run alone always is, even at a target that died with it a
-// moment ago and was restarted.
-func (c *content) blame(d death) bool {
-	c.clears = time.Time{}
+// addLocalCrash records a death that this process saw and reports whether it is
+// new. A death during an exclusive run of the content is always new, even if the
+// same target died with it a moment ago and was restarted.
+func (c *content) addLocalCrash(d death) bool {
+	c.clearAt = time.Time{}
 	k := crash{target: d.target, at: d.at, local: true}
-	if !c.alone(d.at) {
-		return c.add(k)
+	if !c.runsExclusively(d.at) {
+		return c.addCrash(k)
 	}
-	c.push(k)
+	c.appendCrash(k)
 	return true
 }
 
-// forgive drops what is held against the content. The crashes stay known, so
-// that late news of them doesn't count.
-func (c *content) forgive() {
+// dismissCrashes dismisses all crashes of the content. They are kept so that
+// late updates about them do not count again.
+func (c *content) dismissCrashes() {
 	for i := range c.crashes {
-		c.crashes[i].forgiven = true
+		c.crashes[i].dismissed = true
 	}
 	c.claim = claim{}
 }
 
 // convict refuses the content for a time that doubles with each conviction.
-// After it the content is suspect again, and runs alone.
+// Afterwards the content is suspect again and runs alone.
 func (c *content) convict(now time.Time, base time.Duration) {
-	d := min(base<<min(c.convictions, 10), convictMax)
+	d := min(base<<min(c.convictions, 10), maxConviction)
 	c.convictions++
-	c.refuse(now, d)
+	c.refuseFor(now, d)
 }
 
-func (c *content) refuse(now time.Time, d time.Duration) {
-	c.convicted = now.Add(d)
-	c.suspect = c.convicted.Add(suspectFor)
-	c.tried = time.Time{}
+func (c *content) refuseFor(now time.Time, d time.Duration) {
+	c.convictedUntil = now.Add(d)
+	c.suspectUntil = c.convictedUntil.Add(suspectTTL)
+	c.firstTry = time.Time{}
 	c.claim = claim{}
 }
 
-// ends is when nothing is known of the content any more.
-func (c *content) ends() time.Time {
-	if c.suspect.After(c.convicted) {
-		return c.suspect
+// expiresAt returns when the content is neither suspect nor convicted any more.
+func (c *content) expiresAt() time.Time {
+	if c.suspectUntil.After(c.convictedUntil) {
+		return c.suspectUntil
 	}
-	return c.convicted
+	return c.convictedUntil
 }
--- a/request/quarantine/ending.go
+++ b/request/quarantine/ending.go
@@ -3,69 +3,71 @@
 import "time"
 
 const (
-	settleTime = time.Second // after an end, until it counts as a good one
-	maxEnded   = 4096        // ends that haven't settled
-	maxClean   = 8192        // contents known to have ended well
+	settleTime    = time.Second // after a run has ended, until it counts as completed
+	maxRecentEnds = 4096        // ended runs that have not settled
+	maxCompleted  = 8192        // contents known to have completed
 )
 
-// ending is a content that left a target.
-type ending struct {
+// endedRun is a run of a content that left its target.
+type endedRun struct {
 	fp     uint64
 	target string
 	at     time.Time
 }
 
-// endings holds the ends of the last moment, and which contents ended well.
-type endings struct {
-	fresh []ending // oldest first
-	clean map[uint64]struct{}
-	order []uint64 // of clean, oldest first
+// endedRuns holds the runs that ended less than settleTime ago, and the contents
+// that have completed a run.
+type endedRuns struct {
+	recent         []endedRun // oldest first
+	completed      map[uint64]struct{}
+	completedOrder []uint64 // keys of completed, oldest first
 }
 
-func (e *endings) add(x ending) {
-	if len(e.fresh) >= maxEnded {
-		e.fresh = e.fresh[1:]
+func (e *endedRuns) add(x endedRun) {
+	if len(e.recent) >= maxRecentEnds {
+		e.recent = e.recent[1:]
 	}
-	e.fresh = append(e.fresh, x)
+	e.recent = append(e.recent, x)
 }
 
-// settle counts the contents whose targets outlived them by settleTime as
-// ended well.
-func (e *endings) settle(now time.Time) {
-	for len(e.fresh) > 0 && now.Sub(e.fresh[0].at) >= settleTime {
-		e.keep(e.fresh[0].fp)
-		e.fresh = e.fresh[1:]
+// settle marks a content as completed if its target has survived the end of the
+// run by settleTime.
+func (e *endedRuns) settle(now time.Time) {
+	for len(e.recent) > 0 && now.Sub(e.recent[0].at) >= settleTime {
+		e.markCompleted(e.recent[0].fp)
+		e.recent = e.recent[1:]
 	}
 }
 
-func (e *endings) keep(fp uint64) {
-	if _, ok := e.clean[fp]; ok {
+func (e *endedRuns) markCompleted(fp uint64) {
+	if _, ok := e.completed[fp]; ok {
 		return
 	}
-	if len(e.order) >= maxClean {
-		delete(e.clean, e.order[0])
-		e.order = e.order[1:]
+	if len(e.completedOrder) >= maxCompleted {
+		delete(e.completed, e.completedOrder[0])
+		e.completedOrder = e.completedOrder[1:]
 	}
-	e.clean[fp] = struct{}{}
-	e.order = append(e.order, fp)
+	e.completed[fp] = struct{}{}
+	e.completedOrder = append(e.completedOrder, fp)
 }
 
-// takeFrom removes and returns what left a target a moment ago.
-func (e *endings) takeFrom(target string) []uint64 {
+// removeRecent removes the recently ended runs on a target and returns their
+// fingerprints.
+func (e *endedRuns) removeRecent(target string) []uint64 {
 	var fps []uint64
-	kept := make([]ending, 0, len(e.fresh))
-	for _, x := range e.fresh {
+	kept := make([]endedRun, 0, len(e.recent))
+	for _, x := range e.recent {
 		if x.target == target {
 			fps = append(fps, x.fp)
 			continue
 		}
 		kept = append(kept, x)
 	}
-	e.fresh = kept
+	e.recent = kept
 	return fps
 }
 
-func (e *endings) endedWell(fp uint64) bool {
-	_, ok := e.clean[fp]
+func (e *endedRuns) hasCompleted(fp uint64) bool {
+	_, ok := e.completed[fp]
 	return ok
 }
--- a/request/quarantine/news.go
+++ b/request/quarantine/news.go
@@ -9,54 +9,55 @@
 )
 
 const (
-	maxNews = 32              // contents on one heartbeat
-	newsLag = 5 * time.Second // news on its way makes a time seem longer by less
-	// claimMark begins the target of news about a claim; the claimant follows.
-	claimMark = "@"
+	maxContentUpdates = 32              // contents per heartbeat
+	maxUpdateDelay    = 5 * time.Second // the delivery delay of an update extends a received TTL by less than this
+	// claimPrefix starts the target of an update about a claim. The claimant
+	// follows.
+	claimPrefix = "@"
 )
 
-// newsOf says what is held against contents: one message for each crash, or
-// one for a conviction. A forgiven content travels with 0 crashes.
-func (b *Book) newsOf(cs []*content, now time.Time) []*peerpb.Conviction {
+// updatesOf returns the updates about contents: one message per crash, or one
+// for a conviction. A dismissed crash is sent with 0 crashes.
+func (b *Book) updatesOf(cs []*content, now time.Time) []*peerpb.Conviction {
 	var out []*peerpb.Conviction
 	for _, c := range cs {
-		out = append(out, b.newsOne(c, now)...)
+		out = append(out, b.contentUpdates(c, now)...)
 	}
 	return out
 }
 
-func (b *Book) newsOne(c *content, now time.Time) []*peerpb.Conviction {
+func (b *Book) contentUpdates(c *content, now time.Time) []*peerpb.Conviction {
 	last := ""
 	if n := len(c.crashes); n > 0 {
 		last = c.crashes[n-1].target
 	}
-	if now.Before(c.convicted) {
+	if now.Before(c.convictedUntil) {
 		return []*peerpb.Conviction{{
 			Fingerprint: c.fp,
 			Crashes:     uint32(c.convictions + 1),
-			TtlMs:       c.convicted.Sub(now).Milliseconds(),
+			TtlMs:       c.convictedUntil.Sub(now).Milliseconds(),
 			Target:      last,
 		}}
 	}
 	var out []*peerpb.Conviction
 	for _, k := range c.crashes {
 		n := &peerpb.Conviction{Fingerprint: c.fp, Suspect: true, Crashes: 1, Target: k.target}
-		n.TtlMs = k.at.Add(suspectFor).Sub(now).Milliseconds()
-		if k.forgiven {
+		n.TtlMs = k.at.Add(suspectTTL).Sub(now).Milliseconds()
+		if k.dismissed {
 			n.Crashes = 0
 		}
 		out = append(out, n)
 	}
 	if c.claim.by != "" {
-		out = append(out, claimNews(c, now))
+		out = append(out, claimUpdate(c, now))
 	}
 	return out
 }
 
-// claimNews tells of a claim; the crashes of it are 1 once it is confirmed,
-// and its time is 0 when it was given back.
-func claimNews(c *content, now time.Time) *peerpb.Conviction {
-	n := &peerpb.Conviction{Fingerprint: c.fp, Suspect: true, Target: c.claim.mark()}
+// claimUpdate returns the update about a claim. Its Crashes field is 1 once the
+// claim is confirmed, and its TtlMs field is 0 after the claim was released.
+func claimUpdate(c *content, now time.Time) *peerpb.Conviction {
+	n := &peerpb.Conviction{Fingerprint: c.fp, Suspect: true, Target: c.claim.encode()}
 	n.TtlMs = max(0, c.claim.until.Sub(now).Milliseconds())
 	if c.claim.confirmed {
 		n.Crashes = 1
@@ -64,34 +65,35 @@
 	return n
 }
 
-// Outgoing implements membership.Convictions: the newest contents first.
+// Outgoing implements membership.Convictions. It returns the updates about the
+// claims of targets, followed by those about the newest contents, newest first.
 func (b *Book) Outgoing() []*peerpb.Conviction {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.tick()
 	var cs []*content
 	for fp, c := range b.contents {
-		if c.ends().Before(now) {
+		if c.expiresAt().Before(now) {
 			delete(b.contents, fp)
 			continue
 		}
 		cs = append(cs, c)
 	}
-	sort.Slice(cs, func(i, j int) bool { return cs[i].ends().After(cs[j].ends()) })
-	return append(b.targetNews(now), b.newsOf(cs[:min(len(cs), maxNews)], now)...)
+	sort.Slice(cs, func(i, j int) bool { return cs[i].expiresAt().After(cs[j].expiresAt()) })
+	return append(b.targetClaimUpdates(now), b.updatesOf(cs[:min(len(cs), maxContentUpdates)], now)...)
 }
 
 // Incoming implements membership.Convictions.
-func (b *Book) Incoming(news []*peerpb.Conviction) {
+func (b *Book) Incoming(updates []*peerpb.Conviction) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.tick()
-	for _, n := range news {
-		if strings.HasPrefix(n.Target, targetMark) {
+	for _, n := range updates {
+		if strings.HasPrefix(n.Target, targetClaimPrefix) {
 			b.mergeTarget(n, now)
 			continue
 		}
-		c := b.content(n.Fingerprint, now)
+		c := b.getOrCreate(n.Fingerprint, now)
 		if c == nil {
 			continue
 		}
@@ -103,63 +105,63 @@
 	ttl := time.Duration(n.TtlMs) * time.Millisecond
 	switch {
 	case !n.Suspect:
-		c.mergeConviction(n, now, min(ttl, convictMax))
-	case strings.HasPrefix(n.Target, claimMark):
-		k, ok := readMark(n.Target)
-		k.until = now.Add(min(ttl, claimFor))
+		c.mergeConviction(n, now, min(ttl, maxConviction))
+	case strings.HasPrefix(n.Target, claimPrefix):
+		k, ok := parseClaim(n.Target)
+		k.until = now.Add(min(ttl, claimTTL))
 		k.confirmed = n.Crashes > 0
-		if ok && !b.object(c, k, now) {
+		if ok && !b.counterClaim(c, k, now) {
 			c.mergeClaim(k, now)
 		}
 	case n.Crashes == 0:
-		c.mergeForgiven(n.Target, now.Add(ttl-suspectFor))
+		c.mergeDismissed(n.Target, now.Add(ttl-suspectTTL))
 	default:
-		b.mergeCrash(c, crash{target: n.Target, at: now.Add(min(ttl, suspectFor) - suspectFor)}, now)
+		b.mergeCrash(c, crash{target: n.Target, at: now.Add(min(ttl, suspectTTL) - suspectTTL)}, now)
 	}
 }
 
-// mergeConviction takes a peer's conviction. The number of convictions comes
-// along, so that the next one doubles wherever it is made.
+// mergeConviction applies a peer's conviction. The number of convictions is
+// included so that the next conviction doubles on whichever daemon makes it.
 func (c *content) mergeConviction(n *peerpb.Conviction, now time.Time, ttl time.Duration) {
 	c.convictions = max(c.convictions, int(n.Crashes)-1)
-	if now.Add(ttl).After(c.convicted.Add(newsLag)) {
-		c.refuse(now, ttl)
+	if now.Add(ttl).After(c.convictedUntil.Add(maxUpdateDelay)) {
+		c.refuseFor(now, ttl)
 	}
-	c.add(crash{target: n.Target, at: now})
+	c.addCrash(crash{target: n.Target, at: now})
 }
 
-// mergeClaim takes a peer's word about a claim. A claim that was given back
-// stays known with its end: older news of it can't bring it back.
+// mergeClaim applies a peer's update about a claim. A released claim is kept
+// with its end, so that an older update cannot restore it.
 func (c *content) mergeClaim(k claim, now time.Time) {
 	if c.claim.by == k.by {
 		c.claim.refresh(k)
 		return
 	}
-	if c.claim.yields(k, now) {
+	if c.claim.replacedBy(k, now) {
 		c.claim = k
 	}
 }
 
-// yields reports whether word of another process's claim replaces this one.
+// replacedBy reports whether another process's claim replaces this one.
 //
-// Word of a claim that has ended replaces no claim of this process's own, not
-// even an ended one. The failure: two processes claim at once, the loser's word
-// that it gave way arrives just after the winner gave its claim back, and takes
-// its place. The winner then tells nobody of the end any more; a peer that
-// missed the broadcast refuses the content, or the target, for two minutes.
-func (k claim) yields(other claim, now time.Time) bool {
-	over := !now.Before(k.until)
+// An ended claim never replaces a claim of this process, not even an ended one.
+// Otherwise, if two processes claim at once, the loser's withdrawal can arrive
+// just after the winner released its claim, and replace it. The winner would
+// then no longer send the end of its claim, and a peer that missed the broadcast
+// would refuse the content, or the target, for two minutes.
+func (k claim) replacedBy(other claim, now time.Time) bool {
+	ended := !now.Before(k.until)
 	if !now.Before(other.until) {
-		return over && !k.own
+		return ended && !k.local
 	}
-	return over || other.before(k)
+	return ended || other.precedes(k)
 }
 
-// refresh takes word of a claim of the same process: a newer one replaces it,
-// and the same one can only end sooner.
+// refresh applies an update about a claim of the same process. A newer claim
+// replaces this one; the same claim can only end sooner.
 func (k *claim) refresh(other claim) {
 	switch {
-	case k.own || other.seq < k.seq:
+	case k.local || other.seq < k.seq:
 	case other.seq > k.seq:
 		*k = other
 	default:
@@ -170,24 +172,24 @@
 	}
 }
 
-// mergeForgiven takes the news that a crash is not held against the content.
-func (c *content) mergeForgiven(target string, at time.Time) {
-	c.add(crash{target: target, at: at, forgiven: true})
+// mergeDismissed applies an update that a crash has been dismissed.
+func (c *content) mergeDismissed(target string, at time.Time) {
+	c.addCrash(crash{target: target, at: at, dismissed: true})
 	for i, k := range c.crashes {
-		if k.target == target && k.at.Sub(at).Abs() < sameCrash {
-			c.crashes[i].forgiven = true
+		if k.target == target && k.at.Sub(at).Abs() < sameCrashWindow {
+			c.crashes[i].dismissed = true
 		}
 	}
 }
 
-// mergeCrash takes a crash that a peer saw. It convicts only together with one
-// that this process saw itself: only then does it know whether the content
-// ended well meanwhile.
+// mergeCrash applies a crash that a peer saw. It leads to a conviction only
+// together with a crash that this process saw, because only then does this
+// process know whether the content has completed in the meantime.
 func (b *Book) mergeCrash(c *content, k crash, now time.Time) {
-	if !c.add(k) || now.Before(c.convicted) {
+	if !c.addCrash(k) || now.Before(c.convictedUntil) {
 		return
 	}
-	if c.counted() >= 2 && c.seenHere() && b.proven(c, now) {
+	if c.crashCount() >= 2 && c.hasLocalCrash() && b.canConvict(c, now) {
 		b.convict([]*content{c}, now)
 	}
 }
--- a/request/quarantine/outage.go
+++ b/request/quarantine/outage.go
@@ -1,34 +1,35 @@
 package quarantine
 
-// noteBurst remembers the deaths of the last moment.
-func (b *Book) noteBurst(d death) {
-	kept := b.burst[:0]
-	for _, old := range b.burst {
+// addRecentDeath adds a death to the recent ones and drops those older than
+// burstWindow.
+func (b *Book) addRecentDeath(d death) {
+	kept := b.recentDeaths[:0]
+	for _, old := range b.recentDeaths {
 		if d.at.Sub(old.at) < burstWindow {
 			kept = append(kept, old)
 		}
 	}
-	b.burst = append(kept, d)
+	b.recentDeaths = append(kept, d)
 }
 
 // isOutage reports whether so many targets died at once that no content is the
 // cause.
 //
-// The guard is against an availability zone that fails, or is cut off: all
-// that was in flight there would be suspect, and thousands of innocent
-// requests would wait for a run alone.
+// It guards against the failure or disconnection of an availability zone:
+// everything in flight there would become suspect, and thousands of harmless
+// requests would wait to run alone.
 func (b *Book) isOutage() bool {
 	names := make(map[string]bool)
-	for _, d := range b.burst {
+	for _, d := range b.recentDeaths {
 		names[d.target] = true
 	}
 	return len(names) >= burstTargets
 }
 
-// deathsOf counts the deaths of the burst with the content in flight.
+// deathsOf returns the number of recent deaths with the content in flight.
 func (b *Book) deathsOf(fp uint64) int {
 	n := 0
-	for _, d := range b.burst {
+	for _, d := range b.recentDeaths {
 		for _, f := range d.fps {
 			if f == fp {
 				n++
@@ -38,16 +39,17 @@
 	return n
 }
 
-// forgiveOutage lets off what was in flight at one target of an outage only.
-func (b *Book) forgiveOutage() {
+// dismissOutageCrashes dismisses the crashes of contents that were in flight at
+// only one of the targets of an outage.
+func (b *Book) dismissOutageCrashes() {
 	counts.Add("outages", 1)
-	for _, d := range b.burst {
+	for _, d := range b.recentDeaths {
 		for _, fp := range d.fps {
 			c := b.contents[fp]
-			if c == nil || d.at.Before(c.convicted) || b.deathsOf(fp) >= 2 {
+			if c == nil || d.at.Before(c.convictedUntil) || b.deathsOf(fp) >= 2 {
 				continue
 			}
-			c.forgive()
+			c.dismissCrashes()
 		}
 	}
 }
--- a/request/quarantine/quarantine_test.go
+++ b/request/quarantine/quarantine_test.go
@@ -9,9 +9,9 @@
 
 const bad = uint64(1000)
 
-// TestEnginesLost: one request kills each engine that runs it, and its caller
-// sends it again under new keys. Every daemon that hasn't heard of it would
-// lose an engine; the fleet may lose two for each such content.
+// TestEnginesLost sends a request that crashes every engine that runs it, again
+// and again under new keys. Each daemon that does not know about it would lose
+// an engine. The fleet may lose two engines per such content.
 func TestEnginesLost(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -26,31 +26,31 @@
 			}
 		}},
 		{"to all daemons at once after the first crash", []uint64{bad}, 2, Convicted, func(r *rig) {
-			r.try(r.books[0], bad)
-			r.together(daemons, func(i int) { r.send(i, bad) })
-			r.together(daemons, func(i int) { r.send(i, bad) })
+			r.try(r.trackers[0], bad)
+			r.concurrently(daemons, func(i int) { r.send(i, bad) })
+			r.concurrently(daemons, func(i int) { r.send(i, bad) })
 		}},
 		{"again before the first is answered", []uint64{bad}, 2, Convicted, func(r *rig) {
-			r.together(2, func(i int) {
-				<-time.After(time.Duration(i) * (crashTime + 5*hop))
+			r.concurrently(2, func(i int) {
+				<-time.After(time.Duration(i) * (crashTime + 5*hopDelay))
 				r.send(i, bad)
 			})
-			r.together(daemons, func(i int) { r.send(i, bad) })
+			r.concurrently(daemons, func(i int) { r.send(i, bad) })
 		}},
 		{"to two daemons at once, never seen before", []uint64{bad}, 2, Convicted, func(r *rig) {
-			r.together(2, func(i int) { r.send(i, bad) })
-			r.together(daemons, func(i int) { r.send(i, bad) })
+			r.concurrently(2, func(i int) { r.send(i, bad) })
+			r.concurrently(daemons, func(i int) { r.send(i, bad) })
 		}},
 		{"in flight elsewhere when the first engine dies", []uint64{bad}, 2, Convicted, func(r *rig) {
-			r.together(2, func(i int) {
+			r.concurrently(2, func(i int) {
 				<-time.After(time.Duration(i) * crashTime * 3 / 4)
 				r.send(i, bad)
 			})
-			r.together(daemons, func(i int) { r.send(i, bad) })
+			r.concurrently(daemons, func(i int) { r.send(i, bad) })
 		}},
 		{"two such contents at once", []uint64{bad, bad + 1}, 4, Convicted, func(r *rig) {
 			for range 4 {
-				r.together(2*daemons, func(i int) {
+				r.concurrently(2*daemons, func(i int) {
 					if i < 2 {
 						r.send(i, bad+uint64(i))
 					}
@@ -58,8 +58,8 @@
 			}
 		}},
 		{"beside a hundred innocents", []uint64{bad}, 2, Convicted, func(r *rig) {
-			for range 12 { // no engine is idle: after a while it runs beside others
-				r.together(101, func(i int) {
+			for range 12 { // no engine is idle, so after exclusiveWait it runs beside others
+				r.concurrently(101, func(i int) {
 					if i == 0 {
 						r.send(0, bad)
 						return
@@ -70,8 +70,8 @@
 			}
 		}},
 		{"broadcasts lost, heartbeats not", []uint64{bad}, 2, Convicted, func(r *rig) {
-			r.deaf = true
-			r.try(r.books[0], bad)
+			r.dropBroadcasts = true
+			r.try(r.trackers[0], bad)
 			r.heartbeats(5 * time.Second)
 			for i := range daemons {
 				r.send(i, bad)
@@ -85,19 +85,19 @@
 				r := newRig(t, tc.poison...)
 				defer r.stop()
 				tc.play(r)
-				r.atMost(tc.most)
+				r.expectLostAtMost(tc.most)
 				for i := range daemons {
-					r.standing(i, bad, tc.want)
+					r.expectStatus(i, bad, tc.want)
 				}
 			})
 		})
 	}
 }
 
-// TestInnocents: an engine dies with forty requests in flight, one of which is
-// the cause. The others are sent again by their callers until they are
-// answered; none may be refused for long, let alone convicted.
-func TestInnocents(t *testing.T) {
+// TestUnrelatedRequestsStayClear crashes an engine with forty requests in
+// flight, one of which is the cause. Their callers repeat the others until they
+// are answered. None of these may be refused for long or convicted.
+func TestUnrelatedRequestsStayClear(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const innocents = 40
 		r := newRig(t, bad)
@@ -105,13 +105,13 @@
 		began := time.Now()
 		longest := time.Duration(0)
 		for i := range innocents {
-			r.books[0].Begin(uint64(i+1), "engine-4")
+			r.trackers[0].Begin(uint64(i+1), "engine-4")
 		}
-		r.send(0, bad) // prefers engine 4
+		r.send(0, bad) // pick prefers engine-4 for it
 		for i := range innocents {
-			r.books[0].End(uint64(i+1), "engine-4")
+			r.trackers[0].End(uint64(i+1), "engine-4")
 		}
-		r.together(innocents, func(i int) {
+		r.concurrently(innocents, func(i int) {
 			for r.send(i%daemons, uint64(i+1)) != 0 {
 				<-time.After(time.Second)
 			}
@@ -131,13 +131,14 @@
 		}
 		r.heartbeats(10 * time.Second)
 		for i := range innocents {
-			r.standing(i%daemons, uint64(i+1), Clear)
+			r.expectStatus(i%daemons, uint64(i+1), Clear)
 		}
-		r.atMost(2)
+		r.expectLostAtMost(2)
 	})
 }
 
-// TestNotConvicted: things that look like a deadly content and are none.
+// TestNotConvicted covers events that resemble content that crashes targets, but
+// must not lead to a conviction.
 func TestNotConvicted(t *testing.T) {
 	const fp = 7
 	cases := []struct {
@@ -189,7 +190,7 @@
 		{"suspect long ago", Clear, func(b *Book) {
 			b.Begin(fp, "a")
 			b.Crashed("a")
-			<-time.After(suspectFor)
+			<-time.After(suspectTTL)
 		}},
 	}
 	for _, tc := range cases {
@@ -205,29 +206,30 @@
 	}
 }
 
-// TestConvictedForATime: a conviction ends, the content runs alone once more,
-// kills again, and is refused for twice as long.
-func TestConvictedForATime(t *testing.T) {
+// TestConvictionDoubles checks that a conviction ends, and that content that
+// then runs alone and crashes a target again is refused for twice as long.
+func TestConvictionDoubles(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, bad)
 		defer r.stop()
 		r.send(0, bad)
 		for _, want := range []time.Duration{10, 20, 40} {
 			want *= time.Minute
-			_, left := r.books[1].Check(bad)
+			_, left := r.trackers[1].Check(bad)
 			if left > want || left < want-time.Second {
 				t.Fatalf("refused for %v, want %v", left, want)
 			}
 			<-time.After(left)
-			r.standing(1, bad, Suspect)
+			r.expectStatus(1, bad, Suspect)
 			r.send(1, bad)
 		}
-		r.atMost(5)
+		r.expectLostAtMost(5)
 	})
 }
 
-// TestBounded: a flood of crashes with new contents each.
-func TestBounded(t *testing.T) {
+// TestContentsBounded checks the limits on contents and updates during a flood
+// of crashes, each with new contents.
+func TestContentsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := New(Options{Self: "d"})
 		for i := range uint64(2 * maxContents) {
@@ -237,28 +239,28 @@
 				for k := range uint64(maxSuspects) {
 					b.End(i+1-k, "a")
 				}
-				<-time.After(2 * sameCrash)
+				<-time.After(2 * sameCrashWindow)
 			}
 		}
 		if n := len(b.contents); n > maxContents || n < maxContents*7/8 {
 			t.Errorf("%d contents held", n)
 		}
-		if n := len(b.Outgoing()); n > maxNews*maxCrashes {
+		if n := len(b.Outgoing()); n > maxContentUpdates*maxCrashes {
 			t.Errorf("%d messages on a heartbeat", n)
 		}
 	})
 }
 
-// TestClaim: all daemons want to run the same suspect content at once. One
-// may, and when it has given the right back another one.
+// TestClaim lets all daemons claim the same suspect content at once. Exactly one
+// may run it, and another one after the claim is released.
 func TestClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, bad)
 		defer r.stop()
-		last := r.books[daemons-1]
-		last.Begin(bad, "engine-11") // in flight there from before
-		r.try(r.books[0], bad)
-		if _, ok := r.books[1].Claim(t.Context(), bad); ok {
+		last := r.trackers[daemons-1]
+		last.Begin(bad, "engine-11") // in flight there before the crash
+		r.try(r.trackers[0], bad)
+		if _, ok := r.trackers[1].Claim(t.Context(), bad); ok {
 			t.Error("a daemon may run it while it is in flight at another")
 		}
 		last.End(bad, "engine-11")
@@ -266,8 +268,8 @@
 		for first := range 3 {
 			var mu sync.Mutex
 			var granted []func(bool)
-			r.together(daemons-first, func(i int) {
-				release, ok := r.books[first+i].Claim(t.Context(), bad)
+			r.concurrently(daemons-first, func(i int) {
+				release, ok := r.trackers[first+i].Claim(t.Context(), bad)
 				mu.Lock()
 				defer mu.Unlock()
 				if ok {
@@ -283,7 +285,7 @@
 	})
 }
 
-// TestFingerprint: what makes a content another one, and what doesn't.
+// TestFingerprint checks which differences change the fingerprint of a content.
 func TestFingerprint(t *testing.T) {
 	base := Fingerprint("s", "/v1/completions", []byte(`{"model":"m","prompt":"p","user":"a"}`))
 	cases := []struct {
--- a/request/quarantine/rig_test.go
+++ b/request/quarantine/rig_test.go
@@ -14,34 +14,35 @@
 	"github.com/pomelospool/pomelospool/peer/peerpb"
 )
 
-// TestMain keeps the log lines of provoked faults out of the output.
+// TestMain hides the log lines that the provoked faults cause.
 func TestMain(m *testing.M) {
 	log.SetLevel(log.FatalLevel)
 	m.Run()
 }
 
 const (
-	daemons   = 8
-	engines   = 12
-	serveTime = 50 * time.Millisecond
-	crashTime = 20 * time.Millisecond // from the write of a deadly content to the crash
-	repair    = 5 * time.Second       // of a dead engine
-	hop       = time.Millisecond      // between daemons
+	daemons    = 8
+	engines    = 12
+	serveTime  = 50 * time.Millisecond
+	crashTime  = 20 * time.Millisecond // from sending the content to the crash
+	repairTime = 5 * time.Second       // until a crashed engine is replaced
+	hopDelay   = time.Millisecond      // one-way, between daemons
 )
 
-// rig is a fleet of books over engines that die of some contents.
+// rig is a fleet of trackers, and of engines that crash on the contents in
+// poison.
 type rig struct {
-	t      *testing.T
-	books  []*Book
-	poison map[uint64]bool
+	t        *testing.T
+	trackers []*Book
+	poison   map[uint64]bool
 
-	mu       sync.Mutex
-	deaf     bool // broadcasts are lost
-	dead     map[string]time.Time
-	noticed  map[string]chan struct{} // by daemon, engine and death
-	inFlight map[string]int
-	lost     int
-	refused  map[uint64]int // answers 1012 and 1013 by content
+	mu             sync.Mutex
+	dropBroadcasts bool                     // broadcasts are lost, heartbeats are not
+	dead           map[string]time.Time     // until when an engine is down
+	noticed        map[string]chan struct{} // by daemon, engine and crash
+	inFlight       map[string]int
+	enginesLost    int
+	refused        map[uint64]int // answers with code 1012 or 1013, by content
 }
 
 func newRig(t *testing.T, poison ...uint64) *rig {
@@ -50,77 +51,78 @@
 		r.poison[fp] = true
 	}
 	for i := range daemons {
-		r.books = append(r.books, New(Options{
+		r.trackers = append(r.trackers, New(Options{
 			Self:      fmt.Sprintf("daemon-%d", i),
-			Broadcast: func(ctx context.Context, news []*peerpb.Conviction) { r.broadcast(ctx, i, news) },
+			Broadcast: func(ctx context.Context, updates []*peerpb.Conviction) { r.broadcast(ctx, i, updates) },
 		}))
-		r.books[i].Start()
+		r.trackers[i].Start()
 	}
 	return r
 }
 
 func (r *rig) stop() {
-	for _, b := range r.books {
+	for _, b := range r.trackers {
 		_ = b.Stop()
 	}
 }
 
-// broadcast is the daemons' hook, over links that may lose everything.
-func (r *rig) broadcast(ctx context.Context, from int, news []*peerpb.Conviction) {
+// broadcast implements Options.Broadcast over connections that can be cut.
+func (r *rig) broadcast(ctx context.Context, from int, updates []*peerpb.Conviction) {
 	fleet := Fleet{Self: func() *peerpb.Member { return nil }}
 	fleet.Addrs = func() (addrs []string) {
-		for i := range r.books {
+		for i := range r.trackers {
 			if i != from {
 				addrs = append(addrs, strconv.Itoa(i))
 			}
 		}
 		return addrs
 	}
-	fleet.Client = func(addr string) (peerpb.PeerClient, error) { return &link{r: r, to: addr}, nil }
-	fleet.Broadcast(ctx, news, r.books[from].Incoming)
+	fleet.Client = func(addr string) (peerpb.PeerClient, error) { return &peerClient{r: r, to: addr}, nil }
+	fleet.Broadcast(ctx, updates, r.trackers[from].Incoming)
 }
 
-type link struct {
+type peerClient struct {
 	peerpb.PeerClient
 	r  *rig
 	to string
 }
 
 // Heartbeat implements peerpb.PeerClient.
-func (k *link) Heartbeat(ctx context.Context, h *peerpb.HeartbeatRequest, _ ...grpc.CallOption) (*peerpb.HeartbeatReply, error) {
+func (k *peerClient) Heartbeat(ctx context.Context, h *peerpb.HeartbeatRequest, _ ...grpc.CallOption) (*peerpb.HeartbeatReply, error) {
 	k.r.mu.Lock()
-	deaf := k.r.deaf
+	deaf := k.r.dropBroadcasts
 	k.r.mu.Unlock()
 	if deaf {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	to, _ := strconv.Atoi(k.to)
-	<-time.After(hop)
-	k.r.books[to].Incoming(h.Convictions)
-	reply := k.r.books[to].Outgoing()
-	<-time.After(hop)
+	<-time.After(hopDelay)
+	k.r.trackers[to].Incoming(h.Convictions)
+	reply := k.r.trackers[to].Outgoing()
+	<-time.After(hopDelay)
 	return &peerpb.HeartbeatReply{Convictions: reply}, nil
 }
 
-// heartbeats exchanges news around a ring, as often as membership would.
+// heartbeats exchanges updates around a ring of daemons at the interval of
+// membership heartbeats.
 func (r *rig) heartbeats(d time.Duration) {
 	for began := time.Now(); time.Since(began) < d; <-time.After(500 * time.Millisecond) {
-		for i := range r.books {
-			r.books[(i+1)%daemons].Incoming(r.books[i].Outgoing())
+		for i := range r.trackers {
+			r.trackers[(i+1)%daemons].Incoming(r.trackers[i].Outgoing())
 		}
 	}
 }
 
-// pick returns an engine that is alive, an idle one if it can, and only such
-// a one if alone is asked for.
-func (r *rig) pick(fp uint64, alone bool) string {
+// pick returns the live engine with the fewest requests in flight. If exclusive
+// is set, it considers only idle engines.
+func (r *rig) pick(fp uint64, exclusive bool) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	best := ""
 	for i := range engines {
 		e := fmt.Sprintf("engine-%d", (int(fp)+i)%engines)
-		if time.Now().Before(r.dead[e]) || alone && r.inFlight[e] > 0 {
+		if time.Now().Before(r.dead[e]) || exclusive && r.inFlight[e] > 0 {
 			continue
 		}
 		if best == "" || r.inFlight[e] < r.inFlight[best] {
@@ -137,19 +139,20 @@
 	r.inFlight[engine]--
 }
 
-// die has an engine die.
-func (r *rig) die(engine string) {
+// crash takes an engine down for repairTime.
+func (r *rig) crash(engine string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if time.Now().Before(r.dead[engine]) {
 		return
 	}
-	r.lost++
-	r.dead[engine] = time.Now().Add(repair)
+	r.enginesLost++
+	r.dead[engine] = time.Now().Add(repairTime)
 }
 
-// notice tells a daemon of a death, once, before its requests go on.
-func (r *rig) notice(b *Book, engine string) {
+// reportCrash reports a crash to a daemon once. Requests of the daemon wait
+// until it is reported.
+func (r *rig) reportCrash(b *Book, engine string) {
 	r.mu.Lock()
 	id := fmt.Sprint(b.o.Self, engine, r.dead[engine])
 	done, known := r.noticed[id]
@@ -166,26 +169,26 @@
 	close(done)
 }
 
-// isDead reports whether the engine died since.
+// isDead reports whether the engine is down.
 func (r *rig) isDead(engine string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return time.Now().Before(r.dead[engine])
 }
 
-// send does what the entry does with one request, and returns the code that
-// the caller sees, 0 for an answer.
+// send handles a request as request/entry does, with retries, and returns the
+// result code that the caller receives, 0 for an answer.
 func (r *rig) send(daemon int, fp uint64) int {
 	for range 3 {
-		code, again := r.try(r.books[daemon], fp)
+		code, again := r.try(r.trackers[daemon], fp)
 		if !again {
-			return r.note(fp, code)
+			return r.countRefusal(fp, code)
 		}
 	}
 	return 2003
 }
 
-func (r *rig) note(fp uint64, code int) int {
+func (r *rig) countRefusal(fp uint64, code int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if code != 0 {
@@ -223,23 +226,23 @@
 	defer b.End(fp, engine)
 	finished = r.serve(engine, fp)
 	if !finished {
-		r.notice(b, engine)
+		r.reportCrash(b, engine)
 	}
 	return 0, !finished
 }
 
-// serve reports whether the engine lived to answer.
+// serve runs the content and reports whether the engine answered.
 func (r *rig) serve(engine string, fp uint64) bool {
 	<-time.After(crashTime)
 	if r.poison[fp] {
-		r.die(engine)
+		r.crash(engine)
 		return false
 	}
 	<-time.After(serveTime - crashTime)
 	return !r.isDead(engine)
 }
 
-func (r *rig) together(n int, do func(i int)) {
+func (r *rig) concurrently(n int, do func(i int)) {
 	var wg sync.WaitGroup
 	for i := range n {
 		wg.Go(func() { do(i) })
@@ -247,18 +250,18 @@
 	wg.Wait()
 }
 
-// atMost checks how many engines were lost.
-func (r *rig) atMost(lost int) {
+// expectLostAtMost checks the number of crashed engines.
+func (r *rig) expectLostAtMost(lost int) {
 	r.t.Helper()
-	r.t.Logf("engines lost: %d", r.lost)
-	if r.lost > lost {
-		r.t.Errorf("%d engines lost, at most %d expected", r.lost, lost)
+	r.t.Logf("engines lost: %d", r.enginesLost)
+	if r.enginesLost > lost {
+		r.t.Errorf("%d engines lost, at most %d expected", r.enginesLost, lost)
 	}
 }
 
-func (r *rig) standing(daemon int, fp uint64, want Standing) {
+func (r *rig) expectStatus(daemon int, fp uint64, want Standing) {
 	r.t.Helper()
-	if got, _ := r.books[daemon].Check(fp); got != want {
+	if got, _ := r.trackers[daemon].Check(fp); got != want {
 		r.t.Errorf("daemon %d: standing %d of content %d, want %d", daemon, got, fp, want)
 	}
 }
--- a/request/quarantine/target.go
+++ b/request/quarantine/target.go
@@ -10,29 +10,31 @@
 )
 
 const (
-	// targetMark begins the target of news about a claim of a target, whose key
-	// is the fingerprint of the news.
-	targetMark      = claimMark + claimMark
-	maxTargetClaims = 1024
+	// targetClaimPrefix starts the target of an update about a claim of a
+	// target. The Fingerprint field of such an update holds the key of the
+	// target.
+	targetClaimPrefix = claimPrefix + claimPrefix
+	maxTargetClaims   = 1024
 )
 
-// targetClaim is the right to run suspect content at a target.
+// targetClaim is the right to run suspect content on a target.
 type targetClaim struct {
 	claim
-	fp uint64 // the content that runs, if the claim is of this process
+	fp uint64 // content that runs, if the claim was made by this process
 }
 
-// targetKey is what a target is called in news of claims.
-func targetKey(target string) uint64 { return Fingerprint(claimMark, target, nil) }
+// targetKey returns the key that identifies a target in updates about claims.
+func targetKey(target string) uint64 { return Fingerprint(claimPrefix, target, nil) }
 
 // ClaimTarget implements Claimer.
 //
-// The guard is against an innocent that is convicted with the guilty content:
-// both are suspect, two daemons choose the same idle target for them at once,
-// and its death is the second of both. It shows as an error on a request that
-// harms nothing, and a refusal for 10 minutes. Two that claim at once learn of
-// each other as with Claim; claims of targets are told by their owner only, so
-// that nobody else's word brings an old one back.
+// It guards against harmless content that is convicted together with the content
+// that crashes targets: both are suspect, two daemons choose the same idle
+// target for them at once, and its death counts as the second crash of both. The
+// symptom is an error on a harmless request, which is then refused for 10
+// minutes. Two processes that claim at once learn of each other as described at
+// Claim. Only the owner sends updates about a claim of a target, so that no
+// other process can restore an old one.
 func (b *Book) ClaimTarget(ctx context.Context, fp uint64, target string) (func(finished bool), bool) {
 	key := targetKey(target)
 	k, ok := b.proposeTarget(key, fp)
@@ -40,7 +42,7 @@
 		counts.Add("target_claims_refused", 1)
 		return nil, false
 	}
-	b.send([]*peerpb.Conviction{k.news(key, b.o.Now())})
+	b.broadcast([]*peerpb.Conviction{k.update(key, b.o.Now())})
 	if ctx.Err() != nil || !b.confirmTarget(key, k) {
 		b.releaseTarget(key, k, 0)
 		counts.Add("target_claims_refused", 1)
@@ -61,102 +63,105 @@
 	defer b.mu.Unlock()
 	now := b.tick()
 	b.sweepTargets(now)
-	old, known := b.claimed[key]
-	if now.Before(old.until) || !known && len(b.claimed) >= maxTargetClaims {
+	old, known := b.targetClaims[key]
+	if now.Before(old.until) || !known && len(b.targetClaims) >= maxTargetClaims {
 		return targetClaim{}, false
 	}
-	b.claims++
-	k := targetClaim{fp: fp, claim: claim{by: b.o.Self, seq: b.claims, own: true, until: now.Add(claimFor)}}
-	b.claimed[key] = k
+	b.claimSeq++
+	k := targetClaim{fp: fp, claim: claim{by: b.o.Self, seq: b.claimSeq, local: true, until: now.Add(claimTTL)}}
+	b.targetClaims[key] = k
 	return k, true
 }
 
 func (b *Book) confirmTarget(key uint64, k targetClaim) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	held := b.claimed[key]
-	if !held.own || held.seq != k.seq {
+	held := b.targetClaims[key]
+	if !held.local || held.seq != k.seq {
 		return false
 	}
 	held.confirmed = true
-	b.claimed[key] = held
+	b.targetClaims[key] = held
 	return true
 }
 
-// releaseTarget ends a claim, and tells the peers. One that was lost to a peer
-// is told too: others may have heard of it before they heard of the better one.
+// releaseTarget ends a claim and informs the peers. It also does so for a claim
+// that lost to one of a peer, because other peers may have received it before
+// the winning one.
 func (b *Book) releaseTarget(key uint64, k targetClaim, hold time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.tick()
-	held := b.claimed[key]
-	mine := held.own && held.seq == k.seq
-	if mine {
+	held := b.targetClaims[key]
+	owned := held.local && held.seq == k.seq
+	if owned {
 		k = held
 	}
 	k.until = now.Add(hold)
-	if mine {
-		b.claimed[key] = k
+	if owned {
+		b.targetClaims[key] = k
 	}
-	b.post([]*peerpb.Conviction{k.news(key, now)})
+	b.enqueue([]*peerpb.Conviction{k.update(key, now)})
 }
 
-// mergeTarget takes a peer's word about its claim of a target.
+// mergeTarget applies a peer's update about its claim of a target.
 func (b *Book) mergeTarget(n *peerpb.Conviction, now time.Time) {
-	k, ok := readMark(strings.TrimPrefix(n.Target, claimMark))
+	k, ok := parseClaim(strings.TrimPrefix(n.Target, claimPrefix))
 	if !ok || k.by == b.o.Self {
 		return
 	}
-	k.until = now.Add(min(time.Duration(n.TtlMs)*time.Millisecond, claimFor))
+	k.until = now.Add(min(time.Duration(n.TtlMs)*time.Millisecond, claimTTL))
 	k.confirmed = n.Crashes > 0
-	if len(b.claimed) >= maxTargetClaims {
+	if len(b.targetClaims) >= maxTargetClaims {
 		b.sweepTargets(now)
 	}
-	old, known := b.claimed[n.Fingerprint]
+	old, known := b.targetClaims[n.Fingerprint]
 	switch {
-	case !known && len(b.claimed) >= maxTargetClaims:
+	case !known && len(b.targetClaims) >= maxTargetClaims:
 		counts.Add("book_full", 1)
 		return
 	case old.by == k.by:
 		old.refresh(k)
-	case old.yields(k, now):
+	case old.replacedBy(k, now):
 		old = targetClaim{claim: k}
 	}
-	b.claimed[n.Fingerprint] = old
+	b.targetClaims[n.Fingerprint] = old
 }
 
-// sweepTargets forgets claims that ended. It does so a while later: news that
-// is still on its way would bring them back.
+// sweepTargets removes ended claims after maxUpdateDelay, because an update that
+// is still in transit could restore them.
 func (b *Book) sweepTargets(now time.Time) {
-	for key, k := range b.claimed {
-		if now.Sub(k.until) > newsLag {
-			delete(b.claimed, key)
+	for key, k := range b.targetClaims {
+		if now.Sub(k.until) > maxUpdateDelay {
+			delete(b.targetClaims, key)
 		}
 	}
 }
 
-// targetNews tells of the claims of this process, as many as fit.
-func (b *Book) targetNews(now time.Time) []*peerpb.Conviction {
+// targetClaimUpdates returns updates about the claims of this process, at most
+// maxContentUpdates.
+func (b *Book) targetClaimUpdates(now time.Time) []*peerpb.Conviction {
 	var out []*peerpb.Conviction
 	b.sweepTargets(now)
-	for key, k := range b.claimed {
-		if k.own && len(out) < maxNews {
-			out = append(out, k.news(key, now))
+	for key, k := range b.targetClaims {
+		if k.local && len(out) < maxContentUpdates {
+			out = append(out, k.update(key, now))
 		}
 	}
 	return out
 }
 
-func (k targetClaim) news(key uint64, now time.Time) *peerpb.Conviction {
-	n := claimNews(&content{fp: key, claim: k.claim}, now)
-	n.Target = claimMark + n.Target
+func (k targetClaim) update(key uint64, now time.Time) *peerpb.Conviction {
+	n := claimUpdate(&content{fp: key, claim: k.claim}, now)
+	n.Target = claimPrefix + n.Target
 	return n
 }
 
-// outlived reports whether the content left the target, and other suspect
-// content has the claim of it since. The later one explains a death better:
-// an innocent that was just answered there isn't convicted by it.
-func (b *Book) outlived(fp uint64, d death) bool {
-	k := b.claimed[targetKey(d.target)]
-	return b.targets[d.target][fp] == 0 && d.at.Before(k.until) && !(k.own && k.fp == fp)
+// explainedByOther reports whether the content has left the target and other
+// suspect content has claimed the target since. The later content explains a
+// death better, so harmless content that was just answered there is not
+// convicted.
+func (b *Book) explainedByOther(fp uint64, d death) bool {
+	k := b.targetClaims[targetKey(d.target)]
+	return b.targets[d.target][fp] == 0 && d.at.Before(k.until) && !(k.local && k.fp == fp)
 }
--- a/request/quarantine/target_test.go
+++ b/request/quarantine/target_test.go
@@ -11,13 +11,13 @@
 	"github.com/pomelospool/pomelospool/peer/peerpb"
 )
 
-// claimAll has the daemons claim the engine at once, each for a content of its
-// own, and returns the releases that were granted.
+// claimAll lets the daemons claim the engine at once, each for its own content,
+// and returns the releases of the granted claims.
 func (r *rig) claimAll(engine string, who ...int) map[int]func(bool) {
 	var mu sync.Mutex
 	granted := make(map[int]func(bool))
-	r.together(len(who), func(i int) {
-		release, ok := r.books[who[i]].ClaimTarget(r.t.Context(), uint64(who[i]+1), engine)
+	r.concurrently(len(who), func(i int) {
+		release, ok := r.trackers[who[i]].ClaimTarget(r.t.Context(), uint64(who[i]+1), engine)
 		mu.Lock()
 		defer mu.Unlock()
 		if ok {
@@ -27,9 +27,10 @@
 	return granted
 }
 
-// TestClaimTarget: suspect contents of several daemons choose the same idle
-// engine. One may run there; who comes next waits for it, for a crash that is
-// noticed late, and for a holder that died, but not for longer.
+// TestClaimTarget covers several daemons that choose the same idle engine for
+// suspect content. One may run there. The next one waits for the end of that
+// run, for a crash that is noticed late, and for the claim of a dead holder to
+// expire, but no longer.
 func TestClaimTarget(t *testing.T) {
 	all := []int{0, 1, 2, 3, 4, 5, 6, 7}
 	cases := []struct {
@@ -37,13 +38,13 @@
 		first   []int
 		between func(r *rig, granted map[int]func(bool))
 		second  []int
-		want    int // granted at second
+		want    int // granted in the second round
 	}{
 		{"two at once, both again while it runs", []int{0, 1}, func(*rig, map[int]func(bool)) {}, []int{0, 1}, 0},
 		{"all at once, all again while it runs", all, func(*rig, map[int]func(bool)) {}, all, 0},
 		{"answered", []int{6, 7}, func(_ *rig, granted map[int]func(bool)) {
 			granted[6](true)
-			<-time.After(3 * hop)
+			<-time.After(3 * hopDelay)
 		}, all, 1},
 		{"failed, and the crash may show yet", []int{6, 7}, func(_ *rig, granted map[int]func(bool)) {
 			granted[6](false)
@@ -51,27 +52,27 @@
 		}, all, 0},
 		{"failed a while ago", []int{6, 7}, func(_ *rig, granted map[int]func(bool)) {
 			granted[6](false)
-			<-time.After(settleTime + 3*hop)
+			<-time.After(settleTime + 3*hopDelay)
 		}, all, 1},
 		{"the holder died", []int{0, 1}, func(r *rig, _ map[int]func(bool)) {
-			<-time.After(claimFor - time.Second)
+			<-time.After(claimTTL - time.Second)
 			if n := len(r.claimAll("e", 1, 2)); n != 0 {
 				r.t.Errorf("%d may run while the holder could live", n)
 			}
 			<-time.After(time.Second)
 		}, []int{1, 2}, 1},
 		{"the release is lost, heartbeats tell", []int{0, 1}, func(r *rig, granted map[int]func(bool)) {
-			r.deaf = true
+			r.dropBroadcasts = true
 			granted[0](true)
 			<-time.After(time.Second)
-			r.deaf = false
-			r.heartbeats(newsLag / 2)
+			r.dropBroadcasts = false
+			r.heartbeats(maxUpdateDelay / 2)
 		}, []int{1}, 1},
 		{"old news of an ended claim", []int{0}, func(r *rig, granted map[int]func(bool)) {
-			old := r.books[0].Outgoing()
+			old := r.trackers[0].Outgoing()
 			granted[0](true)
 			<-time.After(time.Second)
-			r.books[1].Incoming(old)
+			r.trackers[1].Incoming(old)
 		}, []int{1}, 1},
 	}
 	for _, tc := range cases {
@@ -90,7 +91,7 @@
 				if n := len(r.claimAll("another", tc.second...)); n != 1 {
 					t.Errorf("%d may run at another engine, want 1", n)
 				}
-				for i, b := range r.books {
+				for i, b := range r.trackers {
 					if len(b.contents) != 0 {
 						t.Errorf("daemon %d: %d contents held for claims of targets", i, len(b.contents))
 					}
@@ -100,12 +101,12 @@
 	}
 }
 
-// TestEndedClaimIsStillTold: two daemons claim an engine, or a content, at once.
-// The first runs there and gives the claim back. Only then does it hear that
-// the second gave way. A peer that missed the broadcast of the end learns of
-// it from heartbeats, unless the late word took the end's place: then it
-// refuses for two minutes.
-func TestEndedClaimIsStillTold(t *testing.T) {
+// TestEndedClaimStaysInHeartbeats guards against a lost end of a claim. Two
+// daemons claim an engine, or a content, at once. The winner runs, releases its
+// claim, and only then receives the withdrawal of the loser. If the withdrawal
+// replaced the ended claim, heartbeats would no longer carry its end, and a peer
+// that missed the broadcast of it would refuse for two minutes.
+func TestEndedClaimStaysInHeartbeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := New(Options{Self: "daemon-0", Broadcast: func(context.Context, []*peerpb.Conviction) {}})
 		b.Begin(bad, "engine")
@@ -123,32 +124,33 @@
 		content(false)
 		<-time.After(settleTime)
 		b.Incoming([]*peerpb.Conviction{
-			{Fingerprint: targetKey("engine"), Suspect: true, Target: targetMark + "daemon-1#1"},
-			{Fingerprint: bad, Suspect: true, Target: claimMark + "daemon-1#1"},
+			{Fingerprint: targetKey("engine"), Suspect: true, Target: targetClaimPrefix + "daemon-1#1"},
+			{Fingerprint: bad, Suspect: true, Target: claimPrefix + "daemon-1#1"},
 		})
-		told := make(map[string]int64)
+		ttls := make(map[string]int64)
 		for _, n := range b.Outgoing() {
-			told[n.Target] = n.TtlMs
+			ttls[n.Target] = n.TtlMs
 		}
-		for _, claim := range []string{targetMark + "daemon-0#2", claimMark + "daemon-0#1"} {
-			if ttl, ok := told[claim]; !ok || ttl != 0 {
-				t.Errorf("%s is told with %d ms (%v), want its end; told: %v", claim, ttl, ok, told)
+		for _, claim := range []string{targetClaimPrefix + "daemon-0#2", claimPrefix + "daemon-0#1"} {
+			if ttl, ok := ttls[claim]; !ok || ttl != 0 {
+				t.Errorf("%s: TTL %d ms (sent: %v), want 0; all updates: %v", claim, ttl, ok, ttls)
 			}
 		}
 	})
 }
 
-// TestAnsweredBeforeTheCrash: an innocent suspect is answered by an engine. The
-// guilty one runs there right after and crashes it, within the moment in which
-// an end may still turn out to be a crash. Only the guilty one is convicted;
-// with nobody there since, the first would be.
+// TestAnsweredBeforeTheCrash guards against the conviction of harmless suspect
+// content that an engine has just answered. Other content crashes the engine
+// within settleTime, in which an ended run still counts as in flight. Only the
+// other content is convicted. Without other content there, the first one is
+// convicted.
 func TestAnsweredBeforeTheCrash(t *testing.T) {
 	const first = uint64(7)
-	for _, next := range []int{-1, 0, 1} { // the daemon of the guilty one, or none
+	for _, next := range []int{-1, 0, 1} { // daemon that sends the crashing content, -1 for none
 		synctest.Test(t, func(t *testing.T) {
 			r := newRig(t)
 			defer r.stop()
-			b := r.books[1]
+			b := r.trackers[1]
 			b.Begin(first, "engine-0")
 			b.Begin(bad, "engine-0")
 			b.Crashed("engine-0")
@@ -157,26 +159,26 @@
 			release := r.begin(1, first, "engine-1")
 			b.End(first, "engine-1")
 			release(true)
-			<-time.After(3 * hop)
+			<-time.After(3 * hopDelay)
 			if next >= 0 {
 				r.begin(next, bad, "engine-1")
-				r.books[next].Crashed("engine-1")
-				r.standing(1, bad, Convicted)
+				r.trackers[next].Crashed("engine-1")
+				r.expectStatus(1, bad, Convicted)
 			}
 			b.Crashed("engine-1")
 			want := Suspect
 			if next < 0 {
 				want = Convicted
 			}
-			r.standing(1, first, want)
+			r.expectStatus(1, first, want)
 		})
 	}
 }
 
-// begin has a daemon run suspect content at an engine.
+// begin lets a daemon run suspect content on an engine.
 func (r *rig) begin(daemon int, fp uint64, engine string) (release func(bool)) {
 	r.t.Helper()
-	b := r.books[daemon]
+	b := r.trackers[daemon]
 	if _, ok := b.Claim(r.t.Context(), fp); !ok {
 		r.t.Fatalf("content %d isn't claimed", fp)
 	}
@@ -188,22 +190,23 @@
 	return release
 }
 
-// TestTargetClaimsBounded: a peer tells of claims without end.
+// TestTargetClaimsBounded checks the limit on claims of targets when a peer
+// sends an unlimited number of them.
 func TestTargetClaimsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := New(Options{Self: "d"})
 		for i := range uint64(2 * maxTargetClaims) {
-			b.Incoming([]*peerpb.Conviction{{Fingerprint: i + 1, Suspect: true, Target: fmt.Sprintf("%speer#%d", targetMark, i), TtlMs: 1000}})
+			b.Incoming([]*peerpb.Conviction{{Fingerprint: i + 1, Suspect: true, Target: fmt.Sprintf("%speer#%d", targetClaimPrefix, i), TtlMs: 1000}})
 		}
-		if n := len(b.claimed); n != maxTargetClaims {
+		if n := len(b.targetClaims); n != maxTargetClaims {
 			t.Errorf("%d claims held", n)
 		}
 		if _, ok := b.ClaimTarget(context.Background(), 1, "e"); ok {
 			t.Error("claimed, though the claims of peers aren't all known")
 		}
-		<-time.After(time.Second + newsLag + time.Millisecond)
-		if _, ok := b.ClaimTarget(context.Background(), 1, "e"); !ok || len(b.claimed) != 1 {
-			t.Errorf("claimed: %v; %d claims held", ok, len(b.claimed))
+		<-time.After(time.Second + maxUpdateDelay + time.Millisecond)
+		if _, ok := b.ClaimTarget(context.Background(), 1, "e"); !ok || len(b.targetClaims) != 1 {
+			t.Errorf("claimed: %v; %d claims held", ok, len(b.targetClaims))
 		}
 	})
 }
--- a/request/quarantine/tracker.go
+++ b/request/quarantine/tracker.go
@@ -13,51 +13,53 @@
 	"github.com/pomelospool/pomelospool/peer/peerpb"
 )
 
-// counts are the metrics of the quarantine in this process.
+// counts are the metrics of this package.
 var counts = expvar.NewMap("quarantine")
 
-// Bounds of a Book.
+// Limits and delays of a Book.
 const (
 	defaultConviction = 10 * time.Minute
 	defaultWait       = 200 * time.Millisecond
-	outQueue          = 64
+	updateQueue       = 64
 	tickPeriod        = 250 * time.Millisecond
 	maxContents       = 4096
-	maxAtTarget       = 1024 // contents followed at one target
-	maxSuspects       = 256  // of one crash
+	maxAtTarget       = 1024 // contents tracked per target
+	maxSuspects       = 256  // per crash
 	burstWindow       = 2 * time.Second
-	burstTargets      = 3 // that die within the window: an outage, no content
+	burstTargets      = 3 // deaths within burstWindow that indicate an outage
 )
 
-// Options of a Book. The zero value is of a process without peers.
+// Options configures a Book. The zero value is valid for a process without
+// peers.
 type Options struct {
 	Self string // incarnation of this process
-	// Broadcast sends news to every live peer at once, hands what they answer
-	// to Incoming, and returns when all have answered or ctx ends.
-	Broadcast  func(ctx context.Context, news []*peerpb.Conviction)
+	// Broadcast sends updates to every live peer, passes the updates in the
+	// replies to Incoming, and returns when all have replied or ctx ends.
+	Broadcast  func(ctx context.Context, updates []*peerpb.Conviction)
 	Wait       time.Duration // longest wait for a broadcast; 200ms
-	Conviction time.Duration // the first one; 10m
+	Conviction time.Duration // duration of the first conviction; 10m
 	Now        func() time.Time
 }
 
-// Book is the Claimer of one process. It also is membership.Convictions.
+// Book implements Claimer for one process. It also implements
+// membership.Convictions.
 type Book struct {
-	o    Options
-	tomb tomb.Tomb
-	out  chan []*peerpb.Conviction // news that nobody waits for
+	o       Options
+	tomb    tomb.Tomb
+	updates chan []*peerpb.Conviction // sent in the background
 
-	mu       sync.Mutex
-	contents map[uint64]*content
-	targets  map[string]map[uint64]int // in flight, by target
-	ended    endings
-	burst    []death
-	claims   uint64                 // made by this process
-	claimed  map[uint64]targetClaim // by targetKey
-	watched  int                    // Watched contents that run here now
-	clearing []uint64               // contents that ran alone to their end a moment ago
+	mu            sync.Mutex
+	contents      map[uint64]*content
+	targets       map[string]map[uint64]int // contents in flight, by target
+	ended         endedRuns
+	recentDeaths  []death
+	claimSeq      uint64                 // sequence number of the last claim of this process
+	targetClaims  map[uint64]targetClaim // by targetKey
+	sharedRuns    int                    // Watched contents that this process is running
+	pendingClears []uint64               // contents whose exclusive run has finished, cleared after settleTime
 }
 
-// death is one crash seen by this process.
+// death is a crash of a target seen by this process.
 type death struct {
 	target string
 	at     time.Time
@@ -81,19 +83,19 @@
 		o.Broadcast = func(context.Context, []*peerpb.Conviction) {}
 	}
 	return &Book{
-		o:        o,
-		contents: make(map[uint64]*content),
-		targets:  make(map[string]map[uint64]int),
-		claimed:  make(map[uint64]targetClaim),
-		out:      make(chan []*peerpb.Conviction, outQueue),
-		ended:    endings{clean: make(map[uint64]struct{})},
+		o:            o,
+		contents:     make(map[uint64]*content),
+		targets:      make(map[string]map[uint64]int),
+		targetClaims: make(map[uint64]targetClaim),
+		updates:      make(chan []*peerpb.Conviction, updateQueue),
+		ended:        endedRuns{completed: make(map[uint64]struct{})},
 	}
 }
 
-// Start sends the news that nobody waits for, until Stop.
+// Start starts the goroutine that sends queued updates, until Stop.
 func (b *Book) Start() { b.tomb.Go(b.loop) }
 
-// Stop ends the loop.
+// Stop stops the goroutine.
 func (b *Book) Stop() error {
 	b.tomb.Kill(nil)
 	return b.tomb.Wait()
@@ -106,8 +108,8 @@
 		select {
 		case <-b.tomb.Dying():
 			return nil
-		case news := <-b.out:
-			b.send(news)
+		case updates := <-b.updates:
+			b.broadcast(updates)
 		case <-tick.C:
 			b.mu.Lock()
 			b.tick()
@@ -116,10 +118,11 @@
 	}
 }
 
-// post queues news; what finds no room travels on heartbeats alone.
-func (b *Book) post(news []*peerpb.Conviction) {
+// enqueue queues updates for a broadcast. If the queue is full, they are sent
+// only in heartbeats.
+func (b *Book) enqueue(updates []*peerpb.Conviction) {
 	select {
-	case b.out <- news:
+	case b.updates <- updates:
 	default:
 		counts.Add("news_dropped", 1)
 	}
@@ -134,9 +137,9 @@
 	if c == nil {
 		return Clear, 0
 	}
-	s, until := c.standing(now)
-	if s == Suspect && c.tried.IsZero() {
-		c.tried = now
+	s, until := c.status(now)
+	if s == Suspect && c.firstTry.IsZero() {
+		c.firstTry = now
 	}
 	return s, until.Sub(now)
 }
@@ -155,8 +158,9 @@
 	}
 }
 
-// End implements Tracker. Whether the content did harm shows only a moment
-// later: a crash may be noticed after its connections broke.
+// End implements Tracker. Whether the content did harm is known only settleTime
+// later, because a crash may be noticed after the connections to the target
+// broke.
 func (b *Book) End(fp uint64, target string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -172,43 +176,44 @@
 	if len(m) == 0 {
 		delete(b.targets, target)
 	}
-	b.ended.add(ending{fp, target, now})
-	b.ranOut(fp, now)
+	b.ended.add(endedRun{fp, target, now})
+	b.endRunningClaim(fp, now)
 }
 
-// tick settles what is old enough and returns the time.
+// tick settles ended runs, clears finished contents and returns the current
+// time.
 func (b *Book) tick() time.Time {
 	now := b.o.Now()
 	b.ended.settle(now)
-	b.clear(now)
+	b.clearFinished(now)
 	return now
 }
 
-// Crashed implements Tracker. It returns once the peers know, or after the
-// longest wait: a caller that has its answer may send the content again to
-// another daemon at once, which would lose another target by it.
+// Crashed implements Tracker. It returns once the peers are informed, or after
+// Options.Wait. A caller that already has its error could otherwise send the
+// content to another daemon at once, which would lose another target.
 func (b *Book) Crashed(target string) {
 	b.mu.Lock()
 	now := b.tick()
 	d := death{target: target, at: now, fps: b.inFlight(target)}
-	b.noteBurst(d)
-	news := b.judge(d)
+	b.addRecentDeath(d)
+	updates := b.recordDeath(d)
 	b.mu.Unlock()
 	counts.Add("crashes", 1)
 	log.WithFields(log.Fields{"target": target, "contents": len(d.fps)}).Warn("quarantine: target died")
-	if len(news) > 0 {
-		b.send(news)
+	if len(updates) > 0 {
+		b.broadcast(updates)
 	}
 }
 
-func (b *Book) send(news []*peerpb.Conviction) {
+func (b *Book) broadcast(updates []*peerpb.Conviction) {
 	ctx, cancel := context.WithTimeout(context.Background(), b.o.Wait)
 	defer cancel()
-	b.o.Broadcast(ctx, news)
+	b.o.Broadcast(ctx, updates)
 }
 
-// inFlight is what may have killed the target: what is there, and what left a
-// moment ago.
+// inFlight returns the contents that may have crashed the target: those in
+// flight there and those whose runs there have ended recently.
 func (b *Book) inFlight(target string) []uint64 {
 	seen := make(map[uint64]bool)
 	var fps []uint64
@@ -218,7 +223,7 @@
 			fps = append(fps, fp)
 		}
 	}
-	for _, fp := range b.ended.takeFrom(target) {
+	for _, fp := range b.ended.removeRecent(target) {
 		add(fp)
 	}
 	for fp := range b.targets[target] {
@@ -227,45 +232,46 @@
 	return fps
 }
 
-// judge notes a death against the contents and returns the news of it.
-func (b *Book) judge(d death) []*peerpb.Conviction {
+// recordDeath adds a death to the crashes of its contents and returns the
+// updates about it.
+func (b *Book) recordDeath(d death) []*peerpb.Conviction {
 	outage := b.isOutage()
-	var guilty, changed []*content
+	var convicted, changed []*content
 	for _, fp := range d.fps {
-		c := b.content(fp, d.at)
-		if c == nil || outage && b.deathsOf(fp) < 2 && !c.alone(d.at) {
+		c := b.getOrCreate(fp, d.at)
+		if c == nil || outage && b.deathsOf(fp) < 2 && !c.runsExclusively(d.at) {
 			continue
 		}
-		if !c.blame(d) {
+		if !c.addLocalCrash(d) {
 			continue
 		}
 		changed = append(changed, c)
-		if c.counted() >= 2 && b.proven(c, d.at) && !b.outlived(fp, d) {
-			guilty = append(guilty, c)
+		if c.crashCount() >= 2 && b.canConvict(c, d.at) && !b.explainedByOther(fp, d) {
+			convicted = append(convicted, c)
 		}
 	}
 	if outage {
-		b.forgiveOutage()
+		b.dismissOutageCrashes()
 	}
-	b.convict(guilty, d.at)
-	return b.newsOf(changed, d.at)
+	b.convict(convicted, d.at)
+	return b.updatesOf(changed, d.at)
 }
 
-// proven reports whether two crashes convict. A content that ran alone at the
-// second has no other explanation. One that was beside others is let off when
-// it ended well somewhere lately: an hourly report that runs everywhere is in
-// flight at the crash of any two targets.
-func (b *Book) proven(c *content, now time.Time) bool {
-	if c.alone(now) {
+// canConvict reports whether two crashes are enough for a conviction. They are
+// if the content ran exclusively at the second one, which leaves no other
+// explanation. Otherwise the content must not have completed recently: an hourly
+// report that runs on every target is in flight at the crash of any two.
+func (b *Book) canConvict(c *content, now time.Time) bool {
+	if c.runsExclusively(now) {
 		return true
 	}
-	return !b.ended.endedWell(c.fp)
+	return !b.ended.hasCompleted(c.fp)
 }
 
-func (b *Book) convict(guilty []*content, now time.Time) {
-	for _, c := range guilty {
-		if len(guilty) > 1 {
-			c.refuse(now, convictShort)
+func (b *Book) convict(convicted []*content, now time.Time) {
+	for _, c := range convicted {
+		if len(convicted) > 1 {
+			c.refuseFor(now, shortConviction)
 		} else {
 			c.convict(now, b.o.Conviction)
 		}
@@ -274,14 +280,14 @@
 	}
 }
 
-// content returns the entry of a fingerprint, a new one if need be, or nil
-// when the book is full of contents that matter as much.
-func (b *Book) content(fp uint64, now time.Time) *content {
+// getOrCreate returns the entry of a fingerprint and creates it if needed. It
+// returns nil if the limit is reached and no entry can be evicted.
+func (b *Book) getOrCreate(fp uint64, now time.Time) *content {
 	c := b.contents[fp]
 	if c != nil {
 		return c
 	}
-	if len(b.contents) >= maxContents && !b.makeRoom(now) {
+	if len(b.contents) >= maxContents && !b.evict(now) {
 		counts.Add("book_full", 1)
 		return nil
 	}
@@ -290,22 +296,23 @@
 	return c
 }
 
-// makeRoom drops what has ended, and if that isn't enough the suspects that
-// end first: an eighth of the book, so that a flood doesn't search it each time.
-func (b *Book) makeRoom(now time.Time) bool {
+// evict removes expired entries. If that is not enough it removes the suspects
+// that expire first, an eighth of the limit at a time, so that a flood of
+// contents does not cause a search for each one.
+func (b *Book) evict(now time.Time) bool {
 	var suspects []*content
 	for fp, c := range b.contents {
 		switch {
-		case c.ends().Before(now):
+		case c.expiresAt().Before(now):
 			delete(b.contents, fp)
-		case !now.Before(c.convicted):
+		case !now.Before(c.convictedUntil):
 			suspects = append(suspects, c)
 		}
 	}
 	if len(b.contents) < maxContents {
 		return true
 	}
-	sort.Slice(suspects, func(i, j int) bool { return suspects[i].ends().Before(suspects[j].ends()) })
+	sort.Slice(suspects, func(i, j int) bool { return suspects[i].expiresAt().Before(suspects[j].expiresAt()) })
 	for _, c := range suspects[:min(len(suspects), maxContents/8)] {
 		delete(b.contents, c.fp)
 	}
--- a/request/quarantine/types.go
+++ b/request/quarantine/types.go
@@ -1,5 +1,5 @@
-// Package quarantine finds requests whose content crashes the targets that
-// run it, and keeps them from taking down the fleet.
+// Package quarantine detects requests whose content crashes targets, and keeps
+// them from crashing the targets of the whole fleet.
 package quarantine
 
 import (
@@ -7,42 +7,47 @@
 	"time"
 )
 
-// Standing is what is held against a content fingerprint.
+// Standing is the result of the checks of a content fingerprint.
 type Standing int
 
-// The standings.
+// Values of Standing.
 const (
 	Clear     Standing = iota
-	Suspect            // in flight at a crash: runs alone
+	Suspect            // was in flight at a crash; runs alone
 	Convicted          // refused for a time
-	Watched            // suspect for which no idle target was found: runs beside others
+	Watched            // suspect without an idle target; runs beside other requests
 )
 
-// Tracker follows content fingerprints. It is safe for concurrent use.
+// Tracker tracks content fingerprints in flight and crashes of targets. It is
+// safe for concurrent use.
 type Tracker interface {
 	// Check returns the standing of a fingerprint and how long it lasts.
 	Check(fingerprint uint64) (Standing, time.Duration)
-	// Begin notes that the content was sent to a target.
+	// Begin records that the content was sent to a target.
 	Begin(fingerprint uint64, target string)
-	// End notes that the target is done with it.
+	// End records that the content is no longer in flight at the target.
 	End(fingerprint uint64, target string)
-	// Crashed notes that a target died; what was in flight there is suspect.
+	// Crashed records that a target died. Content in flight there becomes
+	// suspect.
 	Crashed(target string)
 }
 
-// Claimer is a Tracker that also gives the right to run suspect content. It is
-// asked after Check said Suspect or Watched, before the content is sent to a target.
+// Claimer is a Tracker that also grants the right to run suspect content. It is
+// used if Check returned Suspect or Watched, before the content is sent to a
+// target.
 type Claimer interface {
 	Tracker
-	// Claim takes the only right in the fleet to run the content now. ok is
-	// false while another run of it goes on; then release is nil. release is
-	// called once, after End; finished says that a target gave the whole
-	// answer, which clears the content. Claim may wait a moment for the peers.
+	// Claim acquires the exclusive right in the fleet to run the content. ok is
+	// false while another run of it is in progress; release is nil then. release
+	// must be called once, after End; finished means that a target returned the
+	// complete answer, which clears the content. Claim may wait for the peers
+	// for a short time.
 	Claim(ctx context.Context, fingerprint uint64) (release func(finished bool), ok bool)
-	// ClaimTarget takes the only right in the fleet to run suspect content at a
-	// target. It is asked after Claim, once the target is chosen. ok is false
-	// while another suspect runs there; then release is nil. release is called
-	// once, after End; finished says that the target gave the whole answer, which
-	// frees it at once. ClaimTarget may wait a moment for the peers.
+	// ClaimTarget acquires the exclusive right in the fleet to run suspect
+	// content on a target. It is called after Claim, once the target is chosen.
+	// ok is false while other suspect content runs there; release is nil then.
+	// release must be called once, after End; finished means that the target
+	// returned the complete answer, which releases the target at once.
+	// ClaimTarget may wait for the peers for a short time.
 	ClaimTarget(ctx context.Context, fingerprint uint64, target string) (release func(finished bool), ok bool)
 }
