--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -64,8 +64,8 @@
 	router  *routing.Policy
 	demands demands
 	burn    *burn.Burn
-	once    *once.Log
-	crashes *quarantine.Book
+	once    *once.LogDeduplicator
+	crashes *quarantine.CrashTracker
 	entry   *entry.Entry
 
 	docs      documents
--- a/process/daemon/parts.go
+++ b/process/daemon/parts.go
@@ -9,7 +9,7 @@
 	"github.com/pomelospool/pomelospool/request/quarantine"
 )
 
-func (d *Daemon) newOnceKeeper() *once.Log {
+func (d *Daemon) newOnceKeeper() *once.LogDeduplicator {
 	return once.New(once.Options{
 		Self:    d.self,
 		Log:     d.platform.log,
@@ -48,13 +48,13 @@
 
 // newCrashTracker returns the quarantine. News of a crash goes to all live
 // peers at once, before the caller has its answer and can send it again.
-func (d *Daemon) newCrashTracker() *quarantine.Book {
-	fleet := &quarantine.Fleet{
+func (d *Daemon) newCrashTracker() *quarantine.CrashTracker {
+	fleet := &quarantine.Broadcaster{
 		Self:   func() *peerpb.Member { return d.members.View().Self },
 		Addrs:  d.livePeers,
 		Client: d.dialer.Client,
 	}
-	var book *quarantine.Book
+	var book *quarantine.CrashTracker
 	book = quarantine.New(quarantine.Options{
 		Self: d.self,
 		Broadcast: func(ctx context.Context, news []*peerpb.Conviction) {
--- a/request/attempt/attempt_test.go
+++ b/request/attempt/attempt_test.go
@@ -108,12 +108,12 @@
 // fakeTracker is a Tracker that records its calls.
 type fakeTracker struct {
 	mu       sync.Mutex
-	standing quarantine.Standing
+	standing quarantine.Verdict
 	inFlight int
 	events   []string
 }
 
-func (tr *fakeTracker) Check(uint64) (quarantine.Standing, time.Duration) {
+func (tr *fakeTracker) Check(uint64) (quarantine.Verdict, time.Duration) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	return tr.standing, time.Minute
@@ -122,7 +122,7 @@
 func (tr *fakeTracker) End(uint64, string)   { tr.record(-1, "end") }
 func (tr *fakeTracker) Crashed(string)       { tr.record(0, "crashed") }
 
-func (tr *fakeTracker) set(s quarantine.Standing) {
+func (tr *fakeTracker) set(s quarantine.Verdict) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	tr.standing = s
@@ -239,7 +239,7 @@
 func TestSuspectsShareNoTarget(t *testing.T) {
 	cases := []struct {
 		name     string
-		standing quarantine.Standing
+		standing quarantine.Verdict
 		taken    []string
 		crashes  bool // target a crashes
 		want     string
@@ -248,7 +248,7 @@
 		{"clear", quarantine.Clear, []string{"a", "b"}, false, "[begin end]", code.OK},
 		{"free", quarantine.Suspect, nil, false, "[claim a begin end release a true]", code.OK},
 		{"the other is free", quarantine.Suspect, []string{"a"}, false, "[claim b begin end release b true]", code.OK},
-		{"beside others", quarantine.Watched, []string{"a"}, false, "[claim b begin end release b true]", code.OK},
+		{"beside others", quarantine.SuspectShared, []string{"a"}, false, "[claim b begin end release b true]", code.OK},
 		{"none is free", quarantine.Suspect, []string{"a", "b"}, false, "[]", code.CrashSuspect},
 		{"its target dies, then it waits", quarantine.Suspect, []string{"b"}, true,
 			"[claim a begin end release a false claim b begin end release b true]", code.OK},
--- a/request/attempt/claim_test.go
+++ b/request/attempt/claim_test.go
@@ -47,10 +47,10 @@
 // claimCase is a test case of TestSuspectContentIsClaimed.
 type claimCase struct {
 	name       string
-	standing   quarantine.Standing // standing at the first check
-	after      quarantine.Standing // standing after a broken connection
-	refuse     int                 // number of refused claims
-	aCrashes   bool                // the first target crashes
+	standing   quarantine.Verdict // standing at the first check
+	after      quarantine.Verdict // standing after a broken connection
+	refuse     int                // number of refused claims
+	aCrashes   bool               // the first target crashes
 	idempotent bool
 	events     string
 	exclusive  string
@@ -63,7 +63,7 @@
 // each lose an engine before any could inform the others. If the claim is
 // refused, the error has to say that nothing ran and when to retry.
 func TestSuspectContentIsClaimed(t *testing.T) {
-	const clean, suspect, watched = quarantine.Clear, quarantine.Suspect, quarantine.Watched
+	const clean, suspect, watched = quarantine.Clear, quarantine.Suspect, quarantine.SuspectShared
 	cases := []claimCase{
 		{"clear", clean, clean, 0, false, true, "[begin end]", "[false]", code.OK},
 		{"suspect", suspect, suspect, 0, false, true, "[claim begin end release true]", "[true]", code.OK},
--- a/request/attempt/run.go
+++ b/request/attempt/run.go
@@ -206,11 +206,11 @@
 	}
 	standing, left := u.opts.Quarantine.Check(u.q.Fingerprint)
 	u.route.Exclusive = standing == quarantine.Suspect
-	u.suspect = u.route.Exclusive || standing == quarantine.Watched
+	u.suspect = u.route.Exclusive || standing == quarantine.SuspectShared
 	switch standing {
 	case quarantine.Convicted:
 		return code.New(code.CrashConvicted, "").After(left)
-	case quarantine.Suspect, quarantine.Watched:
+	case quarantine.Suspect, quarantine.SuspectShared:
 		if !u.claim(ctx) {
 			return code.New(code.CrashSuspect, "another run of the content goes on").After(retryAfter)
 		}
--- a/request/entry/entry.go
+++ b/request/entry/entry.go
@@ -34,7 +34,7 @@
 	Router     routing.Router
 	Targets    attempt.Targets
 	Addresses  *address.Selector
-	Once       once.Keeper // nil: non-idempotent calls are refused
+	Once       once.Deduplicator // nil: non-idempotent calls are refused
 	Quarantine quarantine.Tracker
 	Burn       burn.Observer
 	Verify     func(ctx context.Context, t routing.Target) // see attempt.Options
--- a/request/once/closer.go
+++ b/request/once/closer.go
@@ -25,7 +25,7 @@
 // during a long outage leaves its key open; Lookup still finds the outcome while
 // this process runs.
 type resultWriter struct {
-	l     *Log
+	l     *LogDeduplicator
 	shard int
 	wake  chan struct{}
 
@@ -35,7 +35,7 @@
 	empty    chan struct{} // closed while no result is queued or in flight
 }
 
-func newResultWriter(l *Log, shard int) *resultWriter {
+func newResultWriter(l *LogDeduplicator, shard int) *resultWriter {
 	c := &resultWriter{l: l, shard: shard, wake: make(chan struct{}, 1), empty: make(chan struct{})}
 	close(c.empty)
 	return c
--- a/request/once/fleet_test.go
+++ b/request/once/fleet_test.go
@@ -44,7 +44,7 @@
 type daemon struct {
 	f            *fleet
 	name         string
-	l            *Log
+	l            *LogDeduplicator
 	running      chan struct{} // closed while the process is not paused
 	dead         bool          // killed
 	reportedDead bool          // not live in the member list
--- a/request/once/handlers.go
+++ b/request/once/handlers.go
@@ -17,7 +17,7 @@
 
 // HandlePropose handles the Propose call of a peer. A reply without outcomes
 // means that nothing was appended.
-func (l *Log) HandlePropose(ctx context.Context, r *peerpb.ProposeRequest) (*peerpb.ProposeReply, error) {
+func (l *LogDeduplicator) HandlePropose(ctx context.Context, r *peerpb.ProposeRequest) (*peerpb.ProposeReply, error) {
 	if r.Shard < 0 || int(r.Shard) >= l.o.Shards || len(r.Records) == 0 {
 		return &peerpb.ProposeReply{}, nil
 	}
@@ -39,7 +39,7 @@
 
 // HandleLookup handles the Lookup call of a peer and returns the status of an
 // attempt of this process. It waits up to lookupWait for a running attempt.
-func (l *Log) HandleLookup(ctx context.Context, r *peerpb.LookupRequest) (*peerpb.LookupReply, error) {
+func (l *LogDeduplicator) HandleLookup(ctx context.Context, r *peerpb.LookupRequest) (*peerpb.LookupReply, error) {
 	f := l.attempts.find(r.Attempt)
 	if f.running != nil {
 		f = l.waitForAttempt(ctx, f, r.Attempt)
@@ -55,7 +55,7 @@
 	return &peerpb.LookupReply{}, nil
 }
 
-func (l *Log) waitForAttempt(ctx context.Context, f attemptStatus, attempt string) attemptStatus {
+func (l *LogDeduplicator) waitForAttempt(ctx context.Context, f attemptStatus, attempt string) attemptStatus {
 	t := time.NewTimer(lookupWait)
 	defer t.Stop()
 	select {
@@ -69,7 +69,7 @@
 // replyNeverRan reports that an attempt received no ticket, and queues a result
 // that says so. A late copy of its abandoned intent can still win in the log;
 // without a result the key would stay held by a call that never ran.
-func (l *Log) replyNeverRan(r *peerpb.LookupRequest) *peerpb.LookupReply {
+func (l *LogDeduplicator) replyNeverRan(r *peerpb.LookupRequest) *peerpb.LookupReply {
 	result := &record.Result{
 		Service: r.Service,
 		Key:     r.Key,
--- a/request/once/health.go
+++ b/request/once/health.go
@@ -56,7 +56,7 @@
 }
 
 // probe reads from the log periodically while it is unavailable.
-func (l *Log) probe() error {
+func (l *LogDeduplicator) probe() error {
 	tick := time.NewTicker(probePeriod)
 	defer tick.Stop()
 	for {
@@ -71,7 +71,7 @@
 	}
 }
 
-func (l *Log) probeOnce() {
+func (l *LogDeduplicator) probeOnce() {
 	ctx, cancel := context.WithTimeout(l.tomb.Context(context.Background()), readTimeout)
 	defer cancel()
 	if _, _, err := l.o.Log.Read(ctx, record.OnceStream(0), 1<<62, 1, 0); err == nil {
--- a/request/once/keeper.go
+++ b/request/once/keeper.go
@@ -28,7 +28,7 @@
 	membershipSettleTime = 5 * time.Second // after a start, until unlisted members count as dead
 )
 
-// Member describes a daemon to a Keeper.
+// Member describes a daemon to a Deduplicator.
 type Member struct {
 	Incarnation string
 	Addr        string // address of its peer server, host:port
@@ -51,8 +51,8 @@
 	Now       func() time.Time
 }
 
-// Log is a Keeper that decides by the order of records in a replicated log.
-type Log struct {
+// LogDeduplicator is a Deduplicator that decides by the order of records in a replicated log.
+type LogDeduplicator struct {
 	o             Options
 	tomb          tomb.Tomb
 	started       time.Time
@@ -67,12 +67,12 @@
 	stopped bool
 }
 
-var _ Keeper = (*Log)(nil)
+var _ Deduplicator = (*LogDeduplicator)(nil)
 
 // New returns a Log. Start starts its goroutines.
-func New(o Options) *Log {
+func New(o Options) *LogDeduplicator {
 	o = withDefaults(o)
-	l := &Log{
+	l := &LogDeduplicator{
 		o:        o,
 		started:  o.Now(),
 		health:   &health{},
@@ -113,7 +113,7 @@
 }
 
 // Start starts the goroutines that record results and probe the log.
-func (l *Log) Start() {
+func (l *LogDeduplicator) Start() {
 	l.tomb.Go(func() error {
 		for _, c := range l.resultWriters {
 			l.tomb.Go(c.run)
@@ -127,7 +127,7 @@
 // Drain waits until all results of this process are in the log, or until ctx
 // ends. The outcome of a call whose result is not recorded when the process
 // exits stays unknown.
-func (l *Log) Drain(ctx context.Context) error {
+func (l *LogDeduplicator) Drain(ctx context.Context) error {
 	for _, c := range l.resultWriters {
 		if err := c.drain(ctx); err != nil {
 			return err
@@ -137,7 +137,7 @@
 }
 
 // Stop stops all goroutines.
-func (l *Log) Stop() error {
+func (l *LogDeduplicator) Stop() error {
 	l.mu.Lock()
 	l.stopped = true
 	l.mu.Unlock()
@@ -147,7 +147,7 @@
 
 // shard returns the running shard n and starts it on first use. It returns nil
 // after Stop.
-func (l *Log) shard(n int) *shard {
+func (l *LogDeduplicator) shard(n int) *shard {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.stopped {
@@ -162,13 +162,13 @@
 	return s
 }
 
-// Begin implements Keeper.
+// Begin implements Deduplicator.
 //
 // It enforces the at-most-once guarantee of the package: it returns a ticket
 // only for an attempt that won by log order, only to the goroutine that made the
 // attempt, and only once. An attempt without a decision within the time limit is
 // abandoned for good. If it wins later in the log, nobody runs it.
-func (l *Log) Begin(ctx context.Context, c Call) (Ticket, *Answer, error) {
+func (l *LogDeduplicator) Begin(ctx context.Context, c Call) (Ticket, *Answer, error) {
 	window, err := l.window(c.Service)
 	if err != nil {
 		return nil, nil, err
@@ -196,7 +196,7 @@
 
 // decideAttempt returns the outcome of an attempt. If this process already has
 // an attempt for the key, that one decides, otherwise the log does.
-func (l *Log) decideAttempt(ctx context.Context, a *attempt) (*peerpb.Outcome, error) {
+func (l *LogDeduplicator) decideAttempt(ctx context.Context, a *attempt) (*peerpb.Outcome, error) {
 	id, digest, ok := l.attempts.ownAttempt(a.key)
 	switch {
 	case !ok:
@@ -207,7 +207,7 @@
 	return &peerpb.Outcome{Kind: peerpb.Outcome_BUSY, Attempt: id, Writer: l.o.Self}, nil
 }
 
-func (l *Log) window(service string) (time.Duration, error) {
+func (l *LogDeduplicator) window(service string) (time.Duration, error) {
 	w := l.o.Window(service)
 	if w <= 0 {
 		w = DefaultWindow
@@ -220,7 +220,7 @@
 	return w, nil
 }
 
-func (l *Log) grantTicket(a *attempt) (Ticket, *Answer, error) {
+func (l *LogDeduplicator) grantTicket(a *attempt) (Ticket, *Answer, error) {
 	if !l.attempts.start(a) {
 		return nil, nil, l.abandon(a, nil, false)
 	}
@@ -233,7 +233,7 @@
 // the log, a queued result frees the key as soon as the log accepts it. If
 // another attempt was seen to hold the key, the error is KeyBusy, because "not
 // run" would be misleading about that attempt.
-func (l *Log) abandon(a *attempt, err error, otherSeen bool) error {
+func (l *LogDeduplicator) abandon(a *attempt, err error, otherSeen bool) error {
 	counts.Add("given_up", 1)
 	if !errors.Is(err, errNotAppended) {
 		l.queueResult(a, a.result(code.OnceUnavailable))
@@ -245,6 +245,6 @@
 }
 
 // queueResult queues a result to be written to the log.
-func (l *Log) queueResult(a *attempt, r *record.Result) {
+func (l *LogDeduplicator) queueResult(a *attempt, r *record.Result) {
 	l.resultWriters[a.shard(l.o.Shards)].enqueue(r)
 }
--- a/request/once/propose.go
+++ b/request/once/propose.go
@@ -47,7 +47,7 @@
 }
 
 // propose sends the intent of an attempt to the log and returns its outcome.
-func (l *Log) propose(ctx context.Context, a *attempt) (*peerpb.Outcome, error) {
+func (l *LogDeduplicator) propose(ctx context.Context, a *attempt) (*peerpb.Outcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	body, _ := json.Marshal(record.Intent{
@@ -70,7 +70,7 @@
 // that fails, and finally batches them in this process. The choice of batcher
 // affects only the cost, because every daemon answers from the log. The error is
 // errNotAppended only if no daemon can have appended any of the records.
-func (l *Log) proposeAll(ctx context.Context, shard int, envs []record.Envelope) ([]*peerpb.Outcome, error) {
+func (l *LogDeduplicator) proposeAll(ctx context.Context, shard int, envs []record.Envelope) ([]*peerpb.Outcome, error) {
 	maybeAppended := false
 	for _, addr := range l.batchers(shard) {
 		outcomes, err := l.proposeTo(ctx, addr, shard, envs)
@@ -90,7 +90,7 @@
 	return nil, errNotAppended
 }
 
-func (l *Log) proposeTo(ctx context.Context, addr string, shard int, envs []record.Envelope) ([]*peerpb.Outcome, error) {
+func (l *LogDeduplicator) proposeTo(ctx context.Context, addr string, shard int, envs []record.Envelope) ([]*peerpb.Outcome, error) {
 	if addr == "" {
 		return l.submit(ctx, shard, envs)
 	}
@@ -100,7 +100,7 @@
 // batchers returns the addresses to try, ordered by rendezvous hashing over the
 // live members: at most two peers, then this process. The empty address means
 // this process.
-func (l *Log) batchers(shard int) []string {
+func (l *LogDeduplicator) batchers(shard int) []string {
 	type candidate struct {
 		addr  string
 		score uint64
@@ -131,7 +131,7 @@
 	return xxhash.Sum64String(fmt.Sprintf("%d/%s", shard, incarnation))
 }
 
-func (l *Log) proposeRemote(ctx context.Context, addr string, shard int, envs []record.Envelope) ([]*peerpb.Outcome, error) {
+func (l *LogDeduplicator) proposeRemote(ctx context.Context, addr string, shard int, envs []record.Envelope) ([]*peerpb.Outcome, error) {
 	c, err := l.o.Client(addr)
 	if err != nil {
 		return nil, errNotAppended
@@ -156,7 +156,7 @@
 }
 
 // submit batches records in this process.
-func (l *Log) submit(ctx context.Context, shard int, envs []record.Envelope) ([]*peerpb.Outcome, error) {
+func (l *LogDeduplicator) submit(ctx context.Context, shard int, envs []record.Envelope) ([]*peerpb.Outcome, error) {
 	s := l.shard(shard)
 	if s == nil {
 		return nil, errNotAppended
@@ -178,7 +178,7 @@
 
 // collect waits for all outcomes. It returns errNotAppended if none of the
 // records was passed to an append.
-func (l *Log) collect(ctx context.Context, ps []*proposal) ([]*peerpb.Outcome, error) {
+func (l *LogDeduplicator) collect(ctx context.Context, ps []*proposal) ([]*peerpb.Outcome, error) {
 	refused := 0
 	outcomes := make([]*peerpb.Outcome, len(ps))
 	for i, p := range ps {
--- a/request/once/resolve.go
+++ b/request/once/resolve.go
@@ -15,7 +15,7 @@
 
 // resolve answers a call whose key is held or closed by another attempt. retry
 // is true if the key may be free now and the call may be attempted again.
-func (l *Log) resolve(ctx context.Context, a *attempt, o *peerpb.Outcome) (answer *Answer, retry bool, err error) {
+func (l *LogDeduplicator) resolve(ctx context.Context, a *attempt, o *peerpb.Outcome) (answer *Answer, retry bool, err error) {
 	switch o.Kind {
 	case peerpb.Outcome_REUSED:
 		return nil, false, code.New(code.KeyReused, "")
@@ -33,7 +33,7 @@
 // that process may be alive but is not reachable, for example because it is
 // paused or because this process has just started, the error is KeyBusy and the
 // caller may retry; AnswerNotKept would be wrong and final.
-func (l *Log) closedAnswer(ctx context.Context, a *attempt, o *peerpb.Outcome) (*Answer, error) {
+func (l *LogDeduplicator) closedAnswer(ctx context.Context, a *attempt, o *peerpb.Outcome) (*Answer, error) {
 	var r record.Result
 	if json.Unmarshal(o.Result, &r) != nil {
 		return nil, code.New(code.KeyBusy, "its result can't be read now").After(retryAfter)
@@ -57,7 +57,7 @@
 // await waits for the attempt that holds the key while its process is alive and
 // the caller waits. A caller that sends a request again wants the first answer
 // and would only retry after a refusal.
-func (l *Log) await(ctx context.Context, a *attempt, o *peerpb.Outcome) (*Answer, bool, error) {
+func (l *LogDeduplicator) await(ctx context.Context, a *attempt, o *peerpb.Outcome) (*Answer, bool, error) {
 	for ctx.Err() == nil {
 		if !l.mayBeAlive(o.Writer) {
 			return l.declareUnknown(ctx, a, o)
@@ -78,7 +78,7 @@
 
 // finishedAnswer handles the result that the process of the winning attempt
 // returned.
-func (l *Log) finishedAnswer(ctx context.Context, a *attempt, o *peerpb.Outcome, reply *peerpb.LookupReply) (*Answer, bool, error) {
+func (l *LogDeduplicator) finishedAnswer(ctx context.Context, a *attempt, o *peerpb.Outcome, reply *peerpb.LookupReply) (*Answer, bool, error) {
 	var r record.Result
 	if json.Unmarshal(reply.Result, &r) != nil {
 		return nil, false, busy()
@@ -94,7 +94,7 @@
 // mayBeAlive reports whether the process of an incarnation may still be running.
 // An incarnation that is missing from the member list has ended, except shortly
 // after the start, when the list is incomplete.
-func (l *Log) mayBeAlive(incarnation string) bool {
+func (l *LogDeduplicator) mayBeAlive(incarnation string) bool {
 	if incarnation == l.o.Self {
 		return true
 	}
@@ -109,7 +109,7 @@
 // declareUnknown closes a key as unknown because the outcome of the winning
 // attempt can no longer be determined. This is final only once it is recorded in
 // the log; another outcome may be recorded first.
-func (l *Log) declareUnknown(ctx context.Context, a *attempt, o *peerpb.Outcome) (*Answer, bool, error) {
+func (l *LogDeduplicator) declareUnknown(ctx context.Context, a *attempt, o *peerpb.Outcome) (*Answer, bool, error) {
 	r := a.result(code.OutcomeUnknown)
 	r.Attempt = o.Attempt
 	body, _ := json.Marshal(r)
@@ -124,7 +124,7 @@
 
 // lookup queries the process of the winning attempt. reached is false if that
 // process did not reply.
-func (l *Log) lookup(ctx context.Context, c Call, o *peerpb.Outcome) (reply *peerpb.LookupReply, reached bool) {
+func (l *LogDeduplicator) lookup(ctx context.Context, c Call, o *peerpb.Outcome) (reply *peerpb.LookupReply, reached bool) {
 	req := &peerpb.LookupRequest{Service: c.Service, Key: c.Key, Attempt: o.Attempt}
 	if o.Writer == l.o.Self {
 		reply, err := l.HandleLookup(ctx, req)
@@ -144,7 +144,7 @@
 	return reply, err == nil
 }
 
-func (l *Log) addrOf(incarnation string) string {
+func (l *LogDeduplicator) addrOf(incarnation string) string {
 	for _, m := range l.o.Members() {
 		if m.Incarnation == incarnation && m.Live {
 			return m.Addr
--- a/request/once/ticket.go
+++ b/request/once/ticket.go
@@ -9,7 +9,7 @@
 
 // ticket implements Ticket.
 type ticket struct {
-	l    *Log
+	l    *LogDeduplicator
 	a    *attempt
 	used atomic.Bool
 }
--- a/request/once/types.go
+++ b/request/once/types.go
@@ -22,8 +22,8 @@
 	Body   []byte
 }
 
-// Keeper decides which attempt of a call may run. It is safe for concurrent use.
-type Keeper interface {
+// Deduplicator decides which attempt of a call may run. It is safe for concurrent use.
+type Deduplicator interface {
 	// Begin returns a ticket if this process, and no other, may run the call
 	// now, or the first answer if it is known. Its errors carry code.KeyBusy,
 	// code.KeyReused, code.OutcomeUnknown, code.OnceUnavailable or
--- a/request/quarantine/broadcast.go
+++ b/request/quarantine/broadcast.go
@@ -11,8 +11,8 @@
 // maxConcurrentCalls limits the peers that one broadcast calls at the same time.
 const maxConcurrentCalls = 64
 
-// Fleet sends updates to the peers of this process.
-type Fleet struct {
+// Broadcaster sends updates to the peers of this process.
+type Broadcaster struct {
 	Self   func() *peerpb.Member                        // member entry of this process, as sent in heartbeats
 	Addrs  func() []string                              // peer addresses of the live members, excluding this process
 	Client func(addr string) (peerpb.PeerClient, error) // connects to a peer, as peer.Dialer.Client does
@@ -22,7 +22,7 @@
 // updates in the replies to incoming. It returns when all peers have replied or
 // ctx ends. It is meant for Options.Broadcast. A peer that does not reply is
 // ignored here; membership decides whether it is alive.
-func (f *Fleet) Broadcast(ctx context.Context, updates []*peerpb.Conviction, incoming func([]*peerpb.Conviction)) {
+func (f *Broadcaster) Broadcast(ctx context.Context, updates []*peerpb.Conviction, incoming func([]*peerpb.Conviction)) {
 	var g errgroup.Group
 	g.SetLimit(maxConcurrentCalls)
 	for _, addr := range f.Addrs() {
@@ -36,7 +36,7 @@
 	_ = g.Wait()
 }
 
-func (f *Fleet) sendHeartbeat(ctx context.Context, addr string, updates []*peerpb.Conviction) *peerpb.HeartbeatReply {
+func (f *Broadcaster) sendHeartbeat(ctx context.Context, addr string, updates []*peerpb.Conviction) *peerpb.HeartbeatReply {
 	client, err := f.Client(addr)
 	if err != nil {
 		return nil
--- a/request/quarantine/claim.go
+++ b/request/quarantine/claim.go
@@ -13,7 +13,7 @@
 const (
 	// claimTTL limits a claim that its process does not release.
 	claimTTL = 2 * time.Minute
-	// maxSharedRuns limits the Watched contents that one process runs at the
+	// maxSharedRuns limits the SuspectShared contents that one process runs at the
 	// same time, so that few of them run on the same target and are convicted
 	// together.
 	maxSharedRuns = 1
@@ -36,7 +36,7 @@
 // precedence. Two processes that claim at the same time learn of each other
 // before either runs the content, by the broadcast or by the replies to it, and
 // the higher incarnation withdraws.
-func (b *Book) Claim(ctx context.Context, fp uint64) (func(finished bool), bool) {
+func (b *CrashTracker) Claim(ctx context.Context, fp uint64) (func(finished bool), bool) {
 	updates, shared, ok := b.propose(fp)
 	if !ok {
 		counts.Add("claims_refused", 1)
@@ -61,7 +61,7 @@
 // It guards against the loss of a third target: the content runs on two targets,
 // one dies, and the daemon of that target would run the content again alone
 // while the other target is still about to die.
-func (b *Book) counterClaim(c *content, k claim, now time.Time) bool {
+func (b *CrashTracker) counterClaim(c *content, k claim, now time.Time) bool {
 	if k.by == b.o.Self || !now.Before(k.until) || c.claim.local && now.Before(c.claim.until) || !b.isRunning(c.fp) {
 		return false
 	}
@@ -70,7 +70,7 @@
 	return true
 }
 
-func (b *Book) isRunning(fp uint64) bool {
+func (b *CrashTracker) isRunning(fp uint64) bool {
 	for _, m := range b.targets {
 		if m[fp] > 0 {
 			return true
@@ -81,7 +81,7 @@
 
 // endRunningClaim ends the claim of a content that was in flight and no longer
 // is.
-func (b *Book) endRunningClaim(fp uint64, now time.Time) {
+func (b *CrashTracker) endRunningClaim(fp uint64, now time.Time) {
 	c := b.contents[fp]
 	if c == nil || !c.claim.running || b.isRunning(fp) {
 		return
@@ -111,7 +111,7 @@
 // propose adds a claim and returns the update about it. It returns no update and
 // true if the content needs no claim. shared is true if the content runs beside
 // other requests.
-func (b *Book) propose(fp uint64) (updates []*peerpb.Conviction, shared, ok bool) {
+func (b *CrashTracker) propose(fp uint64) (updates []*peerpb.Conviction, shared, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.tick()
@@ -125,10 +125,10 @@
 		return nil, false, true
 	case standing == Convicted || now.Before(c.claim.until):
 		return nil, false, false
-	case standing == Watched && b.sharedRuns >= maxSharedRuns:
+	case standing == SuspectShared && b.sharedRuns >= maxSharedRuns:
 		return nil, false, false
 	}
-	if standing == Watched {
+	if standing == SuspectShared {
 		b.sharedRuns++
 	}
 	b.claimSeq++
@@ -138,10 +138,10 @@
 		local: true,
 		until: now.Add(claimTTL),
 	}
-	return []*peerpb.Conviction{claimUpdate(c, now)}, standing == Watched, true
+	return []*peerpb.Conviction{claimUpdate(c, now)}, standing == SuspectShared, true
 }
 
-func (b *Book) confirm(fp uint64) bool {
+func (b *CrashTracker) confirm(fp uint64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.tick()
@@ -158,7 +158,7 @@
 
 // release ends a claim after settleTime, in which a crash may still be noticed,
 // and informs the peers.
-func (b *Book) release(fp uint64, shared, finished bool) {
+func (b *CrashTracker) release(fp uint64, shared, finished bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.tick()
@@ -178,7 +178,7 @@
 }
 
 // clearFinished clears the contents that ran exclusively and finished.
-func (b *Book) clearFinished(now time.Time) {
+func (b *CrashTracker) clearFinished(now time.Time) {
 	kept := b.pendingClears[:0]
 	for _, fp := range b.pendingClears {
 		c := b.contents[fp]
--- a/request/quarantine/content.go
+++ b/request/quarantine/content.go
@@ -47,7 +47,7 @@
 }
 
 // status returns the standing of the content and when it ends.
-func (c *content) status(now time.Time) (Standing, time.Time) {
+func (c *content) status(now time.Time) (Verdict, time.Time) {
 	if now.Before(c.convictedUntil) {
 		return Convicted, c.convictedUntil
 	}
@@ -55,7 +55,7 @@
 		if c.firstTry.IsZero() || now.Sub(c.firstTry) < exclusiveWait {
 			return Suspect, c.suspectUntil
 		}
-		return Watched, c.suspectUntil
+		return SuspectShared, c.suspectUntil
 	}
 	return Clear, now
 }
--- a/request/quarantine/news.go
+++ b/request/quarantine/news.go
@@ -18,7 +18,7 @@
 
 // updatesOf returns the updates about contents: one message per crash, or one
 // for a conviction. A dismissed crash is sent with 0 crashes.
-func (b *Book) updatesOf(cs []*content, now time.Time) []*peerpb.Conviction {
+func (b *CrashTracker) updatesOf(cs []*content, now time.Time) []*peerpb.Conviction {
 	var out []*peerpb.Conviction
 	for _, c := range cs {
 		out = append(out, b.contentUpdates(c, now)...)
@@ -26,7 +26,7 @@
 	return out
 }
 
-func (b *Book) contentUpdates(c *content, now time.Time) []*peerpb.Conviction {
+func (b *CrashTracker) contentUpdates(c *content, now time.Time) []*peerpb.Conviction {
 	last := ""
 	if n := len(c.crashes); n > 0 {
 		last = c.crashes[n-1].target
@@ -67,7 +67,7 @@
 
 // Outgoing implements membership.Convictions. It returns the updates about the
 // claims of targets, followed by those about the newest contents, newest first.
-func (b *Book) Outgoing() []*peerpb.Conviction {
+func (b *CrashTracker) Outgoing() []*peerpb.Conviction {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.tick()
@@ -84,7 +84,7 @@
 }
 
 // Incoming implements membership.Convictions.
-func (b *Book) Incoming(updates []*peerpb.Conviction) {
+func (b *CrashTracker) Incoming(updates []*peerpb.Conviction) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.tick()
@@ -101,7 +101,7 @@
 	}
 }
 
-func (b *Book) merge(c *content, n *peerpb.Conviction, now time.Time) {
+func (b *CrashTracker) merge(c *content, n *peerpb.Conviction, now time.Time) {
 	ttl := time.Duration(n.TtlMs) * time.Millisecond
 	switch {
 	case !n.Suspect:
@@ -185,7 +185,7 @@
 // mergeCrash applies a crash that a peer saw. It leads to a conviction only
 // together with a crash that this process saw, because only then does this
 // process know whether the content has completed in the meantime.
-func (b *Book) mergeCrash(c *content, k crash, now time.Time) {
+func (b *CrashTracker) mergeCrash(c *content, k crash, now time.Time) {
 	if !c.addCrash(k) || now.Before(c.convictedUntil) {
 		return
 	}
--- a/request/quarantine/outage.go
+++ b/request/quarantine/outage.go
@@ -2,7 +2,7 @@
 
 // addRecentDeath adds a death to the recent ones and drops those older than
 // burstWindow.
-func (b *Book) addRecentDeath(d death) {
+func (b *CrashTracker) addRecentDeath(d death) {
 	kept := b.recentDeaths[:0]
 	for _, old := range b.recentDeaths {
 		if d.at.Sub(old.at) < burstWindow {
@@ -18,7 +18,7 @@
 // It guards against the failure or disconnection of an availability zone:
 // everything in flight there would become suspect, and thousands of harmless
 // requests would wait to run alone.
-func (b *Book) isOutage() bool {
+func (b *CrashTracker) isOutage() bool {
 	names := make(map[string]bool)
 	for _, d := range b.recentDeaths {
 		names[d.target] = true
@@ -27,7 +27,7 @@
 }
 
 // deathsOf returns the number of recent deaths with the content in flight.
-func (b *Book) deathsOf(fp uint64) int {
+func (b *CrashTracker) deathsOf(fp uint64) int {
 	n := 0
 	for _, d := range b.recentDeaths {
 		for _, f := range d.fps {
@@ -41,7 +41,7 @@
 
 // dismissOutageCrashes dismisses the crashes of contents that were in flight at
 // only one of the targets of an outage.
-func (b *Book) dismissOutageCrashes() {
+func (b *CrashTracker) dismissOutageCrashes() {
 	counts.Add("outages", 1)
 	for _, d := range b.recentDeaths {
 		for _, fp := range d.fps {
--- a/request/quarantine/quarantine_test.go
+++ b/request/quarantine/quarantine_test.go
@@ -17,7 +17,7 @@
 		name   string
 		poison []uint64
 		most   int
-		want   Standing
+		want   Verdict
 		play   func(r *rig)
 	}{
 		{"to one daemon after another", []uint64{bad}, 2, Convicted, func(r *rig) {
@@ -143,35 +143,35 @@
 	const fp = 7
 	cases := []struct {
 		name string
-		want Standing
-		play func(b *Book)
+		want Verdict
+		play func(b *CrashTracker)
 	}{
-		{"its connection was cut, the target lives", Clear, func(b *Book) {
+		{"its connection was cut, the target lives", Clear, func(b *CrashTracker) {
 			b.Begin(fp, "a")
 			b.End(fp, "a")
 		}},
-		{"one crash", Suspect, func(b *Book) {
+		{"one crash", Suspect, func(b *CrashTracker) {
 			b.Begin(fp, "a")
 			b.Crashed("a")
 		}},
-		{"one crash, noticed late", Suspect, func(b *Book) {
+		{"one crash, noticed late", Suspect, func(b *CrashTracker) {
 			b.Begin(fp, "a")
 			b.End(fp, "a")
 			<-time.After(settleTime / 2)
 			b.Crashed("a")
 		}},
-		{"one crash, told twice", Suspect, func(b *Book) {
+		{"one crash, told twice", Suspect, func(b *CrashTracker) {
 			b.Begin(fp, "a")
 			b.Crashed("a")
 			b.Crashed("a")
 		}},
-		{"left the target well before", Clear, func(b *Book) {
+		{"left the target well before", Clear, func(b *CrashTracker) {
 			b.Begin(fp, "a")
 			b.End(fp, "a")
 			<-time.After(2 * settleTime)
 			b.Crashed("a")
 		}},
-		{"runs everywhere, two targets die", Suspect, func(b *Book) {
+		{"runs everywhere, two targets die", Suspect, func(b *CrashTracker) {
 			b.Begin(fp, "c")
 			b.End(fp, "c")
 			<-time.After(2 * settleTime)
@@ -180,14 +180,14 @@
 			b.Crashed("a")
 			b.Crashed("b")
 		}},
-		{"an availability zone fails", Clear, func(b *Book) {
+		{"an availability zone fails", Clear, func(b *CrashTracker) {
 			b.Begin(fp, "a")
 			for _, target := range []string{"a", "b", "c"} {
 				b.Begin(fp+1, target)
 				b.Crashed(target)
 			}
 		}},
-		{"suspect long ago", Clear, func(b *Book) {
+		{"suspect long ago", Clear, func(b *CrashTracker) {
 			b.Begin(fp, "a")
 			b.Crashed("a")
 			<-time.After(suspectTTL)
--- a/request/quarantine/rig_test.go
+++ b/request/quarantine/rig_test.go
@@ -33,7 +33,7 @@
 // poison.
 type rig struct {
 	t        *testing.T
-	trackers []*Book
+	trackers []*CrashTracker
 	poison   map[uint64]bool
 
 	mu             sync.Mutex
@@ -68,7 +68,7 @@
 
 // broadcast implements Options.Broadcast over connections that can be cut.
 func (r *rig) broadcast(ctx context.Context, from int, updates []*peerpb.Conviction) {
-	fleet := Fleet{Self: func() *peerpb.Member { return nil }}
+	fleet := Broadcaster{Self: func() *peerpb.Member { return nil }}
 	fleet.Addrs = func() (addrs []string) {
 		for i := range r.trackers {
 			if i != from {
@@ -152,7 +152,7 @@
 
 // reportCrash reports a crash to a daemon once. Requests of the daemon wait
 // until it is reported.
-func (r *rig) reportCrash(b *Book, engine string) {
+func (r *rig) reportCrash(b *CrashTracker, engine string) {
 	r.mu.Lock()
 	id := fmt.Sprint(b.o.Self, engine, r.dead[engine])
 	done, known := r.noticed[id]
@@ -197,13 +197,13 @@
 	return code
 }
 
-func (r *rig) try(b *Book, fp uint64) (code int, again bool) {
+func (r *rig) try(b *CrashTracker, fp uint64) (code int, again bool) {
 	standing, _ := b.Check(fp)
 	finished := false
 	switch standing {
 	case Convicted:
 		return 1013, false
-	case Suspect, Watched:
+	case Suspect, SuspectShared:
 		release, ok := b.Claim(context.Background(), fp)
 		if !ok {
 			return 1012, false
@@ -259,7 +259,7 @@
 	}
 }
 
-func (r *rig) expectStatus(daemon int, fp uint64, want Standing) {
+func (r *rig) expectStatus(daemon int, fp uint64, want Verdict) {
 	r.t.Helper()
 	if got, _ := r.trackers[daemon].Check(fp); got != want {
 		r.t.Errorf("daemon %d: standing %d of content %d, want %d", daemon, got, fp, want)
--- a/request/quarantine/target.go
+++ b/request/quarantine/target.go
@@ -35,7 +35,7 @@
 // minutes. Two processes that claim at once learn of each other as described at
 // Claim. Only the owner sends updates about a claim of a target, so that no
 // other process can restore an old one.
-func (b *Book) ClaimTarget(ctx context.Context, fp uint64, target string) (func(finished bool), bool) {
+func (b *CrashTracker) ClaimTarget(ctx context.Context, fp uint64, target string) (func(finished bool), bool) {
 	key := targetKey(target)
 	k, ok := b.proposeTarget(key, fp)
 	if !ok {
@@ -58,7 +58,7 @@
 	}, true
 }
 
-func (b *Book) proposeTarget(key, fp uint64) (targetClaim, bool) {
+func (b *CrashTracker) proposeTarget(key, fp uint64) (targetClaim, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.tick()
@@ -73,7 +73,7 @@
 	return k, true
 }
 
-func (b *Book) confirmTarget(key uint64, k targetClaim) bool {
+func (b *CrashTracker) confirmTarget(key uint64, k targetClaim) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	held := b.targetClaims[key]
@@ -88,7 +88,7 @@
 // releaseTarget ends a claim and informs the peers. It also does so for a claim
 // that lost to one of a peer, because other peers may have received it before
 // the winning one.
-func (b *Book) releaseTarget(key uint64, k targetClaim, hold time.Duration) {
+func (b *CrashTracker) releaseTarget(key uint64, k targetClaim, hold time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.tick()
@@ -105,7 +105,7 @@
 }
 
 // mergeTarget applies a peer's update about its claim of a target.
-func (b *Book) mergeTarget(n *peerpb.Conviction, now time.Time) {
+func (b *CrashTracker) mergeTarget(n *peerpb.Conviction, now time.Time) {
 	k, ok := parseClaim(strings.TrimPrefix(n.Target, claimPrefix))
 	if !ok || k.by == b.o.Self {
 		return
@@ -130,7 +130,7 @@
 
 // sweepTargets removes ended claims after maxUpdateDelay, because an update that
 // is still in transit could restore them.
-func (b *Book) sweepTargets(now time.Time) {
+func (b *CrashTracker) sweepTargets(now time.Time) {
 	for key, k := range b.targetClaims {
 		if now.Sub(k.until) > maxUpdateDelay {
 			delete(b.targetClaims, key)
@@ -140,7 +140,7 @@
 
 // targetClaimUpdates returns updates about the claims of this process, at most
 // maxContentUpdates.
-func (b *Book) targetClaimUpdates(now time.Time) []*peerpb.Conviction {
+func (b *CrashTracker) targetClaimUpdates(now time.Time) []*peerpb.Conviction {
 	var out []*peerpb.Conviction
 	b.sweepTargets(now)
 	for key, k := range b.targetClaims {
@@ -161,7 +161,7 @@
 // suspect content has claimed the target since. The later content explains a
 // death better, so harmless content that was just answered there is not
 // convicted.
-func (b *Book) explainedByOther(fp uint64, d death) bool {
+func (b *CrashTracker) explainedByOther(fp uint64, d death) bool {
 	k := b.targetClaims[targetKey(d.target)]
 	return b.targets[d.target][fp] == 0 && d.at.Before(k.until) && !(k.local && k.fp == fp)
 }
--- a/request/quarantine/tracker.go
+++ b/request/quarantine/tracker.go
@@ -16,7 +16,7 @@
 // counts are the metrics of this package.
 var counts = expvar.NewMap("quarantine")
 
-// Limits and delays of a Book.
+// Limits and delays of a CrashTracker.
 const (
 	defaultConviction = 10 * time.Minute
 	defaultWait       = 200 * time.Millisecond
@@ -29,7 +29,7 @@
 	burstTargets      = 3 // deaths within burstWindow that indicate an outage
 )
 
-// Options configures a Book. The zero value is valid for a process without
+// Options configures a CrashTracker. The zero value is valid for a process without
 // peers.
 type Options struct {
 	Self string // incarnation of this process
@@ -41,9 +41,9 @@
 	Now        func() time.Time
 }
 
-// Book implements Claimer for one process. It also implements
+// CrashTracker implements Claimer for one process. It also implements
 // membership.Convictions.
-type Book struct {
+type CrashTracker struct {
 	o       Options
 	tomb    tomb.Tomb
 	updates chan []*peerpb.Conviction // sent in the background
@@ -66,10 +66,10 @@
 	fps    []uint64
 }
 
-var _ Claimer = (*Book)(nil)
+var _ Claimer = (*CrashTracker)(nil)
 
-// New returns an empty Book.
-func New(o Options) *Book {
+// New returns an empty CrashTracker.
+func New(o Options) *CrashTracker {
 	if o.Now == nil {
 		o.Now = time.Now
 	}
@@ -82,7 +82,7 @@
 	if o.Broadcast == nil {
 		o.Broadcast = func(context.Context, []*peerpb.Conviction) {}
 	}
-	return &Book{
+	return &CrashTracker{
 		o:            o,
 		contents:     make(map[uint64]*content),
 		targets:      make(map[string]map[uint64]int),
@@ -93,15 +93,15 @@
 }
 
 // Start starts the goroutine that sends queued updates, until Stop.
-func (b *Book) Start() { b.tomb.Go(b.loop) }
+func (b *CrashTracker) Start() { b.tomb.Go(b.loop) }
 
 // Stop stops the goroutine.
-func (b *Book) Stop() error {
+func (b *CrashTracker) Stop() error {
 	b.tomb.Kill(nil)
 	return b.tomb.Wait()
 }
 
-func (b *Book) loop() error {
+func (b *CrashTracker) loop() error {
 	tick := time.NewTicker(tickPeriod)
 	defer tick.Stop()
 	for {
@@ -120,7 +120,7 @@
 
 // enqueue queues updates for a broadcast. If the queue is full, they are sent
 // only in heartbeats.
-func (b *Book) enqueue(updates []*peerpb.Conviction) {
+func (b *CrashTracker) enqueue(updates []*peerpb.Conviction) {
 	select {
 	case b.updates <- updates:
 	default:
@@ -129,7 +129,7 @@
 }
 
 // Check implements Tracker.
-func (b *Book) Check(fp uint64) (Standing, time.Duration) {
+func (b *CrashTracker) Check(fp uint64) (Verdict, time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.tick()
@@ -145,7 +145,7 @@
 }
 
 // Begin implements Tracker.
-func (b *Book) Begin(fp uint64, target string) {
+func (b *CrashTracker) Begin(fp uint64, target string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	m := b.targets[target]
@@ -161,7 +161,7 @@
 // End implements Tracker. Whether the content did harm is known only settleTime
 // later, because a crash may be noticed after the connections to the target
 // broke.
-func (b *Book) End(fp uint64, target string) {
+func (b *CrashTracker) End(fp uint64, target string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.tick()
@@ -182,7 +182,7 @@
 
 // tick settles ended runs, clears finished contents and returns the current
 // time.
-func (b *Book) tick() time.Time {
+func (b *CrashTracker) tick() time.Time {
 	now := b.o.Now()
 	b.ended.settle(now)
 	b.clearFinished(now)
@@ -192,7 +192,7 @@
 // Crashed implements Tracker. It returns once the peers are informed, or after
 // Options.Wait. A caller that already has its error could otherwise send the
 // content to another daemon at once, which would lose another target.
-func (b *Book) Crashed(target string) {
+func (b *CrashTracker) Crashed(target string) {
 	b.mu.Lock()
 	now := b.tick()
 	d := death{target: target, at: now, fps: b.inFlight(target)}
@@ -206,7 +206,7 @@
 	}
 }
 
-func (b *Book) broadcast(updates []*peerpb.Conviction) {
+func (b *CrashTracker) broadcast(updates []*peerpb.Conviction) {
 	ctx, cancel := context.WithTimeout(context.Background(), b.o.Wait)
 	defer cancel()
 	b.o.Broadcast(ctx, updates)
@@ -214,7 +214,7 @@
 
 // inFlight returns the contents that may have crashed the target: those in
 // flight there and those whose runs there have ended recently.
-func (b *Book) inFlight(target string) []uint64 {
+func (b *CrashTracker) inFlight(target string) []uint64 {
 	seen := make(map[uint64]bool)
 	var fps []uint64
 	add := func(fp uint64) {
@@ -234,7 +234,7 @@
 
 // recordDeath adds a death to the crashes of its contents and returns the
 // updates about it.
-func (b *Book) recordDeath(d death) []*peerpb.Conviction {
+func (b *CrashTracker) recordDeath(d death) []*peerpb.Conviction {
 	outage := b.isOutage()
 	var convicted, changed []*content
 	for _, fp := range d.fps {
@@ -261,14 +261,14 @@
 // if the content ran exclusively at the second one, which leaves no other
 // explanation. Otherwise the content must not have completed recently: an hourly
 // report that runs on every target is in flight at the crash of any two.
-func (b *Book) canConvict(c *content, now time.Time) bool {
+func (b *CrashTracker) canConvict(c *content, now time.Time) bool {
 	if c.runsExclusively(now) {
 		return true
 	}
 	return !b.ended.hasCompleted(c.fp)
 }
 
-func (b *Book) convict(convicted []*content, now time.Time) {
+func (b *CrashTracker) convict(convicted []*content, now time.Time) {
 	for _, c := range convicted {
 		if len(convicted) > 1 {
 			c.refuseFor(now, shortConviction)
@@ -282,7 +282,7 @@
 
 // getOrCreate returns the entry of a fingerprint and creates it if needed. It
 // returns nil if the limit is reached and no entry can be evicted.
-func (b *Book) getOrCreate(fp uint64, now time.Time) *content {
+func (b *CrashTracker) getOrCreate(fp uint64, now time.Time) *content {
 	c := b.contents[fp]
 	if c != nil {
 		return c
@@ -299,7 +299,7 @@
 // evict removes expired entries. If that is not enough it removes the suspects
 // that expire first, an eighth of the limit at a time, so that a flood of
 // contents does not cause a search for each one.
-func (b *Book) evict(now time.Time) bool {
+func (b *CrashTracker) evict(now time.Time) bool {
 	var suspects []*content
 	for fp, c := range b.contents {
 		switch {
--- a/request/quarantine/types.go
+++ b/request/quarantine/types.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// Standing is the result of the checks of a content fingerprint.
-type Standing int
+// Verdict is the result of the checks of a content fingerprint.
+type Verdict int
 
-// Values of Standing.
+// Values of Verdict.
 const (
-	Clear     Standing = iota
-	Suspect            // was in flight at a crash; runs alone
-	Convicted          // refused for a time
-	Watched            // suspect without an idle target; runs beside other requests
+	Clear         Verdict = iota
+	Suspect               // was in flight at a crash; runs alone
+	Convicted             // refused for a time
+	SuspectShared         // suspect without an idle target; runs beside other requests
 )
 
 // Tracker tracks content fingerprints in flight and crashes of targets. It is
 // safe for concurrent use.
 type Tracker interface {
 	// Check returns the standing of a fingerprint and how long it lasts.
-	Check(fingerprint uint64) (Standing, time.Duration)
+	Check(fingerprint uint64) (Verdict, time.Duration)
 	// Begin records that the content was sent to a target.
 	Begin(fingerprint uint64, target string)
 	// End records that the content is no longer in flight at the target.
@@ -33,7 +33,7 @@
 }
 
 // Claimer is a Tracker that also grants the right to run suspect content. It is
-// used if Check returned Suspect or Watched, before the content is sent to a
+// used if Check returned Suspect or SuspectShared, before the content is sent to a
 // target.
 type Claimer interface {
 	Tracker
