--- a/request/once/closer.go
+++ b/request/once/closer.go
@@ -36,55 +36,55 @@
 }
 
 func newResultWriter(l *LogDeduplicator, shard int) *resultWriter {
-	c := &resultWriter{l: l, shard: shard, wake: make(chan struct{}, 1), empty: make(chan struct{})}
-	close(c.empty)
-	return c
+	w := &resultWriter{l: l, shard: shard, wake: make(chan struct{}, 1), empty: make(chan struct{})}
+	close(w.empty)
+	return w
 }
 
-func (c *resultWriter) enqueue(r *record.Result) {
+func (w *resultWriter) enqueue(r *record.Result) {
 	body, _ := json.Marshal(r)
-	env := record.Envelope{ID: r.Attempt + "/r", Kind: record.KindResult, Writer: c.l.o.Self, Body: body}
-	c.mu.Lock()
-	if len(c.queue)+c.inFlight == 0 {
-		c.empty = make(chan struct{})
+	env := record.Envelope{ID: r.Attempt + "/r", Kind: record.KindResult, Writer: w.l.o.Self, Body: body}
+	w.mu.Lock()
+	if len(w.queue)+w.inFlight == 0 {
+		w.empty = make(chan struct{})
 	}
-	c.queue = append(c.queue, env)
-	if len(c.queue) > maxQueuedResults {
-		c.queue = c.queue[1:]
+	w.queue = append(w.queue, env)
+	if len(w.queue) > maxQueuedResults {
+		w.queue = w.queue[1:]
 		counts.Add("results_dropped", 1)
 	}
-	c.mu.Unlock()
+	w.mu.Unlock()
 	select {
-	case c.wake <- struct{}{}:
+	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (c *resultWriter) nextBatch() []record.Envelope {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	n := min(len(c.queue), resultBatchSize)
-	batch := append([]record.Envelope(nil), c.queue[:n]...)
-	c.queue = append([]record.Envelope(nil), c.queue[n:]...)
-	c.inFlight = n
+func (w *resultWriter) nextBatch() []record.Envelope {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	n := min(len(w.queue), resultBatchSize)
+	batch := append([]record.Envelope(nil), w.queue[:n]...)
+	w.queue = append([]record.Envelope(nil), w.queue[n:]...)
+	w.inFlight = n
 	return batch
 }
 
 // finishBatch returns the records that were not recorded to the queue.
-func (c *resultWriter) finishBatch(unrecorded []record.Envelope) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.inFlight = 0
-	c.queue = append(unrecorded, c.queue...)
-	if len(c.queue) == 0 {
-		close(c.empty)
+func (w *resultWriter) finishBatch(unrecorded []record.Envelope) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.inFlight = 0
+	w.queue = append(unrecorded, w.queue...)
+	if len(w.queue) == 0 {
+		close(w.empty)
 	}
 }
 
-func (c *resultWriter) drain(ctx context.Context) error {
-	c.mu.Lock()
-	empty := c.empty
-	c.mu.Unlock()
+func (w *resultWriter) drain(ctx context.Context) error {
+	w.mu.Lock()
+	empty := w.empty
+	w.mu.Unlock()
 	select {
 	case <-empty:
 		return nil
@@ -93,22 +93,22 @@
 	}
 }
 
-func (c *resultWriter) run() error {
+func (w *resultWriter) run() error {
 	delay := minResultRetryDelay
 	for {
 		select {
-		case <-c.l.tomb.Dying():
+		case <-w.l.tomb.Dying():
 			return nil
-		case <-c.wake:
+		case <-w.wake:
 		}
-		for batch := c.nextBatch(); len(batch) > 0; batch = c.nextBatch() {
-			unrecorded := c.send(batch)
-			c.finishBatch(unrecorded)
+		for batch := w.nextBatch(); len(batch) > 0; batch = w.nextBatch() {
+			unrecorded := w.send(batch)
+			w.finishBatch(unrecorded)
 			if len(unrecorded) == 0 {
 				delay = minResultRetryDelay
 				continue
 			}
-			if pause.For(c.l.tomb.Context(context.Background()), delay) != nil {
+			if pause.For(w.l.tomb.Context(context.Background()), delay) != nil {
 				return nil
 			}
 			delay = min(2*delay, maxResultRetryDelay)
@@ -117,10 +117,10 @@
 }
 
 // send proposes the results and returns those that were not recorded.
-func (c *resultWriter) send(batch []record.Envelope) []record.Envelope {
-	ctx, cancel := context.WithTimeout(c.l.tomb.Context(context.Background()), resultTimeout)
+func (w *resultWriter) send(batch []record.Envelope) []record.Envelope {
+	ctx, cancel := context.WithTimeout(w.l.tomb.Context(context.Background()), resultTimeout)
 	defer cancel()
-	outcomes, err := c.l.proposeAll(ctx, c.shard, batch)
+	outcomes, err := w.l.proposeAll(ctx, w.shard, batch)
 	if err != nil || len(outcomes) != len(batch) {
 		return batch
 	}
--- a/request/once/fold.go
+++ b/request/once/fold.go
@@ -100,71 +100,71 @@
 }
 
 // Next returns the offset of the first record that has not been applied.
-func (f *StateMachine) Next() int64 { return f.next }
+func (m *StateMachine) Next() int64 { return m.next }
 
 // Len returns the number of keys held.
-func (f *StateMachine) Len() int { return len(f.keys) }
+func (m *StateMachine) Len() int { return len(m.keys) }
 
 // Apply applies the next record of the stream.
-func (f *StateMachine) Apply(r port.Record) {
-	f.next = r.Offset + 1
-	f.now = max(f.now, r.Time.UnixMilli())
+func (m *StateMachine) Apply(r port.Record) {
+	m.next = r.Offset + 1
+	m.now = max(m.now, r.Time.UnixMilli())
 	var b record.Batch
 	if json.Unmarshal(r.Data, &b) != nil {
-		f.skipped++
+		m.skipped++
 		return
 	}
 	for _, env := range b.Records {
 		it, err := parse(env)
 		if err != nil {
-			f.skipped++
+			m.skipped++
 			continue
 		}
-		f.apply(&it, r.Offset)
+		m.apply(&it, r.Offset)
 	}
-	f.sweep()
+	m.sweep()
 }
 
-func (f *StateMachine) apply(it *item, offset int64) {
+func (m *StateMachine) apply(it *item, offset int64) {
 	switch {
 	case it.intent != nil:
-		f.applyIntent(it)
+		m.applyIntent(it)
 	case it.result.Code == code.OK:
-		f.close(it, offset, done)
+		m.close(it, offset, done)
 	case it.result.Code.Info().NotRun:
-		f.applyNotRun(it)
+		m.applyNotRun(it)
 	default:
-		f.applyUnknown(it, offset)
+		m.applyUnknown(it, offset)
 	}
 }
 
-func (f *StateMachine) applyIntent(it *item) {
-	e := f.lookup(it.id)
+func (m *StateMachine) applyIntent(it *item) {
+	e := m.lookup(it.id)
 	if e == nil {
-		e = f.insert(it.id)
+		e = m.insert(it.id)
 	}
 	if e.state != free || slices.Contains(e.neverRun, it.intent.Attempt) {
 		return
 	}
 	e.state = open
 	e.attempt = it.intent.Attempt
-	e.writer = f.intern(it.env.Writer)
+	e.writer = m.intern(it.env.Writer)
 	e.digest = it.intent.Digest
-	f.touch(e, it.intent.Window)
+	m.touch(e, it.intent.Window)
 }
 
-func (f *StateMachine) applyUnknown(it *item, offset int64) {
-	e := f.lookup(it.id)
+func (m *StateMachine) applyUnknown(it *item, offset int64) {
+	e := m.lookup(it.id)
 	if e != nil && slices.Contains(e.neverRun, it.result.Attempt) {
 		return
 	}
-	f.close(it, offset, unknown)
+	m.close(it, offset, unknown)
 }
 
-func (f *StateMachine) close(it *item, offset int64, to keyState) {
-	e := f.lookup(it.id)
+func (m *StateMachine) close(it *item, offset int64, to keyState) {
+	e := m.lookup(it.id)
 	if e == nil {
-		e = f.insert(it.id)
+		e = m.insert(it.id)
 	}
 	if e.state == done || e.state == to {
 		return
@@ -172,20 +172,20 @@
 	e.state = to
 	e.offset = offset
 	e.attempt = it.result.Attempt
-	e.writer = f.intern(writerOf(it.result.Attempt))
+	e.writer = m.intern(writerOf(it.result.Attempt))
 	e.digest = it.result.Digest
 	e.neverRun = nil
-	f.touch(e, it.result.Window)
+	m.touch(e, it.result.Window)
 }
 
-func (f *StateMachine) applyNotRun(it *item) {
+func (m *StateMachine) applyNotRun(it *item) {
 	a := it.result.Attempt
 	if writerOf(a) != it.env.Writer {
 		return
 	}
-	e := f.lookup(it.id)
+	e := m.lookup(it.id)
 	if e == nil {
-		e = f.insert(it.id)
+		e = m.insert(it.id)
 	}
 	if e.state == done || e.state == unknown || slices.Contains(e.neverRun, a) {
 		return
@@ -197,7 +197,7 @@
 		e.neverRun = slices.Delete(e.neverRun, 0, 1)
 	}
 	e.neverRun = append(e.neverRun, a)
-	f.touch(e, it.result.Window)
+	m.touch(e, it.result.Window)
 	if e.state == open && e.attempt == a {
 		e.state, e.attempt, e.writer = free, "", ""
 	}
@@ -207,31 +207,31 @@
 const maxNeverRun = 32
 
 // lookup returns the entry of a key, or nil if its window has passed.
-func (f *StateMachine) lookup(id keyID) *entry {
-	e := f.keys[id]
-	if e == nil || e.changedAt+e.window <= f.now {
+func (m *StateMachine) lookup(id keyID) *entry {
+	e := m.keys[id]
+	if e == nil || e.changedAt+e.window <= m.now {
 		return nil
 	}
 	return e
 }
 
-func (f *StateMachine) insert(id keyID) *entry {
+func (m *StateMachine) insert(id keyID) *entry {
 	e := &entry{}
-	f.keys[id] = e
+	m.keys[id] = e
 	return e
 }
 
-func (f *StateMachine) touch(e *entry, window int64) {
-	e.changedAt = f.now
+func (m *StateMachine) touch(e *entry, window int64) {
+	e.changedAt = m.now
 	e.window = max(e.window, window)
 }
 
-func (f *StateMachine) intern(s string) string {
-	if known, ok := f.writers[s]; ok {
+func (m *StateMachine) intern(s string) string {
+	if known, ok := m.writers[s]; ok {
 		return known
 	}
 	s = strings.Clone(s)
-	f.writers[s] = s
+	m.writers[s] = s
 	return s
 }
 
@@ -239,14 +239,14 @@
 const sweepEvery = int64(time.Minute / time.Millisecond)
 
 // sweep removes the keys whose window has passed.
-func (f *StateMachine) sweep() {
-	if f.now-f.sweptAt < sweepEvery {
+func (m *StateMachine) sweep() {
+	if m.now-m.sweptAt < sweepEvery {
 		return
 	}
-	f.sweptAt = f.now
-	for id, e := range f.keys {
-		if e.changedAt+e.window <= f.now {
-			delete(f.keys, id)
+	m.sweptAt = m.now
+	for id, e := range m.keys {
+		if e.changedAt+e.window <= m.now {
+			delete(m.keys, id)
 		}
 	}
 }
@@ -266,8 +266,8 @@
 // record once, twice or not at all, so that a lost reply to an append needs no
 // special handling. After a WON outcome, no longer prefix gives the key to
 // another attempt before a result of this one.
-func (f *StateMachine) decide(it *item) (decision, bool) {
-	e := f.lookup(it.id)
+func (m *StateMachine) decide(it *item) (decision, bool) {
+	e := m.lookup(it.id)
 	if it.result != nil {
 		return decision{kind: peerpb.Outcome_RECORDED}, e != nil && recorded(e, it.result)
 	}
--- a/request/once/keeper.go
+++ b/request/once/keeper.go
@@ -36,8 +36,8 @@
 	Leaving     bool // still answers Lookup, but no longer batches
 }
 
-// Options configures a Log. Self and Log are required. Without Members and
-// Client the process works alone.
+// Options configures a LogDeduplicator. Self and Log are required. Without
+// Members and Client the process works alone.
 type Options struct {
 	Self      string // incarnation of this process
 	Log       port.Log
@@ -51,7 +51,8 @@
 	Now       func() time.Time
 }
 
-// LogDeduplicator is a Deduplicator that decides by the order of records in a replicated log.
+// LogDeduplicator is a Deduplicator that decides by the order of records in the
+// shared log.
 type LogDeduplicator struct {
 	o             Options
 	tomb          tomb.Tomb
@@ -69,7 +70,7 @@
 
 var _ Deduplicator = (*LogDeduplicator)(nil)
 
-// New returns a Log. Start starts its goroutines.
+// New returns a LogDeduplicator. Start starts its goroutines.
 func New(o Options) *LogDeduplicator {
 	o = withDefaults(o)
 	l := &LogDeduplicator{
@@ -115,8 +116,8 @@
 // Start starts the goroutines that record results and probe the log.
 func (l *LogDeduplicator) Start() {
 	l.tomb.Go(func() error {
-		for _, c := range l.resultWriters {
-			l.tomb.Go(c.run)
+		for _, w := range l.resultWriters {
+			l.tomb.Go(w.run)
 		}
 		l.tomb.Go(l.probe)
 		<-l.tomb.Dying()
@@ -128,8 +129,8 @@
 // ends. The outcome of a call whose result is not recorded when the process
 // exits stays unknown.
 func (l *LogDeduplicator) Drain(ctx context.Context) error {
-	for _, c := range l.resultWriters {
-		if err := c.drain(ctx); err != nil {
+	for _, w := range l.resultWriters {
+		if err := w.drain(ctx); err != nil {
 			return err
 		}
 	}
--- a/request/once/rapid_test.go
+++ b/request/once/rapid_test.go
@@ -92,9 +92,9 @@
 
 // read lets one batcher read up to four more records.
 func (h *history) read() {
-	f := h.anyBatcher()
-	for n := rapid.IntRange(1, 4).Draw(h.t, "n"); n > 0 && int(f.Next()) <= len(h.stream); n-- {
-		f.Apply(h.stream[f.Next()-1])
+	m := h.anyBatcher()
+	for n := rapid.IntRange(1, 4).Draw(h.t, "n"); n > 0 && int(m.Next()) <= len(h.stream); n-- {
+		m.Apply(h.stream[m.Next()-1])
 	}
 }
 
@@ -180,9 +180,9 @@
 }
 
 func (h *history) checkAgreement() {
-	for _, f := range h.batchers {
-		for int(f.Next()) <= len(h.stream) {
-			f.Apply(h.stream[f.Next()-1])
+	for _, m := range h.batchers {
+		for int(m.Next()) <= len(h.stream) {
+			m.Apply(h.stream[m.Next()-1])
 		}
 	}
 	for id, a := range h.batchers[0].keys {
@@ -217,9 +217,9 @@
 		}
 		envs[len(envs)-1].Writer = "another"
 		h.append(envs...)
-		f := NewStateMachine(1)
-		f.Apply(h.stream[0])
-		if got := f.keys[it.id].state; got != tc.want {
+		m := NewStateMachine(1)
+		m.Apply(h.stream[0])
+		if got := m.keys[it.id].state; got != tc.want {
 			t.Errorf("%s: state %d, want %d", tc.name, got, tc.want)
 		}
 	}
@@ -236,16 +236,16 @@
 		h.append(it.env, result(it, code.OK))
 		h.at = h.at.Add(time.Hour)
 	}
-	f := NewStateMachine(1)
+	m := NewStateMachine(1)
 	for i, r := range h.stream {
-		f.Apply(r)
-		if id := newKeyID("app", "k"); f.keys[id].attempt != attemptID("p", uint64(i)) {
-			t.Errorf("after record %d the key is held by attempt %s", i, f.keys[id].attempt)
+		m.Apply(r)
+		if id := newKeyID("app", "k"); m.keys[id].attempt != attemptID("p", uint64(i)) {
+			t.Errorf("after record %d the key is held by attempt %s", i, m.keys[id].attempt)
 		}
 	}
 	h.append()
-	f.Apply(h.stream[2])
-	if f.Len() != 0 {
-		t.Errorf("%d keys held", f.Len())
+	m.Apply(h.stream[2])
+	if m.Len() != 0 {
+		t.Errorf("%d keys held", m.Len())
 	}
 }
--- a/request/quarantine/claim.go
+++ b/request/quarantine/claim.go
@@ -36,8 +36,8 @@
 // precedence. Two processes that claim at the same time learn of each other
 // before either runs the content, by the broadcast or by the replies to it, and
 // the higher incarnation withdraws.
-func (b *CrashTracker) Claim(ctx context.Context, fp uint64) (func(finished bool), bool) {
-	updates, shared, ok := b.propose(fp)
+func (t *CrashTracker) Claim(ctx context.Context, fp uint64) (func(finished bool), bool) {
+	updates, shared, ok := t.propose(fp)
 	if !ok {
 		counts.Add("claims_refused", 1)
 		return nil, false
@@ -45,14 +45,14 @@
 	if updates == nil {
 		return func(bool) {}, true
 	}
-	b.broadcast(updates)
-	if ctx.Err() != nil || !b.confirm(fp) {
-		b.release(fp, shared, false)
+	t.broadcast(updates)
+	if ctx.Err() != nil || !t.confirm(fp) {
+		t.release(fp, shared, false)
 		counts.Add("claims_refused", 1)
 		return nil, false
 	}
 	var once sync.Once
-	return func(finished bool) { once.Do(func() { b.release(fp, shared, finished) }) }, true
+	return func(finished bool) { once.Do(func() { t.release(fp, shared, finished) }) }, true
 }
 
 // counterClaim answers a peer's claim with a claim of this process if the
@@ -61,17 +61,17 @@
 // It guards against the loss of a third target: the content runs on two targets,
 // one dies, and the daemon of that target would run the content again alone
 // while the other target is still about to die.
-func (b *CrashTracker) counterClaim(c *content, k claim, now time.Time) bool {
-	if k.by == b.o.Self || !now.Before(k.until) || c.claim.local && now.Before(c.claim.until) || !b.isRunning(c.fp) {
+func (t *CrashTracker) counterClaim(c *content, k claim, now time.Time) bool {
+	if k.by == t.o.Self || !now.Before(k.until) || c.claim.local && now.Before(c.claim.until) || !t.isRunning(c.fp) {
 		return false
 	}
-	b.claimSeq++
-	c.claim = claim{by: b.o.Self, seq: b.claimSeq, local: true, running: true, confirmed: true, until: now.Add(claimTTL)}
+	t.claimSeq++
+	c.claim = claim{by: t.o.Self, seq: t.claimSeq, local: true, running: true, confirmed: true, until: now.Add(claimTTL)}
 	return true
 }
 
-func (b *CrashTracker) isRunning(fp uint64) bool {
-	for _, m := range b.targets {
+func (t *CrashTracker) isRunning(fp uint64) bool {
+	for _, m := range t.targets {
 		if m[fp] > 0 {
 			return true
 		}
@@ -81,9 +81,9 @@
 
 // endRunningClaim ends the claim of a content that was in flight and no longer
 // is.
-func (b *CrashTracker) endRunningClaim(fp uint64, now time.Time) {
-	c := b.contents[fp]
-	if c == nil || !c.claim.running || b.isRunning(fp) {
+func (t *CrashTracker) endRunningClaim(fp uint64, now time.Time) {
+	c := t.contents[fp]
+	if c == nil || !c.claim.running || t.isRunning(fp) {
 		return
 	}
 	until := now.Add(settleTime)
@@ -91,7 +91,7 @@
 		return
 	}
 	c.claim.until = until
-	b.enqueue([]*peerpb.Conviction{claimUpdate(c, now)})
+	t.enqueue([]*peerpb.Conviction{claimUpdate(c, now)})
 }
 
 // encode returns the claim in the form used as the target of an update.
@@ -111,41 +111,41 @@
 // propose adds a claim and returns the update about it. It returns no update and
 // true if the content needs no claim. shared is true if the content runs beside
 // other requests.
-func (b *CrashTracker) propose(fp uint64) (updates []*peerpb.Conviction, shared, ok bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.tick()
-	c := b.contents[fp]
+func (t *CrashTracker) propose(fp uint64) (updates []*peerpb.Conviction, shared, ok bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.tick()
+	c := t.contents[fp]
 	if c == nil {
 		return nil, false, true
 	}
-	standing, _ := c.status(now)
+	verdict, _ := c.verdict(now)
 	switch {
-	case standing == Clear:
+	case verdict == Clear:
 		return nil, false, true
-	case standing == Convicted || now.Before(c.claim.until):
+	case verdict == Convicted || now.Before(c.claim.until):
 		return nil, false, false
-	case standing == SuspectShared && b.sharedRuns >= maxSharedRuns:
+	case verdict == SuspectShared && t.sharedRuns >= maxSharedRuns:
 		return nil, false, false
 	}
-	if standing == SuspectShared {
-		b.sharedRuns++
+	if verdict == SuspectShared {
+		t.sharedRuns++
 	}
-	b.claimSeq++
+	t.claimSeq++
 	c.claim = claim{
-		by:    b.o.Self,
-		seq:   b.claimSeq,
+		by:    t.o.Self,
+		seq:   t.claimSeq,
 		local: true,
 		until: now.Add(claimTTL),
 	}
-	return []*peerpb.Conviction{claimUpdate(c, now)}, standing == SuspectShared, true
+	return []*peerpb.Conviction{claimUpdate(c, now)}, verdict == SuspectShared, true
 }
 
-func (b *CrashTracker) confirm(fp uint64) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.tick()
-	c := b.contents[fp]
+func (t *CrashTracker) confirm(fp uint64) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.tick()
+	c := t.contents[fp]
 	if c == nil {
 		return true
 	}
@@ -158,30 +158,30 @@
 
 // release ends a claim after settleTime, in which a crash may still be noticed,
 // and informs the peers.
-func (b *CrashTracker) release(fp uint64, shared, finished bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.tick()
+func (t *CrashTracker) release(fp uint64, shared, finished bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.tick()
 	if shared {
-		b.sharedRuns--
+		t.sharedRuns--
 	}
-	c := b.contents[fp]
+	c := t.contents[fp]
 	if c == nil || !c.claim.local {
 		return
 	}
 	c.claim.until = now.Add(settleTime)
 	if finished {
 		c.clearAt = c.claim.until
-		b.pendingClears = append(b.pendingClears, fp)
+		t.pendingClears = append(t.pendingClears, fp)
 	}
-	b.enqueue([]*peerpb.Conviction{claimUpdate(c, now)})
+	t.enqueue([]*peerpb.Conviction{claimUpdate(c, now)})
 }
 
 // clearFinished clears the contents that ran exclusively and finished.
-func (b *CrashTracker) clearFinished(now time.Time) {
-	kept := b.pendingClears[:0]
-	for _, fp := range b.pendingClears {
-		c := b.contents[fp]
+func (t *CrashTracker) clearFinished(now time.Time) {
+	kept := t.pendingClears[:0]
+	for _, fp := range t.pendingClears {
+		c := t.contents[fp]
 		if c == nil || c.clearAt.IsZero() {
 			continue
 		}
@@ -191,8 +191,8 @@
 		}
 		c.clearAt = time.Time{}
 		c.dismissCrashes()
-		b.enqueue(b.contentUpdates(c, now))
+		t.enqueue(t.contentUpdates(c, now))
 		counts.Add("cleared", 1)
 	}
-	b.pendingClears = kept
+	t.pendingClears = kept
 }
--- a/request/quarantine/content.go
+++ b/request/quarantine/content.go
@@ -46,8 +46,8 @@
 	clearAt        time.Time // when the content is cleared, zero for never
 }
 
-// status returns the standing of the content and when it ends.
-func (c *content) status(now time.Time) (Verdict, time.Time) {
+// verdict returns the verdict on the content and the time when it ends.
+func (c *content) verdict(now time.Time) (Verdict, time.Time) {
 	if now.Before(c.convictedUntil) {
 		return Convicted, c.convictedUntil
 	}
--- a/request/quarantine/news.go
+++ b/request/quarantine/news.go
@@ -18,15 +18,15 @@
 
 // updatesOf returns the updates about contents: one message per crash, or one
 // for a conviction. A dismissed crash is sent with 0 crashes.
-func (b *CrashTracker) updatesOf(cs []*content, now time.Time) []*peerpb.Conviction {
+func (t *CrashTracker) updatesOf(cs []*content, now time.Time) []*peerpb.Conviction {
 	var out []*peerpb.Conviction
 	for _, c := range cs {
-		out = append(out, b.contentUpdates(c, now)...)
+		out = append(out, t.contentUpdates(c, now)...)
 	}
 	return out
 }
 
-func (b *CrashTracker) contentUpdates(c *content, now time.Time) []*peerpb.Conviction {
+func (t *CrashTracker) contentUpdates(c *content, now time.Time) []*peerpb.Conviction {
 	last := ""
 	if n := len(c.crashes); n > 0 {
 		last = c.crashes[n-1].target
@@ -67,41 +67,41 @@
 
 // Outgoing implements membership.Convictions. It returns the updates about the
 // claims of targets, followed by those about the newest contents, newest first.
-func (b *CrashTracker) Outgoing() []*peerpb.Conviction {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.tick()
+func (t *CrashTracker) Outgoing() []*peerpb.Conviction {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.tick()
 	var cs []*content
-	for fp, c := range b.contents {
+	for fp, c := range t.contents {
 		if c.expiresAt().Before(now) {
-			delete(b.contents, fp)
+			delete(t.contents, fp)
 			continue
 		}
 		cs = append(cs, c)
 	}
 	sort.Slice(cs, func(i, j int) bool { return cs[i].expiresAt().After(cs[j].expiresAt()) })
-	return append(b.targetClaimUpdates(now), b.updatesOf(cs[:min(len(cs), maxContentUpdates)], now)...)
+	return append(t.targetClaimUpdates(now), t.updatesOf(cs[:min(len(cs), maxContentUpdates)], now)...)
 }
 
 // Incoming implements membership.Convictions.
-func (b *CrashTracker) Incoming(updates []*peerpb.Conviction) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.tick()
+func (t *CrashTracker) Incoming(updates []*peerpb.Conviction) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.tick()
 	for _, n := range updates {
 		if strings.HasPrefix(n.Target, targetClaimPrefix) {
-			b.mergeTarget(n, now)
+			t.mergeTarget(n, now)
 			continue
 		}
-		c := b.getOrCreate(n.Fingerprint, now)
+		c := t.getOrCreate(n.Fingerprint, now)
 		if c == nil {
 			continue
 		}
-		b.merge(c, n, now)
+		t.merge(c, n, now)
 	}
 }
 
-func (b *CrashTracker) merge(c *content, n *peerpb.Conviction, now time.Time) {
+func (t *CrashTracker) merge(c *content, n *peerpb.Conviction, now time.Time) {
 	ttl := time.Duration(n.TtlMs) * time.Millisecond
 	switch {
 	case !n.Suspect:
@@ -110,13 +110,13 @@
 		k, ok := parseClaim(n.Target)
 		k.until = now.Add(min(ttl, claimTTL))
 		k.confirmed = n.Crashes > 0
-		if ok && !b.counterClaim(c, k, now) {
+		if ok && !t.counterClaim(c, k, now) {
 			c.mergeClaim(k, now)
 		}
 	case n.Crashes == 0:
 		c.mergeDismissed(n.Target, now.Add(ttl-suspectTTL))
 	default:
-		b.mergeCrash(c, crash{target: n.Target, at: now.Add(min(ttl, suspectTTL) - suspectTTL)}, now)
+		t.mergeCrash(c, crash{target: n.Target, at: now.Add(min(ttl, suspectTTL) - suspectTTL)}, now)
 	}
 }
 
@@ -185,11 +185,11 @@
 // mergeCrash applies a crash that a peer saw. It leads to a conviction only
 // together with a crash that this process saw, because only then does this
 // process know whether the content has completed in the meantime.
-func (b *CrashTracker) mergeCrash(c *content, k crash, now time.Time) {
+func (t *CrashTracker) mergeCrash(c *content, k crash, now time.Time) {
 	if !c.addCrash(k) || now.Before(c.convictedUntil) {
 		return
 	}
-	if c.crashCount() >= 2 && c.hasLocalCrash() && b.canConvict(c, now) {
-		b.convict([]*content{c}, now)
+	if c.crashCount() >= 2 && c.hasLocalCrash() && t.canConvict(c, now) {
+		t.convict([]*content{c}, now)
 	}
 }
--- a/request/quarantine/quarantine_test.go
+++ b/request/quarantine/quarantine_test.go
@@ -87,7 +87,7 @@
 				tc.play(r)
 				r.expectLostAtMost(tc.most)
 				for i := range daemons {
-					r.expectStatus(i, bad, tc.want)
+					r.expectVerdict(i, bad, tc.want)
 				}
 			})
 		})
@@ -99,19 +99,19 @@
 // are answered. None of these may be refused for long or convicted.
 func TestUnrelatedRequestsStayClear(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const innocents = 40
+		const harmless = 40
 		r := newRig(t, bad)
 		defer r.stop()
 		began := time.Now()
 		longest := time.Duration(0)
-		for i := range innocents {
+		for i := range harmless {
 			r.trackers[0].Begin(uint64(i+1), "engine-4")
 		}
 		r.send(0, bad) // pick prefers engine-4 for it
-		for i := range innocents {
+		for i := range harmless {
 			r.trackers[0].End(uint64(i+1), "engine-4")
 		}
-		r.concurrently(innocents, func(i int) {
+		r.concurrently(harmless, func(i int) {
 			for r.send(i%daemons, uint64(i+1)) != 0 {
 				<-time.After(time.Second)
 			}
@@ -125,13 +125,13 @@
 				refusals += n
 			}
 		}
-		t.Logf("%d innocents: %d refusals, the last answered after %v", innocents, refusals, longest)
+		t.Logf("%d harmless requests: %d refusals, the last answered after %v", harmless, refusals, longest)
 		if longest > 10*time.Second {
-			t.Errorf("an innocent request was refused for %v", longest)
+			t.Errorf("a harmless request was refused for %v", longest)
 		}
 		r.heartbeats(10 * time.Second)
-		for i := range innocents {
-			r.expectStatus(i%daemons, uint64(i+1), Clear)
+		for i := range harmless {
+			r.expectVerdict(i%daemons, uint64(i+1), Clear)
 		}
 		r.expectLostAtMost(2)
 	})
@@ -144,62 +144,62 @@
 	cases := []struct {
 		name string
 		want Verdict
-		play func(b *CrashTracker)
+		play func(tr *CrashTracker)
 	}{
-		{"its connection was cut, the target lives", Clear, func(b *CrashTracker) {
-			b.Begin(fp, "a")
-			b.End(fp, "a")
+		{"its connection was cut, the target lives", Clear, func(tr *CrashTracker) {
+			tr.Begin(fp, "a")
+			tr.End(fp, "a")
 		}},
-		{"one crash", Suspect, func(b *CrashTracker) {
-			b.Begin(fp, "a")
-			b.Crashed("a")
+		{"one crash", Suspect, func(tr *CrashTracker) {
+			tr.Begin(fp, "a")
+			tr.Crashed("a")
 		}},
-		{"one crash, noticed late", Suspect, func(b *CrashTracker) {
-			b.Begin(fp, "a")
-			b.End(fp, "a")
+		{"one crash, noticed late", Suspect, func(tr *CrashTracker) {
+			tr.Begin(fp, "a")
+			tr.End(fp, "a")
 			<-time.After(settleTime / 2)
-			b.Crashed("a")
+			tr.Crashed("a")
 		}},
-		{"one crash, told twice", Suspect, func(b *CrashTracker) {
-			b.Begin(fp, "a")
-			b.Crashed("a")
-			b.Crashed("a")
+		{"one crash, told twice", Suspect, func(tr *CrashTracker) {
+			tr.Begin(fp, "a")
+			tr.Crashed("a")
+			tr.Crashed("a")
 		}},
-		{"left the target well before", Clear, func(b *CrashTracker) {
-			b.Begin(fp, "a")
-			b.End(fp, "a")
+		{"left the target well before", Clear, func(tr *CrashTracker) {
+			tr.Begin(fp, "a")
+			tr.End(fp, "a")
 			<-time.After(2 * settleTime)
-			b.Crashed("a")
+			tr.Crashed("a")
 		}},
-		{"runs everywhere, two targets die", Suspect, func(b *CrashTracker) {
-			b.Begin(fp, "c")
-			b.End(fp, "c")
+		{"runs everywhere, two targets die", Suspect, func(tr *CrashTracker) {
+			tr.Begin(fp, "c")
+			tr.End(fp, "c")
 			<-time.After(2 * settleTime)
-			b.Begin(fp, "a")
-			b.Begin(fp, "b")
-			b.Crashed("a")
-			b.Crashed("b")
+			tr.Begin(fp, "a")
+			tr.Begin(fp, "b")
+			tr.Crashed("a")
+			tr.Crashed("b")
 		}},
-		{"an availability zone fails", Clear, func(b *CrashTracker) {
-			b.Begin(fp, "a")
+		{"an availability zone fails", Clear, func(tr *CrashTracker) {
+			tr.Begin(fp, "a")
 			for _, target := range []string{"a", "b", "c"} {
-				b.Begin(fp+1, target)
-				b.Crashed(target)
+				tr.Begin(fp+1, target)
+				tr.Crashed(target)
 			}
 		}},
-		{"suspect long ago", Clear, func(b *CrashTracker) {
-			b.Begin(fp, "a")
-			b.Crashed("a")
+		{"suspect long ago", Clear, func(tr *CrashTracker) {
+			tr.Begin(fp, "a")
+			tr.Crashed("a")
 			<-time.After(suspectTTL)
 		}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := New(Options{Self: "d"})
-				tc.play(b)
-				if got, _ := b.Check(fp); got != tc.want {
-					t.Errorf("standing %d, want %d", got, tc.want)
+				tr := New(Options{Self: "d"})
+				tc.play(tr)
+				if got, _ := tr.Check(fp); got != tc.want {
+					t.Errorf("verdict %d, want %d", got, tc.want)
 				}
 			})
 		})
@@ -220,7 +220,7 @@
 				t.Fatalf("refused for %v, want %v", left, want)
 			}
 			<-time.After(left)
-			r.expectStatus(1, bad, Suspect)
+			r.expectVerdict(1, bad, Suspect)
 			r.send(1, bad)
 		}
 		r.expectLostAtMost(5)
@@ -231,21 +231,21 @@
 // of crashes, each with new contents.
 func TestContentsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := New(Options{Self: "d"})
+		tr := New(Options{Self: "d"})
 		for i := range uint64(2 * maxContents) {
-			b.Begin(i+1, "a")
+			tr.Begin(i+1, "a")
 			if i%maxSuspects == maxSuspects-1 {
-				b.Crashed("a")
+				tr.Crashed("a")
 				for k := range uint64(maxSuspects) {
-					b.End(i+1-k, "a")
+					tr.End(i+1-k, "a")
 				}
 				<-time.After(2 * sameCrashWindow)
 			}
 		}
-		if n := len(b.contents); n > maxContents || n < maxContents*7/8 {
+		if n := len(tr.contents); n > maxContents || n < maxContents*7/8 {
 			t.Errorf("%d contents held", n)
 		}
-		if n := len(b.Outgoing()); n > maxContentUpdates*maxCrashes {
+		if n := len(tr.Outgoing()); n > maxContentUpdates*maxCrashes {
 			t.Errorf("%d messages on a heartbeat", n)
 		}
 	})
--- a/request/quarantine/rig_test.go
+++ b/request/quarantine/rig_test.go
@@ -61,8 +61,8 @@
 }
 
 func (r *rig) stop() {
-	for _, b := range r.trackers {
-		_ = b.Stop()
+	for _, tr := range r.trackers {
+		_ = tr.Stop()
 	}
 }
 
@@ -152,9 +152,9 @@
 
 // reportCrash reports a crash to a daemon once. Requests of the daemon wait
 // until it is reported.
-func (r *rig) reportCrash(b *CrashTracker, engine string) {
+func (r *rig) reportCrash(tr *CrashTracker, engine string) {
 	r.mu.Lock()
-	id := fmt.Sprint(b.o.Self, engine, r.dead[engine])
+	id := fmt.Sprint(tr.o.Self, engine, r.dead[engine])
 	done, known := r.noticed[id]
 	if !known {
 		done = make(chan struct{})
@@ -165,7 +165,7 @@
 		<-done
 		return
 	}
-	b.Crashed(engine)
+	tr.Crashed(engine)
 	close(done)
 }
 
@@ -197,36 +197,36 @@
 	return code
 }
 
-func (r *rig) try(b *CrashTracker, fp uint64) (code int, again bool) {
-	standing, _ := b.Check(fp)
+func (r *rig) try(tr *CrashTracker, fp uint64) (code int, again bool) {
+	verdict, _ := tr.Check(fp)
 	finished := false
-	switch standing {
+	switch verdict {
 	case Convicted:
 		return 1013, false
 	case Suspect, SuspectShared:
-		release, ok := b.Claim(context.Background(), fp)
+		release, ok := tr.Claim(context.Background(), fp)
 		if !ok {
 			return 1012, false
 		}
 		defer func() { release(finished) }()
 	}
-	engine := r.pick(fp, standing == Suspect)
+	engine := r.pick(fp, verdict == Suspect)
 	if engine == "" {
 		return 1012, false
 	}
 	defer r.leave(engine)
-	if standing != Clear {
-		release, ok := b.ClaimTarget(context.Background(), fp, engine)
+	if verdict != Clear {
+		release, ok := tr.ClaimTarget(context.Background(), fp, engine)
 		if !ok {
 			return 1012, false
 		}
 		defer func() { release(finished) }()
 	}
-	b.Begin(fp, engine)
-	defer b.End(fp, engine)
+	tr.Begin(fp, engine)
+	defer tr.End(fp, engine)
 	finished = r.serve(engine, fp)
 	if !finished {
-		r.reportCrash(b, engine)
+		r.reportCrash(tr, engine)
 	}
 	return 0, !finished
 }
@@ -259,9 +259,9 @@
 	}
 }
 
-func (r *rig) expectStatus(daemon int, fp uint64, want Verdict) {
+func (r *rig) expectVerdict(daemon int, fp uint64, want Verdict) {
 	r.t.Helper()
 	if got, _ := r.trackers[daemon].Check(fp); got != want {
-		r.t.Errorf("daemon %d: standing %d of content %d, want %d", daemon, got, fp, want)
+		r.t.Errorf("daemon %d: verdict %d for content %d, want %d", daemon, got, fp, want)
 	}
 }
--- a/request/quarantine/target.go
+++ b/request/quarantine/target.go
@@ -35,16 +35,16 @@
 // minutes. Two processes that claim at once learn of each other as described at
 // Claim. Only the owner sends updates about a claim of a target, so that no
 // other process can restore an old one.
-func (b *CrashTracker) ClaimTarget(ctx context.Context, fp uint64, target string) (func(finished bool), bool) {
+func (t *CrashTracker) ClaimTarget(ctx context.Context, fp uint64, target string) (func(finished bool), bool) {
 	key := targetKey(target)
-	k, ok := b.proposeTarget(key, fp)
+	k, ok := t.proposeTarget(key, fp)
 	if !ok {
 		counts.Add("target_claims_refused", 1)
 		return nil, false
 	}
-	b.broadcast([]*peerpb.Conviction{k.update(key, b.o.Now())})
-	if ctx.Err() != nil || !b.confirmTarget(key, k) {
-		b.releaseTarget(key, k, 0)
+	t.broadcast([]*peerpb.Conviction{k.update(key, t.o.Now())})
+	if ctx.Err() != nil || !t.confirmTarget(key, k) {
+		t.releaseTarget(key, k, 0)
 		counts.Add("target_claims_refused", 1)
 		return nil, false
 	}
@@ -54,70 +54,70 @@
 		if finished {
 			hold = 0
 		}
-		once.Do(func() { b.releaseTarget(key, k, hold) })
+		once.Do(func() { t.releaseTarget(key, k, hold) })
 	}, true
 }
 
-func (b *CrashTracker) proposeTarget(key, fp uint64) (targetClaim, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.tick()
-	b.sweepTargets(now)
-	old, known := b.targetClaims[key]
-	if now.Before(old.until) || !known && len(b.targetClaims) >= maxTargetClaims {
+func (t *CrashTracker) proposeTarget(key, fp uint64) (targetClaim, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.tick()
+	t.sweepTargets(now)
+	old, known := t.targetClaims[key]
+	if now.Before(old.until) || !known && len(t.targetClaims) >= maxTargetClaims {
 		return targetClaim{}, false
 	}
-	b.claimSeq++
-	k := targetClaim{fp: fp, claim: claim{by: b.o.Self, seq: b.claimSeq, local: true, until: now.Add(claimTTL)}}
-	b.targetClaims[key] = k
+	t.claimSeq++
+	k := targetClaim{fp: fp, claim: claim{by: t.o.Self, seq: t.claimSeq, local: true, until: now.Add(claimTTL)}}
+	t.targetClaims[key] = k
 	return k, true
 }
 
-func (b *CrashTracker) confirmTarget(key uint64, k targetClaim) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	held := b.targetClaims[key]
+func (t *CrashTracker) confirmTarget(key uint64, k targetClaim) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	held := t.targetClaims[key]
 	if !held.local || held.seq != k.seq {
 		return false
 	}
 	held.confirmed = true
-	b.targetClaims[key] = held
+	t.targetClaims[key] = held
 	return true
 }
 
 // releaseTarget ends a claim and informs the peers. It also does so for a claim
 // that lost to one of a peer, because other peers may have received it before
 // the winning one.
-func (b *CrashTracker) releaseTarget(key uint64, k targetClaim, hold time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.tick()
-	held := b.targetClaims[key]
+func (t *CrashTracker) releaseTarget(key uint64, k targetClaim, hold time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.tick()
+	held := t.targetClaims[key]
 	owned := held.local && held.seq == k.seq
 	if owned {
 		k = held
 	}
 	k.until = now.Add(hold)
 	if owned {
-		b.targetClaims[key] = k
+		t.targetClaims[key] = k
 	}
-	b.enqueue([]*peerpb.Conviction{k.update(key, now)})
+	t.enqueue([]*peerpb.Conviction{k.update(key, now)})
 }
 
 // mergeTarget applies a peer's update about its claim of a target.
-func (b *CrashTracker) mergeTarget(n *peerpb.Conviction, now time.Time) {
+func (t *CrashTracker) mergeTarget(n *peerpb.Conviction, now time.Time) {
 	k, ok := parseClaim(strings.TrimPrefix(n.Target, claimPrefix))
-	if !ok || k.by == b.o.Self {
+	if !ok || k.by == t.o.Self {
 		return
 	}
 	k.until = now.Add(min(time.Duration(n.TtlMs)*time.Millisecond, claimTTL))
 	k.confirmed = n.Crashes > 0
-	if len(b.targetClaims) >= maxTargetClaims {
-		b.sweepTargets(now)
+	if len(t.targetClaims) >= maxTargetClaims {
+		t.sweepTargets(now)
 	}
-	old, known := b.targetClaims[n.Fingerprint]
+	old, known := t.targetClaims[n.Fingerprint]
 	switch {
-	case !known && len(b.targetClaims) >= maxTargetClaims:
+	case !known && len(t.targetClaims) >= maxTargetClaims:
 		counts.Add("book_full", 1)
 		return
 	case old.by == k.by:
@@ -125,25 +125,25 @@
 	case old.replacedBy(k, now):
 		old = targetClaim{claim: k}
 	}
-	b.targetClaims[n.Fingerprint] = old
+	t.targetClaims[n.Fingerprint] = old
 }
 
 // sweepTargets removes ended claims after maxUpdateDelay, because an update that
 // is still in transit could restore them.
-func (b *CrashTracker) sweepTargets(now time.Time) {
-	for key, k := range b.targetClaims {
+func (t *CrashTracker) sweepTargets(now time.Time) {
+	for key, k := range t.targetClaims {
 		if now.Sub(k.until) > maxUpdateDelay {
-			delete(b.targetClaims, key)
+			delete(t.targetClaims, key)
 		}
 	}
 }
 
 // targetClaimUpdates returns updates about the claims of this process, at most
 // maxContentUpdates.
-func (b *CrashTracker) targetClaimUpdates(now time.Time) []*peerpb.Conviction {
+func (t *CrashTracker) targetClaimUpdates(now time.Time) []*peerpb.Conviction {
 	var out []*peerpb.Conviction
-	b.sweepTargets(now)
-	for key, k := range b.targetClaims {
+	t.sweepTargets(now)
+	for key, k := range t.targetClaims {
 		if k.local && len(out) < maxContentUpdates {
 			out = append(out, k.update(key, now))
 		}
@@ -161,7 +161,7 @@
 // suspect content has claimed the target since. The later content explains a
 // death better, so harmless content that was just answered there is not
 // convicted.
-func (b *CrashTracker) explainedByOther(fp uint64, d death) bool {
-	k := b.targetClaims[targetKey(d.target)]
-	return b.targets[d.target][fp] == 0 && d.at.Before(k.until) && !(k.local && k.fp == fp)
+func (t *CrashTracker) explainedByOther(fp uint64, d death) bool {
+	k := t.targetClaims[targetKey(d.target)]
+	return t.targets[d.target][fp] == 0 && d.at.Before(k.until) && !(k.local && k.fp == fp)
 }
--- a/request/quarantine/target_test.go
+++ b/request/quarantine/target_test.go
@@ -91,9 +91,9 @@
 				if n := len(r.claimAll("another", tc.second...)); n != 1 {
 					t.Errorf("%d may run at another engine, want 1", n)
 				}
-				for i, b := range r.trackers {
-					if len(b.contents) != 0 {
-						t.Errorf("daemon %d: %d contents held for claims of targets", i, len(b.contents))
+				for i, tr := range r.trackers {
+					if len(tr.contents) != 0 {
+						t.Errorf("daemon %d: %d contents held for claims of targets", i, len(tr.contents))
 					}
 				}
 			})
@@ -108,27 +108,27 @@
 // that missed the broadcast of it would refuse for two minutes.
 func TestEndedClaimStaysInHeartbeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := New(Options{Self: "daemon-0", Broadcast: func(context.Context, []*peerpb.Conviction) {}})
-		b.Begin(bad, "engine")
-		b.Crashed("engine")
-		b.End(bad, "engine")
-		content, ok := b.Claim(t.Context(), bad)
+		tr := New(Options{Self: "daemon-0", Broadcast: func(context.Context, []*peerpb.Conviction) {}})
+		tr.Begin(bad, "engine")
+		tr.Crashed("engine")
+		tr.End(bad, "engine")
+		content, ok := tr.Claim(t.Context(), bad)
 		if !ok {
 			t.Fatal("the content isn't claimed")
 		}
-		target, ok := b.ClaimTarget(t.Context(), bad, "engine")
+		target, ok := tr.ClaimTarget(t.Context(), bad, "engine")
 		if !ok {
 			t.Fatal("the target isn't claimed")
 		}
 		target(true)
 		content(false)
 		<-time.After(settleTime)
-		b.Incoming([]*peerpb.Conviction{
+		tr.Incoming([]*peerpb.Conviction{
 			{Fingerprint: targetKey("engine"), Suspect: true, Target: targetClaimPrefix + "daemon-1#1"},
 			{Fingerprint: bad, Suspect: true, Target: claimPrefix + "daemon-1#1"},
 		})
 		ttls := make(map[string]int64)
-		for _, n := range b.Outgoing() {
+		for _, n := range tr.Outgoing() {
 			ttls[n.Target] = n.TtlMs
 		}
 		for _, claim := range []string{targetClaimPrefix + "daemon-0#2", claimPrefix + "daemon-0#1"} {
@@ -150,27 +150,27 @@
 		synctest.Test(t, func(t *testing.T) {
 			r := newRig(t)
 			defer r.stop()
-			b := r.trackers[1]
-			b.Begin(first, "engine-0")
-			b.Begin(bad, "engine-0")
-			b.Crashed("engine-0")
-			b.End(first, "engine-0")
-			b.End(bad, "engine-0")
+			tr := r.trackers[1]
+			tr.Begin(first, "engine-0")
+			tr.Begin(bad, "engine-0")
+			tr.Crashed("engine-0")
+			tr.End(first, "engine-0")
+			tr.End(bad, "engine-0")
 			release := r.begin(1, first, "engine-1")
-			b.End(first, "engine-1")
+			tr.End(first, "engine-1")
 			release(true)
 			<-time.After(3 * hopDelay)
 			if next >= 0 {
 				r.begin(next, bad, "engine-1")
 				r.trackers[next].Crashed("engine-1")
-				r.expectStatus(1, bad, Convicted)
+				r.expectVerdict(1, bad, Convicted)
 			}
-			b.Crashed("engine-1")
+			tr.Crashed("engine-1")
 			want := Suspect
 			if next < 0 {
 				want = Convicted
 			}
-			r.expectStatus(1, first, want)
+			r.expectVerdict(1, first, want)
 		})
 	}
 }
@@ -178,15 +178,15 @@
 // begin lets a daemon run suspect content on an engine.
 func (r *rig) begin(daemon int, fp uint64, engine string) (release func(bool)) {
 	r.t.Helper()
-	b := r.trackers[daemon]
-	if _, ok := b.Claim(r.t.Context(), fp); !ok {
+	tr := r.trackers[daemon]
+	if _, ok := tr.Claim(r.t.Context(), fp); !ok {
 		r.t.Fatalf("content %d isn't claimed", fp)
 	}
-	release, ok := b.ClaimTarget(r.t.Context(), fp, engine)
+	release, ok := tr.ClaimTarget(r.t.Context(), fp, engine)
 	if !ok {
 		r.t.Fatalf("engine isn't claimed for content %d", fp)
 	}
-	b.Begin(fp, engine)
+	tr.Begin(fp, engine)
 	return release
 }
 
@@ -194,19 +194,19 @@
 // sends an unlimited number of them.
 func TestTargetClaimsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := New(Options{Self: "d"})
+		tr := New(Options{Self: "d"})
 		for i := range uint64(2 * maxTargetClaims) {
-			b.Incoming([]*peerpb.Conviction{{Fingerprint: i + 1, Suspect: true, Target: fmt.Sprintf("%speer#%d", targetClaimPrefix, i), TtlMs: 1000}})
+			tr.Incoming([]*peerpb.Conviction{{Fingerprint: i + 1, Suspect: true, Target: fmt.Sprintf("%speer#%d", targetClaimPrefix, i), TtlMs: 1000}})
 		}
-		if n := len(b.targetClaims); n != maxTargetClaims {
+		if n := len(tr.targetClaims); n != maxTargetClaims {
 			t.Errorf("%d claims held", n)
 		}
-		if _, ok := b.ClaimTarget(context.Background(), 1, "e"); ok {
+		if _, ok := tr.ClaimTarget(context.Background(), 1, "e"); ok {
 			t.Error("claimed, though the claims of peers aren't all known")
 		}
 		<-time.After(time.Second + maxUpdateDelay + time.Millisecond)
-		if _, ok := b.ClaimTarget(context.Background(), 1, "e"); !ok || len(b.targetClaims) != 1 {
-			t.Errorf("claimed: %v; %d claims held", ok, len(b.targetClaims))
+		if _, ok := tr.ClaimTarget(context.Background(), 1, "e"); !ok || len(tr.targetClaims) != 1 {
+			t.Errorf("claimed: %v; %d claims held", ok, len(tr.targetClaims))
 		}
 	})
 }
--- a/request/quarantine/tracker.go
+++ b/request/quarantine/tracker.go
@@ -29,8 +29,8 @@
 	burstTargets      = 3 // deaths within burstWindow that indicate an outage
 )
 
-// Options configures a CrashTracker. The zero value is valid for a process without
-// peers.
+// Options configures a CrashTracker. The zero value is valid for a process
+// without peers.
 type Options struct {
 	Self string // incarnation of this process
 	// Broadcast sends updates to every live peer, passes the updates in the
@@ -55,7 +55,7 @@
 	recentDeaths  []death
 	claimSeq      uint64                 // sequence number of the last claim of this process
 	targetClaims  map[uint64]targetClaim // by targetKey
-	sharedRuns    int                    // Watched contents that this process is running
+	sharedRuns    int                    // SuspectShared contents that this process is running
 	pendingClears []uint64               // contents whose exclusive run has finished, cleared after settleTime
 }
 
@@ -93,51 +93,51 @@
 }
 
 // Start starts the goroutine that sends queued updates, until Stop.
-func (b *CrashTracker) Start() { b.tomb.Go(b.loop) }
+func (t *CrashTracker) Start() { t.tomb.Go(t.loop) }
 
 // Stop stops the goroutine.
-func (b *CrashTracker) Stop() error {
-	b.tomb.Kill(nil)
-	return b.tomb.Wait()
+func (t *CrashTracker) Stop() error {
+	t.tomb.Kill(nil)
+	return t.tomb.Wait()
 }
 
-func (b *CrashTracker) loop() error {
+func (t *CrashTracker) loop() error {
 	tick := time.NewTicker(tickPeriod)
 	defer tick.Stop()
 	for {
 		select {
-		case <-b.tomb.Dying():
+		case <-t.tomb.Dying():
 			return nil
-		case updates := <-b.updates:
-			b.broadcast(updates)
+		case updates := <-t.updates:
+			t.broadcast(updates)
 		case <-tick.C:
-			b.mu.Lock()
-			b.tick()
-			b.mu.Unlock()
+			t.mu.Lock()
+			t.tick()
+			t.mu.Unlock()
 		}
 	}
 }
 
 // enqueue queues updates for a broadcast. If the queue is full, they are sent
 // only in heartbeats.
-func (b *CrashTracker) enqueue(updates []*peerpb.Conviction) {
+func (t *CrashTracker) enqueue(updates []*peerpb.Conviction) {
 	select {
-	case b.updates <- updates:
+	case t.updates <- updates:
 	default:
 		counts.Add("news_dropped", 1)
 	}
 }
 
 // Check implements Tracker.
-func (b *CrashTracker) Check(fp uint64) (Verdict, time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.tick()
-	c := b.contents[fp]
+func (t *CrashTracker) Check(fp uint64) (Verdict, time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.tick()
+	c := t.contents[fp]
 	if c == nil {
 		return Clear, 0
 	}
-	s, until := c.status(now)
+	s, until := c.verdict(now)
 	if s == Suspect && c.firstTry.IsZero() {
 		c.firstTry = now
 	}
@@ -145,13 +145,13 @@
 }
 
 // Begin implements Tracker.
-func (b *CrashTracker) Begin(fp uint64, target string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	m := b.targets[target]
+func (t *CrashTracker) Begin(fp uint64, target string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	m := t.targets[target]
 	if m == nil {
 		m = make(map[uint64]int)
-		b.targets[target] = m
+		t.targets[target] = m
 	}
 	if len(m) < maxAtTarget || m[fp] > 0 {
 		m[fp]++
@@ -161,11 +161,11 @@
 // End implements Tracker. Whether the content did harm is known only settleTime
 // later, because a crash may be noticed after the connections to the target
 // broke.
-func (b *CrashTracker) End(fp uint64, target string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.tick()
-	m := b.targets[target]
+func (t *CrashTracker) End(fp uint64, target string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.tick()
+	m := t.targets[target]
 	if m[fp] == 0 {
 		return
 	}
@@ -174,47 +174,47 @@
 		delete(m, fp)
 	}
 	if len(m) == 0 {
-		delete(b.targets, target)
+		delete(t.targets, target)
 	}
-	b.ended.add(endedRun{fp, target, now})
-	b.endRunningClaim(fp, now)
+	t.ended.add(endedRun{fp, target, now})
+	t.endRunningClaim(fp, now)
 }
 
 // tick settles ended runs, clears finished contents and returns the current
 // time.
-func (b *CrashTracker) tick() time.Time {
-	now := b.o.Now()
-	b.ended.settle(now)
-	b.clearFinished(now)
+func (t *CrashTracker) tick() time.Time {
+	now := t.o.Now()
+	t.ended.settle(now)
+	t.clearFinished(now)
 	return now
 }
 
 // Crashed implements Tracker. It returns once the peers are informed, or after
 // Options.Wait. A caller that already has its error could otherwise send the
 // content to another daemon at once, which would lose another target.
-func (b *CrashTracker) Crashed(target string) {
-	b.mu.Lock()
-	now := b.tick()
-	d := death{target: target, at: now, fps: b.inFlight(target)}
-	b.addRecentDeath(d)
-	updates := b.recordDeath(d)
-	b.mu.Unlock()
+func (t *CrashTracker) Crashed(target string) {
+	t.mu.Lock()
+	now := t.tick()
+	d := death{target: target, at: now, fps: t.inFlight(target)}
+	t.addRecentDeath(d)
+	updates := t.recordDeath(d)
+	t.mu.Unlock()
 	counts.Add("crashes", 1)
 	log.WithFields(log.Fields{"target": target, "contents": len(d.fps)}).Warn("quarantine: target died")
 	if len(updates) > 0 {
-		b.broadcast(updates)
+		t.broadcast(updates)
 	}
 }
 
-func (b *CrashTracker) broadcast(updates []*peerpb.Conviction) {
-	ctx, cancel := context.WithTimeout(context.Background(), b.o.Wait)
+func (t *CrashTracker) broadcast(updates []*peerpb.Conviction) {
+	ctx, cancel := context.WithTimeout(context.Background(), t.o.Wait)
 	defer cancel()
-	b.o.Broadcast(ctx, updates)
+	t.o.Broadcast(ctx, updates)
 }
 
 // inFlight returns the contents that may have crashed the target: those in
 // flight there and those whose runs there have ended recently.
-func (b *CrashTracker) inFlight(target string) []uint64 {
+func (t *CrashTracker) inFlight(target string) []uint64 {
 	seen := make(map[uint64]bool)
 	var fps []uint64
 	add := func(fp uint64) {
@@ -223,10 +223,10 @@
 			fps = append(fps, fp)
 		}
 	}
-	for _, fp := range b.ended.removeRecent(target) {
+	for _, fp := range t.ended.removeRecent(target) {
 		add(fp)
 	}
-	for fp := range b.targets[target] {
+	for fp := range t.targets[target] {
 		add(fp)
 	}
 	return fps
@@ -234,46 +234,46 @@
 
 // recordDeath adds a death to the crashes of its contents and returns the
 // updates about it.
-func (b *CrashTracker) recordDeath(d death) []*peerpb.Conviction {
-	outage := b.isOutage()
+func (t *CrashTracker) recordDeath(d death) []*peerpb.Conviction {
+	outage := t.isOutage()
 	var convicted, changed []*content
 	for _, fp := range d.fps {
-		c := b.getOrCreate(fp, d.at)
-		if c == nil || outage && b.deathsOf(fp) < 2 && !c.runsExclusively(d.at) {
+		c := t.getOrCreate(fp, d.at)
+		if c == nil || outage && t.deathsOf(fp) < 2 && !c.runsExclusively(d.at) {
 			continue
 		}
 		if !c.addLocalCrash(d) {
 			continue
 		}
 		changed = append(changed, c)
-		if c.crashCount() >= 2 && b.canConvict(c, d.at) && !b.explainedByOther(fp, d) {
+		if c.crashCount() >= 2 && t.canConvict(c, d.at) && !t.explainedByOther(fp, d) {
 			convicted = append(convicted, c)
 		}
 	}
 	if outage {
-		b.dismissOutageCrashes()
+		t.dismissOutageCrashes()
 	}
-	b.convict(convicted, d.at)
-	return b.updatesOf(changed, d.at)
+	t.convict(convicted, d.at)
+	return t.updatesOf(changed, d.at)
 }
 
 // canConvict reports whether two crashes are enough for a conviction. They are
 // if the content ran exclusively at the second one, which leaves no other
 // explanation. Otherwise the content must not have completed recently: an hourly
 // report that runs on every target is in flight at the crash of any two.
-func (b *CrashTracker) canConvict(c *content, now time.Time) bool {
+func (t *CrashTracker) canConvict(c *content, now time.Time) bool {
 	if c.runsExclusively(now) {
 		return true
 	}
-	return !b.ended.hasCompleted(c.fp)
+	return !t.ended.hasCompleted(c.fp)
 }
 
-func (b *CrashTracker) convict(convicted []*content, now time.Time) {
+func (t *CrashTracker) convict(convicted []*content, now time.Time) {
 	for _, c := range convicted {
 		if len(convicted) > 1 {
 			c.refuseFor(now, shortConviction)
 		} else {
-			c.convict(now, b.o.Conviction)
+			c.convict(now, t.o.Conviction)
 		}
 		counts.Add("convicted", 1)
 		log.WithField("fingerprint", c.fp).Warn("quarantine: content convicted")
@@ -282,39 +282,39 @@
 
 // getOrCreate returns the entry of a fingerprint and creates it if needed. It
 // returns nil if the limit is reached and no entry can be evicted.
-func (b *CrashTracker) getOrCreate(fp uint64, now time.Time) *content {
-	c := b.contents[fp]
+func (t *CrashTracker) getOrCreate(fp uint64, now time.Time) *content {
+	c := t.contents[fp]
 	if c != nil {
 		return c
 	}
-	if len(b.contents) >= maxContents && !b.evict(now) {
+	if len(t.contents) >= maxContents && !t.evict(now) {
 		counts.Add("book_full", 1)
 		return nil
 	}
 	c = &content{fp: fp}
-	b.contents[fp] = c
+	t.contents[fp] = c
 	return c
 }
 
 // evict removes expired entries. If that is not enough it removes the suspects
 // that expire first, an eighth of the limit at a time, so that a flood of
 // contents does not cause a search for each one.
-func (b *CrashTracker) evict(now time.Time) bool {
+func (t *CrashTracker) evict(now time.Time) bool {
 	var suspects []*content
-	for fp, c := range b.contents {
+	for fp, c := range t.contents {
 		switch {
 		case c.expiresAt().Before(now):
-			delete(b.contents, fp)
+			delete(t.contents, fp)
 		case !now.Before(c.convictedUntil):
 			suspects = append(suspects, c)
 		}
 	}
-	if len(b.contents) < maxContents {
+	if len(t.contents) < maxContents {
 		return true
 	}
 	sort.Slice(suspects, func(i, j int) bool { return suspects[i].expiresAt().Before(suspects[j].expiresAt()) })
 	for _, c := range suspects[:min(len(suspects), maxContents/8)] {
-		delete(b.contents, c.fp)
+		delete(t.contents, c.fp)
 	}
 	return len(suspects) > 0
 }
--- a/request/quarantine/types.go
+++ b/request/quarantine/types.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Verdict is the result of the checks of a content fingerprint.
+// Verdict says how requests with a content fingerprint are treated.
 type Verdict int
 
 // Values of Verdict.
@@ -21,7 +21,7 @@
 // Tracker tracks content fingerprints in flight and crashes of targets. It is
 // safe for concurrent use.
 type Tracker interface {
-	// Check returns the standing of a fingerprint and how long it lasts.
+	// Check returns the verdict on a fingerprint and how long it lasts.
 	Check(fingerprint uint64) (Verdict, time.Duration)
 	// Begin records that the content was sent to a target.
 	Begin(fingerprint uint64, target string)
