--- a/request/quarantine/claim.go
+++ b/request/quarantine/claim.go
@@ -11,16 +11,17 @@
 )
 
 const (
-	// claimFor bounds a claim whose process doesn't give it back.
-	claimFor = 2 * time.Minute
-	// maxWatched bounds the Watched contents that one process runs at a time,
-	// so that few meet at one target and are convicted together.
-	maxWatched = 1
+	// claimTTL limits a claim that its process does not release.
+	claimTTL = 2 * time.Minute
+	// maxSharedRuns limits the SuspectShared contents that one process runs at the
+	// same time, so that few of them run on the same target and are convicted
+	// together.
+	maxSharedRuns = 1
 )
 
-// before tells which of two claims stands: a confirmed one, else that of the
-// lower incarnation.
-func (k claim) before(other claim) bool {
+// precedes reports whether k takes precedence over other. A confirmed claim
+// does, otherwise the one of the lower incarnation.
+func (k claim) precedes(other claim) bool {
 	if k.confirmed != other.confirmed {
 		return k.confirmed
 	}
@@ -29,46 +30,48 @@
 
 // Claim implements Claimer.
 //
-// The guard is against a caller that sends suspect content to all daemons at
-// once: each would run it alone, and each would lose a target. A claim counts
-// once all peers that can be reached know it and none knows a better one. Two
-// that claim at once learn of each other before either runs, by the broadcast
-// or by its answers, and the higher incarnation gives way.
-func (b *Book) Claim(ctx context.Context, fp uint64) (func(finished bool), bool) {
-	news, beside, ok := b.propose(fp)
+// It guards against a caller that sends suspect content to all daemons at once:
+// each daemon would run it alone, and each would lose a target. A claim is
+// granted once all reachable peers know it and none has a claim that takes
+// precedence. Two processes that claim at the same time learn of each other
+// before either runs the content, by the broadcast or by the replies to it, and
+// the higher incarnation withdraws.
+func (t *CrashTracker) Claim(ctx context.Context, fp uint64) (func(finished bool), bool) {
+	updates, shared, ok := t.propose(fp)
 	if !ok {
 		counts.Add("claims_refused", 1)
 		return nil, false
 	}
-	if news == nil {
+	if updates == nil {
 		return func(bool) {}, true
 	}
-	b.send(news)
-	if ctx.Err() != nil || !b.confirm(fp) {
-		b.release(fp, beside, false)
+	t.broadcast(updates)
+	if ctx.Err() != nil || !t.confirm(fp) {
+		t.release(fp, shared, false)
 		counts.Add("claims_refused", 1)
 		return nil, false
 	}
 	var once sync.Once
-	return func(finished bool) { once.Do(func() { b.release(fp, beside, finished) }) }, true
+	return func(finished bool) { once.Do(func() { t.release(fp, shared, finished) }) }, true
 }
 
-// object answers a peer's claim with one of its own when the content is in
-// flight here already, from before anybody knew of a crash.
+// counterClaim answers a peer's claim with a claim of this process if the
+// content is already in flight here, sent before any crash was known.
 //
-// The guard is against a third lost target: the content is at two, one dies,
-// and its daemon would run it again alone while the other is still to die.
-func (b *Book) object(c *content, k claim, now time.Time) bool {
-	if k.by == b.o.Self || !now.Before(k.until) || c.claim.own && now.Before(c.claim.until) || !b.isRunning(c.fp) {
+// It guards against the loss of a third target: the content runs on two targets,
+// one dies, and the daemon of that target would run the content again alone
+// while the other target is still about to die.
+func (t *CrashTracker) counterClaim(c *content, k claim, now time.Time) bool {
+	if k.by == t.o.Self || !now.Before(k.until) || c.claim.local && now.Before(c.claim.until) || !t.isRunning(c.fp) {
 		return false
 	}
-	b.claims++
-	c.claim = claim{by: b.o.Self, seq: b.claims, own: true, running: true, confirmed: true, until: now.Add(claimFor)}
+	t.claimSeq++
+	c.claim = claim{by: t.o.Self, seq: t.claimSeq, local: true, running: true, confirmed: true, until: now.Add(claimTTL)}
 	return true
 }
 
-func (b *Book) isRunning(fp uint64) bool {
-	for _, m := range b.targets {
+func (t *CrashTracker) isRunning(fp uint64) bool {
+	for _, m := range t.targets {
 		if m[fp] > 0 {
 			return true
 		}
@@ -76,10 +79,11 @@
 	return false
 }
 
-// ranOut ends the claim of a content that was in flight and no longer is.
-func (b *Book) ranOut(fp uint64, now time.Time) {
-	c := b.contents[fp]
-	if c == nil || !c.claim.running || b.isRunning(fp) {
+// endRunningClaim ends the claim of a content that was in flight and no longer
+// is.
+func (t *CrashTracker) endRunningClaim(fp uint64, now time.Time) {
+	c := t.contents[fp]
+	if c == nil || !c.claim.running || t.isRunning(fp) {
 		return
 	}
 	until := now.Add(settleTime)
@@ -87,14 +91,15 @@
 		return
 	}
 	c.claim.until = until
-	b.post([]*peerpb.Conviction{claimNews(c, now)})
+	t.enqueue([]*peerpb.Conviction{claimUpdate(c, now)})
 }
 
-// mark writes a claim as the target of its news; readMark reads it.
-func (k claim) mark() string { return claimMark + k.by + "#" + strconv.FormatUint(k.seq, 10) }
+// encode returns the claim in the form used as the target of an update.
+// parseClaim is the inverse.
+func (k claim) encode() string { return claimPrefix + k.by + "#" + strconv.FormatUint(k.seq, 10) }
 
-func readMark(target string) (claim, bool) {
-	name, ok := strings.CutPrefix(target, claimMark)
+func parseClaim(target string) (claim, bool) {
+	name, ok := strings.CutPrefix(target, claimPrefix)
 	i := strings.LastIndexByte(name, '#')
 	if !ok || i < 0 {
 		return claim{}, false
@@ -103,90 +108,91 @@
 	return claim{by: name[:i], seq: seq}, err == nil
 }
 
-// propose enters a claim, and returns the news of it. No news and true: the
-// content needs no claim.
-func (b *Book) propose(fp uint64) (news []*peerpb.Conviction, beside, ok bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.tick()
-	c := b.contents[fp]
+// propose adds a claim and returns the update about it. It returns no update and
+// true if the content needs no claim. shared is true if the content runs beside
+// other requests.
+func (t *CrashTracker) propose(fp uint64) (updates []*peerpb.Conviction, shared, ok bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.tick()
+	c := t.contents[fp]
 	if c == nil {
 		return nil, false, true
 	}
-	standing, _ := c.standing(now)
+	verdict, _ := c.verdict(now)
 	switch {
-	case standing == Clear:
+	case verdict == Clear:
 		return nil, false, true
-	case standing == Convicted || now.Before(c.claim.until):
+	case verdict == Convicted || now.Before(c.claim.until):
 		return nil, false, false
-	case standing == Watched && b.watched >= maxWatched:
+	case verdict == SuspectShared && t.sharedRuns >= maxSharedRuns:
 		return nil, false, false
 	}
-	if standing == Watched {
-		b.watched++
+	if verdict == SuspectShared {
+		t.sharedRuns++
 	}
-	b.claims++
+	t.claimSeq++
 	c.claim = claim{
-		by:    b.o.Self,
-		seq:   b.claims,
-		own:   true,
-		until: now.Add(claimFor),
+		by:    t.o.Self,
+		seq:   t.claimSeq,
+		local: true,
+		until: now.Add(claimTTL),
 	}
-	return []*peerpb.Conviction{claimNews(c, now)}, standing == Watched, true
+	return []*peerpb.Conviction{claimUpdate(c, now)}, verdict == SuspectShared, true
 }
 
-func (b *Book) confirm(fp uint64) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.tick()
-	c := b.contents[fp]
+func (t *CrashTracker) confirm(fp uint64) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.tick()
+	c := t.contents[fp]
 	if c == nil {
 		return true
 	}
-	if now.Before(c.convicted) || !c.claim.own {
+	if now.Before(c.convictedUntil) || !c.claim.local {
 		return false
 	}
 	c.claim.confirmed = true
 	return true
 }
 
-// release gives a claim back after the moment in which a crash may still be
-// noticed, and tells the peers.
-func (b *Book) release(fp uint64, beside, finished bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.tick()
-	if beside {
-		b.watched--
-	}
-	c := b.contents[fp]
-	if c == nil || !c.claim.own {
+// release ends a claim after settleTime, in which a crash may still be noticed,
+// and informs the peers.
+func (t *CrashTracker) release(fp uint64, shared, finished bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.tick()
+	if shared {
+		t.sharedRuns--
+	}
+	c := t.contents[fp]
+	if c == nil || !c.claim.local {
 		return
 	}
 	c.claim.until = now.Add(settleTime)
 	if finished {
-		c.clears = c.claim.until
-		b.clearing = append(b.clearing, fp)
+		c.clearAt = c.claim.until
+		t.pendingClears = append(t.pendingClears, fp)
 	}
-	b.post([]*peerpb.Conviction{claimNews(c, now)})
+	t.enqueue([]*peerpb.Conviction{claimUpdate(c, now)})
 }
 
-// clear lets off the contents that ran alone to their end.
-func (b *Book) clear(now time.Time) {
-	kept := b.clearing[:0]
-	for _, fp := range b.clearing {
-		c := b.contents[fp]
-		if c == nil || c.clears.IsZero() {
+// clearFinished clears the contents that ran exclusively and finished.
+func (t *CrashTracker) clearFinished(now time.Time) {
+	kept := t.pendingClears[:0]
+	for _, fp := range t.pendingClears {
+		c := t.contents[fp]
+		if c == nil || c.clearAt.IsZero() {
 			continue
 		}
-		if now.Before(c.clears) {
+		if now.Before(c.clearAt) {
 			kept = append(kept, fp)
 			continue
 		}
-		c.clears = time.Time{}
-		c.forgive()
-		b.post(b.newsOne(c, now))
+		c.clearAt = time.Time{}
+		c.dismissCrashes()
+		t.enqueue(t.contentUpdates(c, now))
 		counts.Add("cleared", 1)
 	}
-	b.clearing = kept
+	t.pendingClears = kept
 }
