--- a/process/front/duties.go
+++ b/process/front/duties.go
@@ -10,7 +10,8 @@
 	"github.com/pomelospool/pomelospool/process/usage"
 )
 
-// wireDuties makes the parts that call the platform for the whole fleet.
+// wireDuties creates the parts that call the platform on behalf of the whole
+// fleet.
 func (d *Daemon) wireDuties() {
 	if d.s.Duties.Addr == "" {
 		return
@@ -20,7 +21,7 @@
 		Self:    d.s.VM,
 		Clock:   clock.Boot{},
 		Roster:  d.roster,
-		Store:   d.reach,
+		Store:   d.monitored,
 		Claims:  d.newClaims(),
 		Duties:  calls,
 		Targets: d.registry,
@@ -35,15 +36,15 @@
 		Late:   d.s.Duties.UsageLate,
 		Clock:  d.clock,
 		Roster: d.roster,
-		Store:  d.reach,
+		Store:  d.monitored,
 		Claims: d.newClaims(),
 		Duties: calls,
 	})
 }
 
-// newClaims returns the claims of one goroutine.
+// newClaims returns a set of claims for use by one goroutine.
 func (d *Daemon) newClaims() *claim.Claims {
-	return claim.New(claim.Options{Self: d.s.VM, Store: d.reach, Lease: d.s.Bounds.Lease, Clock: clock.Boot{}, Seen: d.claims})
+	return claim.New(claim.Options{Self: d.s.VM, Store: d.monitored, Lease: d.s.Bounds.Lease, Clock: clock.Boot{}, Seen: d.claims})
 }
 
 func (d *Daemon) startDuties() {
@@ -64,14 +65,15 @@
 	}
 }
 
-// countUsage counts a request of an organisation that began to run.
+// countUsage counts a request of an organisation that was started the given
+// time ago.
 func (d *Daemon) countUsage(organisation string, ago time.Duration) {
 	if d.usage != nil {
 		d.usage.Add(organisation, ago)
 	}
 }
 
-// receiveUsage takes another daemon's counts.
+// receiveUsage merges the counts of another daemon.
 func (d *Daemon) receiveUsage(data []byte) error {
 	if d.usage == nil {
 		return nil
--- a/process/front/front.go
+++ b/process/front/front.go
@@ -1,7 +1,7 @@
-// Package front wires one daemon on a platform with a store: what it reads
-// from the store, what the daemons exchange, the role planner, and the
-// request path. Every VM runs the same; none is set aside for control, and
-// nothing outlasts the process but what stands in the store.
+// Package front wires a daemon on a platform with a store: the topics read from
+// the store, the exchange between daemons, the role planner and the request
+// path. Every VM runs the same daemon; none is dedicated to control. Only what
+// is in the store outlives the process.
 package front
 
 import (
@@ -44,16 +44,18 @@
 )
 
 const (
-	// addressTTL is how long callers keep an answer; some keep it three times
-	// as long, and a planned stop waits for that.
+	// addressTTL is the lifetime of an address answer. Some callers keep an
+	// answer up to three times as long, and a planned stop waits for that.
 	addressTTL = time.Second
-	// keptFactor is by how much some callers exceed it.
-	keptFactor = 3
-	// upkeepEvery is the time between two rounds of forgetting what is gone.
-	upkeepEvery = time.Second
-	// acceptedTimeout is how long bytes to a caller may stand unacknowledged.
-	acceptedTimeout = 10 * time.Second
-	// controlTimeout bounds a call to an engine that is no request.
+	// addressCacheFactor is the factor by which some callers exceed addressTTL.
+	addressCacheFactor = 3
+	// upkeepInterval is the interval between two removals of stale state.
+	upkeepInterval = time.Second
+	// callerAckTimeout is how long data sent on an accepted connection may stay
+	// unacknowledged.
+	callerAckTimeout = 10 * time.Second
+	// controlTimeout bounds a control call to an engine, as opposed to a
+	// caller's request.
 	controlTimeout = 800 * time.Millisecond
 )
 
@@ -63,12 +65,12 @@
 	tomb tomb.Tomb
 
 	store     *relay.Store
-	reach     *relay.MonitoredStore // store, for what is claimed and agreed there
-	tails     map[port.Topic]*relay.TopicCache
+	monitored *relay.MonitoredStore // store, for claims and agreements kept there
+	caches    map[port.Topic]*relay.TopicCache
 	config    *inforce.Holder
 	registry  *discovery.Registry
 	followers []*topic.Follower
-	storeAway atomic.Bool
+	storeLost atomic.Bool
 
 	pool        *h1.Pool
 	engines     *engines.Tracker
@@ -81,28 +83,28 @@
 	planner     *roles.Planner
 	clock       *clock.Fleet
 	incarnation uint64          // of this process
-	usage       *usage.Reporter // nil: nothing is reported
-	scaler      *scale.Scaler   // nil: nothing is ordered
+	usage       *usage.Reporter // nil: usage isn't reported
+	scaler      *scale.Scaler   // nil: engines aren't ordered
 	claims      *claim.Sightings
 	ingress     *ingress.Ingress
 	metrics     *metrics
 	rate        *rateMeter // of callers' requests
 	ready       atomic.Bool
 
-	servers []*server
-	callers *server
-	peers   net.Listener
-	stop    sync.Once
+	servers  []*server
+	callers  *server
+	peers    net.Listener
+	stopOnce sync.Once
 }
 
-// server is one HTTP port.
+// server is an HTTP server and its listener.
 type server struct {
 	name string
 	http *http.Server
 	l    net.Listener
 }
 
-// New opens the daemon's ports and wires its parts. Nothing runs yet.
+// New opens the daemon's ports and wires its parts. It starts nothing.
 func New(s *settings.Settings) (*Daemon, error) {
 	d := &Daemon{
 		s:      s,
@@ -123,9 +125,9 @@
 	})
 	d.health = health.New(time.Now, d.engines.MarkDown)
 	d.store = relay.NewStore(platform.NewStore(s.Store.Addr), func() []string { return d.roster.Upstream().Peers }, func() []string { return d.roster.ReadyPeers() }, port.TopicConfig, port.TopicTargets)
-	d.reach = relay.NewMonitoredStore(d.store)
-	d.store.RetryDelay = d.callPace
-	d.store.OnReadError = d.reach.ReportError
+	d.monitored = relay.NewMonitoredStore(d.store)
+	d.store.RetryDelay = d.retryDelay
+	d.store.OnReadError = d.monitored.ReportError
 	d.store.Depth = func() int { return d.roster.Upstream().Depth }
 	d.store.PeersWithStore = func() []string { return d.roster.PeersWithStore() }
 	if err := d.wireRoster(); err != nil {
@@ -142,14 +144,14 @@
 	return d, nil
 }
 
-// peerTries is how often a free port is looked for that is free for datagrams
-// and connections both, where the settings leave the port open.
-const peerTries = 20
+// peerPortAttempts is the number of attempts to find a port that is free for
+// both UDP and TCP if the settings leave the port open.
+const peerPortAttempts = 20
 
-// wireRoster opens the peers' port, for datagrams and for connections.
+// wireRoster opens the peers' port for both UDP and TCP.
 func (d *Daemon) wireRoster() error {
 	var err error
-	for range peerTries {
+	for range peerPortAttempts {
 		var l net.Listener
 		if l, err = listen(d.s.Listen.Peers); err != nil {
 			break
@@ -166,9 +168,9 @@
 	return fmt.Errorf("front: peers: %w", err)
 }
 
-// listen opens a port for connections.
+// listen opens a TCP port.
 func listen(addr string) (net.Listener, error) {
-	c := net.ListenConfig{Control: sock.UserTimeout(acceptedTimeout)}
+	c := net.ListenConfig{Control: sock.UserTimeout(callerAckTimeout)}
 	return c.Listen(context.Background(), "tcp", addr)
 }
 
@@ -189,9 +191,9 @@
 		Speeds:           d.speed,
 		Demand:           d.demand,
 		TTL:              min(addressTTL, d.s.Bounds.AddressTTL),
-		StoreUnavailable: d.withoutStore,
+		StoreUnavailable: d.storeUnavailable,
 		StoreFails:       d.storeFails,
-		SingleReader:     rooted(min(d.s.Bounds.Drain, d.s.Bounds.ApplyConfig)),
+		SingleReader:     allowsSingleReader(min(d.s.Bounds.Drain, d.s.Bounds.ApplyConfig)),
 		Clock:            d.clock,
 		Usage:            d.receiveUsage,
 		Rate:             d.rate.perSecond,
@@ -231,11 +233,11 @@
 	})
 	d.metrics = newMetrics(d)
 	d.ingress = ingress.New(ingress.Options{Config: d.config, Wire: platform.Wire{}, Runner: runner, Observe: d.observe,
-		TargetsAge: func() (time.Duration, bool) { return d.tails[port.TopicTargets].Age() },
-		ConfigAge:  func() (time.Duration, bool) { return d.tails[port.TopicConfig].Age() }, MaxConfigAge: d.s.Bounds.ApplyConfig, Started: d.countUsage})
+		TargetsAge: func() (time.Duration, bool) { return d.caches[port.TopicTargets].Age() },
+		ConfigAge:  func() (time.Duration, bool) { return d.caches[port.TopicConfig].Age() }, MaxConfigAge: d.s.Bounds.ApplyConfig, Started: d.countUsage})
 	d.planner = roles.New(roles.Options{
 		Self:    d.s.VM,
-		Store:   d.reach,
+		Store:   d.monitored,
 		Control: d.control,
 		Targets: d.registry,
 		Config:  d.config,
@@ -249,7 +251,7 @@
 	})
 }
 
-// directory gives dispatch the targets of a service.
+// directory gives the dispatcher the targets of a service.
 type directory struct{ r *discovery.Registry }
 
 func (d directory) Targets(service string) *targets.Set {
@@ -257,7 +259,7 @@
 }
 
 func (d *Daemon) wireServers() error {
-	d.servers = append(d.servers, &server{name: "peers", http: side(relay.Handler(d.tails)), l: d.peers})
+	d.servers = append(d.servers, &server{name: "peers", http: newInternalServer(relay.Handler(d.caches)), l: d.peers})
 	add := func(name, addr string, s *http.Server) (*server, error) {
 		l, err := listen(addr)
 		if err != nil {
@@ -271,24 +273,25 @@
 	if d.callers, err = add("callers", d.s.Listen.Callers, ingress.NewServer(d.ingress)); err != nil {
 		return err
 	}
-	if _, err = add("ready", d.s.Listen.Ready, side(platform.ReadyHandler(d.roster))); err != nil {
+	if _, err = add("ready", d.s.Listen.Ready, newInternalServer(platform.ReadyHandler(d.roster))); err != nil {
 		return err
 	}
-	if _, err = add("addresses", d.s.Listen.Addresses, side(platform.AddressHandler(d.roster))); err != nil {
+	if _, err = add("addresses", d.s.Listen.Addresses, newInternalServer(platform.AddressHandler(d.roster))); err != nil {
 		return err
 	}
-	_, err = add("operators", d.s.Listen.Operators, side(d.operatorRoutes()))
+	_, err = add("operators", d.s.Listen.Operators, newInternalServer(d.operatorRoutes()))
 	return err
 }
 
-// sideTimeout bounds the reading of a request on a port that isn't callers'.
-const sideTimeout = 5 * time.Second
+// internalHeaderTimeout bounds the reading of a request's header on every port
+// except the callers'.
+const internalHeaderTimeout = 5 * time.Second
 
-func side(h http.Handler) *http.Server {
-	return &http.Server{Handler: h, ReadHeaderTimeout: sideTimeout}
+func newInternalServer(h http.Handler) *http.Server {
+	return &http.Server{Handler: h, ReadHeaderTimeout: internalHeaderTimeout}
 }
 
-// Start runs all parts and returns at once.
+// Start starts all parts and returns immediately.
 func (d *Daemon) Start() {
 	log.WithFields(log.Fields{"vm": d.s.VM, "zone": d.s.Zone, "callers": d.s.Listen.Callers, "peers": d.s.Listen.Peers, "operators": d.s.Listen.Operators}).Info("front: starting")
 	d.tomb.Go(func() error {
@@ -302,7 +305,7 @@
 		d.planner.Start()
 		d.startDuties()
 		d.tomb.Go(func() error {
-			d.reach.Run(d.tomb.Context(context.Background()))
+			d.monitored.Run(d.tomb.Context(context.Background()))
 			return nil
 		})
 		d.tomb.Go(d.upkeep)
@@ -319,18 +322,21 @@
 	return err
 }
 
-// Dying is closed when the daemon ends on its own, by a failed server.
+// Dying returns a channel that is closed when the daemon begins to end, be it
+// after Shutdown or because a server failed.
 func (d *Daemon) Dying() <-chan struct{} { return d.tomb.Dying() }
 
-// Wait returns when the daemon has ended.
+// Wait blocks until the daemon has ended.
 func (d *Daemon) Wait() error { return d.tomb.Wait() }
 
-// readyEvery is the time between two looks whether the daemon can serve.
-const readyEvery = 20 * time.Millisecond
+// readyInterval is the interval between two checks whether the daemon can
+// serve.
+const readyInterval = 20 * time.Millisecond
 
-// upkeep says when the daemon can serve, and forgets what is gone.
+// upkeep marks the daemon as ready once it can serve. From then on it
+// periodically removes stale state and updates the metrics of estimates.
 func (d *Daemon) upkeep() error {
-	tick := time.NewTicker(readyEvery)
+	tick := time.NewTicker(readyInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -342,17 +348,17 @@
 			d.ready.Store(true)
 			d.roster.SetState(roster.Ready)
 			log.WithField("version", d.config.Load().Version).Info("front: ready")
-			tick.Reset(upkeepEvery)
-			d.tomb.Go(d.warm)
+			tick.Reset(upkeepInterval)
+			d.tomb.Go(d.loadPrefixCaches)
 		}
 		if d.ready.Load() {
-			d.forget()
-			d.metrics.estimates(d.config.Load(), d.speed)
+			d.removeStale()
+			d.metrics.setEstimates(d.config.Load(), d.speed)
 		}
 	}
 }
 
-func (d *Daemon) forget() {
+func (d *Daemon) removeStale() {
 	d.pool.Retain(func(key string) bool {
 		addr, id := h1.SplitKey(key)
 		e, known := d.registry.Lookup(id)
@@ -365,7 +371,7 @@
 	})
 }
 
-// Reload takes new settings over where a running daemon can.
+// Reload applies those of the new settings that can change at run time.
 func (d *Daemon) Reload(s *settings.Settings) {
 	d.budget.Set(s.Bounds.RetryRatio, s.Bounds.RetrySlack)
 	log.WithFields(log.Fields{"retry_ratio": s.Bounds.RetryRatio, "retry_slack": s.Bounds.RetrySlack}).Info("front: settings reloaded")
--- a/process/front/front_test.go
+++ b/process/front/front_test.go
@@ -20,8 +20,9 @@
 	m.Run()
 }
 
-// site is a platform on loopback: a store, two engines, a plain target.
-type site struct {
+// testPlatform is a platform on loopback: a store, two engines and a plain
+// target.
+type testPlatform struct {
 	t       *testing.T
 	store   *standin.Store
 	addr    string
@@ -30,8 +31,8 @@
 	plain   *standin.Target
 }
 
-func newSite(t *testing.T) *site {
-	s := &site{
+func newTestPlatform(t *testing.T) *testPlatform {
+	s := &testPlatform{
 		t: t, store: standin.NewStore(),
 		prefill: standin.NewTarget("i-p", "prefill"),
 		decode:  standin.NewTarget("i-d", "decode"),
@@ -45,7 +46,7 @@
 	return s
 }
 
-func (s *site) serve(h http.Handler) string {
+func (s *testPlatform) serve(h http.Handler) string {
 	srv := httptest.NewServer(h)
 	s.t.Cleanup(srv.Close)
 	return strings.TrimPrefix(srv.URL, "http://")
@@ -59,23 +60,23 @@
 bounds: {grace: 2s}
 `
 
-// withCloud returns settings of daemons that have duties at the cloud.
-func (s *site) withCloud(c *standin.Cloud) string {
+// withCloud returns settings with duties at the cloud c.
+func (s *testPlatform) withCloud(c *standin.Cloud) string {
 	return strings.ReplaceAll(dutiesText, "CLOUD", s.serve(c))
 }
 
 func replaceVM(text, vm string) string { return strings.Replace(text, "vm: vm-1", "vm: "+vm, 1) }
 
-func (s *site) start() *Daemon { return s.startWith(settingsText) }
+func (s *testPlatform) start() *Daemon { return s.startWith(settingsText) }
 
-func (s *site) startWith(text string) *Daemon {
+func (s *testPlatform) startWith(text string) *Daemon {
 	d := s.launch(text)
-	s.await(func() bool { return s.status(d, "ready", standin.ReadyPath) == http.StatusOK })
+	s.waitFor(func() bool { return s.status(d, "ready", standin.ReadyPath) == http.StatusOK })
 	return d
 }
 
-// launch starts a daemon and doesn't wait for it.
-func (s *site) launch(text string) *Daemon {
+// launch starts a daemon without waiting for it to be ready.
+func (s *testPlatform) launch(text string) *Daemon {
 	parsed, problems := settings.Parse("test", []byte(strings.ReplaceAll(text, "STORE", s.addr)))
 	if len(problems) > 0 {
 		s.t.Fatal(problems)
@@ -89,15 +90,16 @@
 	return d
 }
 
-// await returns once the condition holds; the test's own time limit ends it.
-func (s *site) await(holds func() bool) {
+// waitFor polls until the condition holds. Only the test's own time limit ends
+// the wait.
+func (s *testPlatform) waitFor(holds func() bool) {
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
 	for !holds() {
 		select {
 		case <-tick.C:
 		case <-s.t.Context().Done():
-			s.t.Fatal("the test ended first")
+			s.t.Fatal("the test ended before the condition held")
 		}
 	}
 }
@@ -111,7 +113,7 @@
 	return ""
 }
 
-func (s *site) status(d *Daemon, port, path string) int {
+func (s *testPlatform) status(d *Daemon, port, path string) int {
 	resp, err := http.Get("http://" + d.addr(port) + path)
 	if err != nil {
 		return 0
@@ -120,13 +122,13 @@
 	return resp.StatusCode
 }
 
-func (s *site) ask(d *Daemon, path, id, prompt string) (int, string) {
+func (s *testPlatform) post(d *Daemon, path, id, prompt string) (int, string) {
 	s.t.Helper()
-	return s.askWith(d, path, standin.CallerHeaders(id, 5*time.Second, prompt))
+	return s.postWithHeaders(d, path, standin.CallerHeaders(id, 5*time.Second, prompt))
 }
 
-// askWith sends a request with these headers.
-func (s *site) askWith(d *Daemon, path string, h http.Header) (int, string) {
+// postWithHeaders sends a request with the given headers.
+func (s *testPlatform) postWithHeaders(d *Daemon, path string, h http.Header) (int, string) {
 	req, err := http.NewRequest("POST", "http://"+d.addr("callers")+path, strings.NewReader("body"))
 	if err != nil {
 		s.t.Fatal(err)
@@ -144,36 +146,37 @@
 	return resp.StatusCode, string(text)
 }
 
-// The whole path: configuration and targets from the store, a plain answer, a
-// stream that is prefilled and decoded apart, a new version, a leaving target.
-func TestWholePath(t *testing.T) {
-	s := newSite(t)
+// Covers the whole path: configuration and targets from the store, a plain
+// answer, a stream with separate prefill and decode engines, a new version, a
+// leaving target.
+func TestEndToEnd(t *testing.T) {
+	s := newTestPlatform(t)
 	d := s.start()
-	if status, body := s.ask(d, "/p/x", "r1", ""); status != 200 || body != "answer to r1" {
+	if status, body := s.post(d, "/p/x", "r1", ""); status != 200 || body != "answer to r1" {
 		t.Errorf("plain: %d %q", status, body)
 	}
-	if status, body := s.ask(d, "/s/x", "r2", "aa:10"); status != 200 || !strings.HasSuffix(body, "data: piece 3\n\n") {
+	if status, body := s.post(d, "/s/x", "r2", "aa:10"); status != 200 || !strings.HasSuffix(body, "data: piece 3\n\n") {
 		t.Errorf("stream: %d %q", status, body)
 	}
 	if n := len(s.prefill.Arrivals()); n != 1 {
 		t.Errorf("%d prefills", n)
 	}
 	s.store.Configure(2, "/q/")
-	s.await(func() bool { status, _ := s.ask(d, "/q/x", "r3", ""); return status == 200 })
-	if status, _ := s.ask(d, "/p/x", "r4", ""); status != 404 {
-		t.Errorf("a route that was dropped: %d", status)
+	s.waitFor(func() bool { status, _ := s.post(d, "/q/x", "r3", ""); return status == 200 })
+	if status, _ := s.post(d, "/p/x", "r4", ""); status != 404 {
+		t.Errorf("removed route: status %d", status)
 	}
 	s.store.Announce(s.plain, "127.0.0.1:1", true)
-	s.await(func() bool { status, _ := s.ask(d, "/q/x", "r5", ""); return status == 503 })
+	s.waitFor(func() bool { status, _ := s.post(d, "/q/x", "r5", ""); return status == 503 })
 	if status := s.status(d, "operators", "/metrics"); status != 200 {
 		t.Errorf("metrics: %d", status)
 	}
 }
 
-// A daemon that starts while the store is away isn't ready, and callers are
-// told to come back, not that their routes don't exist.
-func TestStartWhileTheStoreIsAway(t *testing.T) {
-	s := newSite(t)
+// A daemon that starts while the store is unavailable must not be ready. It
+// must answer callers with 503, not 404 as for an unknown route.
+func TestStartWhileStoreIsUnavailable(t *testing.T) {
+	s := newTestPlatform(t)
 	s.store.SetMode(standin.Busy)
 	parsed, _ := settings.Parse("test", []byte(strings.ReplaceAll(settingsText, "STORE", s.addr)))
 	d, err := New(parsed)
@@ -182,41 +185,41 @@
 	}
 	d.Start()
 	defer d.close()
-	if status, _ := s.ask(d, "/p/x", "r1", ""); status != 503 {
+	if status, _ := s.post(d, "/p/x", "r1", ""); status != 503 {
 		t.Errorf("without a configuration: %d", status)
 	}
 	if status := s.status(d, "ready", standin.ReadyPath); status != 503 {
 		t.Errorf("ready without a configuration: %d", status)
 	}
 	s.store.SetMode(standin.Up)
-	s.await(func() bool { status, _ := s.ask(d, "/p/x", "r2", ""); return status == 200 })
+	s.waitFor(func() bool { status, _ := s.post(d, "/p/x", "r2", ""); return status == 200 })
 }
 
-// Daemons are started again one after the other while the store is away. Each
-// takes configuration and targets from one that runs, and serves: else callers
-// find nobody until the store is back.
-func TestStartBesideOthersWhileTheStoreIsAway(t *testing.T) {
-	s := newSite(t)
+// Guards against an outage when daemons are restarted one by one while the
+// store is unavailable: each must take configuration and targets from a running
+// daemon and serve.
+func TestStartFromPeersWhileStoreIsUnavailable(t *testing.T) {
+	s := newTestPlatform(t)
 	s.start()
 	text := strings.Replace(settingsText, "vm: vm-1", "vm: vm-2", 1)
 	again := s.startWith(text)
-	s.await(func() bool { return len(again.roster.ReadyPeers()) == 1 })
+	s.waitFor(func() bool { return len(again.roster.ReadyPeers()) == 1 })
 	text = strings.Replace(text, `peers: "127.0.0.1:0"`, `peers: "`+again.addr("peers")+`"`, 1)
 	again.close()
 	s.store.SetMode(standin.Busy)
 	d := s.launch(text)
-	s.await(func() bool { status, _ := s.ask(d, "/p/x", "r1", ""); return status == 200 })
-	if !d.storeAway.Load() {
-		t.Error("the store doesn't count as away: the daemon would try to lead")
+	s.waitFor(func() bool { status, _ := s.post(d, "/p/x", "r1", ""); return status == 200 })
+	if !d.storeLost.Load() {
+		t.Error("the store counts as available: the daemon would claim leadership")
 	}
 	s.store.SetMode(standin.Up)
 	s.store.Configure(2, "/q/")
-	s.await(func() bool { status, _ := s.ask(d, "/q/x", "r2", ""); return status == 200 })
+	s.waitFor(func() bool { status, _ := s.post(d, "/q/x", "r2", ""); return status == 200 })
 }
 
-// A planned stop cuts a stream that began before it.
-func TestPlannedStopCutsNothing(t *testing.T) {
-	s := newSite(t)
+// Guards against a planned stop that cuts a stream which began before it.
+func TestShutdownCompletesOpenStream(t *testing.T) {
+	s := newTestPlatform(t)
 	s.decode.Set(func(b *standin.Behaviour) { b.Gap = 100 * time.Millisecond })
 	d := s.start()
 	type result struct {
@@ -225,13 +228,13 @@
 	}
 	done := make(chan result, 1)
 	go func() {
-		status, body := s.ask(d, "/s/x", "r1", "aa:10")
+		status, body := s.post(d, "/s/x", "r1", "aa:10")
 		done <- result{status, body}
 	}()
-	s.await(func() bool { return len(s.decode.Ran()) == 1 })
+	s.waitFor(func() bool { return len(s.decode.Ran()) == 1 })
 	stopped := make(chan error, 1)
 	go func() { stopped <- d.Shutdown() }()
-	s.await(func() bool { return s.status(d, "ready", standin.ReadyPath) != http.StatusOK })
+	s.waitFor(func() bool { return s.status(d, "ready", standin.ReadyPath) != http.StatusOK })
 	if r := <-done; r.status != 200 || !strings.HasSuffix(r.body, "data: piece 3\n\n") {
 		t.Errorf("the open stream: %+v", r)
 	}
@@ -240,31 +243,32 @@
 	}
 }
 
-// A version must be in force, and a leaving target without new work, within
-// its bound, also when a read missed the record: its wait, the pace before the
-// next read and the read itself must fit.
+// A version must be in force within its bound, and a leaving target must get no
+// new work after its bound, even if a read missed the record. The wait of that
+// read, the interval before the next read and the next read itself must fit
+// into the bound.
 func TestMissedRecordsAreReadWithinTheirBounds(t *testing.T) {
 	d := &Daemon{s: settings.Default()}
 	const answer = 200 * time.Millisecond // of a slow store
-	if got := readWait(d.s.Bounds.ApplyConfig) + configPace + answer; got > d.s.Bounds.ApplyConfig*3/4 {
+	if got := readWait(d.s.Bounds.ApplyConfig) + configInterval + answer; got > d.s.Bounds.ApplyConfig*3/4 {
 		t.Errorf("a version may take %v of %v", got, d.s.Bounds.ApplyConfig)
 	}
-	if got := readWait(d.s.Bounds.Drain) + targetsPace + answer; got > d.s.Bounds.Drain*3/4 {
+	if got := readWait(d.s.Bounds.Drain) + minTargetsInterval + answer; got > d.s.Bounds.Drain*3/4 {
 		t.Errorf("a leaving target may get work for %v of %v", got, d.s.Bounds.Drain)
 	}
 }
 
-// Guards against requests that reach a target after its bound in a large fleet:
-// the daemon that reads the store got no answer from it. What it knows counts for
-// relay.MaxAge, then comes the pause of the one that asks it, and a read of the
-// store: together less than the bound.
-func TestSilencedReaderIsGivenUpWithinTheBounds(t *testing.T) {
+// Guards against requests that reach a target after its bound in a large fleet,
+// when the daemon that reads the store gets no response from it. The reader's
+// data is valid for relay.MaxAge; then the daemon that queries it pauses and
+// reads the store itself. Together this must take less than the bound.
+func TestUnresponsiveReaderIsReplacedWithinBounds(t *testing.T) {
 	deepest := map[time.Duration]int{2 * time.Second: 1, 3 * time.Second: 2, 4 * time.Second: 4, 5 * time.Second: 5}
 	for bound, most := range deepest {
 		for depth := 1; depth <= most; depth++ {
 			wait := relayedWait(bound, depth)
-			if got := relay.MaxAge(wait, depth) + targetsPace + slowAnswer; got > bound {
-				t.Errorf("over %d daemons a change may be known %v after it, of %v", depth, got, bound)
+			if got := relay.MaxAge(wait, depth) + minTargetsInterval + slowStoreLatency; got > bound {
+				t.Errorf("through %d daemons a change may take %v, bound %v", depth, got, bound)
 			}
 		}
 	}
--- a/process/front/logs.go
+++ b/process/front/logs.go
@@ -10,15 +10,15 @@
 	"github.com/pomelospool/pomelospool/process/settings"
 )
 
-// The bounds on lines of one message: some 60 requests a second that go well
-// are logged whole, and of a storm one line in many.
+// Limits on log lines with the same message: about 60 successful requests a
+// second are logged in full; above that rate lines are dropped.
 const (
 	linesPerSecond = 60.0
-	linesAtOnce    = 200
+	lineBurst      = 200
 )
 
-// SetLog has the process's log lines written to w as JSON, without ever
-// waiting for its reader. Call the result before the process ends.
+// SetLog makes the process log to w as JSON, without blocking on w. Call the
+// returned function before the process exits.
 func SetLog(s settings.Log, w io.Writer) func() {
 	level, err := log.ParseLevel(s.Level)
 	if err != nil {
@@ -26,7 +26,7 @@
 	}
 	log.SetLevel(level)
 	out := logging.NewAsync(w, logging.DefaultQueue)
-	limited := logging.NewLimiter(out, logging.Options{Rate: linesPerSecond, Burst: linesAtOnce})
+	limited := logging.NewLimiter(out, logging.Options{Rate: linesPerSecond, Burst: lineBurst})
 	handler := logging.Requests{All: out, Other: limited}
 	log.SetHandler(handler)
 	stdlog.SetFlags(0)
--- a/process/front/metrics.go
+++ b/process/front/metrics.go
@@ -16,18 +16,19 @@
 	"github.com/pomelospool/pomelospool/version/route"
 )
 
-// secondsBuckets are the bounds of the latency histograms: from the fastest
-// plain answer to the longest deadline, finer where objectives lie.
+// secondsBuckets are the bounds of the latency histograms, from the fastest
+// plain answer to the longest deadline. They are finer in the range of the
+// usual objectives.
 var secondsBuckets = []float64{0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.5, 0.6, 0.8, 1, 1.5, 2, 4, 8}
 
 // metrics are the daemon's counters and histograms.
 type metrics struct {
-	registry *prometheus.Registry
-	requests *prometheus.CounterVec
-	whole    *prometheus.HistogramVec
-	first    prometheus.Histogram
-	perToken *prometheus.GaugeVec // by service
-	off      *prometheus.GaugeVec // by service
+	registry        *prometheus.Registry
+	requests        *prometheus.CounterVec
+	duration        *prometheus.HistogramVec
+	firstEvent      prometheus.Histogram
+	perToken        *prometheus.GaugeVec // by service
+	predictionError *prometheus.GaugeVec // by service
 }
 
 func newMetrics(d *Daemon) *metrics {
@@ -36,16 +37,16 @@
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "pomelospool_requests_total", Help: "Requests that ended, by kind of route, result code and status.",
 		}, []string{"kind", "code", "status"}),
-		whole: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		duration: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "pomelospool_request_seconds", Help: "From a request's arrival to the end of its answer.", Buckets: secondsBuckets,
 		}, []string{"kind"}),
-		first: prometheus.NewHistogram(prometheus.HistogramOpts{
+		firstEvent: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "pomelospool_first_event_seconds", Help: "From a request's arrival to the first event of its answer.", Buckets: secondsBuckets,
 		}),
 		perToken: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "pomelospool_engine_read_seconds_per_token", Help: "Time that a service's engines take to read a prompt token, as estimated; 0: no estimate yet.",
 		}, []string{"service"}),
-		off: prometheus.NewGaugeVec(prometheus.GaugeOpts{
+		predictionError: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "pomelospool_read_prediction_error_ratio", Help: "Relative error of the estimated time of a prompt, smoothed.",
 		}, []string{"service"}),
 	}
@@ -53,13 +54,13 @@
 		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "pomelospool_" + name, Help: help}, f)
 	}
 	m.registry.MustRegister(
-		m.requests, m.whole, m.first, m.perToken, m.off, expvarCollector{},
+		m.requests, m.duration, m.firstEvent, m.perToken, m.predictionError, expvarCollector{},
 		gauge("open_requests", "Requests that run now.", func() float64 { return float64(d.ingress.Open()) }),
 		gauge("config_version", "Version of the configuration in force, 0: none.", d.configVersion),
 		gauge("daemons_alive", "Daemons that are alive, this one included.", func() float64 { return float64(len(d.roster.Members())) }),
-		gauge("store_away", "1 while the store can't be read.", func() float64 { return boolGauge(d.withoutStore()) }),
-		gauge("config_age_seconds", "Age of the newest answer of the store on the configuration, -1: none yet.", func() float64 { return ageGauge(d.tails[port.TopicConfig]) }),
-		gauge("targets_age_seconds", "Age of the newest answer of the store on the targets, -1: none yet.", func() float64 { return ageGauge(d.tails[port.TopicTargets]) }),
+		gauge("store_away", "1 while the store can't be read.", func() float64 { return boolGauge(d.storeUnavailable()) }),
+		gauge("config_age_seconds", "Age of the newest answer of the store on the configuration, -1: none yet.", func() float64 { return ageGauge(d.caches[port.TopicConfig]) }),
+		gauge("targets_age_seconds", "Age of the newest answer of the store on the targets, -1: none yet.", func() float64 { return ageGauge(d.caches[port.TopicTargets]) }),
 		gauge("relay_depth", "Daemons between the store and the daemon farthest from it, 0 in a small fleet.", func() float64 { return float64(d.roster.Upstream().Depth) }),
 		gauge("request_rate", "Callers' requests in the busiest of the last seconds.", d.rate.perSecond),
 		gauge("ready", "1 while the daemon takes requests.", func() float64 { return boolGauge(d.roster.Ready()) }),
@@ -89,24 +90,25 @@
 	return 0
 }
 
-// estimates shows what is estimated of engines, and the error.
-func (m *metrics) estimates(c *route.Config, b *speed.Tracker) {
+// setEstimates exports the estimated prefill time per token of each service's
+// engines and the estimate's error.
+func (m *metrics) setEstimates(c *route.Config, b *speed.Tracker) {
 	for name, svc := range c.Services {
 		if svc.Engine == nil {
 			continue
 		}
 		m.perToken.WithLabelValues(name).Set(b.Estimates(name).PerToken / float64(time.Second))
-		m.off.WithLabelValues(name).Set(b.PredictionError(name))
+		m.predictionError.WithLabelValues(name).Set(b.PredictionError(name))
 	}
 }
 
-// observe counts one request that ended.
+// observe records a finished request.
 func (m *metrics) observe(o ingress.Observation) {
 	kind := o.Kind.String()
 	m.requests.WithLabelValues(kind, strconv.Itoa(int(o.Code)), strconv.Itoa(o.Status)).Inc()
-	m.whole.WithLabelValues(kind).Observe(o.Whole.Seconds())
+	m.duration.WithLabelValues(kind).Observe(o.Whole.Seconds())
 	if o.First > 0 {
-		m.first.Observe(o.First.Seconds())
+		m.firstEvent.Observe(o.First.Seconds())
 	}
 }
 
@@ -114,11 +116,12 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// expvarCollector shows the integers of expvar's maps, which parts of the
-// product count in, under the map's name.
+// expvarCollector exports the integers of all expvar maps. A map's name becomes
+// the name of the metric.
 type expvarCollector struct{}
 
-// Describe implements prometheus.Collector: the names are known at run time.
+// Describe implements prometheus.Collector. It sends nothing because the names
+// are known only at run time.
 func (expvarCollector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect implements prometheus.Collector.
--- a/process/front/operators.go
+++ b/process/front/operators.go
@@ -7,7 +7,7 @@
 	"github.com/uptrace/bunrouter"
 )
 
-// operatorRoutes serve the operators' port.
+// operatorRoutes returns the handler of the operators' port.
 func (d *Daemon) operatorRoutes() http.Handler {
 	r := bunrouter.New()
 	r.GET("/metrics", bunrouter.HTTPHandler(d.metrics.handler()))
--- a/process/front/rate.go
+++ b/process/front/rate.go
@@ -8,17 +8,18 @@
 	"github.com/pomelospool/pomelospool/request/ingress"
 )
 
-// rateSpan is the number of seconds of which the busiest counts as the rate.
-const rateSpan = 5
+// rateWindowSeconds is the number of recent seconds of which the busiest one is
+// reported as the rate.
+const rateWindowSeconds = 5
 
-// rateMeter counts requests. It is safe for concurrent use.
+// rateMeter measures the rate of requests. It is safe for concurrent use.
 type rateMeter struct {
 	now   func() time.Time
 	start time.Time
 
 	mu      sync.Mutex
-	second  int64 // of the newest count, since start
-	seconds [rateSpan]int
+	second  int64 // of the newest count, as an offset from start
+	seconds [rateWindowSeconds]int
 }
 
 func newRateMeter(now func() time.Time) *rateMeter {
@@ -30,10 +31,10 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.advance()
-	m.seconds[m.second%rateSpan]++
+	m.seconds[m.second%rateWindowSeconds]++
 }
 
-// perSecond is the number of requests in the busiest of the last seconds.
+// perSecond returns the number of requests in the busiest second of the window.
 func (m *rateMeter) perSecond() float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -41,17 +42,17 @@
 	return float64(slices.Max(m.seconds[:]))
 }
 
-// advance clears what is too old. Callers hold m.mu.
+// advance clears the counts of expired seconds. Callers must hold m.mu.
 func (m *rateMeter) advance() {
 	second := int64(m.now().Sub(m.start) / time.Second)
-	for range min(second-m.second, rateSpan) {
+	for range min(second-m.second, rateWindowSeconds) {
 		m.second++
-		m.seconds[m.second%rateSpan] = 0
+		m.seconds[m.second%rateWindowSeconds] = 0
 	}
 	m.second = second
 }
 
-// observe counts a request that ended.
+// observe records a finished request.
 func (d *Daemon) observe(o ingress.Observation) {
 	d.rate.add()
 	d.metrics.observe(o)
--- a/process/front/rate_test.go
+++ b/process/front/rate_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestRateIsOfTheBusiestSecond(t *testing.T) {
+func TestRateIsThatOfTheBusiestSecond(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	m := newRateMeter(func() time.Time { return now })
 	for second, n := range []int{3, 9, 0, 2, 1} {
--- a/process/front/stop.go
+++ b/process/front/stop.go
@@ -11,19 +11,21 @@
 )
 
 const (
-	// stopMargin is kept free before SIGKILL, for slow machines.
+	// stopMargin is reserved before SIGKILL, for slow machines.
 	stopMargin = 700 * time.Millisecond
-	// broadcastTime is how long the other daemons may take to learn that this one
-	// leaves, a lost datagram included.
+	// broadcastTime is the time in which the other daemons learn that this one
+	// is leaving, including the loss of one datagram.
 	broadcastTime = 600 * time.Millisecond
-	// stopPoll is the time between two looks at the open requests.
+	// stopPoll is the interval between two checks of the number of open
+	// requests.
 	stopPoll = 20 * time.Millisecond
 )
 
-// Shutdown is the planned stop. No request is cut: the daemon leaves the
-// address answers and serves on until the answers that callers keep have
-// expired. Each answer meanwhile asks its caller to leave the connection. Then
-// it waits for open requests, and closes the connections last.
+// Shutdown stops the daemon as planned. The daemon is removed from address
+// answers and keeps serving until the answers that callers have cached expire.
+// Meanwhile each answer asks its caller to close the connection. Then Shutdown
+// waits for open requests and closes the connections last. Requests that are
+// still open at the end of the grace period are cut.
 func (d *Daemon) Shutdown() error {
 	begun := time.Now()
 	limit := d.s.Bounds.Grace - stopMargin
@@ -33,7 +35,7 @@
 	d.planner.Release()
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	_ = pause.For(ctx, min(keptFactor*addressTTL+broadcastTime, limit/2))
+	_ = pause.For(ctx, min(addressCacheFactor*addressTTL+broadcastTime, limit/2))
 	_ = d.callers.http.Shutdown(ctx)
 	for d.ingress.Open() > 0 && pause.For(ctx, stopPoll) == nil {
 	}
@@ -48,9 +50,9 @@
 	return d.tomb.Wait()
 }
 
-// close ends every part at once.
+// close ends all parts immediately.
 func (d *Daemon) close() {
-	d.stop.Do(func() {
+	d.stopOnce.Do(func() {
 		d.tomb.Kill(nil)
 		d.closeServers()
 		_ = d.planner.Stop()
--- a/process/front/store.go
+++ b/process/front/store.go
@@ -10,137 +10,148 @@
 )
 
 const (
-	// targetsPace is the least time between two reads of the targets. Each
-	// target writes every 1.2 s, so unpaced reads would return for each.
-	targetsPace = relay.MaxReadInterval
-	// paceShare of the time after which a leaving target may get no new work is
-	// the longest pace of a large fleet.
-	paceShare = 0.45
-	// pacedDaemons is the size of the fleet up to which targetsPace holds. It
-	// grows with the fleet beyond, so that all daemons together make some 40
-	// reads a second.
-	pacedDaemons = 16
-	// configPace is the same for the configuration, which seldom changes.
-	configPace = 100 * time.Millisecond
-	// waitShare of a bound is the longest that a read waits for records. A read
-	// that begins as a record is written can miss it, and answers only at the
-	// end of its wait: with a wait of 4 s 5 of 42 plays had a version in force
-	// 4 s after its write, where 2 s are allowed.
-	waitShare = 0.4
-	// slowAnswer is what an answer of a slow store takes.
-	slowAnswer = 200 * time.Millisecond
-	// rootedWait is the least wait at which a fleet has one daemon read the store:
-	// with shorter ones daemons ask each other all the time.
-	rootedWait = 400 * time.Millisecond
-	// leastWait bounds the reads of the store where bounds are short.
-	leastWait = 100 * time.Millisecond
+	// minTargetsInterval is the minimum interval between two reads of the
+	// targets topic. Each target writes every 1.2 s, so reads without it would
+	// return for each write.
+	minTargetsInterval = relay.MaxReadInterval
+	// maxIntervalShare bounds the read interval of a large fleet, as a share of
+	// the shortest bound on applying a change.
+	maxIntervalShare = 0.45
+	// smallFleetSize is the number of daemons up to which minTargetsInterval
+	// applies. In larger fleets the interval grows with the number of daemons,
+	// so that all together make about 40 reads a second.
+	smallFleetSize = 16
+	// configInterval is the minimum interval between two reads of the
+	// configuration topic, which seldom changes.
+	configInterval = 100 * time.Millisecond
+	// readWaitShare is the longest wait of a read for new records, as a share of
+	// the bound on their effect. A read that begins while a record is written
+	// can miss it and then returns only at the end of its wait. With a wait of 4
+	// s, 5 of 42 test runs applied a version only 4 s after its write, where 2 s
+	// are allowed.
+	readWaitShare = 0.4
+	// slowStoreLatency is the assumed response time of a slow store.
+	slowStoreLatency = 200 * time.Millisecond
+	// minSingleReaderWait is the shortest read wait at which a single daemon
+	// reads the store for the whole fleet. With shorter waits daemons would
+	// query each other constantly.
+	minSingleReaderWait = 400 * time.Millisecond
+	// minReadWait limits the rate of reads from the store where bounds are
+	// short.
+	minReadWait = 100 * time.Millisecond
 )
 
 func (d *Daemon) wireStore() {
-	d.tails = map[port.Topic]*relay.TopicCache{
+	d.caches = map[port.Topic]*relay.TopicCache{
 		port.TopicConfig:  relay.NewTopicCache(d.config, nil),
-		port.TopicTargets: relay.NewTopicCache(&watched{Sink: d.registry, away: &d.storeAway}, d.registry.Same),
+		port.TopicTargets: relay.NewTopicCache(&storeLossSink{Sink: d.registry, lost: &d.storeLost}, d.registry.Same),
 	}
 	d.followers = []*topic.Follower{
-		d.follow(port.TopicConfig, "config", func() time.Duration { return configPace }, d.s.Bounds.ApplyConfig),
-		d.follow(port.TopicTargets, "targets", d.targetsPace, d.s.Bounds.Drain),
+		d.follow(port.TopicConfig, "config", func() time.Duration { return configInterval }, d.s.Bounds.ApplyConfig),
+		d.follow(port.TopicTargets, "targets", d.targetsInterval, d.s.Bounds.Drain),
 	}
 }
 
-// follow makes the follower of one topic, whose reads confirm its tail. The
-// effect of what is read is due within the bound.
-func (d *Daemon) follow(t port.Topic, name string, pace func() time.Duration, bound time.Duration) *topic.Follower {
-	tail := d.tails[t]
+// follow returns a follower of one topic, whose reads confirm the topic's
+// cache. Records must take effect within the bound.
+func (d *Daemon) follow(t port.Topic, name string, interval func() time.Duration, bound time.Duration) *topic.Follower {
+	cache := d.caches[t]
 	return topic.New(topic.Options{
-		Store: d.store, Topic: t, Name: name, Sink: tail, ReadInterval: pace,
+		Store: d.store, Topic: t, Name: name, Sink: cache, ReadInterval: interval,
 		Wait: func() time.Duration {
 			if depth := d.roster.Upstream().Depth; depth > 0 {
 				return relayedWait(bound, depth)
 			}
 			return readWait(bound)
 		},
-		OnCurrent: func(next int64) { tail.Confirm(d.store.AsOf(t), next) },
+		OnCurrent: func(next int64) { cache.Confirm(d.store.AsOf(t), next) },
 	})
 }
 
-// readWait is how long a read waits for records whose effect is due within the
-// bound.
+// readWait returns how long a read waits for records that must take effect
+// within the bound.
 func readWait(bound time.Duration) time.Duration {
-	return time.Duration(waitShare * float64(bound))
+	return time.Duration(readWaitShare * float64(bound))
 }
 
-// relayedWait is the same where daemons read for others, over that many of them
-// one behind the other. A daemon may ask a reader that is about to be given up,
-// rest, and then read the store itself: the reader's answer and these two must fit
-// into the bound. Where readers read from others, a wait for each must.
+// relayedWait is readWait for a daemon that reads through depth other daemons
+// in sequence. A daemon may query a reader that is about to be replaced, pause,
+// and then read the store itself: the reader's response, the pause and the read
+// must fit into the bound. Where readers read from other readers, one wait for
+// each of them must fit.
 func relayedWait(bound time.Duration, depth int) time.Duration {
-	wait := bound - relay.MaxAge(0, 1) - targetsPace - slowAnswer
+	wait := bound - relay.MaxAge(0, 1) - minTargetsInterval - slowStoreLatency
 	if depth > 1 {
-		wait = (bound-relay.MaxAge(0, 1))/time.Duration(depth+1) - targetsPace
+		wait = (bound-relay.MaxAge(0, 1))/time.Duration(depth+1) - minTargetsInterval
 	}
-	return max(min(readWait(bound), wait), leastWait)
+	return max(min(readWait(bound), wait), minReadWait)
 }
 
-// rooted reports whether a bound leaves time for a daemon between the store and
-// those that read for an availability zone.
-func rooted(bound time.Duration) bool { return relayedWait(bound, 2) >= rootedWait }
+// allowsSingleReader reports whether the bound leaves time for an additional
+// daemon between the store and the readers of an availability zone.
+func allowsSingleReader(bound time.Duration) bool {
+	return relayedWait(bound, 2) >= minSingleReaderWait
+}
 
-// targetsPace is the least time between two reads of the targets. Daemons of a
-// large fleet whose readers fail read the store more seldom.
-func (d *Daemon) targetsPace() time.Duration {
+// targetsInterval returns the minimum interval between two reads of the targets
+// topic. In a large fleet, daemons whose readers fail read the store less
+// often.
+func (d *Daemon) targetsInterval() time.Duration {
 	if !d.store.BypassesReaders() {
-		return targetsPace
+		return minTargetsInterval
 	}
-	return d.directPace()
+	return d.directInterval()
 }
 
-// directPace is the least time between two calls to the store of a daemon whose
-// reader fails.
-func (d *Daemon) directPace() time.Duration {
+// directInterval returns the minimum interval between two calls to the store of
+// a daemon whose reader fails.
+func (d *Daemon) directInterval() time.Duration {
 	shortest := min(d.s.Bounds.Drain, d.s.Bounds.ApplyConfig)
-	return min(d.fleetPace(), max(time.Duration(paceShare*float64(shortest)), targetsPace))
+	return min(d.fleetInterval(), max(time.Duration(maxIntervalShare*float64(shortest)), minTargetsInterval))
 }
 
-// callPace is the time between two calls to the store of a daemon whose readers
-// fail. Where they answer, and know nothing, they read the store first: all
-// daemons together make no more calls than a small fleet.
-func (d *Daemon) callPace(readersAnswer bool) time.Duration {
+// retryDelay returns the interval between two calls to the store of a daemon
+// whose readers fail. If the readers respond but have no data, they are
+// expected to read the store first, so this daemon keeps to the interval at
+// which the whole fleet makes no more calls than a small one.
+func (d *Daemon) retryDelay(readersAnswer bool) time.Duration {
 	if readersAnswer {
-		return d.fleetPace()
+		return d.fleetInterval()
 	}
-	return d.directPace()
+	return d.directInterval()
 }
 
-// fleetPace is the time between two calls of a daemon at which all daemons together
-// make no more of them than pacedDaemons do.
-func (d *Daemon) fleetPace() time.Duration {
-	return targetsPace * time.Duration(max(d.roster.KnownDaemons(), pacedDaemons)) / pacedDaemons
+// fleetInterval returns the interval between two calls of one daemon at which
+// the whole fleet makes no more calls than smallFleetSize daemons do.
+func (d *Daemon) fleetInterval() time.Duration {
+	return minTargetsInterval * time.Duration(max(d.roster.KnownDaemons(), smallFleetSize)) / smallFleetSize
 }
 
-// withoutStore reports whether this daemon doesn't know what the store says now.
-func (d *Daemon) withoutStore() bool {
-	return d.storeAway.Load() || d.store.UsesFallback() || d.reach.Unavailable()
+// storeUnavailable reports whether this daemon lacks the current contents of
+// the store.
+func (d *Daemon) storeUnavailable() bool {
+	return d.storeLost.Load() || d.store.UsesFallback() || d.monitored.Unavailable()
 }
 
-// storeFails reports whether the store fails this daemon's own calls.
+// storeFails reports whether this daemon's own calls to the store fail.
 func (d *Daemon) storeFails() bool {
-	return d.storeAway.Load() && d.store.HasNoReader() || d.store.UsesFallback() || d.reach.Unavailable()
+	return d.storeLost.Load() && d.store.HasNoReader() || d.store.UsesFallback() || d.monitored.Unavailable()
 }
 
-// watched notes whether the store can be read.
-type watched struct {
+// storeLossSink records whether the store can be read.
+type storeLossSink struct {
 	topic.Sink
-	away *atomic.Bool
+	lost *atomic.Bool
 }
 
 // StoreLost implements topic.Sink.
-func (w *watched) StoreLost(err error) {
-	w.away.Store(true)
+func (w *storeLossSink) StoreLost(err error) {
+	w.lost.Store(true)
 	w.Sink.StoreLost(err)
 }
 
 // StoreRecovered implements topic.Sink.
-func (w *watched) StoreRecovered() {
-	w.away.Store(false)
+func (w *storeLossSink) StoreRecovered() {
+	w.lost.Store(false)
 	w.Sink.StoreRecovered()
 }
--- a/process/front/warm.go
+++ b/process/front/warm.go
@@ -14,24 +14,26 @@
 )
 
 const (
-	// askAtStart is the most engines that a daemon asks at its start what they
-	// keep. The question delays an engine's work a little, and takes a connection;
-	// with more engines each daemon asks some, and learns of the others from the
-	// daemons' reports.
-	askAtStart = 16
-	// askShare is the least share of the engines that is worth asking: prompts meet
-	// at engines that their parts name, whether this daemon has asked those or not.
-	askShare = 0.05
-	// askSpread is the time over which the questions are spread.
-	askSpread = 300 * time.Millisecond
+	// maxQueriedEngines is the maximum number of engines whose prefix caches a
+	// daemon lists at its start. The call delays an engine's work slightly and
+	// takes a connection. With more engines each daemon lists some and receives
+	// the others in its peers' reports.
+	maxQueriedEngines = 16
+	// minQueriedShare is the minimum share of engines worth listing. Below it
+	// the lists add little: prompts with common parts are routed to the same
+	// engines by those parts, whether or not this daemon listed these engines.
+	minQueriedShare = 0.05
+	// queryJitter is the time over which the calls are spread.
+	queryJitter = 300 * time.Millisecond
 )
 
-// warm asks the engines what they keep.
+// loadPrefixCaches lists the prefix caches of the engines.
 //
-// Without it a daemon that was started again takes every prompt for new to
-// all engines. After a kill of all daemons half of the long prompts were
-// refused or late for four seconds, though the engines kept their prefixes.
-func (d *Daemon) warm() error {
+// Without it a restarted daemon takes every prompt to be uncached on all
+// engines. After a restart of all daemons, half of the long prompts were
+// refused or late for four seconds although the engines still had their
+// prefixes cached.
+func (d *Daemon) loadPrefixCaches() error {
 	ctx := d.tomb.Context(context.Background())
 	cfg := d.config.Load()
 	for _, svc := range cfg.Services {
@@ -39,14 +41,14 @@
 			continue
 		}
 		all := d.registry.Snapshot().Targets[svc.Name].All()
-		if float64(askAtStart) < askShare*float64(all.Len()) {
+		if float64(maxQueriedEngines) < minQueriedShare*float64(all.Len()) {
 			continue
 		}
 		entries := slices.Clone(all.All())
 		rand.Shuffle(len(entries), func(i, j int) { entries[i], entries[j] = entries[j], entries[i] })
-		for _, e := range entries[:min(len(entries), askAtStart)] {
+		for _, e := range entries[:min(len(entries), maxQueriedEngines)] {
 			d.tomb.Go(func() error {
-				d.ask(ctx, svc, e)
+				d.loadPrefixCache(ctx, svc, e)
 				return nil
 			})
 		}
@@ -54,8 +56,8 @@
 	return nil
 }
 
-func (d *Daemon) ask(ctx context.Context, svc *route.Service, e *port.TargetEntry) {
-	if pause.For(ctx, rand.N(askSpread)) != nil {
+func (d *Daemon) loadPrefixCache(ctx context.Context, svc *route.Service, e *port.TargetEntry) {
+	if pause.For(ctx, rand.N(queryJitter)) != nil {
 		return
 	}
 	parts, err := d.control.Kept(ctx, e.Addr, e.ID)
