--- a/process/daemon/control.go
+++ b/process/daemon/control.go
@@ -19,7 +19,7 @@
 	"github.com/pomelospool/pomelospool/version/view"
 )
 
-// validate judges a document by the rules of this binary.
+// validate checks a document by the rules of this binary.
 func validate(yaml string) (code.Code, string) {
 	_, problems := document.Parse("document", []byte(yaml))
 	err := yamlcheck.AsError(problems)
@@ -29,15 +29,15 @@
 	return code.Of(err), err.Error()
 }
 
-// documents keeps the parsed form of each version in force. It belongs to
-// the control goroutine.
+// documents caches the parsed form of each version in force. Only the control
+// goroutine uses it.
 type documents struct {
 	byVersion map[int64]*view.Service
 }
 
-// services returns the services in force, parsed. A version that this binary
-// can't parse any more was accepted by an older one and stays in force there;
-// here its service keeps the newest form that could be read.
+// services returns the parsed services in force. A version that this binary
+// can't parse was accepted by an older binary and stays in force there. Here
+// its service is left out.
 func (c *documents) services(s *fold.State) []*view.Service {
 	next := make(map[int64]*view.Service, len(s.Services))
 	var out []*view.Service
@@ -60,24 +60,26 @@
 	return out
 }
 
-// parseService reads an accepted document without judging it again: a verdict
-// stands for good, so a stricter binary must not drop what is in force.
+// parseService parses an accepted document without validating it again.
+// Acceptance is final, so a binary with stricter rules must not drop a version
+// in force.
 func parseService(name string, svc fold.Service) *view.Service {
 	doc, err := document.Accepted([]byte(svc.YAML))
 	if err != nil {
-		log.WithError(err).WithField("service", name).Error("config: accepted document can't be read")
+		log.WithError(err).WithField("service", name).Error("config: failed to parse accepted document")
 		return nil
 	}
 	return &view.Service{Doc: doc, Version: svc.Version}
 }
 
-// controlEvery is the time between two looks at what changes without a
-// record: the VM list, the engines' own word, the planner.
-const controlEvery = 500 * time.Millisecond
+// controlInterval is the interval between two checks of state that changes
+// without a record in the log: the VM list, the state of engines and the plan
+// of roles.
+const controlInterval = 500 * time.Millisecond
 
-// controlLoop is the goroutine that owns control state.
+// controlLoop runs the control goroutine, which owns the control state.
 func (d *Daemon) controlLoop() error {
-	tick := time.NewTicker(controlEvery)
+	tick := time.NewTicker(controlInterval)
 	defer tick.Stop()
 	for {
 		changed := d.follower.Changed()
@@ -87,15 +89,15 @@
 			return nil
 		case <-changed:
 		case <-tick.C:
-			d.setDeciders()
+			d.updateRouterCount()
 			d.planner.step()
 		}
 	}
 }
 
-// setDeciders tells routing how many processes send to the same targets, so
-// that all of them together don't take the one that looks best to each.
-func (d *Daemon) setDeciders() {
+// updateRouterCount tells the router how many processes send to the same
+// targets, so that they don't all choose the same best target.
+func (d *Daemon) updateRouterCount() {
 	_, daemons := d.members.View().Rank()
 	snap := d.view.Load()
 	if snap == nil {
@@ -109,9 +111,10 @@
 	d.router.SetRouterCount(max(1, int(math.Round(float64(daemons)*share))))
 }
 
-// refresh stores a new snapshot if anything in it changed, or if a version came
-// into force that this binary can't read: the reconciler waits for a snapshot
-// that covers the newest change, and would wait for ever for all services.
+// refresh stores a new snapshot if its contents changed or if a version came
+// into force that this binary can't parse. The latter must not be skipped: the
+// reconciler waits for a snapshot that covers the newest change and would
+// otherwise block for all services.
 func (d *Daemon) refresh() {
 	select {
 	case <-d.follower.Ready():
@@ -147,7 +150,7 @@
 	}
 }
 
-// leavingVMs gives the VMs that membership has seen leaving in the VM list.
+// leavingVMs returns the VMs that the VM list shows as leaving.
 func (d *Daemon) leavingVMs() []port.VM { return d.members.LeavingVMs() }
 
 func (d *Daemon) groupNames() []string {
@@ -174,12 +177,13 @@
 	return nil
 }
 
-// isolated reports whether this process may be the only one that doesn't know
-// what is in force. With the log it knows. Without it, peers that are at
-// least half of the fleet would have told it. Otherwise it may be cut off
-// while operators drain a target or publish, and would send work where none
-// may go; it rejects, and callers have other addresses. A daemon that was
-// paused waits for its peers first.
+// isolated reports whether this process may lack the configuration in force
+// while other daemons have it. A process that reads the log has the
+// configuration. Without the log, it would have received newer records from its
+// peers if they are at least half of the fleet. Otherwise operators may have
+// drained a target or published a version without its knowledge, and it refuses
+// requests; callers have other addresses. A daemon that was paused first waits
+// for contact with its peers.
 func (d *Daemon) isolated() bool {
 	if !d.outOfContact() {
 		return false
@@ -188,7 +192,7 @@
 	return d.outOfContact()
 }
 
-// outOfContact is isolated as known at this moment.
+// outOfContact is the check of isolated, without waiting for peers.
 func (d *Daemon) outOfContact() bool {
 	if d.logAge() < d.s.Control.Isolation {
 		return false
@@ -200,7 +204,8 @@
 	return true
 }
 
-// logAge is the time since a finished read of the log's tail began.
+// logAge returns the time since the start of the last completed read of the
+// log's tail.
 func (d *Daemon) logAge() time.Duration {
 	began, ok := d.follower.LastReadBegan()
 	if !ok {
@@ -217,7 +222,7 @@
 	return snap.Services[service].Doc.Objectives, true
 }
 
-// rank is this process's place among the live daemons.
+// rank returns this process's rank among the live daemons.
 func (d *Daemon) rank() int {
 	rank, _ := d.members.View().Rank()
 	return rank
--- a/process/daemon/crash_test.go
+++ b/process/daemon/crash_test.go
@@ -16,16 +16,17 @@
 	"github.com/pomelospool/pomelospool/standin/engine"
 )
 
-// marker is what crashes the engines of these tests.
+// marker is the text that crashes the engines of these tests.
 const marker = "salt-mine-paradox"
 
-// fragile runs n engines that crash on the marker, with their document.
-func (f *fleet) fragile(n int) []*engine.Engine {
+// startCrashingEngines starts n engines that crash on the marker and publishes
+// a document with them.
+func (f *fleet) startCrashingEngines(n int) []*engine.Engine {
 	f.t.Helper()
 	var all []*engine.Engine
 	targets := ""
 	for i := range n {
-		e := f.engine(time.Millisecond)
+		e := f.startEngine(time.Millisecond)
 		if err := e.Apply(f.t.Context(), standin.Fault{Kind: "crash_on", Text: marker, Count: -1}); err != nil {
 			f.t.Fatal(err)
 		}
@@ -34,7 +35,7 @@
 	}
 	doc := "service: language\nkind: model\nowner: o\nmodels:\n  - {name: m, version: \"1\", max_tokens: 4096}\n" +
 		"targets:\n" + targets + "objectives: {answer: 20s}\n"
-	f.inForce("language", f.publish("language", doc))
+	f.waitForVersion("language", f.publish("language", doc))
 	for i := range f.daemons {
 		eventually(f.t, "all engines are live", func() bool {
 			live := 0
@@ -49,11 +50,11 @@
 	return all
 }
 
-// acquainted waits until every daemon knows every other one as live: before
-// that, news of crashes and claims reaches nobody.
-func (f *fleet) acquainted() {
+// waitForMembership waits until every daemon sees all others as live. Before
+// that, reports of crashes and claims don't reach all of them.
+func (f *fleet) waitForMembership() {
 	f.t.Helper()
-	eventually(f.t, "everyone knows everyone", func() bool {
+	eventually(f.t, "all daemons see each other as live", func() bool {
 		for _, d := range f.daemons {
 			if live, _ := d.members.View().Reachable(); live != len(f.daemons)-1 {
 				return false
@@ -63,8 +64,8 @@
 	})
 }
 
-// lost counts the engines that take no connection any more.
-func lost(engines []*engine.Engine) int {
+// countUnreachable counts the engines that refuse connections.
+func countUnreachable(engines []*engine.Engine) int {
 	n := 0
 	for _, e := range engines {
 		c, err := net.Dial("tcp", e.Addr())
@@ -77,24 +78,24 @@
 	return n
 }
 
-// A prompt crashes every engine that runs it. Its caller gets an error and
-// sends it again at once, under a new id, to the next daemon, and so on around
-// the fleet. Left alone it takes every engine down; at most two may be lost,
-// and innocent requests go on being answered.
-func TestCrashingContentTakesTwoEnginesAtMost(t *testing.T) {
+// Guards against a prompt that crashes one engine after the other. The prompt
+// crashes every engine that runs it, and its caller sends it again at once,
+// under a new id, to the next daemon, around the fleet. At most two engines may
+// be lost, and other requests must still be answered.
+func TestCrashingPromptLosesAtMostTwoEngines(t *testing.T) {
 	const daemons, engines, rounds = 8, 5, 2
 	f := newFleet(t, daemons, settings.TLS{})
-	all := f.fragile(engines)
-	f.acquainted()
+	all := f.startCrashingEngines(engines)
+	f.waitForMembership()
 	last := code.OK
 	for i := range daemons * rounds {
 		a := f.ask(i%daemons, "the "+marker+" again")
 		last = a.Code
 		if a.Whole {
-			t.Fatal("the crashing prompt was answered whole")
+			t.Fatal("the crashing prompt was answered in full")
 		}
 	}
-	if n := lost(all); n > 2 {
+	if n := countUnreachable(all); n > 2 {
 		t.Errorf("%d engines lost", n)
 	}
 	if last != code.CrashConvicted {
@@ -102,12 +103,13 @@
 	}
 	for i := range daemons {
 		if a := f.ask(i, "an innocent question"); !a.Whole {
-			t.Errorf("daemon %d: innocent: code %d after %d attempts", i, a.Code, a.Attempts)
+			t.Errorf("daemon %d: unrelated request: code %d after %d attempts", i, a.Code, a.Attempts)
 		}
 	}
 }
 
-// ask sends a prompt to daemon i and comes back when told to, as callers do.
+// ask sends a prompt to daemon i and retries refused ones as callers do, except
+// for the crashing prompt.
 func (f *fleet) ask(i int, prompt string) *caller.Answer {
 	attempts := 1
 	if !strings.Contains(prompt, marker) {
@@ -121,12 +123,12 @@
 	return a
 }
 
-// Innocent streams run beside the crashing prompt on its engine. They are
-// suspects for a moment, but each must be answered whole in the end.
-func TestInnocentsBesideACrashAreAnswered(t *testing.T) {
+// Guards against failures of requests that run beside a crashing prompt on its
+// engine. They are suspected for a moment, but each must be answered in full.
+func TestConcurrentRequestsSurviveCrash(t *testing.T) {
 	f := newFleet(t, 3, settings.TLS{})
-	f.fragile(3)
-	f.acquainted()
+	f.startCrashingEngines(3)
+	f.waitForMembership()
 	var wg sync.WaitGroup
 	answers := make([]*caller.Answer, 12)
 	for i := range answers {
@@ -136,7 +138,7 @@
 	wg.Wait()
 	for i, a := range answers {
 		if !a.Whole {
-			t.Errorf("innocent %d: code %d after %d attempts, %d tokens", i, a.Code, a.Attempts, a.Tokens)
+			t.Errorf("unrelated request %d: code %d after %d attempts, %d tokens", i, a.Code, a.Attempts, a.Tokens)
 		}
 	}
 }
--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -1,9 +1,10 @@
-// Package daemon wires one entry process: the platform's adapters, the fold
-// of the control stream, membership, leases and orders, the role planner, and
-// the request path. Every VM runs the same; none is set aside for control.
+// Package daemon wires one daemon: the platform's adapters, the state machine
+// over the control stream, membership, leases and orders, the role planner and
+// the request path. Every VM runs the same daemon; none is dedicated to
+// control.
 //
-// The control goroutine alone builds what is in force and stores it as an
-// immutable snapshot. Traffic loads the snapshot and never waits for it.
+// Only the control goroutine builds the configuration in force. It stores it as
+// an immutable snapshot, which the request path loads without blocking.
 package daemon
 
 import (
@@ -41,13 +42,13 @@
 	"github.com/pomelospool/pomelospool/version/view"
 )
 
-// Daemon is one entry process. Make it with New.
+// Daemon is one daemon process. Use New to create it.
 type Daemon struct {
 	s     *settings.Settings
 	self  string // incarnation
 	tomb  tomb.Tomb
 	clock clock.Clock
-	state atomic.Int32 // of type phase
+	state atomic.Int32 // holds a phase
 
 	platform platformClients
 	dialer   *peer.Dialer
@@ -62,7 +63,7 @@
 	pool    *pool.Pool
 	watcher *load.Watcher
 	router  *routing.Policy
-	demands demands
+	demands demandCounters
 	burn    *burn.Burn
 	once    *once.Log
 	crashes *quarantine.Book
@@ -88,8 +89,8 @@
 	callers, peers, operators net.Listener
 }
 
-// New listens on the daemon's ports and wires its parts. Nothing runs yet. A
-// port 0 in the settings lets the system choose one, which Listen tells.
+// New opens the daemon's ports and wires its parts. It starts nothing. With
+// port 0 in the settings the system chooses a port; Listen returns the result.
 func New(s *settings.Settings) (*Daemon, error) {
 	own := *s
 	d := &Daemon{
@@ -98,7 +99,7 @@
 		clock: clock.Boot{},
 		view:  &view.Holder{},
 
-		demands: demands{models: make(map[string]*demand)},
+		demands: demandCounters{models: make(map[string]*demandCounter)},
 	}
 	if err := d.listen(); err != nil {
 		return nil, err
@@ -116,9 +117,9 @@
 	return d, nil
 }
 
-// acceptedTimeout is how long what was sent to a caller or peer may stand
-// unacknowledged. A connection that something between the two ends lost track
-// of would otherwise hold its stream and its memory for many minutes.
+// acceptedTimeout is how long data sent to a caller or peer may stay
+// unacknowledged. Without it a connection whose other end vanished would hold
+// its stream and its memory for many minutes.
 const acceptedTimeout = 20 * time.Second
 
 func (d *Daemon) listen() error {
@@ -147,7 +148,7 @@
 	return nil
 }
 
-// Listen gives the addresses that the daemon listens on.
+// Listen returns the addresses that the daemon listens on.
 func (d *Daemon) Listen() settings.Listen { return d.s.Listen }
 
 func (l *listeners) close() {
@@ -160,15 +161,15 @@
 
 func (d *Daemon) wirePlatform() {
 	d.platform = platformClients{
-		log:     httpapi.NewLog(d.s.Platform.Log, httpapi.Options{MaxConns: logConns}),
+		log:     httpapi.NewLog(d.s.Platform.Log, httpapi.Options{MaxConns: maxLogConns}),
 		vms:     httpapi.NewVMs(d.s.Platform.VMs, httpapi.Options{}),
 		weights: httpapi.NewWeights(d.s.Platform.Weights, httpapi.Options{}),
 	}
 }
 
-// logConns bounds the connections to the log: long polls of the control
-// stream and of the at-most-once shards that this process batches.
-const logConns = 24
+// maxLogConns bounds the connections to the log. They serve the long polls of
+// the control stream and of the at-most-once shards that this process batches.
+const maxLogConns = 24
 
 func (d *Daemon) wireMembership(keys *keys) {
 	d.dialer = peer.NewDialer(peer.DialerOptions{Creds: keys.peerClient()})
@@ -196,8 +197,9 @@
 	})
 }
 
-// peerAddr guesses where a listed VM takes heartbeats: all copies are alike,
-// so on the same port as this one, until the VM itself says otherwise.
+// peerAddr returns the assumed peer address of a listed VM, used until the VM
+// announces its own. All daemons are configured alike, so it uses the port of
+// this daemon.
 func (d *Daemon) peerAddr(v port.VM) string {
 	_, port, err := net.SplitHostPort(d.s.Listen.Peers)
 	if err != nil {
@@ -206,7 +208,7 @@
 	return net.JoinHostPort(v.Addr, port)
 }
 
-// isTargetHost reports whether a document in force names a target on the host.
+// isTargetHost reports whether a document in force has a target on the host.
 func (d *Daemon) isTargetHost(host string) bool {
 	snap := d.view.Load()
 	return snap != nil && snap.TargetHosts[host]
@@ -221,8 +223,8 @@
 		Peers:      &peerRecords{d: d},
 		Rank:       d.rank,
 		Checkpoint: d.s.Control.Checkpoint,
-		HolderWait: d.s.Control.Lease / holderReads,
-		IdleWait:   min(d.s.Control.Isolation/idleReads, idleWait),
+		HolderWait: d.s.Control.Lease / pollsPerLease,
+		IdleWait:   min(d.s.Control.Isolation/idlePollsPerIsolation, maxIdlePoll),
 	})
 	rule := lease.Rule{T: d.s.Control.Lease, Guard: d.s.Control.Drift}.WithDefaults()
 	d.leases = lease.New(lease.Options{
@@ -242,36 +244,37 @@
 		Leases:   d.leases,
 		Snapshot: d.view.Load,
 		Connect:  connectEngine,
-		Wish:     d.planner.wish,
+		Wish:     d.planner.desiredRole,
 		Weights:  d.platform.weights,
 		Every:    d.s.Control.Look,
 	})
 }
 
-// Bounds of the long polls at the log's tail, which end without a record when
-// nothing is published.
+// Bounds on the long polls at the log's tail. A poll returns without a record
+// if nothing is published.
 //
-// What a read shows is as old as its begin, so at the end of the next read it
-// is two polls old. Polls about as long as the isolation time would make a
-// daemon that reads a quiet log without trouble refuse requests now and then,
-// once its peers are gone; a quarter of it leaves room for a slow log. A
-// lease, too, lives on the begin of its holder's reads.
+// A read reflects the log as of its start, so its result is two polls old when
+// the next read ends. With polls about as long as the isolation time, a daemon
+// that has lost its peers would now and then refuse requests although it reads
+// a quiet log without errors. Polls of a quarter of that time leave room for a
+// slow log. The same holds for leases, which are extended from the start of
+// their holder's reads.
 const (
-	idleWait    = 3 * time.Second
-	idleReads   = 4 // in the isolation time
-	holderReads = 4 // in the lease time
+	maxIdlePoll           = 3 * time.Second
+	idlePollsPerIsolation = 4
+	pollsPerLease         = 4
 )
 
-// connectEngine makes the adapter for orders of one lease term.
+// connectEngine returns the adapter for orders of one lease term.
 func connectEngine(engine string, check lease.Check, userTimeout time.Duration) port.Engine {
 	return httpapi.NewEngine(engine, httpapi.Options{
 		Dial: lease.Dialer(check, userTimeout),
 	})
 }
 
-// kvMoveRate is the assumed rate of moving KV cache between engines, in
-// tokens a second, as docs/ENGINE-MODEL.md has it.
-const kvMoveRate = 100_000
+// kvTransferRate is the assumed rate of KV cache transfers between engines, in
+// tokens a second, from docs/ENGINE-MODEL.md.
+const kvTransferRate = 100_000
 
 func (d *Daemon) wireRequests() {
 	d.pool = pool.New(pool.Options{
@@ -289,16 +292,16 @@
 		CallRate:     d.s.Control.LoadReads,
 		OnCrash:      d.crashes.Crashed,
 	})
-	d.router = routing.New(routing.Options{KVTransferRate: kvMoveRate})
+	d.router = routing.New(routing.Options{KVTransferRate: kvTransferRate})
 	d.burn = burn.New(burn.Options{Daemon: d.s.VM, Objectives: d.objectives})
-	d.once = d.newOnceKeeper()
+	d.once = d.newOnceLog()
 	d.entry = entry.New(entry.Options{
 		View:       d.view,
 		Gate:       d,
 		Pool:       d.pool,
 		Router:     d.router,
 		Targets:    d.watcher,
-		Asked:      d.demands.asked,
+		Asked:      d.demands.record,
 		Addresses:  address.NewSelector(d.addresses, d.s.Control.AddressTTL),
 		Once:       d.once,
 		Quarantine: d.crashes,
--- a/process/daemon/daemon_test.go
+++ b/process/daemon/daemon_test.go
@@ -12,16 +12,17 @@
 	"github.com/pomelospool/pomelospool/process/settings"
 )
 
-// An operator publishes twice, then the platform replaces all VMs at once.
-// None of the new processes knows the old ones; all find the second version in
-// the log, and must not serve by the first on the way there.
+// Guards against daemons that serve an old version after a restart of the whole
+// fleet. Two versions are published, then all VMs are replaced at once. The new
+// processes must read the second version from the log and never serve the
+// first.
 func TestConfigurationSurvivesRestartOfAll(t *testing.T) {
 	f := newFleet(t, 3, settings.TLS{})
-	p := f.plain()
+	p := f.startPlain()
 	first := f.publish("feed", plainYAML(p.Addr(), time.Second))
-	f.inForce("feed", first)
+	f.waitForVersion("feed", first)
 	second := f.publish("feed", plainYAML(p.Addr(), 2*time.Second))
-	f.inForce("feed", second)
+	f.waitForVersion("feed", second)
 	f.kill()
 	for i := range f.daemons {
 		f.start(i)
@@ -35,40 +36,41 @@
 			return status == http.StatusOK
 		})
 		if v := f.version(i, "feed"); v != second {
-			t.Errorf("daemon %d serves by version %d, want %d", i, v, second)
+			t.Errorf("daemon %d serves version %d, want %d", i, v, second)
 		}
 	}
 }
 
-// One VM loses its way to the log, but not to the other daemons. Operators
-// publish; the drained target must get no work from that VM either. It reads
-// the records from its peers, and serves on, also when it is started anew.
-func TestCutOffFromTheLogOnly(t *testing.T) {
+// Guards against stale configuration on a daemon that can't reach the log but
+// can reach its peers. It must get new records from the peers and keep serving,
+// also after a restart.
+func TestDaemonWithoutLogServesFromPeers(t *testing.T) {
 	f := newFleet(t, 3, settings.TLS{})
-	p := f.plain()
-	f.inForce("feed", f.publish("feed", plainYAML(p.Addr(), time.Second)))
-	f.gates[0].cut()
+	p := f.startPlain()
+	f.waitForVersion("feed", f.publish("feed", plainYAML(p.Addr(), time.Second)))
+	f.logProxies[0].cut()
 	second := f.publish("feed", plainYAML(p.Addr(), 2*time.Second))
-	f.inForce("feed", second)
+	f.waitForVersion("feed", second)
 	eventually(t, "the log's age shows the cut", func() bool { return f.daemons[0].logAge() > 2*f.daemons[0].s.Control.Isolation })
 	if status, body := f.ready(0); status != http.StatusOK {
-		t.Errorf("with all its peers, the daemon says %d %s", status, body)
+		t.Errorf("with all peers reachable, readyz answers %d %s", status, body)
 	}
 	f.daemons[0].Kill()
 	f.start(0)
-	f.inForce("feed", second, 0)
-	f.gates[0].mend()
-	f.inForce("feed", f.publish("feed", plainYAML(p.Addr(), 3*time.Second)))
+	f.waitForVersion("feed", second, 0)
+	f.logProxies[0].restore()
+	f.waitForVersion("feed", f.publish("feed", plainYAML(p.Addr(), 3*time.Second)))
 }
 
-// A VM loses the log and all other daemons. Elsewhere targets may be drained
-// by now, so it refuses new requests, truly unrun, and says which code.
+// A daemon that can reach neither the log nor its peers must refuse new
+// requests without running them, with the code for isolation, because targets
+// may have been drained meanwhile.
 func TestIsolatedDaemonRefuses(t *testing.T) {
 	f := newFleet(t, 3, settings.TLS{})
-	p := f.plain()
-	f.inForce("feed", f.publish("feed", plainYAML(p.Addr(), time.Second)))
-	eventually(t, "all hear of each other", func() bool { live, _ := f.daemons[0].members.View().Reachable(); return live == 2 })
-	f.gates[0].cut()
+	p := f.startPlain()
+	f.waitForVersion("feed", f.publish("feed", plainYAML(p.Addr(), time.Second)))
+	eventually(t, "all daemons see each other as live", func() bool { live, _ := f.daemons[0].members.View().Reachable(); return live == 2 })
+	f.logProxies[0].cut()
 	f.daemons[1].Kill()
 	f.daemons[2].Kill()
 	eventually(t, "isolated", func() bool { return f.status(0).Code == code.Isolated })
@@ -82,14 +84,14 @@
 	if status, body := f.ready(0); status != http.StatusServiceUnavailable || !strings.HasPrefix(body, "1004 ") {
 		t.Errorf("readyz: %d %s", status, body)
 	}
-	f.gates[0].mend()
-	// The log is quiet and the peers stay away: only reads of the log's tail
-	// show that nothing new is in force, and they must do so often enough.
+	f.logProxies[0].restore()
+	// The log is quiet and the peers stay down, so only reads of the log's tail
+	// show that nothing new is in force. They must be frequent enough.
 	eventually(t, "served again", func() bool { return f.status(0).State == "serving" })
 	began, reads := time.Duration(0), 0
 	eventually(t, "more reads", func() bool {
 		if s := f.status(0); s.State != "serving" {
-			t.Fatalf("with the log at hand, the daemon is %s, log age %d ms", s.State, s.LogAgeMs)
+			t.Fatalf("with a reachable log, the daemon is %s, log age %d ms", s.State, s.LogAgeMs)
 		}
 		if at, _ := f.daemons[0].follower.LastReadBegan(); at != began {
 			began, reads = at, reads+1
@@ -98,13 +100,13 @@
 	})
 }
 
-// A daemon is stopped for an update while it streams an answer that takes
-// longer than callers keep addresses. The stream goes on to its end; callers
-// who come meanwhile are refused unrun, and find the daemon in no list.
-func TestPlannedStopCutsNothing(t *testing.T) {
+// Guards against a planned stop that cuts a stream which takes longer than
+// callers keep addresses. The stream must complete; new requests must be
+// refused without being run, and other daemons must no longer list the address.
+func TestPlannedStopCompletesOpenStream(t *testing.T) {
 	f := newFleet(t, 2, settings.TLS{})
-	e := f.engine(10 * time.Millisecond)
-	f.inForce("language", f.publish("language", modelYAML(e.Addr())))
+	e := f.startEngine(10 * time.Millisecond)
+	f.waitForVersion("language", f.publish("language", modelYAML(e.Addr())))
 	eventually(t, "the engine is live", func() bool { return len(f.status(0).Targets) == 1 && f.status(0).Targets[0].State == "live" })
 	const tokens = 250
 	old, other := f.daemons[0], f.daemons[1]
@@ -125,13 +127,13 @@
 	if a, _ := c.Do(t.Context(), caller.Chat("m", "too late", 1)); a.Code != code.Draining || !a.NotRun {
 		t.Errorf("a new request at the draining daemon: %+v", a)
 	}
-	eventually(t, "the other daemon names only itself", func() bool {
+	eventually(t, "the other daemon lists only itself", func() bool {
 		_, list := get(t, http.DefaultClient, "http://"+other.Listen().Callers+caller.PathAddresses)
 		return !strings.Contains(list, old.Listen().Callers)
 	})
 	select {
 	case <-ended:
-		t.Fatal("the list came too late, or the stream ended too soon to show anything")
+		t.Fatal("the stream ended before the address list was updated; the test shows nothing")
 	default:
 	}
 	if a := <-ended; !a.Whole || a.Tokens != tokens || a.Cut > 0 {
@@ -142,27 +144,27 @@
 	}
 }
 
-// A platform's probe asks for readiness before the first document, while the
-// daemon serves, and while it drains.
+// Checks the readiness probe and the status before the first document, while
+// the daemon serves, and while it drains.
 func TestStatusAndReadiness(t *testing.T) {
 	f := newFleet(t, 2, settings.TLS{})
-	f.gates[0].cut()
-	f.gates[1].cut()
+	f.logProxies[0].cut()
+	f.logProxies[1].cut()
 	f.kill()
 	f.start(0)
 	if status, body := f.ready(0); status != http.StatusServiceUnavailable || !strings.HasPrefix(body, "1014 ") {
 		t.Errorf("before the log was read: %d %s", status, body)
 	}
-	f.gates[0].mend()
-	p := f.plain()
+	f.logProxies[0].restore()
+	p := f.startPlain()
 	version := f.publish("feed", plainYAML(p.Addr(), time.Second))
-	f.inForce("feed", version, 0)
+	f.waitForVersion("feed", version, 0)
 	s := f.status(0)
 	if s.State != "serving" || s.Code != code.OK || len(s.Services) != 1 || s.Services[0].Version != version || s.Applied < version {
 		t.Errorf("serving: %+v", s)
 	}
 	if status, _ := f.ready(0); status != http.StatusOK {
-		t.Errorf("serving, but readyz says %d", status)
+		t.Errorf("serving, but readyz answers %d", status)
 	}
 	f.daemons[0].setPhase(phaseDraining)
 	if status, body := f.ready(0); status != http.StatusServiceUnavailable || !strings.HasPrefix(body, "1005 ") {
--- a/process/daemon/fleet_test.go
+++ b/process/daemon/fleet_test.go
@@ -27,50 +27,50 @@
 	"github.com/pomelospool/pomelospool/version/publish"
 )
 
-// TestMain keeps the log lines of provoked faults out of the output.
+// TestMain suppresses log lines of the faults that tests inject.
 func TestMain(m *testing.M) {
 	log.SetLevel(log.FatalLevel)
 	m.Run()
 }
 
-// giveUp ends a wait for something that should have happened; no verdict
-// depends on its length.
-const giveUp = 20 * time.Second
+// waitTimeout bounds the wait for an expected condition. No test result depends
+// on its length.
+const waitTimeout = 20 * time.Second
 
-// eventually looks again until ok holds.
+// eventually polls until ok returns true.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
-	end := time.After(giveUp)
+	end := time.After(waitTimeout)
 	for !ok() {
 		select {
 		case <-tick.C:
 		case <-end:
-			t.Fatalf("gave up waiting: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// gate stands between one daemon and the log, and can be shut: what waits at
-// it is refused too, as with a network that is cut.
-type gate struct {
+// logProxy is a proxy between one daemon and the log. It can be cut: then it
+// refuses new requests and cancels those in progress, like a network partition.
+type logProxy struct {
 	url string
 
-	mu   sync.Mutex
-	ctx  context.Context
-	shut context.CancelFunc
+	mu     sync.Mutex
+	ctx    context.Context
+	cancel context.CancelFunc
 }
 
-func newGate(t *testing.T, l *logsvc.Log) *gate {
-	g := &gate{}
-	g.ctx, g.shut = context.WithCancel(context.Background())
+func newLogProxy(t *testing.T, l *logsvc.Log) *logProxy {
+	g := &logProxy{}
+	g.ctx, g.cancel = context.WithCancel(context.Background())
 	h := l.Handler()
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithCancel(r.Context())
 		defer cancel()
-		defer context.AfterFunc(g.open(), cancel)()
-		if g.open().Err() != nil {
+		defer context.AfterFunc(g.context(), cancel)()
+		if g.context().Err() != nil {
 			http.Error(w, "cut off", http.StatusServiceUnavailable)
 			return
 		}
@@ -81,37 +81,37 @@
 	return g
 }
 
-func (g *gate) open() context.Context {
+func (g *logProxy) context() context.Context {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.ctx
 }
 
-func (g *gate) cut() { g.shut() }
+func (g *logProxy) cut() { g.cancel() }
 
-func (g *gate) mend() {
+func (g *logProxy) restore() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.ctx, g.shut = context.WithCancel(context.Background())
+	g.ctx, g.cancel = context.WithCancel(context.Background())
 }
 
-// fleet is some daemons with stand-ins around them, each daemon on an IP
-// number of its own.
+// fleet is a set of daemons with stand-ins of the platform. Each daemon has its
+// own IP address.
 type fleet struct {
-	t       *testing.T
-	log     *logsvc.Log
-	vms     *vmlist.List
-	weights *weights.Store
-	gates   []*gate
-	daemons []*Daemon
-	peers   string // port, the same on all
-	tls     settings.TLS
+	t          *testing.T
+	log        *logsvc.Log
+	vms        *vmlist.List
+	weights    *weights.Store
+	logProxies []*logProxy
+	daemons    []*Daemon
+	peers      string // port, the same on all
+	tls        settings.TLS
 }
 
-// hostOf gives the IP number of daemon i, on loopback. Each test process has
-// numbers of its own: a daemon that starts again takes its old port, which
-// another run on the machine could have got meanwhile.
-func hostOf(i int) string {
+// daemonIP returns the IP address of daemon i on loopback. Each test process
+// has its own addresses, because a restarted daemon takes its old port, which a
+// concurrent run on the same machine could otherwise have taken.
+func daemonIP(i int) string {
 	id := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 1+id>>8%200, id&0xff, i+1)
 }
@@ -120,8 +120,8 @@
 	f := &fleet{t: t, log: logsvc.New(logsvc.Options{}), tls: tls, daemons: make([]*Daemon, n)}
 	var vms []port.VM
 	for i := range n {
-		vms = append(vms, port.VM{ID: fmt.Sprintf("vm-%d", i), Addr: hostOf(i), Zone: "z"})
-		f.gates = append(f.gates, newGate(t, f.log))
+		vms = append(vms, port.VM{ID: fmt.Sprintf("vm-%d", i), Addr: daemonIP(i), Zone: "z"})
+		f.logProxies = append(f.logProxies, newLogProxy(t, f.log))
 	}
 	f.vms = vmlist.New(vmlist.Options{VMs: vms})
 	f.weights = weights.New(weights.Options{})
@@ -145,7 +145,7 @@
 
 func freePort(t *testing.T) string {
 	t.Helper()
-	l, err := net.Listen("tcp", hostOf(0)+":0")
+	l, err := net.Listen("tcp", daemonIP(0)+":0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -154,13 +154,13 @@
 	return port
 }
 
-// start runs daemon i with short times.
+// start starts daemon i with short timeouts.
 func (f *fleet) start(i int) {
 	f.t.Helper()
 	s := settings.Default()
 	s.VM, s.Zone, s.TLS = fmt.Sprintf("vm-%d", i), "z", f.tls
-	s.Listen = settings.Listen{Callers: hostOf(i) + ":0", Peers: hostOf(i) + ":" + f.peers, Operators: hostOf(i) + ":0"}
-	s.Platform = settings.Platform{Log: f.gates[i].url, VMs: f.vms.URL(), Weights: f.weights.URL()}
+	s.Listen = settings.Listen{Callers: daemonIP(i) + ":0", Peers: daemonIP(i) + ":" + f.peers, Operators: daemonIP(i) + ":0"}
+	s.Platform = settings.Platform{Log: f.logProxies[i].url, VMs: f.vms.URL(), Weights: f.weights.URL()}
 	s.Control.Heartbeat = 40 * time.Millisecond
 	s.Control.DeadAfter = 250 * time.Millisecond
 	s.Control.Isolation = 400 * time.Millisecond
@@ -182,7 +182,7 @@
 	all.Wait()
 }
 
-// publish brings a document into force and returns its version.
+// publish publishes a document and returns its version.
 func (f *fleet) publish(service, yaml string) int64 {
 	f.t.Helper()
 	p := &publish.Publisher{Log: f.log, Writer: "test"}
@@ -197,7 +197,7 @@
 	return 0
 }
 
-// version is what daemon i has in force, 0 for nothing.
+// version returns the version in force on daemon i, 0 for none.
 func (f *fleet) version(i int, service string) int64 {
 	snap := f.daemons[i].view.Load()
 	if snap == nil || snap.Services[service] == nil {
@@ -206,8 +206,9 @@
 	return snap.Services[service].Version
 }
 
-// inForce waits until the daemons have a version, all of them if none is named.
-func (f *fleet) inForce(service string, version int64, daemons ...int) {
+// waitForVersion waits until the version is in force on the given daemons, by
+// default on all.
+func (f *fleet) waitForVersion(service string, version int64, daemons ...int) {
 	f.t.Helper()
 	if len(daemons) == 0 {
 		for i := range f.daemons {
@@ -221,7 +222,7 @@
 	}
 }
 
-// plainYAML describes a plain service; answer tells versions apart.
+// plainYAML returns the document of a plain service. Versions differ in answer.
 func plainYAML(addr string, answer time.Duration) string {
 	return fmt.Sprintf("service: feed\nkind: plain\nowner: o\ntargets:\n  - {name: p, addr: %q, zone: z}\nobjectives: {answer: %s}\n", addr, answer)
 }
@@ -231,15 +232,15 @@
 		"targets:\n  - {name: e, addr: %q, zone: z, pinned: true}\nobjectives: {answer: 20s}\n", addr)
 }
 
-func (f *fleet) plain() *plain.Service {
+func (f *fleet) startPlain() *plain.Service {
 	f.t.Helper()
 	p := plain.New(plain.Options{Name: "p"})
 	f.run(p.Run, p.Close)
 	return p
 }
 
-// engine runs an engine that has its model already.
-func (f *fleet) engine(step time.Duration) *engine.Engine {
+// startEngine starts an engine that has its model already loaded.
+func (f *fleet) startEngine(step time.Duration) *engine.Engine {
 	f.t.Helper()
 	e := engine.New(engine.Options{
 		Name:     "e",
@@ -250,7 +251,7 @@
 	return e
 }
 
-// get asks a port of a daemon and returns status and body.
+// get sends a GET request and returns the status and body.
 func get(t *testing.T, c *http.Client, url string, header ...string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
--- a/process/daemon/keys.go
+++ b/process/daemon/keys.go
@@ -18,8 +18,8 @@
 )
 
 // keys holds the daemon's certificate, the CA of its peers and the operators'
-// token. Files are read again when they change, so keys are replaced without
-// a restart. The zero settings give plain TCP and no token.
+// token. Files are read again when they change, so that keys can be replaced
+// without a restart. Empty settings mean plain TCP and no token.
 type keys struct {
 	files settings.TLS
 
@@ -37,15 +37,15 @@
 		return nil, err
 	}
 	if files.CA != "" {
-		if _, err := k.pool(); err != nil {
+		if _, err := k.caPool(); err != nil {
 			return nil, err
 		}
 	}
 	return k, nil
 }
 
-// certificate returns the newest certificate. While a new pair is only half
-// written the old one stays in use.
+// certificate returns the newest certificate. While only one file of a new pair
+// is written, it returns the old one.
 func (k *keys) certificate() (*tls.Certificate, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -67,7 +67,7 @@
 	return nil, fmt.Errorf("daemon: certificate: %w", err)
 }
 
-func (k *keys) pool() (*x509.CertPool, error) {
+func (k *keys) caPool() (*x509.CertPool, error) {
 	data, err := os.ReadFile(k.files.CA)
 	if err != nil {
 		return nil, fmt.Errorf("daemon: CA: %w", err)
@@ -79,8 +79,9 @@
 	return pool, nil
 }
 
-// server is the TLS of callers and operators, nil for plain TCP.
-func (k *keys) server() *tls.Config {
+// serverTLS returns the TLS configuration of the callers' and operators' ports,
+// nil for plain TCP.
+func (k *keys) serverTLS() *tls.Config {
 	if k.files.Cert == "" {
 		return nil
 	}
@@ -90,19 +91,19 @@
 	}
 }
 
-// peerServer asks each peer for a certificate of the fleet's CA: a stranger
-// must not be able to call itself a daemon, or others dead.
+// peerServer requires from each peer a certificate of the fleet's CA. Anyone
+// else could pose as a daemon or report daemons as dead.
 func (k *keys) peerServer() credentials.TransportCredentials {
 	if k.files.Cert == "" || k.files.CA == "" {
 		return nil
 	}
-	conf := k.server()
+	conf := k.serverTLS()
 	conf.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		pool, err := k.pool()
+		pool, err := k.caPool()
 		if err != nil {
 			return nil, err
 		}
-		c := k.server()
+		c := k.serverTLS()
 		c.ClientAuth = tls.RequireAndVerifyClientCert
 		c.ClientCAs = pool
 		c.NextProtos = []string{"h2"}
@@ -111,9 +112,9 @@
 	return credentials.NewTLS(conf)
 }
 
-// peerClient shows this daemon's certificate and checks the peer's against
-// the fleet's CA. Peers are dialled by IP number, which their certificates
-// must name.
+// peerClient presents this daemon's certificate and verifies the peer's against
+// the fleet's CA. Peers are dialled by IP address, so their certificates must
+// contain it.
 func (k *keys) peerClient() credentials.TransportCredentials {
 	if k.files.Cert == "" || k.files.CA == "" {
 		return nil
@@ -121,29 +122,29 @@
 	return credentials.NewTLS(&tls.Config{
 		MinVersion:           tls.VersionTLS12,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return k.certificate() },
-		// The default check runs against the CA as it stood at the start; this
-		// one reads it anew, so that the CA can be replaced too.
+		// The default verification uses the CA as loaded at the start. verifyPeer
+		// loads it again for each connection, so that the CA can be replaced too.
 		InsecureSkipVerify: true,
 		VerifyConnection:   k.verifyPeer,
 	})
 }
 
 func (k *keys) verifyPeer(cs tls.ConnectionState) error {
-	pool, err := k.pool()
+	pool, err := k.caPool()
 	if err != nil {
 		return err
 	}
 	if len(cs.PeerCertificates) == 0 {
 		return code.New(code.NotAuthorized, "the peer shows no certificate")
 	}
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, c := range cs.PeerCertificates[1:] {
-		between.AddCert(c)
+		intermediates.AddCert(c)
 	}
 	_, err = cs.PeerCertificates[0].Verify(x509.VerifyOptions{
 		DNSName:       cs.ServerName,
 		Roots:         pool,
-		Intermediates: between,
+		Intermediates: intermediates,
 	})
 	if err != nil {
 		return code.Wrap(code.NotAuthorized, err, "peer %s", cs.ServerName)
@@ -151,16 +152,18 @@
 	return nil
 }
 
-// openPaths of the operators' port need no token: the platform's probes have none.
-var openPaths = map[string]bool{"/healthz": true, "/readyz": true}
+// publicPaths are the paths of the operators' port that need no token, because
+// the platform's probes have none.
+var publicPaths = map[string]bool{"/healthz": true, "/readyz": true}
 
-// guardOperators refuses calls without the operators' token, if there is one.
+// guardOperators rejects calls without the operators' token, if one is
+// configured.
 func (k *keys) guardOperators(next http.Handler) http.Handler {
 	if k.files.OperatorToken == "" {
 		return next
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if openPaths[r.URL.Path] || k.authorized(r) {
+		if publicPaths[r.URL.Path] || k.authorized(r) {
 			next.ServeHTTP(w, r)
 			return
 		}
--- a/process/daemon/keys_test.go
+++ b/process/daemon/keys_test.go
@@ -26,16 +26,16 @@
 	"github.com/pomelospool/pomelospool/process/settings"
 )
 
-// authority is a CA of tests.
-type authority struct {
+// testCA is a CA for tests.
+type testCA struct {
 	t    *testing.T
 	key  *ecdsa.PrivateKey
 	cert *x509.Certificate
 	pem  []byte
 }
 
-func newAuthority(t *testing.T, name string) *authority {
-	a := &authority{t: t, key: newKey(t)}
+func newTestCA(t *testing.T, name string) *testCA {
+	a := &testCA{t: t, key: newKey(t)}
 	tmpl := &x509.Certificate{
 		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: name}, IsCA: true, BasicConstraintsValid: true,
 		KeyUsage: x509.KeyUsageCertSign, NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
@@ -59,11 +59,11 @@
 	return k
 }
 
-// issue makes a certificate for the daemons' IP numbers.
-func (a *authority) issue(serial int64) (cert, key []byte) {
+// issue returns a certificate for the daemons' IP addresses.
+func (a *testCA) issue(serial int64) (cert, key []byte) {
 	k := newKey(a.t)
 	tmpl := &x509.Certificate{
-		SerialNumber: big.NewInt(serial), IPAddresses: []net.IP{net.ParseIP(hostOf(0)), net.ParseIP(hostOf(1))},
+		SerialNumber: big.NewInt(serial), IPAddresses: []net.IP{net.ParseIP(daemonIP(0)), net.ParseIP(daemonIP(1))},
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
@@ -79,14 +79,14 @@
 		pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: kder})
 }
 
-// keyFiles are the files that the settings name.
+// keyFiles are the files that the settings refer to.
 type keyFiles struct {
 	settings.TLS
 	t      *testing.T
 	writes int
 }
 
-func newKeyFiles(t *testing.T, a *authority) *keyFiles {
+func newKeyFiles(t *testing.T, a *testCA) *keyFiles {
 	dir := t.TempDir()
 	f := &keyFiles{t: t, TLS: settings.TLS{
 		Cert: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key"),
@@ -100,8 +100,8 @@
 	return f
 }
 
-// write gives every file a later time than the one before, however coarse the
-// file system's clock is.
+// write gives each file a later modification time than the one before, whatever
+// the resolution of the file system's timestamps.
 func (f *keyFiles) write(file string, data []byte) {
 	f.t.Helper()
 	f.writes++
@@ -114,8 +114,9 @@
 	}
 }
 
-// client trusts the authority and shows the certificate, if there is one.
-func client(a *authority, cert, key []byte) *tls.Config {
+// clientTLS returns a configuration that trusts the CA and presents the
+// certificate, if one is given.
+func clientTLS(a *testCA, cert, key []byte) *tls.Config {
 	pool := x509.NewCertPool()
 	pool.AddCert(a.cert)
 	conf := &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}
@@ -125,26 +126,27 @@
 	return conf
 }
 
-// Someone on the network, without the fleet's certificate, calls itself a
-// daemon to spread false word of who is dead. Every daemon refuses to talk.
-func TestStrangersAreRefused(t *testing.T) {
-	ours, theirs := newAuthority(t, "fleet"), newAuthority(t, "stranger")
+// Guards against an attacker on the network who poses as a daemon, for example
+// to report other daemons as dead. Without a certificate of the fleet's CA,
+// every daemon must refuse the connection.
+func TestPeersWithoutFleetCertificateAreRefused(t *testing.T) {
+	ours, theirs := newTestCA(t, "fleet"), newTestCA(t, "stranger")
 	f := newFleet(t, 2, newKeyFiles(t, ours).TLS)
-	eventually(t, "the daemons hear each other over TLS", func() bool {
+	eventually(t, "the daemons exchange heartbeats over TLS", func() bool {
 		live, _ := f.daemons[0].members.View().Reachable()
 		return live == 1
 	})
 	addr := f.daemons[0].Listen().Peers
 	ownCert, ownKey := ours.issue(7)
-	strangeCert, strangeKey := theirs.issue(7)
+	untrustedCert, untrustedKey := theirs.issue(7)
 	for _, c := range []struct {
 		name string
 		conf *tls.Config
 		ok   bool
 	}{
-		{"a daemon of the fleet", client(ours, ownCert, ownKey), true},
-		{"no certificate", client(ours, nil, nil), false},
-		{"a certificate of another CA", client(ours, strangeCert, strangeKey), false},
+		{"a daemon of the fleet", clientTLS(ours, ownCert, ownKey), true},
+		{"no certificate", clientTLS(ours, nil, nil), false},
+		{"a certificate of another CA", clientTLS(ours, untrustedCert, untrustedKey), false},
 	} {
 		d := peer.NewDialer(peer.DialerOptions{Creds: credentials.NewTLS(c.conf)})
 		p, err := d.Client(addr)
@@ -156,31 +158,31 @@
 		}
 		d.Close()
 	}
-	// The other way round: a stranger listens where a daemon was.
+	// Conversely, the daemon must refuse a server with another CA's certificate.
 	k, err := loadKeys(newKeyFiles(t, theirs).TLS)
 	if err != nil {
 		t.Fatal(err)
 	}
-	strange := peer.NewServer(peer.Handlers{}, k.peerServer())
-	l, err := net.Listen("tcp", hostOf(1)+":0")
+	untrusted := peer.NewServer(peer.Handlers{}, k.peerServer())
+	l, err := net.Listen("tcp", daemonIP(1)+":0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { _ = strange.Serve(l) }()
-	defer strange.Stop()
+	go func() { _ = untrusted.Serve(l) }()
+	defer untrusted.Stop()
 	own := f.daemons[0].dialer
 	if _, err := own.Heartbeat(t.Context(), l.Addr().String(), &peerpb.HeartbeatRequest{}); err == nil || !strings.Contains(err.Error(), "6002 NOT_AUTHORIZED") {
-		t.Errorf("a heartbeat to a stranger: %v", err)
+		t.Errorf("a heartbeat to a server of another CA: %v", err)
 	}
 }
 
-// The operators' port is open to probes, and to nobody else without the token.
-// A new token counts at once.
+// The operators' port must be open to probes and need the token for all other
+// paths. A new token must take effect immediately.
 func TestOperatorsPortNeedsTheToken(t *testing.T) {
-	ours := newAuthority(t, "fleet")
+	ours := newTestCA(t, "fleet")
 	files := newKeyFiles(t, ours)
 	f := newFleet(t, 1, files.TLS)
-	c := &http.Client{Transport: &http.Transport{TLSClientConfig: client(ours, nil, nil)}}
+	c := &http.Client{Transport: &http.Transport{TLSClientConfig: clientTLS(ours, nil, nil)}}
 	defer c.CloseIdleConnections()
 	base := "https://" + f.daemons[0].Listen().Operators
 	ask := func(path, token string, want int) {
@@ -204,16 +206,17 @@
 	ask("/status", "", http.StatusForbidden)
 }
 
-// Certificates are replaced while daemons run. Between the two files' writes
-// certificate and key don't match; the old pair stays in use until they do.
+// Certificates must be replaceable while daemons run. Between the writes of the
+// two files certificate and key don't match; the old pair must stay in use
+// until they do.
 func TestKeysAreReplacedWithoutRestart(t *testing.T) {
-	ours := newAuthority(t, "fleet")
+	ours := newTestCA(t, "fleet")
 	files := newKeyFiles(t, ours)
 	f := newFleet(t, 2, files.TLS)
 	serial := func(addr string) int64 {
 		t.Helper()
 		cert, key := ours.issue(9)
-		conn, err := (&tls.Dialer{Config: client(ours, cert, key)}).DialContext(t.Context(), "tcp", addr)
+		conn, err := (&tls.Dialer{Config: clientTLS(ours, cert, key)}).DialContext(t.Context(), "tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -225,7 +228,7 @@
 		t.Helper()
 		for _, addr := range []string{listen.Callers, listen.Peers, listen.Operators} {
 			if got := serial(addr); got != want {
-				t.Errorf("%s: %s shows certificate %d, want %d", when, addr, got, want)
+				t.Errorf("%s: %s presents certificate %d, want %d", when, addr, got, want)
 			}
 		}
 	}
@@ -236,29 +239,30 @@
 	files.write(files.Key, key)
 	expect("replaced", 101)
 
-	// The CA goes too: daemons under the new one are heard, the old are not.
-	next := newAuthority(t, "next")
+	// After a change of the CA, peers with a certificate of the new one must be
+	// accepted and peers with one of the old refused.
+	next := newTestCA(t, "next")
 	cert, key = next.issue(102)
 	files.write(files.Key, key)
 	files.write(files.Cert, cert)
 	files.write(files.CA, next.pem)
-	d := peer.NewDialer(peer.DialerOptions{Creds: credentials.NewTLS(client(next, cert, key))})
+	d := peer.NewDialer(peer.DialerOptions{Creds: credentials.NewTLS(clientTLS(next, cert, key))})
 	defer d.Close()
 	p, err := d.Client(listen.Peers)
 	if err == nil {
 		_, err = p.Burn(context.Background(), &peerpb.BurnRequest{})
 	}
 	if err != nil {
-		t.Errorf("a peer under the new CA: %v", err)
+		t.Errorf("a peer with a certificate of the new CA: %v", err)
 	}
 	oldCert, oldKey := ours.issue(9)
-	conf := client(next, oldCert, oldKey)
+	conf := clientTLS(next, oldCert, oldKey)
 	old := peer.NewDialer(peer.DialerOptions{Creds: credentials.NewTLS(conf)})
 	defer old.Close()
 	if p, err = old.Client(listen.Peers); err == nil {
 		_, err = p.Burn(context.Background(), &peerpb.BurnRequest{})
 	}
 	if err == nil {
-		t.Error("a peer under the old CA is still heard")
+		t.Error("a peer with a certificate of the old CA is still accepted")
 	}
 }
--- a/process/daemon/leaving_test.go
+++ b/process/daemon/leaving_test.go
@@ -9,11 +9,11 @@
 	"github.com/pomelospool/pomelospool/standin/plain"
 )
 
-// leavingHost is the VM of a target that the platform takes away.
+// leavingHost is the host of a target whose VM the platform removes.
 const leavingHost = "127.0.42.1"
 
-// spread sends n calls through each daemon; all must be answered whole.
-func (f *fleet) spread(n int) {
+// callAll sends n calls through each daemon. All must be answered in full.
+func (f *fleet) callAll(n int) {
 	f.t.Helper()
 	for i := range f.daemons {
 		for range n {
@@ -24,17 +24,18 @@
 	}
 }
 
-// The platform takes a target's VM away, or an operator drains the target.
-// Callers go on calling, through every daemon. A call that still went to the
-// target would be cut when its VM ends, so all go to the one that stays.
+// Guards against calls to a target that leaves, which would be cut when its VM
+// ends. The platform removes the target's VM, or an operator drains the target,
+// while callers call through every daemon. All calls must go to the remaining
+// target.
 func TestLeavingTargetGetsNoNewWork(t *testing.T) {
 	f := newFleet(t, 3, settings.TLS{})
-	vm, drained, stays := plain.New(plain.Options{Name: "vm"}), f.plain(), f.plain()
+	vm, drained, stays := plain.New(plain.Options{Name: "vm"}), f.startPlain(), f.startPlain()
 	f.run(func(string) error { return vm.Run(leavingHost + ":0") }, vm.Close)
 	const doc = "service: feed\nkind: plain\nowner: o\ntargets:\n  - {name: vm, addr: %q, zone: z}\n" +
 		"  - {name: drained, addr: %q, zone: z%s}\n  - {name: stays, addr: %q, zone: z}\nobjectives: {answer: 1s}\n"
 	publish := func(drain string) {
-		f.inForce("feed", f.publish("feed", fmt.Sprintf(doc, vm.Addr(), drained.Addr(), drain, stays.Addr())))
+		f.waitForVersion("feed", f.publish("feed", fmt.Sprintf(doc, vm.Addr(), drained.Addr(), drain, stays.Addr())))
 	}
 	publish("")
 	cases := []struct {
@@ -49,7 +50,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			eventually(t, "the target gets work", func() bool { f.spread(1); return c.target.Record().Runs > 0 })
+			eventually(t, "the target gets work", func() bool { f.callAll(1); return c.target.Record().Runs > 0 })
 			c.leave()
 			for i, d := range f.daemons {
 				eventually(t, fmt.Sprintf("daemon %d knows that the target leaves", i), func() bool {
@@ -57,7 +58,7 @@
 				})
 			}
 			before, kept := c.target.Record().Runs, stays.Record().Runs
-			f.spread(20)
+			f.callAll(20)
 			if n := c.target.Record().Runs - before; n != 0 {
 				t.Errorf("%d calls went to the target that leaves", n)
 			}
--- a/process/daemon/listen_test.go
+++ b/process/daemon/listen_test.go
@@ -9,10 +9,10 @@
 	"github.com/pomelospool/pomelospool/process/settings"
 )
 
-// A VM of a caller, a peer or an operator vanishes in the middle of an answer,
-// and nothing tells the daemon. Its kernel would go on sending for many
-// minutes, and each such stream hold its memory. So every accepted connection
-// has its TCP_USER_TIMEOUT. That it is set is shown here, not that it fires.
+// Guards against streams that hold memory for many minutes after the VM of a
+// caller, peer or operator vanished during an answer: the kernel keeps
+// retransmitting unless TCP_USER_TIMEOUT is set. The test checks that the
+// option is set on accepted connections, not that it takes effect.
 func TestAcceptedConnectionsTimeOut(t *testing.T) {
 	const local = "127.0.0.1:0"
 	d := &Daemon{s: &settings.Settings{Listen: settings.Listen{Callers: local, Peers: local, Operators: local}}}
--- a/process/daemon/logs.go
+++ b/process/daemon/logs.go
@@ -12,10 +12,10 @@
 	"github.com/pomelospool/pomelospool/process/settings"
 )
 
-// SetLog sets the process's log as the settings say, the standard library's
-// log included. They were checked, so an unknown level can't come here; info
-// stands in for it. Call the function that it returns before the process ends:
-// it says what was left out of the log until then.
+// SetLog configures the process's log, the standard library's log included. The
+// level was checked with the settings; an unknown one is treated as info. Call
+// the returned function before the process exits: it reports how many lines
+// were dropped by then.
 func SetLog(s settings.Log, w io.Writer) func() {
 	level, err := log.ParseLevel(s.Level)
 	if err != nil {
--- a/process/daemon/once_test.go
+++ b/process/daemon/once_test.go
@@ -15,12 +15,13 @@
 	"github.com/pomelospool/pomelospool/standin/plain"
 )
 
-// onceYAML is plainYAML with calls that may run once only.
+// onceYAML returns plainYAML with an at-most-once path.
 func onceYAML(addr string) string {
 	return plainYAML(addr, 5*time.Second) + "once: {paths: [/boards]}\n"
 }
 
-// call sends a call to daemon i, again if it was refused unrun.
+// call sends a call to daemon i and repeats it if it was refused without being
+// run.
 func (f *fleet) call(i int, key, body string) *caller.Answer {
 	f.t.Helper()
 	c := caller.New(caller.Options{Daemons: []string{f.daemons[i].Listen().Callers}, Fixed: true, Attempts: 10})
@@ -29,14 +30,14 @@
 	return a
 }
 
-// A caller's connection breaks while it reads a large answer. It sends the
-// same key to another daemon. The log has no room for the answer, only the
-// daemon that got it has it, and the call may not run again.
-func TestLargeFirstAnswerComesFromTheOtherDaemon(t *testing.T) {
+// Guards against a second run of an at-most-once call whose answer is too large
+// for the log. The caller's connection breaks while it reads the answer, and it
+// sends the same key to another daemon. Only the first daemon has the answer.
+func TestLargeOnceAnswerIsFetchedFromPeer(t *testing.T) {
 	f := newFleet(t, 2, settings.TLS{})
-	p := f.plain()
-	f.inForce("feed", f.publish("feed", onceYAML(p.Addr())))
-	eventually(t, "the other daemon knows the first", func() bool { live, _ := f.daemons[1].members.View().Reachable(); return live == 1 })
+	p := f.startPlain()
+	f.waitForVersion("feed", f.publish("feed", onceYAML(p.Addr())))
+	eventually(t, "the other daemon sees the first as live", func() bool { live, _ := f.daemons[1].members.View().Reachable(); return live == 1 })
 	body := strings.Repeat("pomelo ", 10_000)
 	for i := range f.daemons {
 		if a := f.call(i, "large", body); !a.Whole || string(a.Body) != body {
@@ -48,9 +49,9 @@
 	}
 }
 
-// heldTarget runs a plain service that answers nothing before release;
-// waiting counts what came.
-func (f *fleet) heldTarget(waiting *atomic.Int32) (p *plain.Service, addr string, release func()) {
+// startBlockedTarget starts a plain service that answers nothing before release
+// is called. waiting counts the requests that arrived.
+func (f *fleet) startBlockedTarget(waiting *atomic.Int32) (p *plain.Service, addr string, release func()) {
 	p = plain.New(plain.Options{Name: "p"})
 	open := make(chan struct{})
 	h := p.Handler()
@@ -65,26 +66,26 @@
 	return p, srv.Listener.Addr().String(), release
 }
 
-// slowLog is longer than a daemon serves on at its stop, so that results wait
-// for the log when it drains.
+// slowLog is longer than a stopping daemon keeps serving, so that results still
+// wait for the log when it drains.
 const slowLog = 700 * time.Millisecond
 
-// The log is slow, and a daemon is stopped just after it answered calls that
-// may run once only. Their callers' answers get lost on the way, so they send
-// the same keys to another daemon. Had the results died with the first daemon
-// their outcome would be unknown for good.
+// Guards against results of at-most-once calls that are lost at a planned stop.
+// The log is slow, and the daemon is stopped just after it answered the calls.
+// Their callers don't receive the answers and send the same keys to another
+// daemon. Without the recorded results the outcome would be unknown.
 func TestPlannedStopRecordsResults(t *testing.T) {
 	f := newFleet(t, 2, settings.TLS{})
 	var waiting atomic.Int32
-	p, addr, release := f.heldTarget(&waiting)
-	f.inForce("feed", f.publish("feed", onceYAML(addr)))
-	const calls = 8 // so that each daemon appends for some
+	p, addr, release := f.startBlockedTarget(&waiting)
+	f.waitForVersion("feed", f.publish("feed", onceYAML(addr)))
+	const calls = 8 // enough for each daemon to append some of them
 	answers := make(chan *caller.Answer, calls)
 	key := func(i int) string { return fmt.Sprintf("key-%d", i) }
 	for i := range calls {
 		go func() { answers <- f.call(0, key(i), "body of "+key(i)) }()
 	}
-	eventually(t, "all are at the target", func() bool { return waiting.Load() == calls })
+	eventually(t, "all calls reached the target", func() bool { return waiting.Load() == calls })
 	f.log.SetLatency(slowLog)
 	release()
 	for range calls {
--- a/process/daemon/operators.go
+++ b/process/daemon/operators.go
@@ -17,7 +17,7 @@
 	"github.com/pomelospool/pomelospool/version/view"
 )
 
-// operatorRoutes are the paths of the operators' port.
+// operatorRoutes returns the handler of the operators' port.
 func (d *Daemon) operatorRoutes() http.Handler {
 	r := bunrouter.New()
 	r.GET(status.Path, func(w http.ResponseWriter, _ bunrouter.Request) error { return writeJSON(w, d.Status()) })
@@ -40,7 +40,7 @@
 	return err
 }
 
-// ready says whether the daemon takes new requests, and if not why.
+// ready answers whether the daemon takes new requests, and if not, why.
 func (d *Daemon) ready(w http.ResponseWriter, _ bunrouter.Request) error {
 	if err := d.Admit(); err != nil {
 		return writeText(w, http.StatusServiceUnavailable, err.Error())
@@ -48,7 +48,7 @@
 	return writeText(w, http.StatusOK, "ok")
 }
 
-// Status is this daemon's own view, as pomelosctl status shows it.
+// Status returns this daemon's own view, as pomelosctl status shows it.
 func (d *Daemon) Status() *status.Status {
 	s := &status.Status{
 		Daemon:      d.s.VM,
@@ -62,7 +62,7 @@
 	}
 	for _, m := range d.members.View().Members {
 		if m.Member.StartedMs == 0 {
-			continue // a listed VM that was never heard of, perhaps a target's
+			continue // a listed VM that never sent a heartbeat, perhaps a target's
 		}
 		s.Members = append(s.Members, memberStatus(m))
 	}
--- a/process/daemon/order_test.go
+++ b/process/daemon/order_test.go
@@ -9,11 +9,11 @@
 	"github.com/pomelospool/pomelospool/standin/engine"
 )
 
-// A holder is paused after it decided on an order and wakes when another has
-// taken over. Its engine ignores fencing numbers. The lease must be asked at
-// the write, on the connection that the daemon really uses, and not one byte
+// Guards against an order from a holder that lost its lease while it was
+// paused, to an engine that ignores fencing tokens. The lease must be checked
+// at the write, on the connection that the daemon really uses, and not one byte
 // may reach the engine.
-func TestOrderNeedsTheLeaseAtTheWrite(t *testing.T) {
+func TestOrderChecksLeaseAtWrite(t *testing.T) {
 	e := engine.New(engine.Options{Name: "e"})
 	if err := e.Run("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
--- a/process/daemon/parts.go
+++ b/process/daemon/parts.go
@@ -9,7 +9,7 @@
 	"github.com/pomelospool/pomelospool/request/quarantine"
 )
 
-func (d *Daemon) newOnceKeeper() *once.Log {
+func (d *Daemon) newOnceLog() *once.Log {
 	return once.New(once.Options{
 		Self:    d.self,
 		Log:     d.platform.log,
@@ -20,7 +20,7 @@
 	})
 }
 
-// onceMembers shows the other daemons to the at-most-once keeper.
+// onceMembers returns the other daemons, for the at-most-once log.
 func (d *Daemon) onceMembers() []once.Member {
 	var out []once.Member
 	for _, s := range d.members.View().Members {
@@ -37,7 +37,7 @@
 	return out
 }
 
-// onceWindow returns how long a service's keys are remembered.
+// onceWindow returns how long the at-most-once keys of a service are kept.
 func (d *Daemon) onceWindow(service string) time.Duration {
 	snap := d.view.Load()
 	if snap == nil || snap.Services[service] == nil {
@@ -46,8 +46,8 @@
 	return snap.Services[service].Doc.Once.Window
 }
 
-// newCrashTracker returns the quarantine. News of a crash goes to all live
-// peers at once, before the caller has its answer and can send it again.
+// newCrashTracker returns the quarantine. A crash is reported to all live peers
+// immediately, before the caller has its answer and can send the request again.
 func (d *Daemon) newCrashTracker() *quarantine.Book {
 	fleet := &quarantine.Fleet{
 		Self:   func() *peerpb.Member { return d.members.View().Self },
@@ -57,14 +57,14 @@
 	var book *quarantine.Book
 	book = quarantine.New(quarantine.Options{
 		Self: d.self,
-		Broadcast: func(ctx context.Context, news []*peerpb.Conviction) {
-			fleet.Broadcast(ctx, news, book.Incoming)
+		Broadcast: func(ctx context.Context, convictions []*peerpb.Conviction) {
+			fleet.Broadcast(ctx, convictions, book.Incoming)
 		},
 	})
 	return book
 }
 
-// livePeers are the peer addresses of the other daemons that answer.
+// livePeers returns the peer addresses of the other responsive daemons.
 func (d *Daemon) livePeers() []string {
 	var out []string
 	for _, s := range d.members.View().Members {
--- a/process/daemon/peers.go
+++ b/process/daemon/peers.go
@@ -16,12 +16,12 @@
 	"github.com/pomelospool/pomelospool/process/membership"
 )
 
-// fetchMost bounds the records of one answer to a peer.
-const fetchMost = 512
+// maxFetchRecords bounds the records of one reply to a peer.
+const maxFetchRecords = 512
 
-// handleFetch gives control records to a peer that can't reach the log.
+// handleFetch sends control records to a peer that can't reach the log.
 func (d *Daemon) handleFetch(_ context.Context, r *peerpb.FetchRequest) (*peerpb.FetchReply, error) {
-	b, err := d.follower.Serve(r.From, min(int(r.Max), fetchMost))
+	b, err := d.follower.Serve(r.From, min(int(r.Max), maxFetchRecords))
 	if err != nil {
 		return nil, err
 	}
@@ -32,7 +32,7 @@
 	return reply, nil
 }
 
-// handleBurn answers with this daemon's burn report in JSON.
+// handleBurn returns this daemon's burn report in JSON.
 func (d *Daemon) handleBurn(context.Context, *peerpb.BurnRequest) (*peerpb.BurnReply, error) {
 	data, err := json.Marshal(d.burn.Report())
 	return &peerpb.BurnReply{Report: data}, err
@@ -41,7 +41,8 @@
 // peerRecords fetches control records from peers.
 type peerRecords struct{ d *Daemon }
 
-// Fetch asks one live peer, at random, so that a bad one isn't asked for ever.
+// Fetch queries one live peer, chosen at random so that a faulty one isn't
+// queried forever.
 func (p *peerRecords) Fetch(ctx context.Context, from int64) (follow.Batch, error) {
 	var live []membership.MemberView
 	for _, s := range p.d.members.View().Members {
@@ -57,7 +58,7 @@
 	if err != nil {
 		return follow.Batch{}, err
 	}
-	reply, err := c.Fetch(ctx, &peerpb.FetchRequest{From: from, Max: fetchMost})
+	reply, err := c.Fetch(ctx, &peerpb.FetchRequest{From: from, Max: maxFetchRecords})
 	if err != nil {
 		return follow.Batch{}, fmt.Errorf("fetch records from %s: %w", addr, err)
 	}
@@ -68,13 +69,14 @@
 	return b, nil
 }
 
-// leaseView shows membership to the lease manager.
+// leaseView gives the lease manager access to membership.
 type leaseView struct{ d *Daemon }
 
-// Gone reports whether the incarnation can be taken over from. One that was
-// never heard of counts as gone only after this process has been up for long
-// enough to hear of all that live: after a restart of every VM at once nobody
-// ever hears of the old holders.
+// Gone reports whether the leases of the incarnation may be taken over. An
+// incarnation from which nothing was received counts as gone only once this
+// process has run for long enough to receive heartbeats from all live daemons.
+// After a restart of all VMs at once, no daemon ever receives anything from the
+// old holders.
 func (v *leaseView) Gone(incarnation string) bool {
 	vm, _, _ := strings.Cut(incarnation, "/")
 	switch v.d.members.View().Liveness(vm, incarnation) {
@@ -83,15 +85,15 @@
 	case membership.Gone:
 		return true
 	default:
-		return v.d.members.Uptime() > unheardFactor*v.d.s.Control.DeadAfter
+		return v.d.members.Uptime() > unknownHolderFactor*v.d.s.Control.DeadAfter
 	}
 }
 
-// unheardFactor times DeadAfter is how long a process listens before it holds
-// an incarnation that it never heard of for gone.
-const unheardFactor = 2
+// unknownHolderFactor times DeadAfter is the uptime from which a process takes
+// an incarnation to be gone from which nothing was received.
+const unknownHolderFactor = 2
 
-// Rank gives this process's place among the candidates for a group.
+// Rank returns this process's rank among the candidates for a group.
 func (v *leaseView) Rank(group string) (int, bool) {
 	view := v.d.members.View()
 	if view.Self.State != peerpb.Member_LIVE {
@@ -106,8 +108,8 @@
 	return lease.Rank(group, zoneOfGroup(group), view.Self.Id, live)
 }
 
-// zoneOfGroup returns the availability zone in a group's name, which is
-// service/zone/number.
+// zoneOfGroup returns the availability zone in a group's name, which has the
+// form service/zone/number.
 func zoneOfGroup(group string) string {
 	parts := strings.Split(group, "/")
 	if len(parts) < groupParts {
@@ -118,7 +120,7 @@
 
 const groupParts = 3
 
-// addresses are the daemons that callers may use, this one included.
+// addresses returns the daemons that callers may use, including this one.
 func (d *Daemon) addresses() []address.Member {
 	view := d.members.View()
 	out := []address.Member{{
--- a/process/daemon/plan.go
+++ b/process/daemon/plan.go
@@ -13,77 +13,78 @@
 	"github.com/pomelospool/pomelospool/version/view"
 )
 
-// demands counts what callers ask of this process, by model. It is safe for
-// concurrent use.
-type demands struct {
+// demandCounters counts the requests of callers to this process, by model. It
+// is safe for concurrent use.
+type demandCounters struct {
 	mu     sync.Mutex
-	models map[string]*demand
+	models map[string]*demandCounter
 }
 
-// demand is what callers of one model asked of this process since its start.
-type demand struct {
+// demandCounter counts the requests for one model since the start of the
+// process, and their prefill and decode tokens.
+type demandCounter struct {
 	requests, prefill, decode atomic.Int64
 }
 
-// asked notes a request, refused ones included.
-func (c *demands) asked(model string, prefill, decode int) {
-	d := c.of(model)
+// record counts a request, including refused ones.
+func (c *demandCounters) record(model string, prefill, decode int) {
+	d := c.forModel(model)
 	d.requests.Add(1)
 	d.prefill.Add(int64(prefill))
 	d.decode.Add(int64(decode))
 }
 
-func (c *demands) of(model string) *demand {
+func (c *demandCounters) forModel(model string) *demandCounter {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	d := c.models[model]
 	if d == nil {
-		d = &demand{}
+		d = &demandCounter{}
 		c.models[model] = d
 	}
 	return d
 }
 
 // rolePlanner runs the planner for each model on the control goroutine and
-// holds the roles that it wishes for.
+// keeps the resulting desired roles.
 type rolePlanner struct {
 	d      *Daemon
 	states map[planKey]planner.State
 
-	mu     sync.Mutex
-	wishes map[string]port.Role // by engine address
+	mu      sync.Mutex
+	desired map[string]port.Role // by engine address
 }
 
-// planKey names one plan: the engines of one model in one service.
+// planKey identifies a plan: the engines of one model in one service.
 type planKey struct {
 	service, model string
 }
 
 func newRolePlanner(d *Daemon) *rolePlanner {
 	return &rolePlanner{
-		d:      d,
-		states: make(map[planKey]planner.State),
-		wishes: make(map[string]port.Role),
+		d:       d,
+		states:  make(map[planKey]planner.State),
+		desired: make(map[string]port.Role),
 	}
 }
 
-// wish implements reconcile.Wish.
-func (p *rolePlanner) wish(_, engine string) (port.Role, bool) {
+// desiredRole implements reconcile.Wish.
+func (p *rolePlanner) desiredRole(_, engine string) (port.Role, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r, ok := p.wishes[engine]
+	r, ok := p.desired[engine]
 	return r, ok
 }
 
-// step plans once for every model service. Only for groups that it holds does
-// a process wish anything; the others plan too, so that a successor knows the
-// mix at once.
+// step runs the planner once for every model service. A process sets desired
+// roles only for groups whose lease it holds. The others plan too, so that a
+// successor knows the mix of roles immediately.
 func (p *rolePlanner) step() {
 	snap := p.d.view.Load()
 	if snap == nil {
 		return
 	}
-	groups := groupOf(snap)
+	groups := groupsByEngine(snap)
 	for _, svc := range snap.Services {
 		if svc.Doc.Kind != document.KindModel {
 			continue
@@ -94,8 +95,8 @@
 	}
 }
 
-// groupOf gives the lease group of each engine's address.
-func groupOf(snap *view.Snapshot) map[string]string {
+// groupsByEngine returns the lease group of each engine, by address.
+func groupsByEngine(snap *view.Snapshot) map[string]string {
 	out := make(map[string]string)
 	for _, g := range reconcile.Groups(snap) {
 		for _, e := range g.Engines {
@@ -117,19 +118,19 @@
 		}
 		log.WithFields(log.Fields{"engine": c.Engine, "from": c.From, "to": c.To, "reason": c.Reason}).Info("planner: role change")
 		p.mu.Lock()
-		p.wishes[c.Engine] = c.To
+		p.desired[c.Engine] = c.To
 		p.mu.Unlock()
 	}
 }
 
-// observe gathers what this process knows of a model's engines, and the
-// groups that it may order.
+// observe collects the process's data on a model's engines, and the groups
+// whose lease it holds.
 func (p *rolePlanner) observe(svc *view.Service, model string, groups map[string]string) (planner.Observation, map[string]bool) {
-	_, of := p.d.members.View().Rank()
-	dem := p.d.demands.of(model)
+	_, daemons := p.d.members.View().Rank()
+	dem := p.d.demands.forModel(model)
 	obs := planner.Observation{
 		Groups:    []string{},
-		Processes: of,
+		Processes: daemons,
 		Requests:  float64(dem.requests.Load()),
 		Prefill:   float64(dem.prefill.Load()),
 		Decode:    float64(dem.decode.Load()),
--- a/process/daemon/run.go
+++ b/process/daemon/run.go
@@ -14,13 +14,13 @@
 	"github.com/pomelospool/pomelospool/request/entry"
 )
 
-// phase is where a daemon stands in its life.
+// phase is a stage in the life of a daemon.
 type phase int32
 
 const (
 	phaseStarting phase = iota
 	phaseServing
-	phaseLeaving  // out of the address answers, still serving
+	phaseLeaving  // no longer in address answers, still serving
 	phaseDraining // refuses new requests
 )
 
@@ -29,11 +29,11 @@
 
 func (d *Daemon) wireServers(keys *keys) {
 	d.callers = entry.NewServer(d.s.Limits, d.entry)
-	d.callers.TLSConfig = keys.server()
+	d.callers.TLSConfig = keys.serverTLS()
 	d.operators = &http.Server{
 		Handler:           keys.guardOperators(d.operatorRoutes()),
 		ReadHeaderTimeout: operatorTimeout,
-		TLSConfig:         keys.server(),
+		TLSConfig:         keys.serverTLS(),
 	}
 	d.peers = peer.NewServer(peer.Handlers{
 		Heartbeat: d.members.HandleHeartbeat,
@@ -46,7 +46,8 @@
 
 const operatorTimeout = 5 * time.Second
 
-// Start runs all parts and returns at once. Wait tells when they ended.
+// Start starts all parts and returns immediately. Wait blocks until they have
+// ended.
 func (d *Daemon) Start() {
 	log.WithFields(log.Fields{"vm": d.s.VM, "zone": d.s.Zone, "incarnation": d.self}).Info("daemon: starting")
 	d.tomb.Go(func() error {
@@ -74,7 +75,7 @@
 	return s.Serve(l)
 }
 
-// serve runs one server; its failure ends the daemon.
+// serve runs one server. Its failure ends the daemon.
 func (d *Daemon) serve(name string, f func() error) {
 	d.tomb.Go(func() error {
 		err := f()
@@ -86,17 +87,18 @@
 	})
 }
 
-// Wait returns when the daemon has ended.
+// Wait blocks until the daemon has ended.
 func (d *Daemon) Wait() error { return d.tomb.Wait() }
 
-// Dying is closed when the daemon ends on its own, by a failed server.
+// Dying returns a channel that is closed when the daemon begins to end, be it
+// after a stop or because a server failed.
 func (d *Daemon) Dying() <-chan struct{} { return d.tomb.Dying() }
 
-// Shutdown is the planned stop. No request is cut: first the daemon leaves
-// the address answers of all daemons and serves on until the answers that
-// callers keep have expired; then it refuses new requests as not run and
-// waits for the open ones; leases are given back last, once nothing of its
-// own needs them. ctx bounds the wait; when it ends, open requests are cut.
+// Shutdown stops the daemon as planned. First the daemon is removed from the
+// address answers of all daemons, and it keeps serving until the answers that
+// callers have cached expire. Then it refuses new requests as not run and waits
+// for the open ones. Leases are released last, when no work of its own needs
+// them. ctx bounds the wait; requests that are still open at its end are cut.
 func (d *Daemon) Shutdown(ctx context.Context) error {
 	var err error
 	d.stopOnce.Do(func() { err = d.shutdown(ctx) })
@@ -107,7 +109,7 @@
 	log.Info("daemon: leaving")
 	d.setPhase(phaseLeaving)
 	d.members.Leave()
-	wait := d.s.Control.AddressTTL + leaveSpread*d.s.Control.Heartbeat
+	wait := d.s.Control.AddressTTL + leaveHeartbeats*d.s.Control.Heartbeat
 	select {
 	case <-time.After(wait):
 	case <-ctx.Done():
@@ -116,7 +118,7 @@
 	log.Info("daemon: draining")
 	drained := d.entry.Drain(ctx)
 	if drained != nil {
-		log.WithField("open", d.entry.Open()).Warn("daemon: drain limit reached, open requests are cut")
+		log.WithField("open", d.entry.Open()).Warn("daemon: drain limit reached, cutting open requests")
 	}
 	d.handOver(ctx)
 	d.closeIdle()
@@ -127,42 +129,42 @@
 	return errors.Join(drained, err)
 }
 
-// leaveSpread is the number of heartbeat periods in which the news of a
-// leaving daemon has reached the others.
-const leaveSpread = 4
+// leaveHeartbeats is the number of heartbeat periods within which the other
+// daemons learn that this one is leaving.
+const leaveHeartbeats = 4
 
-// releaseLimit bounds the wait for the log when leases are given back. With
-// the log down they expire instead.
-const releaseLimit = 2 * time.Second
+// releaseTimeout bounds the wait for the log when leases are released. If the
+// log is unavailable, the leases expire instead.
+const releaseTimeout = 2 * time.Second
 
-// closeIdle lets callers' connections end with the answers that are on them.
+// closeIdle closes callers' connections after the answers in progress on them.
 func (d *Daemon) closeIdle() {
-	end, cancel := context.WithTimeout(context.Background(), idleLimit)
+	end, cancel := context.WithTimeout(context.Background(), idleTimeout)
 	defer cancel()
 	_ = d.callers.Shutdown(end)
 	_ = d.entry.Close()
 }
 
-// idleLimit bounds the wait for callers' connections at a stop.
-const idleLimit = time.Second
+// idleTimeout bounds the wait for callers' connections at a stop.
+const idleTimeout = time.Second
 
-// handOver gives back and writes down what others need: results of calls
-// that may not be repeated, leases, the burn report. Results have all the time
-// that ctx leaves, since one that isn't recorded is unknown for good.
+// handOver records what the other daemons need: the results of at-most-once
+// calls, the release of leases, the burn report. Results may take all the time
+// of ctx, because the outcome of a call that isn't recorded stays unknown.
 func (d *Daemon) handOver(ctx context.Context) {
 	_ = d.reconciler.Stop()
 	if err := d.once.Drain(ctx); err != nil {
-		log.WithError(err).Warn("once: results not all recorded")
+		log.WithError(err).Warn("once: failed to record all results")
 	}
-	brief, cancel := context.WithTimeout(ctx, releaseLimit)
+	brief, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	if err := d.leases.Release(brief); err != nil {
-		log.WithError(err).Warn("daemon: leases not given back")
+		log.WithError(err).Warn("daemon: failed to release leases")
 	}
 	d.saveBurn(brief)
 }
 
-// close ends every part. Requests that are still open are cut.
+// close ends all parts. Requests that are still open are cut.
 func (d *Daemon) close() {
 	d.listeners.close()
 	_ = d.callers.Close()
@@ -179,8 +181,8 @@
 	d.dialer.Close()
 }
 
-// Kill ends the daemon at once, as a crash would, without a word to anyone.
-// Tests use it; requests are cut and leases stay until they expire.
+// Kill ends the daemon immediately, as a crash would, without notifying other
+// daemons. Requests are cut and leases stay until they expire. It is for tests.
 func (d *Daemon) Kill() {
 	d.stopOnce.Do(func() {
 		d.setPhase(phaseDraining)
@@ -190,16 +192,17 @@
 	})
 }
 
-// burnLoop restores the daemon's burn report and saves it from time to time.
-// While the log is down it tries again; nothing is saved before the old
-// counts are back, or a restart in an outage would wipe them out.
+// burnLoop restores the daemon's burn report and then saves it periodically.
+// While the log is unavailable it retries the restore. Nothing is saved before
+// the old counts are restored, because a restart during an outage would
+// overwrite them.
 func (d *Daemon) burnLoop() error {
 	ctx := d.tomb.Context(context.Background())
 	tick := time.NewTicker(burn.SnapshotEvery)
 	defer tick.Stop()
 	for {
 		if err := d.burn.Load(ctx, d.platform.log); err != nil {
-			log.WithError(err).Debug("burn: report not read yet")
+			log.WithError(err).Debug("burn: failed to load report, will retry")
 		}
 		select {
 		case <-d.tomb.Dying():
@@ -212,6 +215,6 @@
 
 func (d *Daemon) saveBurn(ctx context.Context) {
 	if err := d.burn.Save(ctx, d.platform.log, d.self); err != nil {
-		log.WithError(err).Warn("burn: report not saved")
+		log.WithError(err).Warn("burn: failed to save report")
 	}
 }
--- a/process/daemon/stop_test.go
+++ b/process/daemon/stop_test.go
@@ -13,21 +13,23 @@
 	"github.com/pomelospool/pomelospool/process/settings"
 )
 
-// stop begins the planned stop of daemon i.
+// stop begins a planned stop of daemon i.
 func (f *fleet) stop(i int) <-chan error {
 	stopped := make(chan error, 1)
 	go func() { stopped <- f.daemons[i].Shutdown(context.Background()) }()
 	return stopped
 }
 
-// named reports whether daemon i names the daemon of an address to callers.
-func (f *fleet) named(i int, addr string) bool {
+// listsAddress reports whether daemon i lists the address in its address
+// answers.
+func (f *fleet) listsAddress(i int, addr string) bool {
 	f.t.Helper()
 	_, list := get(f.t, http.DefaultClient, "http://"+f.daemons[i].Listen().Callers+caller.PathAddresses)
 	return strings.Contains(list, addr)
 }
 
-// callUntil calls daemon i until the answer that named it has expired.
+// callUntil calls daemon i until the last address answer that listed it has
+// expired.
 func (f *fleet) callUntil(i int, expired <-chan time.Time) {
 	f.t.Helper()
 	c := caller.New(caller.Options{Daemons: []string{f.daemons[i].Listen().Callers}, Fixed: true, Attempts: 1})
@@ -43,37 +45,37 @@
 		default:
 		}
 		if !a.Whole || a.Code != code.OK {
-			f.t.Fatalf("call %d to an address that callers may still hold: %+v", n, a)
+			f.t.Fatalf("call %d to an address that callers may still have cached: %+v", n, a)
 		}
 	}
 }
 
-// addressTTL is how long callers hold an address.
+// addressTTL is how long callers keep an address.
 const addressTTL = 800 * time.Millisecond
 
-// A daemon is stopped for an update. Callers hold its address from an answer
-// that another daemon gave just before it heard of the stop. Until such
-// answers have expired their calls must be answered, not refused; once the
-// daemon refuses, nobody names it any more.
-func TestPlannedStopServesUntilNobodyNamesIt(t *testing.T) {
+// Guards against calls that are refused during a planned stop. Callers may have
+// the daemon's address from an answer that another daemon gave just before it
+// learned of the stop. Calls must be served until such answers have expired,
+// and no daemon may list the address once the stopping daemon refuses requests.
+func TestPlannedStopServesUntilAddressesExpire(t *testing.T) {
 	f := newFleet(t, 2, settings.TLS{})
-	p := f.plain()
-	f.inForce("feed", f.publish("feed", plainYAML(p.Addr(), time.Second)))
+	p := f.startPlain()
+	f.waitForVersion("feed", f.publish("feed", plainYAML(p.Addr(), time.Second)))
 	old := f.daemons[0]
 	addr := old.Listen().Callers
-	eventually(t, "the other daemon names it", func() bool { return f.named(1, addr) })
+	eventually(t, "the other daemon lists it", func() bool { return f.listsAddress(1, addr) })
 	old.s.Control.AddressTTL = addressTTL
-	old.s.Control.Heartbeat = 100 * time.Millisecond // gives the news more time, on a busy machine
+	old.s.Control.Heartbeat = 100 * time.Millisecond // more time for heartbeats to spread on a busy machine
 	held := time.NewTimer(addressTTL)
 	stopped := f.stop(0)
-	eventually(t, "the other daemon doesn't name it", func() bool {
+	eventually(t, "the other daemon no longer lists it", func() bool {
 		draining := old.phase() == phaseDraining
 		expires := time.NewTimer(addressTTL)
-		if !f.named(1, addr) {
+		if !f.listsAddress(1, addr) {
 			return true
 		}
 		if draining {
-			t.Fatal("it refuses requests while the other daemon names it")
+			t.Fatal("it refuses requests while the other daemon lists it")
 		}
 		held = expires
 		return false
@@ -84,13 +86,13 @@
 	}
 }
 
-// The holder of an engine group is stopped for an update. Nobody may order
-// anything of its engines until the lease time has gone by, unless it gives
-// the lease back; the successor then begins at once.
-func TestPlannedStopGivesLeasesBack(t *testing.T) {
+// Guards against a gap in orders when the holder of an engine group's lease is
+// stopped for an update. Unless the holder releases the lease, no daemon may
+// order these engines until it expires.
+func TestPlannedStopReleasesLeases(t *testing.T) {
 	f := newFleet(t, 2, settings.TLS{})
-	e := f.engine(time.Millisecond)
-	f.inForce("language", f.publish("language", modelYAML(e.Addr())))
+	e := f.startEngine(time.Millisecond)
+	f.waitForVersion("language", f.publish("language", modelYAML(e.Addr())))
 	lease := func(i int) (l fold.Lease) {
 		for _, l = range f.daemons[i].follower.State().Leases {
 		}
@@ -111,6 +113,6 @@
 	}
 	eventually(t, "a successor", func() bool { return lease(other).Holder == f.daemons[other].self })
 	if l := lease(other); l.Claim == first.Claim || !l.Clean {
-		t.Errorf("first %+v, then %+v, taken over without a release", first, l)
+		t.Errorf("first %+v, then %+v: taken over without a release", first, l)
 	}
 }
