--- a/cmd/pomelosbench/chaos.go
+++ b/cmd/pomelosbench/chaos.go
@@ -27,17 +27,17 @@
 got conflicting orders.`
 )
 
-// addChaos registers the sub-commands of the runs under faults.
+// addChaos registers the sub-commands for runs under fault injection.
 func addChaos(p *flags.Parser) {
 	add(p, "chaos-plan", "Schedule of faults", chaosPlanHelp, &chaosPlanCommand{})
 	add(p, "chaos-load", "Load that records each outcome", chaosLoadHelp, &chaosLoadCommand{})
 	add(p, "judge", "Judge a run by what callers and targets recorded", judgeHelp, &judgeCommand{})
-	add(p, "added-latency", "Time that the path adds to a direct call", addedHelp, &addedCommand{})
+	add(p, "added-latency", "Time that the path adds to a direct call", addedLatencyHelp, &addedLatencyCommand{})
 	add(p, "get", "Print what a URL answers", getHelp, &getCommand{})
 	add(p, "fault", "Switch a fault of a stand-in", faultHelp, &faultCommand{})
 }
 
-var errFaulty = errors.New("not every request was answered once and whole")
+var errFaultyRun = errors.New("not every request was answered once and whole")
 
 type chaosPlanCommand struct {
 	Seed      uint64        `long:"seed" default:"1" description:"Seed of the schedule"`
@@ -104,7 +104,7 @@
 	Planned  bool   `long:"planned" description:"Only planned changes were made: nothing may be cut, unknown or failed either"`
 }
 
-// Execute prints the judgement.
+// Execute prints the verdict.
 func (c *judgeCommand) Execute([]string) error {
 	f, err := os.Open(c.Outcomes)
 	if err != nil {
@@ -120,14 +120,14 @@
 		return err
 	}
 	rep := audit.Judge(outcomes, records)
-	for _, line := range rep.Bad[:min(len(rep.Bad), maxBad)] {
+	for _, line := range rep.Bad[:min(len(rep.Bad), maxReportedFaults)] {
 		fmt.Println(line)
 	}
 	if err := rep.Table(os.Stdout); err != nil {
 		return err
 	}
 	if !rep.Good() || c.Planned && !rep.Untouched() {
-		return errFaulty
+		return errFaultyRun
 	}
 	return nil
 }
@@ -143,8 +143,8 @@
 	return rec, err
 }
 
-// maxBad bounds the faulty requests that are told one by one.
-const maxBad = 30
+// maxReportedFaults bounds the faulty requests that are printed individually.
+const maxReportedFaults = 30
 
 var errNoRecords = errors.New("no records, nothing to judge by")
 
--- a/cmd/pomelosbench/get.go
+++ b/cmd/pomelosbench/get.go
@@ -19,7 +19,7 @@
 
 const (
 	getTimeout = 2 * time.Second
-	getPause   = 50 * time.Millisecond
+	retryPause = 50 * time.Millisecond
 )
 
 type getCommand struct {
@@ -42,7 +42,7 @@
 		if time.Now().After(end) {
 			return err
 		}
-		time.Sleep(getPause)
+		time.Sleep(retryPause)
 	}
 }
 
@@ -57,12 +57,12 @@
 func (c *faultCommand) Execute([]string) error {
 	_, err := fetch(http.MethodPost, "http://"+c.Args.Addr+"/_standin/fault", c.Args.Fault, nil)
 	if strings.Contains(c.Args.Fault, `"crash"`) && (errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)) {
-		return nil // it ended before it could answer, as it was told
+		return nil // a crashing stand-in ends before it can answer
 	}
 	return err
 }
 
-// fetch asks once and returns the body of a good answer.
+// fetch sends one request and returns the body of an answer with status 200.
 func fetch(method, url, body string, has []string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), getTimeout)
 	defer cancel()
--- a/cmd/pomelosbench/main.go
+++ b/cmd/pomelosbench/main.go
@@ -1,4 +1,4 @@
-// Command pomelosbench runs the project's measurements, each a sub-command.
+// Command pomelosbench runs the project's benchmarks, one per sub-command.
 package main
 
 import (
@@ -16,8 +16,8 @@
 	add(parser, "policy", "Goodput and role changes over traces", policyHelp, &policyCommand{})
 	addChaos(parser)
 	if _, err := parser.Parse(); err != nil {
-		var fe *flags.Error
-		if errors.As(err, &fe) && fe.Type == flags.ErrHelp {
+		var flagsErr *flags.Error
+		if errors.As(err, &flagsErr) && flagsErr.Type == flags.ErrHelp {
 			return 0
 		}
 		return 1
@@ -25,7 +25,8 @@
 	return 0
 }
 
-// add registers a sub-command. An error here is a fault of the program.
+// add registers a sub-command. It panics on an error, which is a programming
+// error.
 func add(p *flags.Parser, name, short, long string, cmd flags.Commander) {
 	if _, err := p.AddCommand(name, short, long, cmd); err != nil {
 		panic(err)
--- a/cmd/pomelosbench/plot.go
+++ b/cmd/pomelosbench/plot.go
@@ -15,18 +15,19 @@
 	plotWidth  = 10 * vg.Inch
 	plotHeight = 6 * vg.Inch
 
-	// legendShare is the room for the legend, as a share of the highest value.
-	legendShare = 0.55
+	// legendHeightShare is the space for the legend, as a share of the highest
+	// value.
+	legendHeightShare = 0.55
 )
 
-// colours tell the systems apart in the order of the results.
+// colours distinguish the systems, in the order of the results.
 var colours = []color.RGBA{
 	{0x00, 0x6d, 0x2c, 0xff}, {0xd9, 0x5f, 0x0e, 0xff}, {0x99, 0x99, 0x99, 0xff},
 	{0x75, 0x6b, 0xb1, 0xff}, {0x31, 0x82, 0xbd, 0xff}, {0xde, 0x2d, 0x26, 0xff},
 }
 
-// writePlot draws offered work and each system's goodput over time. The
-// suffix of the file name gives the format.
+// writePlot draws the offered work and each system's goodput over time. The
+// suffix of the file name selects the format.
 func writePlot(file, title string, results []policy.Result) error {
 	p := plot.New()
 	p.Title.Text = title
@@ -49,9 +50,9 @@
 		p.Add(line)
 		p.Legend.Add(fmt.Sprintf("%s (%d changes)", r.System, r.Changes), line)
 	}
-	// The legend stands above the lines, in room made for it.
+	// Extend the y axis so that the legend doesn't cover the lines.
 	p.Y.Min = 0
-	p.Y.Max *= 1 + legendShare
+	p.Y.Max *= 1 + legendHeightShare
 	p.Legend.Padding = vg.Points(2)
 	p.Legend.Left = true
 	p.Legend.XOffs = vg.Points(8)
--- a/cmd/pomelosbench/policy.go
+++ b/cmd/pomelosbench/policy.go
@@ -70,7 +70,7 @@
 	return printTable(os.Stdout, reports)
 }
 
-// plot writes the plot of a trace, if one is asked for.
+// plot writes the plot of a trace if --plot is given.
 func (c *policyCommand) plot(name string, traces int, results []policy.Result) error {
 	if c.Plot == "" {
 		return nil
@@ -82,7 +82,7 @@
 	return writePlot(file, c.Deployment+", "+name, results)
 }
 
-// parseSeeds reads "7" or "1-5".
+// parseSeeds parses a seed, such as "7", or a range of seeds, such as "1-5".
 func parseSeeds(s string) ([]uint64, error) {
 	from, to, ranged := strings.Cut(s, "-")
 	if !ranged {
--- a/cmd/pomelosctl/main.go
+++ b/cmd/pomelosctl/main.go
@@ -1,4 +1,4 @@
-// Command pomelosctl is the tool of operators and callers.
+// Command pomelosctl is the command line tool for operators and callers.
 package main
 
 import (
--- a/cmd/pomelospoold/front.go
+++ b/cmd/pomelospoold/front.go
@@ -10,7 +10,7 @@
 	"github.com/pomelospool/pomelospool/process/settings"
 )
 
-// runFront runs the daemon of a platform with a store until a signal ends it.
+// runFront runs the daemon of a platform with a store until a stop signal.
 func runFront(o options, s *settings.Settings, signals <-chan os.Signal) error {
 	defer front.SetLog(s.Log, os.Stdout)()
 	log.WithField("vm", s.VM).Info("front: handles signals")
@@ -26,7 +26,7 @@
 				reload(d, o.Settings)
 				continue
 			}
-			log.WithField("signal", sig.String()).Info("front: asked to stop")
+			log.WithField("signal", sig.String()).Info("front: received signal, stopping")
 			return d.Shutdown()
 		case <-d.Dying():
 			return d.Wait()
@@ -34,11 +34,11 @@
 	}
 }
 
-// reload reads the settings again. With a wrong file the old ones stay.
+// reload reads the settings again. If they are invalid, the old ones stay.
 func reload(d *front.Daemon, path string) {
 	s, err := settings.Load(path)
 	if err != nil {
-		log.WithError(err).Error("front: settings not reloaded")
+		log.WithError(err).Error("front: failed to reload settings")
 		return
 	}
 	d.Reload(s)
--- a/cmd/pomelospoold/main.go
+++ b/cmd/pomelospoold/main.go
@@ -1,4 +1,4 @@
-// Command pomelospoold is the entry daemon; every VM runs a copy alike.
+// Command pomelospoold is the daemon. Every VM runs the same one.
 package main
 
 import (
@@ -16,14 +16,16 @@
 	"github.com/pomelospool/pomelospool/process/settings"
 )
 
-// options of the command line; all else stands in the settings file.
+// options are the command line's options. All other settings are in the
+// settings file.
 type options struct {
 	Settings string `long:"settings" value-name:"FILE" required:"true" description:"Settings of this daemon, in YAML"`
 	Check    bool   `long:"check" description:"Check the settings and exit"`
 }
 
 func main() {
-	// First of all: until then a signal to stop ends the process by itself.
+	// Signals are registered first, because before that a stop signal kills the
+	// process without a planned stop.
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	var o options
@@ -41,8 +43,8 @@
 const exitUsage = 2
 
 func usage(err error) int {
-	var fe *flags.Error
-	if errors.As(err, &fe) && fe.Type == flags.ErrHelp {
+	var flagsErr *flags.Error
+	if errors.As(err, &flagsErr) && flagsErr.Type == flags.ErrHelp {
 		return 0
 	}
 	return exitUsage
@@ -65,7 +67,7 @@
 		return err
 	}
 	d.Start()
-	if !askedToStop(signals, d.Dying()) {
+	if !waitForStop(signals, d.Dying()) {
 		return d.Wait()
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), s.Control.DrainLimit)
@@ -73,13 +75,14 @@
 	return d.Shutdown(ctx)
 }
 
-// askedToStop waits for a signal to stop; false: the daemon ended on its own. A
-// daemon without a store takes no settings over while it runs.
-func askedToStop(signals <-chan os.Signal, dying <-chan struct{}) bool {
+// waitForStop waits for a signal to stop and returns true, or false if the
+// daemon ends by itself. SIGHUP is ignored: a daemon without a store can't
+// reload its settings.
+func waitForStop(signals <-chan os.Signal, dying <-chan struct{}) bool {
 	for {
 		select {
 		case sig := <-signals:
-			log.WithField("signal", sig.String()).Info("daemon: signal")
+			log.WithField("signal", sig.String()).Info("daemon: received signal")
 			if sig != syscall.SIGHUP {
 				return true
 			}
--- a/cmd/pomelostandin/main.go
+++ b/cmd/pomelostandin/main.go
@@ -1,5 +1,5 @@
-// Command pomelostandin runs one small stand-in for an outside system of
-// pomelospool: log service, VM list, weight store, model engine or plain
+// Command pomelostandin runs a small stand-in for an external system of
+// pomelospool: a log service, VM list, weight store, model engine or plain
 // service. It is for tests and the demo.
 package main
 
@@ -13,7 +13,7 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// exitCrash is the status of a process that crashed on command.
+// exitCrash is the exit status of a stand-in that was told to crash.
 const exitCrash = 3
 
 // options has one field for each sub-command.
@@ -29,10 +29,10 @@
 	parser := flags.NewParser(&options{}, flags.HelpFlag|flags.PassDoubleDash)
 	parser.LongDescription = "Each stand-in takes faults at POST /_standin/fault and tells what it saw at GET /_standin/record."
 	_, err := parser.Parse()
-	var asked *flags.Error
+	var flagsErr *flags.Error
 	switch {
 	case err == nil:
-	case errors.As(err, &asked) && asked.Type == flags.ErrHelp:
+	case errors.As(err, &flagsErr) && flagsErr.Type == flags.ErrHelp:
 		fmt.Println(err)
 	default:
 		fmt.Fprintln(os.Stderr, "pomelostandin:", err)
@@ -40,14 +40,14 @@
 	}
 }
 
-// server is what each stand-in offers.
+// server is implemented by every stand-in.
 type server interface {
 	Run(addr string) error
 	Addr() string
 	Close() error
 }
 
-// listen is the part that all sub-commands share.
+// listen holds the options that all sub-commands share.
 type listen struct {
 	Listen string `long:"listen" default:"127.0.0.1:0" description:"host and port to listen on"`
 }
--- a/process/internal/storetest/store.go
+++ b/process/internal/storetest/store.go
@@ -1,4 +1,4 @@
-// Package storetest holds a store in memory for tests.
+// Package storetest provides an in-memory store with fault injection for tests.
 package storetest
 
 import (
@@ -12,35 +12,36 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// Store is a port.Store of keyed topics. Its zero value is empty.
+// Store implements port.Store for keyed topics. Its zero value is an empty
+// store.
 type Store struct {
-	mu     sync.Mutex
-	topics map[port.Topic][]port.KeyedRecord
-	away   bool
-	lose   bool
+	mu          sync.Mutex
+	topics      map[port.Topic][]port.KeyedRecord
+	unavailable bool
+	loseAnswers bool
 }
 
 var _ port.Store = (*Store)(nil)
 
-// SetAway has calls fail, with no effect.
+// SetAway makes calls fail without effect, or work again.
 func (s *Store) SetAway(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = on
+	s.unavailable = on
 }
 
-// LoseAnswers has writes done and not answered.
+// LoseAnswers makes writes take effect but return an error.
 func (s *Store) LoseAnswers(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lose = on
+	s.loseAnswers = on
 }
 
 // Newest implements port.Store.
 func (s *Store) Newest(_ context.Context, t port.Topic, _ string) (port.KeyedPage, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.away {
+	if s.unavailable {
 		return port.KeyedPage{}, port.ErrUnavailable
 	}
 	newest := make(map[string]port.KeyedRecord)
@@ -54,7 +55,7 @@
 func (s *Store) PutAt(_ context.Context, t port.Topic, key string, value []byte, at int64) (int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.away {
+	if s.unavailable {
 		return 0, port.ErrUnavailable
 	}
 	if at != int64(len(s.topics[t])) {
@@ -64,20 +65,20 @@
 		s.topics = make(map[port.Topic][]port.KeyedRecord)
 	}
 	s.topics[t] = append(s.topics[t], port.KeyedRecord{Key: key, Value: value, Offset: at})
-	if s.lose {
+	if s.loseAnswers {
 		return 0, port.ErrUnavailable
 	}
 	return at, nil
 }
 
-var errNotUsed = errors.New("storetest: not used")
+var errNotImplemented = errors.New("storetest: not implemented")
 
-// Put implements port.Store. It isn't used.
+// Put implements port.Store. It always returns an error.
 func (s *Store) Put(context.Context, port.Topic, string, []byte) (int64, error) {
-	return 0, errNotUsed
+	return 0, errNotImplemented
 }
 
-// Read implements port.Store. It isn't used.
+// Read implements port.Store. It always returns an error.
 func (s *Store) Read(context.Context, port.Topic, int64, time.Duration) (port.KeyedBatch, error) {
-	return port.KeyedBatch{}, errNotUsed
+	return port.KeyedBatch{}, errNotImplemented
 }
--- a/process/settings/load.go
+++ b/process/settings/load.go
@@ -10,7 +10,7 @@
 	"github.com/pomelospool/pomelospool/internal/yamlcheck"
 )
 
-// MaxBytes is the size of the largest settings file.
+// MaxBytes is the maximum size of a settings file.
 const MaxBytes = 64 << 10
 
 // Bounds of values.
@@ -35,12 +35,12 @@
 	maxCores       = 10_000.0
 )
 
-// heartbeatsToDead is how many heartbeats must at least fit into dead_after:
-// one lost probe alone must not make a peer count as dead.
-const heartbeatsToDead = 2
+// minHeartbeatsToDead is the minimum number of heartbeats within dead_after, so
+// that a single lost probe doesn't make a peer count as dead.
+const minHeartbeatsToDead = 2
 
-// Default returns the settings of a daemon with every optional key at its
-// default and the required ones empty.
+// Default returns settings with every optional key at its default and the
+// required keys empty.
 func Default() *Settings {
 	return &Settings{
 		Control: Control{
@@ -81,7 +81,7 @@
 }
 
 // Load reads and checks the settings file at path. The error lists every
-// problem of the file, one a line, and code.Of gives the code of the first.
+// problem of the file, one per line, and code.Of returns the code of the first.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -94,8 +94,8 @@
 	return s, nil
 }
 
-// Parse checks the settings in data. It returns either whole settings with
-// the defaults filled in, or nil and every problem found, never both.
+// Parse checks the settings in data. It returns either complete settings with
+// defaults filled in, or nil and all problems.
 func Parse(file string, data []byte) (*Settings, []*yamlcheck.Problem) {
 	s := Default()
 	f := yamlcheck.Decode(file, data, MaxBytes, s)
@@ -178,14 +178,14 @@
 	yamlcheck.Range(f, "control.watch", c.Watch, minWatch, maxWatch)
 	yamlcheck.Range(f, "control.load_reads", c.LoadReads, minLoadReads, maxLoadReads)
 	yamlcheck.Range(f, "control.once_appends", c.OnceAppends, minOnceAppends, maxOnceAppends)
-	if c.DeadAfter < heartbeatsToDead*c.Heartbeat {
+	if c.DeadAfter < minHeartbeatsToDead*c.Heartbeat {
 		f.Report("control.dead_after", code.DocInconsistent,
-			fmt.Sprintf("%v holds fewer than %d heartbeats of %v", c.DeadAfter, heartbeatsToDead, c.Heartbeat),
-			fmt.Sprintf("at least %v", heartbeatsToDead*c.Heartbeat))
+			fmt.Sprintf("%v holds fewer than %d heartbeats of %v", c.DeadAfter, minHeartbeatsToDead, c.Heartbeat),
+			fmt.Sprintf("at least %v", minHeartbeatsToDead*c.Heartbeat))
 	}
 	if c.DrainLimit < c.AddressTTL {
-		// Callers keep coming for as long as they keep an address, so a stop
-		// that ends before would refuse or cut them.
+		// Callers keep using an address for as long as they cache it, so a stop
+		// that ends earlier would refuse or cut their requests.
 		f.Report("control.drain_limit", code.DocInconsistent,
 			fmt.Sprintf("%v is shorter than control.address_ttl, %v", c.DrainLimit, c.AddressTTL), "give a longer time")
 	}
@@ -218,7 +218,8 @@
 	}
 }
 
-// anyPort reports whether addr asks for a free port, as tests do.
+// anyPort reports whether addr has port 0, with which the system chooses a free
+// port, as tests do.
 func anyPort(addr string) bool {
 	_, port, err := net.SplitHostPort(addr)
 	return err == nil && port == "0"
--- a/process/settings/load_test.go
+++ b/process/settings/load_test.go
@@ -13,7 +13,8 @@
 	"github.com/pomelospool/pomelospool/internal/yamlcheck"
 )
 
-// Each bad sample gives exactly the lines of its golden file, and no settings.
+// Each invalid sample must produce exactly the lines of its golden file and no
+// settings.
 func TestBadSamplesGiveExactMessages(t *testing.T) {
 	files, err := filepath.Glob("testdata/bad/*.yaml")
 	if err != nil || len(files) == 0 {
@@ -24,7 +25,7 @@
 		t.Run(name, func(t *testing.T) {
 			s, err := Load(file)
 			if s != nil || err == nil {
-				t.Fatal("bad settings were returned")
+				t.Fatal("invalid settings were accepted")
 			}
 			var problems yamlcheck.Problems
 			if !errors.As(err, &problems) || code.Of(err) != problems[0].Code {
@@ -35,8 +36,8 @@
 	}
 }
 
-// The example gives every default, so loading it equals the defaults beside
-// the required keys.
+// The example file states every default, so loading it must give the defaults
+// apart from the required keys.
 func TestExampleStatesTheDefaults(t *testing.T) {
 	s, err := Load("../../examples/pomelospoold.yaml")
 	if err != nil {
--- a/process/settings/store.go
+++ b/process/settings/store.go
@@ -7,14 +7,14 @@
 	"github.com/pomelospool/pomelospool/internal/yamlcheck"
 )
 
-// Bounds of the values beside a store.
+// Bounds of values that apply only with a store.
 const (
-	maxRatio   = 10.0
-	maxSlack   = 1_000_000.0
-	noFraction = 0.0
+	maxRetryRatio  = 10.0
+	maxRetrySlack  = 1_000_000.0
+	minRetryBudget = 0.0
 )
 
-// HasStore reports whether the platform keeps configuration and targets in one
+// HasStore reports whether the platform keeps configuration and targets in a
 // store.
 func (s *Settings) HasStore() bool { return s.Store.Addr != "" }
 
@@ -40,8 +40,8 @@
 	f.Duration("bounds.retry_window", b.RetryWindow, minTime, maxTime)
 	f.Duration("bounds.apply_config", b.ApplyConfig, minTime, maxTime)
 	f.Duration("bounds.drain", b.Drain, minTime, maxTime)
-	yamlcheck.Range(f, "bounds.retry_ratio", b.RetryRatio, noFraction, maxRatio)
-	yamlcheck.Range(f, "bounds.retry_slack", b.RetrySlack, noFraction, maxSlack)
+	yamlcheck.Range(f, "bounds.retry_ratio", b.RetryRatio, minRetryBudget, maxRetryRatio)
+	yamlcheck.Range(f, "bounds.retry_slack", b.RetrySlack, minRetryBudget, maxRetrySlack)
 }
 
 func checkDuties(f *yamlcheck.File, d Duties) {
--- a/process/status/fetch.go
+++ b/process/status/fetch.go
@@ -14,34 +14,34 @@
 )
 
 const (
-	maxAnswer = 16 << 20
-	maxAsking = 32 // daemons asked at once
-	keepIdle  = 10 * time.Second
+	maxResponseBytes   = 16 << 20
+	maxConcurrentCalls = 32
+	idleConnTimeout    = 10 * time.Second
 )
 
-// Client asks daemons on their operators' ports.
+// Client queries daemons on their operators' ports.
 type Client struct {
 	http   *http.Client
 	scheme string
 	token  string
 }
 
-// NewClient returns a client. conf nil means plain TCP; token is sent as a
-// bearer token unless it is empty.
+// NewClient returns a client. A nil conf means plain TCP. The token is sent as
+// a bearer token unless it is empty.
 func NewClient(conf *tls.Config, token string) *Client {
 	c := &Client{scheme: "http", token: token}
-	c.http = &http.Client{Transport: &http.Transport{TLSClientConfig: conf, IdleConnTimeout: keepIdle}}
+	c.http = &http.Client{Transport: &http.Transport{TLSClientConfig: conf, IdleConnTimeout: idleConnTimeout}}
 	if conf != nil {
 		c.scheme = "https"
 	}
 	return c
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Get decodes the JSON that the daemon at addr answers on path. Its error has
-// code.DaemonUnreachable, or code.NotAuthorized.
+// Get decodes the JSON at the given path of the daemon at addr. Its error has
+// code.DaemonUnreachable or code.NotAuthorized.
 func (c *Client) Get(ctx context.Context, addr, path string, out any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.scheme+"://"+addr+path, nil)
 	if err != nil {
@@ -55,7 +55,7 @@
 		return code.Wrap(code.DaemonUnreachable, err, "%s", addr)
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	switch {
 	case err != nil:
 		return code.Wrap(code.DaemonUnreachable, err, "%s", addr)
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// Fetch asks every daemon at once. Each gets timeout; one that doesn't answer
-// stands in the fleet with its error.
+// Fetch queries all daemons concurrently, each with the timeout. A daemon that
+// doesn't answer is included with its error.
 func (c *Client) Fetch(ctx context.Context, addrs []string, timeout time.Duration) Fleet {
 	answers := make([]Answer, len(addrs))
 	c.Each(ctx, addrs, timeout, func(ctx context.Context, i int) {
@@ -87,15 +87,16 @@
 	return NewFleet(answers)
 }
 
-// Each calls ask for every address, several at once, and waits for all.
-func (c *Client) Each(ctx context.Context, addrs []string, timeout time.Duration, ask func(ctx context.Context, i int)) {
+// Each runs call for every address, up to maxConcurrentCalls at once, and waits
+// for all.
+func (c *Client) Each(ctx context.Context, addrs []string, timeout time.Duration, call func(ctx context.Context, i int)) {
 	var g errgroup.Group
-	g.SetLimit(maxAsking)
+	g.SetLimit(maxConcurrentCalls)
 	for i := range addrs {
 		g.Go(func() error {
 			ctx, cancel := context.WithTimeout(ctx, timeout)
 			defer cancel()
-			ask(ctx, i)
+			call(ctx, i)
 			return nil
 		})
 	}
--- a/process/status/status.go
+++ b/process/status/status.go
@@ -1,5 +1,5 @@
-// Package status is what a daemon says about itself on GET /status of its
-// operators' port, and the view over a fleet made from several such answers.
+// Package status defines a daemon's answer to GET /status on its operators'
+// port. It also combines such answers to a view of the fleet.
 package status
 
 import (
@@ -10,10 +10,10 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// Path is where daemons answer with a Status in JSON.
+// Path is the path at which daemons serve a Status in JSON.
 const Path = "/status"
 
-// StateLive is the state of a member or target that works.
+// StateLive is the state of a functioning member or target.
 const StateLive = "live"
 
 // Status is one daemon's own view.
@@ -23,8 +23,8 @@
 	Incarnation string    `json:"incarnation"`
 	Callers     string    `json:"callers"` // address for callers
 	State       string    `json:"state"`   // serving, isolated, draining, starting
-	Code        code.Code `json:"code"`    // why new requests are refused, 0 if they aren't
-	Applied     int64     `json:"applied"` // control offset in force
+	Code        code.Code `json:"code"`    // why new requests are refused, 0 if they are accepted
+	Applied     int64     `json:"applied"` // offset of the newest applied control record
 	LogAgeMs    int64     `json:"log_age_ms"`
 	Services    []Service `json:"services"`
 	Members     []Member  `json:"members"`
@@ -39,7 +39,7 @@
 	Version int64  `json:"version"`
 }
 
-// Member is another daemon as this one sees it.
+// Member is another daemon in the view of this one.
 type Member struct {
 	Daemon      string `json:"daemon"`
 	Zone        string `json:"zone"`
@@ -52,10 +52,10 @@
 type Lease struct {
 	Group  string `json:"group"`
 	Fence  int64  `json:"fence"`   // offset of the claim
-	LeftMs int64  `json:"left_ms"` // how long it may act without another read of the log
+	LeftMs int64  `json:"left_ms"` // how long the holder may act without another read of the log
 }
 
-// Target is a target as this daemon sees it.
+// Target is a target in the view of this daemon.
 type Target struct {
 	Service  string    `json:"service"`
 	Name     string    `json:"name"`
@@ -67,24 +67,24 @@
 	LoadAge  int64     `json:"load_age_ms"` // -1 if no load was ever read
 }
 
-// Fleet is the view over all daemons that were asked.
+// Fleet is the combined view of all queried daemons.
 type Fleet struct {
 	Asked    int        `json:"asked"`
 	Answered int        `json:"answered"`
-	Daemons  []Answer   `json:"daemons"` // in the order in which they were named
+	Daemons  []Answer   `json:"daemons"` // in the order of the queried addresses
 	Services []Coverage `json:"services"`
 }
 
-// Answer is one daemon's answer, or why there is none.
+// Answer is the answer of one daemon, or the reason why there is none.
 type Answer struct {
-	Addr   string    `json:"addr"` // operators' port that was asked
+	Addr   string    `json:"addr"` // address of the operators' port
 	Status *Status   `json:"status,omitempty"`
 	Code   code.Code `json:"code"` // code.DaemonUnreachable without an answer
 	Error  string    `json:"error,omitempty"`
 }
 
-// Coverage says on how many daemons the newest version of a service is in
-// force. A daemon that didn't answer counts in Of, never in On.
+// Coverage is the number of daemons on which the newest version of a service is
+// in force. A daemon that didn't answer counts as queried only.
 type Coverage struct {
 	Name    string `json:"name"`
 	Version int64  `json:"version"`
@@ -92,7 +92,7 @@
 	Of      int    `json:"of"`
 }
 
-// NewFleet sums up the answers.
+// NewFleet combines the answers.
 func NewFleet(answers []Answer) Fleet {
 	f := Fleet{Asked: len(answers), Daemons: answers}
 	versions := make(map[string]map[int64]int)
@@ -119,8 +119,8 @@
 	return f
 }
 
-// Version returns the newest version of a service in force on any daemon, 0
-// for none.
+// Version returns the newest version of a service in force on any daemon, 0 for
+// none.
 func (f Fleet) Version(service string) int64 {
 	for _, c := range f.Services {
 		if c.Name == service {
@@ -130,7 +130,8 @@
 	return 0
 }
 
-// VersionOf returns the version of a service in force here, 0 for none.
+// VersionOf returns the version of a service in force on this daemon, 0 for
+// none.
 func (s *Status) VersionOf(service string) int64 {
 	for _, svc := range s.Services {
 		if svc.Name == service {
@@ -140,7 +141,7 @@
 	return 0
 }
 
-// MemberCount says how many of the members are live, as 3/4.
+// MemberCount returns the share of live members in a form like 3/4.
 func (s *Status) MemberCount() string {
 	live := 0
 	for _, m := range s.Members {
@@ -151,7 +152,7 @@
 	return fmt.Sprintf("%d/%d", live, len(s.Members))
 }
 
-// TargetCount says how many of the targets are live, as 11/12.
+// TargetCount returns the share of live targets in a form like 11/12.
 func (s *Status) TargetCount() string {
 	live := 0
 	for _, t := range s.Targets {
