--- a/operator/burnview/fetch.go
+++ b/operator/burnview/fetch.go
@@ -30,7 +30,7 @@
 func Fetch(ctx context.Context, c *status.Client, addrs []string, timeout time.Duration) View {
 	reports := make([]*burn.Report, len(addrs))
 	errs := make([]error, len(addrs))
-	c.Each(ctx, addrs, timeout, func(ctx context.Context, i int) {
+	c.ForEach(ctx, addrs, timeout, func(ctx context.Context, i int) {
 		reports[i] = new(burn.Report)
 		errs[i] = c.Get(ctx, addrs[i], burn.Path, reports[i])
 	})
--- a/operator/ctl/status.go
+++ b/operator/ctl/status.go
@@ -42,7 +42,7 @@
 func (c *statusCommand) print(f status.Fleet) {
 	for _, s := range f.Services {
 		if c.Service == "" || c.Service == s.Name {
-			c.app.printf("version %d of %s in force on %d of %d daemons\n", s.Version, s.Name, s.On, s.Of)
+			c.app.printf("version %d of %s in force on %d of %d daemons\n", s.Version, s.Name, s.InForce, s.Queried)
 		}
 	}
 	w := tabwriter.NewWriter(c.app.out, 0, 0, 2, ' ', 0)
--- a/process/daemon/control.go
+++ b/process/daemon/control.go
@@ -107,7 +107,7 @@
 	for _, svc := range snap.Services {
 		targets += len(svc.Doc.Targets)
 	}
-	share := min(1, float64(d.s.Control.Watch)/float64(max(targets, 1)))
+	share := min(1, float64(d.s.Control.WatchedTargets)/float64(max(targets, 1)))
 	d.router.SetRouterCount(max(1, int(math.Round(float64(daemons)*share))))
 }
 
--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -246,7 +246,7 @@
 		Connect:  connectEngine,
 		Wish:     d.planner.desiredRole,
 		Weights:  d.platform.weights,
-		Every:    d.s.Control.Look,
+		Every:    d.s.Control.EngineCheckInterval,
 	})
 }
 
@@ -288,8 +288,8 @@
 		Process:      d.s.VM,
 		Zone:         d.s.Zone,
 		PollInterval: d.s.Control.LoadPoll,
-		WatchLimit:   d.s.Control.Watch,
-		CallRate:     d.s.Control.LoadReads,
+		WatchLimit:   d.s.Control.WatchedTargets,
+		CallRate:     d.s.Control.LoadReadRate,
 		OnCrash:      d.crashes.Crashed,
 	})
 	d.router = routing.New(routing.Options{KVTransferRate: kvTransferRate})
--- a/process/daemon/parts.go
+++ b/process/daemon/parts.go
@@ -16,7 +16,7 @@
 		Members: d.onceMembers,
 		Client:  d.dialer.Client,
 		Window:  d.onceWindow,
-		Rate:    d.s.Control.OnceAppends,
+		Rate:    d.s.Control.OnceAppendRate,
 	})
 }
 
--- a/process/follow/follow_test.go
+++ b/process/follow/follow_test.go
@@ -117,7 +117,7 @@
 			fs = append(fs, start(t, l, Options{Self: fmt.Sprint(i), Rank: func() int { return i }}))
 		}
 		advance(time.Second)
-		l.Down(true)
+		l.SetDown(true)
 		done := make(chan error, len(fs))
 		for i, f := range fs {
 			go func() {
@@ -129,7 +129,7 @@
 		if !fs[0].LogDown() {
 			t.Error("the outage was not noticed")
 		}
-		l.Down(false)
+		l.SetDown(false)
 		rush := 0
 		for range 60 {
 			before, _ := l.Counts()
@@ -164,7 +164,7 @@
 		l, cut := &logtest.Log{}, &logtest.Log{}
 		a := start(t, l, Options{Self: "a", Checkpoint: 10})
 		old := start(t, l, Options{Self: "old", Rank: func() int { return 9 }})
-		cut.Down(true)
+		cut.SetDown(true)
 		publish(t, l, "v1", 0)
 		advance(time.Second)
 		b := start(t, cut, Options{Self: "b", Peers: peer{a}})
--- a/process/internal/logtest/log.go
+++ b/process/internal/logtest/log.go
@@ -23,8 +23,8 @@
 	appended    chan struct{}
 }
 
-// Down makes the log unavailable, or available again.
-func (l *Log) Down(down bool) {
+// SetDown makes the log unavailable, or available again.
+func (l *Log) SetDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.down = down
--- a/process/internal/storetest/store.go
+++ b/process/internal/storetest/store.go
@@ -23,8 +23,8 @@
 
 var _ port.Store = (*Store)(nil)
 
-// SetAway makes calls fail without effect, or work again.
-func (s *Store) SetAway(on bool) {
+// SetUnavailable makes calls fail without effect, or work again.
+func (s *Store) SetUnavailable(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.unavailable = on
--- a/process/reconcile/reconciler_test.go
+++ b/process/reconcile/reconciler_test.go
@@ -65,9 +65,9 @@
 		{"answer of the log lost", func(f *fleet) { f.log.LoseAnswers(5) }, "v1 v2 "},
 		{"answer of the engine lost", func(f *fleet) { f.engines["e0"].lose = 3 }, "v1 v2 "},
 		{"log down for minutes", func(f *fleet) {
-			f.log.Down(true)
+			f.log.SetDown(true)
 			advance(3 * time.Minute)
-			f.log.Down(false)
+			f.log.SetDown(false)
 		}, "v1 v2 "},
 		{"holder cut off from the log, not dead", func(f *fleet) {
 			f.daemons[0].link.set(true)
--- a/process/settings/load.go
+++ b/process/settings/load.go
@@ -44,19 +44,19 @@
 func Default() *Settings {
 	return &Settings{
 		Control: Control{
-			Lease:       3 * time.Second,
-			Drift:       time.Second,
-			Heartbeat:   500 * time.Millisecond,
-			DeadAfter:   3 * time.Second,
-			Isolation:   5 * time.Second,
-			Checkpoint:  500,
-			AddressTTL:  5 * time.Second,
-			DrainLimit:  time.Minute,
-			LoadPoll:    250 * time.Millisecond,
-			Look:        time.Second,
-			Watch:       64,
-			LoadReads:   250,
-			OnceAppends: 30,
+			Lease:               3 * time.Second,
+			Drift:               time.Second,
+			Heartbeat:           500 * time.Millisecond,
+			DeadAfter:           3 * time.Second,
+			Isolation:           5 * time.Second,
+			Checkpoint:          500,
+			AddressTTL:          5 * time.Second,
+			DrainLimit:          time.Minute,
+			LoadPoll:            250 * time.Millisecond,
+			EngineCheckInterval: time.Second,
+			WatchedTargets:      64,
+			LoadReadRate:        250,
+			OnceAppendRate:      30,
 		},
 		Limits: Limits{
 			HeaderBytes: 32 << 10,
@@ -174,10 +174,10 @@
 	f.Duration("control.drain_limit", c.DrainLimit, minTime, maxTime)
 	f.Duration("control.load_poll", c.LoadPoll, minTime, maxTime)
 	yamlcheck.Range(f, "control.checkpoint", c.Checkpoint, minCheckpoint, maxCheckpoint)
-	f.Duration("control.look", c.Look, minTime, maxTime)
-	yamlcheck.Range(f, "control.watch", c.Watch, minWatch, maxWatch)
-	yamlcheck.Range(f, "control.load_reads", c.LoadReads, minLoadReads, maxLoadReads)
-	yamlcheck.Range(f, "control.once_appends", c.OnceAppends, minOnceAppends, maxOnceAppends)
+	f.Duration("control.look", c.EngineCheckInterval, minTime, maxTime)
+	yamlcheck.Range(f, "control.watch", c.WatchedTargets, minWatch, maxWatch)
+	yamlcheck.Range(f, "control.load_reads", c.LoadReadRate, minLoadReads, maxLoadReads)
+	yamlcheck.Range(f, "control.once_appends", c.OnceAppendRate, minOnceAppends, maxOnceAppends)
 	if c.DeadAfter < minHeartbeatsToDead*c.Heartbeat {
 		f.Report("control.dead_after", code.DocInconsistent,
 			fmt.Sprintf("%v holds fewer than %d heartbeats of %v", c.DeadAfter, minHeartbeatsToDead, c.Heartbeat),
--- a/process/settings/types.go
+++ b/process/settings/types.go
@@ -91,19 +91,19 @@
 
 // Control holds the parameters of the control state.
 type Control struct {
-	Lease       time.Duration `yaml:"lease,omitempty"`        // T: how long a holder may act after the start of a tail read; 3s
-	Drift       time.Duration `yaml:"drift,omitempty"`        // allowance for clock drift on top of T; 1s
-	Heartbeat   time.Duration `yaml:"heartbeat,omitempty"`    // interval between probes; 500ms
-	DeadAfter   time.Duration `yaml:"dead_after,omitempty"`   // time without contact until a peer counts as dead; 3s
-	Isolation   time.Duration `yaml:"isolation,omitempty"`    // time without log and peers until new work is refused; 5s
-	Checkpoint  int           `yaml:"checkpoint,omitempty"`   // records between checkpoints; 500
-	AddressTTL  time.Duration `yaml:"address_ttl,omitempty"`  // how long callers keep addresses; 5s
-	DrainLimit  time.Duration `yaml:"drain_limit,omitempty"`  // maximum wait for open streams at a stop; 60s
-	LoadPoll    time.Duration `yaml:"load_poll,omitempty"`    // interval between load reads of one engine; 250ms
-	Look        time.Duration `yaml:"look,omitempty"`         // interval between a lease holder's checks of an engine; 1s
-	Watch       int           `yaml:"watch,omitempty"`        // approximate maximum number of targets watched; 64
-	LoadReads   float64       `yaml:"load_reads,omitempty"`   // load reads a second, over all engines; 250
-	OnceAppends float64       `yaml:"once_appends,omitempty"` // at-most-once appends a second of this daemon; 30
+	Lease               time.Duration `yaml:"lease,omitempty"`        // T: how long a holder may act after the start of a tail read; 3s
+	Drift               time.Duration `yaml:"drift,omitempty"`        // allowance for clock drift on top of T; 1s
+	Heartbeat           time.Duration `yaml:"heartbeat,omitempty"`    // interval between probes; 500ms
+	DeadAfter           time.Duration `yaml:"dead_after,omitempty"`   // time without contact until a peer counts as dead; 3s
+	Isolation           time.Duration `yaml:"isolation,omitempty"`    // time without log and peers until new work is refused; 5s
+	Checkpoint          int           `yaml:"checkpoint,omitempty"`   // records between checkpoints; 500
+	AddressTTL          time.Duration `yaml:"address_ttl,omitempty"`  // how long callers keep addresses; 5s
+	DrainLimit          time.Duration `yaml:"drain_limit,omitempty"`  // maximum wait for open streams at a stop; 60s
+	LoadPoll            time.Duration `yaml:"load_poll,omitempty"`    // interval between load reads of one engine; 250ms
+	EngineCheckInterval time.Duration `yaml:"look,omitempty"`         // interval between a lease holder's checks of an engine; 1s
+	WatchedTargets      int           `yaml:"watch,omitempty"`        // approximate maximum number of targets watched; 64
+	LoadReadRate        float64       `yaml:"load_reads,omitempty"`   // load reads a second, over all engines; 250
+	OnceAppendRate      float64       `yaml:"once_appends,omitempty"` // at-most-once appends a second of this daemon; 30
 }
 
 // Limits bound the requests that the daemon accepts from callers.
--- a/process/status/fetch.go
+++ b/process/status/fetch.go
@@ -74,7 +74,7 @@
 // doesn't answer is included with its error.
 func (c *Client) Fetch(ctx context.Context, addrs []string, timeout time.Duration) Fleet {
 	answers := make([]Answer, len(addrs))
-	c.Each(ctx, addrs, timeout, func(ctx context.Context, i int) {
+	c.ForEach(ctx, addrs, timeout, func(ctx context.Context, i int) {
 		s := new(Status)
 		answers[i].Addr = addrs[i]
 		if err := c.Get(ctx, addrs[i], Path, s); err != nil {
@@ -87,9 +87,9 @@
 	return NewFleet(answers)
 }
 
-// Each runs call for every address, up to maxConcurrentCalls at once, and waits
+// ForEach runs call for every address, up to maxConcurrentCalls at once, and waits
 // for all.
-func (c *Client) Each(ctx context.Context, addrs []string, timeout time.Duration, call func(ctx context.Context, i int)) {
+func (c *Client) ForEach(ctx context.Context, addrs []string, timeout time.Duration, call func(ctx context.Context, i int)) {
 	var g errgroup.Group
 	g.SetLimit(maxConcurrentCalls)
 	for i := range addrs {
--- a/process/status/status.go
+++ b/process/status/status.go
@@ -88,8 +88,8 @@
 type Coverage struct {
 	Name    string `json:"name"`
 	Version int64  `json:"version"`
-	On      int    `json:"on"`
-	Of      int    `json:"of"`
+	InForce int    `json:"on"`
+	Queried int    `json:"of"`
 }
 
 // NewFleet combines the answers.
@@ -113,7 +113,7 @@
 		for v := range on {
 			newest = max(newest, v)
 		}
-		f.Services = append(f.Services, Coverage{Name: name, Version: newest, On: on[newest], Of: len(answers)})
+		f.Services = append(f.Services, Coverage{Name: name, Version: newest, InForce: on[newest], Queried: len(answers)})
 	}
 	sort.Slice(f.Services, func(i, j int) bool { return f.Services[i].Name < f.Services[j].Name })
 	return f
--- a/process/usage/usage_test.go
+++ b/process/usage/usage_test.go
@@ -261,7 +261,7 @@
 // away as they ended.
 func TestOutages(t *testing.T) {
 	for name, set := range map[string]func(f *fleet, on bool){
-		"store":               func(f *fleet, on bool) { f.store.SetAway(on) },
+		"store":               func(f *fleet, on bool) { f.store.SetUnavailable(on) },
 		"writes not answered": func(f *fleet, on bool) { f.store.LoseAnswers(on) },
 		"platform":            func(f *fleet, on bool) { f.duties.fail = onError(on) },
 		"platform, carried out": func(f *fleet, on bool) {
