--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -152,9 +152,9 @@
 func (d *Daemon) Listen() settings.Listen { return d.s.Listen }
 
 func (l *listeners) close() {
-	for _, one := range []net.Listener{l.callers, l.peers, l.operators} {
-		if one != nil {
-			_ = one.Close()
+	for _, listener := range []net.Listener{l.callers, l.peers, l.operators} {
+		if listener != nil {
+			_ = listener.Close()
 		}
 	}
 }
--- a/process/daemon/stop_test.go
+++ b/process/daemon/stop_test.go
@@ -34,10 +34,10 @@
 	f.t.Helper()
 	c := caller.New(caller.Options{Daemons: []string{f.daemons[i].Listen().Callers}, Fixed: true, Attempts: 1})
 	defer c.Close()
-	pace := time.NewTicker(2 * time.Millisecond)
-	defer pace.Stop()
+	ticker := time.NewTicker(2 * time.Millisecond)
+	defer ticker.Stop()
 	for n := 0; ; n++ {
-		<-pace.C
+		<-ticker.C
 		a, _ := c.Do(f.t.Context(), caller.Request{Path: "/s/feed/boards", Body: []byte("b")})
 		select {
 		case <-expired:
--- a/process/front/duties_test.go
+++ b/process/front/duties_test.go
@@ -42,9 +42,9 @@
 		}
 		return total == 2*n && len(cloud.Scaled()) > 0
 	})
-	for _, one := range cloud.Scaled() {
-		if one.Service != "llm" {
-			t.Errorf("ordered %+v", one)
+	for _, order := range cloud.Scaled() {
+		if order.Service != "llm" {
+			t.Errorf("ordered %+v", order)
 		}
 	}
 	if broken := cloud.Broken(); len(broken) > 0 {
--- a/process/front/front.go
+++ b/process/front/front.go
@@ -265,9 +265,9 @@
 		if err != nil {
 			return nil, fmt.Errorf("front: %s: %w", name, err)
 		}
-		one := &server{name: name, http: s, l: l}
-		d.servers = append(d.servers, one)
-		return one, nil
+		srv := &server{name: name, http: s, l: l}
+		d.servers = append(d.servers, srv)
+		return srv, nil
 	}
 	var err error
 	if d.callers, err = add("callers", d.s.Listen.Callers, ingress.NewServer(d.ingress)); err != nil {
--- a/process/front/front_test.go
+++ b/process/front/front_test.go
@@ -40,8 +40,8 @@
 	}
 	s.addr = s.serve(s.store)
 	s.store.Configure(1, "/p/")
-	for _, one := range []*standin.Target{s.prefill, s.decode, s.plain} {
-		s.store.Announce(one, s.serve(one), false)
+	for _, target := range []*standin.Target{s.prefill, s.decode, s.plain} {
+		s.store.Announce(target, s.serve(target), false)
 	}
 	return s
 }
@@ -105,9 +105,9 @@
 }
 
 func (d *Daemon) addr(name string) string {
-	for _, one := range d.servers {
-		if one.name == name {
-			return one.l.Addr().String()
+	for _, srv := range d.servers {
+		if srv.name == name {
+			return srv.l.Addr().String()
 		}
 	}
 	return ""
--- a/process/front/logs.go
+++ b/process/front/logs.go
@@ -11,7 +11,7 @@
 )
 
 // Limits on log lines with the same message: about 60 successful requests a
-// second are logged in full; above that rate lines are dropped.
+// second are logged in full; at higher rates the excess lines are dropped.
 const (
 	linesPerSecond = 60.0
 	lineBurst      = 200
--- a/process/front/metrics.go
+++ b/process/front/metrics.go
@@ -132,12 +132,12 @@
 			return
 		}
 		desc := prometheus.NewDesc("pomelospool_"+kv.Key+"_total", "Counts of part "+kv.Key+", see docs/METRICS.md.", []string{"what"}, nil)
-		group.Do(func(one expvar.KeyValue) {
-			n, ok := one.Value.(*expvar.Int)
+		group.Do(func(entry expvar.KeyValue) {
+			n, ok := entry.Value.(*expvar.Int)
 			if !ok {
 				return
 			}
-			out <- prometheus.MustNewConstMetric(desc, prometheus.CounterValue, float64(n.Value()), one.Key)
+			out <- prometheus.MustNewConstMetric(desc, prometheus.CounterValue, float64(n.Value()), entry.Key)
 		})
 	})
 }
--- a/process/front/store.go
+++ b/process/front/store.go
@@ -11,8 +11,8 @@
 
 const (
 	// minTargetsInterval is the minimum interval between two reads of the
-	// targets topic. Each target writes every 1.2 s, so reads without it would
-	// return for each write.
+	// targets topic. Each target writes every 1.2 s, so without the interval a
+	// read would return for each write.
 	minTargetsInterval = relay.MaxReadInterval
 	// maxIntervalShare bounds the read interval of a large fleet, as a share of
 	// the shortest bound on applying a change.
@@ -26,9 +26,9 @@
 	configInterval = 100 * time.Millisecond
 	// readWaitShare is the longest wait of a read for new records, as a share of
 	// the bound on their effect. A read that begins while a record is written
-	// can miss it and then returns only at the end of its wait. With a wait of 4
-	// s, 5 of 42 test runs applied a version only 4 s after its write, where 2 s
-	// are allowed.
+	// can miss it and then returns only at the end of its wait. With a 4 s wait
+	// 5 of 42 test runs applied a version only 4 s after its write; 2 s are
+	// allowed.
 	readWaitShare = 0.4
 	// slowStoreLatency is the assumed response time of a slow store.
 	slowStoreLatency = 200 * time.Millisecond
--- a/process/front/warm.go
+++ b/process/front/warm.go
@@ -62,9 +62,9 @@
 	}
 	parts, err := d.control.Kept(ctx, e.Addr, e.ID)
 	if err != nil {
-		log.WithError(err).WithField("target", e.ID).Info("front: prefix cache of an engine not listed")
+		log.WithError(err).WithField("target", e.ID).Info("front: failed to list the prefix cache of an engine")
 		return
 	}
 	d.engines.AddCached(e.ID, svc.Engine.KVTokens, parts)
-	log.WithFields(log.Fields{"target": e.ID, "parts": len(parts)}).Info("front: prefix cache of an engine listed")
+	log.WithFields(log.Fields{"target": e.ID, "parts": len(parts)}).Info("front: listed the prefix cache of an engine")
 }
--- a/process/settings/store.go
+++ b/process/settings/store.go
@@ -23,13 +23,13 @@
 	if f.Has("platform") {
 		f.Report("platform", code.DocInconsistent, "stands beside store", "name one of the two")
 	}
-	for _, one := range []struct{ path, addr string }{
+	for _, field := range []struct{ path, addr string }{
 		{"store.addr", s.Store.Addr},
 		{"listen.ready", s.Listen.Ready},
 		{"listen.addresses", s.Listen.Addresses},
 	} {
-		if f.Has(one.path) {
-			f.Addr(one.path, one.addr, true)
+		if f.Has(field.path) {
+			f.Addr(field.path, field.addr, true)
 		}
 	}
 	checkDuties(f, s.Duties)
@@ -52,12 +52,12 @@
 	if f.Has("duties.addr") {
 		f.Addr("duties.addr", d.Addr, true)
 	}
-	for _, one := range []struct {
+	for _, field := range []struct {
 		path string
 		d    time.Duration
 	}{{"duties.usage_window", d.UsageWindow}, {"duties.usage_late", d.UsageLate}} {
-		if f.Has(one.path) {
-			f.Duration(one.path, one.d, minTime, maxTime)
+		if f.Has(field.path) {
+			f.Duration(field.path, field.d, minTime, maxTime)
 		}
 	}
 	if f.Has("duties.usage_window") {
