--- a/process/settings/load.go
+++ b/process/settings/load.go
@@ -180,7 +180,7 @@
 	yamlcheck.Range(f, "control.once_appends", c.OnceAppendRate, minOnceAppends, maxOnceAppends)
 	if c.DeadAfter < minHeartbeatsToDead*c.Heartbeat {
 		f.Report("control.dead_after", code.DocInconsistent,
-			fmt.Sprintf("%v is shorter than %d heartbeats of %v", c.DeadAfter, minHeartbeatsToDead, c.Heartbeat),
+			fmt.Sprintf("%v holds fewer than %d heartbeats of %v", c.DeadAfter, minHeartbeatsToDead, c.Heartbeat),
 			fmt.Sprintf("at least %v", minHeartbeatsToDead*c.Heartbeat))
 	}
 	if c.DrainLimit < c.AddressTTL {
@@ -214,7 +214,7 @@
 		f.Report("tls.cert", code.DocMissing, "is missing, but tls.key is set", "name the file of the certificate")
 	}
 	if t.CA != "" && t.Cert == "" {
-		f.Report("tls.ca", code.DocInconsistent, "is set without tls.cert", "set tls.cert and tls.key too")
+		f.Report("tls.ca", code.DocInconsistent, "a CA without tls.cert", "set tls.cert and tls.key too")
 	}
 }
 
--- a/process/settings/store.go
+++ b/process/settings/store.go
@@ -21,7 +21,7 @@
 func checkStore(f *yamlcheck.File, s *Settings) {
 	f.Required("store.addr", "listen.ready", "listen.addresses")
 	if f.Has("platform") {
-		f.Report("platform", code.DocInconsistent, "is set together with store", "set only one of the two")
+		f.Report("platform", code.DocInconsistent, "stands beside store", "name one of the two")
 	}
 	for _, field := range []struct{ path, addr string }{
 		{"store.addr", s.Store.Addr},
