--- a/process/settings/store.go
+++ b/process/settings/store.go
@@ -7,14 +7,14 @@
 	"github.com/pomelospool/pomelospool/internal/yamlcheck"
 )
 
-// Bounds of the values beside a store.
+// Bounds of values that apply only with a store.
 const (
-	maxRatio   = 10.0
-	maxSlack   = 1_000_000.0
-	noFraction = 0.0
+	maxRetryRatio  = 10.0
+	maxRetrySlack  = 1_000_000.0
+	minRetryBudget = 0.0
 )
 
-// HasStore reports whether the platform keeps configuration and targets in one
+// HasStore reports whether the platform keeps configuration and targets in a
 // store.
 func (s *Settings) HasStore() bool { return s.Store.Addr != "" }
 
@@ -23,13 +23,13 @@
 	if f.Has("platform") {
 		f.Report("platform", code.DocInconsistent, "stands beside store", "name one of the two")
 	}
-	for _, one := range []struct{ path, addr string }{
+	for _, field := range []struct{ path, addr string }{
 		{"store.addr", s.Store.Addr},
 		{"listen.ready", s.Listen.Ready},
 		{"listen.addresses", s.Listen.Addresses},
 	} {
-		if f.Has(one.path) {
-			f.Addr(one.path, one.addr, true)
+		if f.Has(field.path) {
+			f.Addr(field.path, field.addr, true)
 		}
 	}
 	checkDuties(f, s.Duties)
@@ -40,8 +40,8 @@
 	f.Duration("bounds.retry_window", b.RetryWindow, minTime, maxTime)
 	f.Duration("bounds.apply_config", b.ApplyConfig, minTime, maxTime)
 	f.Duration("bounds.drain", b.Drain, minTime, maxTime)
-	yamlcheck.Range(f, "bounds.retry_ratio", b.RetryRatio, noFraction, maxRatio)
-	yamlcheck.Range(f, "bounds.retry_slack", b.RetrySlack, noFraction, maxSlack)
+	yamlcheck.Range(f, "bounds.retry_ratio", b.RetryRatio, minRetryBudget, maxRetryRatio)
+	yamlcheck.Range(f, "bounds.retry_slack", b.RetrySlack, minRetryBudget, maxRetrySlack)
 }
 
 func checkDuties(f *yamlcheck.File, d Duties) {
@@ -52,12 +52,12 @@
 	if f.Has("duties.addr") {
 		f.Addr("duties.addr", d.Addr, true)
 	}
-	for _, one := range []struct {
+	for _, field := range []struct {
 		path string
 		d    time.Duration
 	}{{"duties.usage_window", d.UsageWindow}, {"duties.usage_late", d.UsageLate}} {
-		if f.Has(one.path) {
-			f.Duration(one.path, one.d, minTime, maxTime)
+		if f.Has(field.path) {
+			f.Duration(field.path, field.d, minTime, maxTime)
 		}
 	}
 	if f.Has("duties.usage_window") {
