--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -293,19 +293,19 @@
 	d.burn = burn.New(burn.Options{Daemon: d.s.VM, Objectives: d.objectives})
 	d.once = d.newOnceKeeper()
 	d.entry = entry.New(entry.Options{
-		View:       d.view,
-		Gate:       d,
-		Pool:       d.pool,
-		Router:     d.router,
-		Targets:    d.watcher,
-		Asked:      d.demands.asked,
-		Addresses:  address.NewSelector(d.addresses, d.s.Control.AddressTTL),
-		Once:       d.once,
-		Quarantine: d.crashes,
-		Burn:       d.burn,
-		Verify:     d.watcher.Verify,
-		KV:         d.watcher,
-		Limits:     d.s.Limits,
-		Zone:       d.s.Zone,
+		View:           d.view,
+		Gate:           d,
+		Pool:           d.pool,
+		Router:         d.router,
+		Targets:        d.watcher,
+		OnModelRequest: d.demands.asked,
+		Addresses:      address.NewSelector(d.addresses, d.s.Control.AddressTTL),
+		Once:           d.once,
+		Quarantine:     d.crashes,
+		Burn:           d.burn,
+		Verify:         d.watcher.Verify,
+		KV:             d.watcher,
+		Limits:         d.s.Limits,
+		Zone:           d.s.Zone,
 	})
 }
--- a/process/front/front.go
+++ b/process/front/front.go
@@ -232,7 +232,7 @@
 	d.metrics = newMetrics(d)
 	d.ingress = ingress.New(ingress.Options{Config: d.config, Wire: platform.Wire{}, Runner: runner, Observe: d.observe,
 		TargetsAge: func() (time.Duration, bool) { return d.tails[port.TopicTargets].Age() },
-		ConfigAge:  func() (time.Duration, bool) { return d.tails[port.TopicConfig].Age() }, MaxConfigAge: d.s.Bounds.ApplyConfig, Started: d.countUsage})
+		ConfigAge:  func() (time.Duration, bool) { return d.tails[port.TopicConfig].Age() }, MaxConfigAge: d.s.Bounds.ApplyConfig, OnStart: d.countUsage})
 	d.planner = roles.New(roles.Options{
 		Self:    d.s.VM,
 		Store:   d.reach,
--- a/process/front/metrics.go
+++ b/process/front/metrics.go
@@ -104,9 +104,9 @@
 func (m *metrics) observe(o ingress.Observation) {
 	kind := o.Kind.String()
 	m.requests.WithLabelValues(kind, strconv.Itoa(int(o.Code)), strconv.Itoa(o.Status)).Inc()
-	m.whole.WithLabelValues(kind).Observe(o.Whole.Seconds())
-	if o.First > 0 {
-		m.first.Observe(o.First.Seconds())
+	m.whole.WithLabelValues(kind).Observe(o.Duration.Seconds())
+	if o.TimeToFirst > 0 {
+		m.first.Observe(o.TimeToFirst.Seconds())
 	}
 }
 
--- a/process/front/stop.go
+++ b/process/front/stop.go
@@ -28,7 +28,7 @@
 	begun := time.Now()
 	limit := d.s.Bounds.Grace - stopMargin
 	log.WithField("limit_ms", limit.Milliseconds()).Info("front: leaving")
-	d.ingress.Leave(begun.Add(limit))
+	d.ingress.StopAt(begun.Add(limit))
 	d.roster.SetState(roster.Leaving)
 	d.planner.Release()
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
--- a/request/entry/asked_test.go
+++ b/request/entry/asked_test.go
@@ -28,7 +28,7 @@
 	asked, routed := 0, 0
 	f := newFixture(t, []string{benchEngine(t)}, nil, func(o *Options, _ *document.Document) {
 		o.Router = neverInTime{routed: &routed}
-		o.Asked = func(model string, prompt, output int) {
+		o.OnModelRequest = func(model string, prompt, output int) {
 			if model != testModel || prompt < 1 || output != 20 {
 				t.Errorf("asked %s, %d, %d", model, prompt, output)
 			}
--- a/request/entry/caller_test.go
+++ b/request/entry/caller_test.go
@@ -140,7 +140,7 @@
 	})
 	f := newFixture(t, []string{s.addr()}, nil, func(o *Options, d *document.Document) {
 		d.Limits.StreamsPerCaller = 1
-		o.First = time.Minute
+		o.MinHeaderTimeout = time.Minute
 	})
 	first := make(chan reply)
 	go func() { first <- f.complete("p", 1, "X-Request-Id", "mine") }()
@@ -170,7 +170,7 @@
 		close(cancelled)
 	})
 	f := newFixture(t, []string{s.addr()}, nil, func(o *Options, d *document.Document) {
-		o.Between = time.Minute
+		o.ReadTimeout = time.Minute
 		d.Objectives.Answer = time.Hour // nothing but the close may end it
 	})
 	body := modelRequest("p", 5, true)
@@ -204,7 +204,7 @@
 	})
 	e := startEngine(t)
 	f := newFixture(t, []string{s.addr(), e.Addr()}, nil, func(o *Options, d *document.Document) {
-		o.Write = time.Second           // enough for all of it to arrive, were it taken
+		o.WriteTimeout = time.Second    // enough for all of it to arrive, were it taken
 		d.Objectives.Answer = time.Hour // nothing but the stall may end it
 	})
 	body := modelRequest("p", 1, true)
@@ -245,7 +245,7 @@
 	g := &gate{}
 	f := newFixture(t, []string{s.addr()}, nil, func(o *Options, _ *document.Document) {
 		o.Gate = g
-		o.Between = time.Minute
+		o.ReadTimeout = time.Minute
 	})
 	first := make(chan reply)
 	go func() { first <- f.complete("p", 2, "X-Request-Id", "mine") }()
--- a/request/entry/entry.go
+++ b/request/entry/entry.go
@@ -28,25 +28,25 @@
 // Options of an Entry. View, Pool, Router, Targets and Addresses are needed;
 // the other interfaces may be nil.
 type Options struct {
-	View       *view.Holder
-	Gate       view.Gate
-	Pool       *pool.Pool
-	Router     routing.Router
-	Targets    attempt.Targets
-	Addresses  *address.Selector
-	Once       once.Keeper // nil: non-idempotent calls are refused
-	Quarantine quarantine.Tracker
-	Burn       burn.Observer
-	Verify     func(ctx context.Context, t routing.Target) // see attempt.Options
-	KV         attempt.KV                                  // see attempt.Options
-	Limits     settings.Limits
-	Zone       string        // availability zone of this process
-	First      time.Duration // see attempt.Options
-	Between    time.Duration // see attempt.Options
-	// Asked is called once for each model request of good form, refused ones
+	View             *view.Holder
+	Gate             view.Gate
+	Pool             *pool.Pool
+	Router           routing.Router
+	Targets          attempt.Targets
+	Addresses        *address.Selector
+	Once             once.Keeper // nil: non-idempotent calls are refused
+	Quarantine       quarantine.Tracker
+	Burn             burn.Observer
+	Verify           func(ctx context.Context, t routing.Target) // see attempt.Options
+	KV               attempt.KV                                  // see attempt.Options
+	Limits           settings.Limits
+	Zone             string        // availability zone of this process
+	MinHeaderTimeout time.Duration // see attempt.Options
+	ReadTimeout      time.Duration // see attempt.Options
+	// OnModelRequest is called once for each model request of good form, refused ones
 	// included, with its estimated tokens; nil: nobody asks.
-	Asked func(model string, prompt, output int)
-	Write time.Duration // longest stall of a caller that reads a stream; 10s
+	OnModelRequest func(model string, prompt, output int)
+	WriteTimeout   time.Duration // longest stall of a caller that reads a stream; 10s
 }
 
 // Entry is the callers' HTTP handler. It is safe for concurrent use.
@@ -74,8 +74,8 @@
 // New returns an Entry. Close ends what it started.
 func New(o Options) *Entry {
 	o.Limits = withDefaults(o.Limits)
-	if o.Write <= 0 {
-		o.Write = defaultWrite
+	if o.WriteTimeout <= 0 {
+		o.WriteTimeout = defaultWrite
 	}
 	e := &Entry{
 		opts:      o,
@@ -88,8 +88,8 @@
 			Quarantine:       o.Quarantine,
 			Verify:           o.Verify,
 			KV:               o.KV,
-			MinHeaderTimeout: o.First,
-			ReadTimeout:      o.Between,
+			MinHeaderTimeout: o.MinHeaderTimeout,
+			ReadTimeout:      o.ReadTimeout,
 		}),
 	}
 	e.router = e.routes()
--- a/request/entry/fixture_test.go
+++ b/request/entry/fixture_test.go
@@ -125,7 +125,7 @@
 	p := pool.New(pool.Options{ProbeEvery: 10 * time.Millisecond, ProbeWait: patience})
 	llm := &document.Document{Service: "llm", Kind: document.KindModel, Models: []document.Model{{Name: testModel}}, Targets: targets("e", engines)}
 	app := &document.Document{Service: "app", Kind: document.KindPlain, Targets: targets("p", plains), Once: document.Once{Paths: []string{"/holds"}}}
-	o := Options{View: &view.Holder{}, Pool: p, Router: leastLoaded{}, First: patience, Between: patience, Write: patience}
+	o := Options{View: &view.Holder{}, Pool: p, Router: leastLoaded{}, MinHeaderTimeout: patience, ReadTimeout: patience, WriteTimeout: patience}
 	o.Targets = docTargets{p}
 	o.Addresses = address.NewSelector(func() []address.Member { return []address.Member{{Addr: "127.0.0.1:1", Zone: "a"}} }, time.Second)
 	for _, d := range []*document.Document{llm, app} {
--- a/request/entry/model.go
+++ b/request/entry/model.go
@@ -198,8 +198,8 @@
 	id := w.Header().Get(attempt.HeaderID)
 	q := c.request(id, req.URL.Path, e)
 	obs := newObservation(e.opts.Burn, c.svc.Doc.Service, c.terms.org)
-	if e.opts.Asked != nil {
-		e.opts.Asked(c.body.Model, c.tokens, c.output)
+	if e.opts.OnModelRequest != nil {
+		e.opts.OnModelRequest(c.body.Model, c.tokens, c.output)
 	}
 	cost := float64(c.tokens + outputCost*c.output)
 	p, err := e.admit(q, c.terms, cost)
@@ -228,7 +228,7 @@
 func (e *Entry) runStream(ctx context.Context, w http.ResponseWriter, q *attempt.Request, c *modelCall, p *permit, obs *observation) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	out := &streamOut{w: w, limit: e.opts.Limits.BufferBytes, timeout: e.opts.Write, gone: cancel, obs: obs}
+	out := &streamOut{w: w, limit: e.opts.Limits.BufferBytes, timeout: e.opts.WriteTimeout, gone: cancel, obs: obs}
 	recv := newStreamModel(q.ID, c.start(), out)
 	_, err := e.runner.Run(ctx, q, &p.decision, recv)
 	err = out.close(err)
--- a/request/entry/once_test.go
+++ b/request/entry/once_test.go
@@ -136,7 +136,7 @@
 	l := newLedger()
 	f := newFixture(t, nil, []string{s.addr()}, func(o *Options, d *document.Document) {
 		o.Once = l
-		o.First = time.Minute
+		o.MinHeaderTimeout = time.Minute
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	req, _ := http.NewRequestWithContext(ctx, "POST", f.url+"/s/app/holds/7", strings.NewReader("seat"))
--- a/request/entry/plain.go
+++ b/request/entry/plain.go
@@ -175,7 +175,7 @@
 	defer p.release()
 	ctx, cancel := context.WithDeadline(req.Context(), c.terms.deadline)
 	defer cancel()
-	recv := &plainAnswer{w: w, hold: int64(e.opts.Limits.BufferBytes), stall: e.opts.Write}
+	recv := &plainAnswer{w: w, hold: int64(e.opts.Limits.BufferBytes), stall: e.opts.WriteTimeout}
 	_, err = e.runner.Run(ctx, q, &p.decision, recv)
 	obs.end(err, 0)
 	recv.finish(err)
--- a/request/entry/receive.go
+++ b/request/entry/receive.go
@@ -81,7 +81,7 @@
 	if whole.ID != a.ID {
 		return &failure.Failure{Class: failure.Mismatch, Target: a.Target, Err: fmt.Errorf("%w: %.80q", errOtherID, whole.ID)}
 	}
-	r.body = stream.Rename(body, a.ID, r.id)
+	r.body = stream.ReplaceID(body, a.ID, r.id)
 	r.tokens = whole.Usage.CompletionTokens
 	return nil
 }
--- a/request/ingress/answer.go
+++ b/request/ingress/answer.go
@@ -39,7 +39,7 @@
 	h["Content-Type"] = nil
 	maps.Copy(h, from)
 	hop.Strip(h)
-	if x.leaving.Load() != nil {
+	if x.stopAt.Load() != nil {
 		h.Set("Connection", "close")
 	}
 }
--- a/request/ingress/ingress.go
+++ b/request/ingress/ingress.go
@@ -32,9 +32,9 @@
 	TargetsAge func() (age time.Duration, known bool)
 	// ConfigAge is the same for the configuration. It may be nil.
 	ConfigAge func() (age time.Duration, known bool)
-	// Started counts a request of an organisation that a target began to run
+	// OnStart counts a request of an organisation that a target began to run
 	// that long ago. It may be nil.
-	Started func(organisation string, ago time.Duration)
+	OnStart func(organisation string, ago time.Duration)
 	// MaxConfigAge is the age from which on the configuration may be outdated.
 	MaxConfigAge time.Duration
 }
@@ -55,19 +55,19 @@
 
 // Observation is what a request's end shows.
 type Observation struct {
-	Route  string
-	Kind   route.Kind
-	Code   code.Code
-	Status int
-	Whole  time.Duration // from the arrival to the end of the answer
-	First  time.Duration // to the first event, 0: none
+	Route       string
+	Kind        route.Kind
+	Code        code.Code
+	Status      int
+	Duration    time.Duration // from the arrival to the end of the answer
+	TimeToFirst time.Duration // to the first event, 0: none
 }
 
 // Ingress is the callers' http.Handler. It is safe for concurrent use.
 type Ingress struct {
 	o       Options
 	open    atomic.Int64
-	leaving atomic.Pointer[time.Time] // when the process ends; nil: it stays
+	stopAt  atomic.Pointer[time.Time] // when the process ends; nil: it stays
 	lengths lengths
 }
 
@@ -77,14 +77,14 @@
 // Open is the number of requests that are running.
 func (i *Ingress) Open() int { return int(i.open.Load()) }
 
-// Leave says when the process ends. Until then every answer asks its caller to
+// StopAt says when the process ends. Until then every answer asks its caller to
 // open no further request on the connection, and a request whose answer can't
 // be whole by then is refused: another daemon can answer it.
-func (i *Ingress) Leave(end time.Time) { i.leaving.Store(&end) }
+func (i *Ingress) StopAt(end time.Time) { i.stopAt.Store(&end) }
 
 // leavesBefore reports whether the process ends before the call is answered.
 func (i *Ingress) leavesBefore(c *dispatch.Call) bool {
-	end := i.leaving.Load()
+	end := i.stopAt.Load()
 	return end != nil && c.Arrived.Add(i.lengths.predict(c)).After(*end)
 }
 
@@ -99,7 +99,7 @@
 	i.open.Add(1)
 	defer i.open.Add(-1)
 	arrived := time.Now()
-	if i.leaving.Load() != nil {
+	if i.stopAt.Load() != nil {
 		w.Header().Set("Connection", "close")
 	}
 	x := &exchange{Ingress: i, w: w, req: req, arrived: arrived}
@@ -176,8 +176,8 @@
 	}
 	if org != nil {
 		c.Organisation = org.Name
-		if x.o.Started != nil {
-			c.OnStart = func(ago time.Duration) { x.o.Started(org.Name, ago) }
+		if x.o.OnStart != nil {
+			c.OnStart = func(ago time.Duration) { x.o.OnStart(org.Name, ago) }
 		}
 		if org.Priority != nil {
 			c.Priority = *org.Priority
@@ -256,7 +256,7 @@
 // observe writes the request's log line and counts it.
 func (x *exchange) observe(c *dispatch.Call, err error) {
 	whole := time.Since(x.arrived)
-	o := Observation{Code: code.Of(err), Status: x.status, Whole: whole, First: x.trace.TimeToFirst}
+	o := Observation{Code: code.Of(err), Status: x.status, Duration: whole, TimeToFirst: x.trace.TimeToFirst}
 	fields := log.Fields{
 		"request": x.ask.ID,
 		"code":    int(o.Code),
--- a/request/ingress/ingress_test.go
+++ b/request/ingress/ingress_test.go
@@ -254,7 +254,7 @@
 // While the daemon leaves, every answer asks its caller to go elsewhere.
 func TestLeavingAsksCallersToGo(t *testing.T) {
 	r := start(t, true)
-	r.Leave(time.Now().Add(time.Hour))
+	r.StopAt(time.Now().Add(time.Hour))
 	resp, _ := r.do(t, "POST", "/p/", "a.example", ask("r1"), "")
 	if resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("status %d, close %v", resp.StatusCode, resp.Close)
@@ -271,7 +271,7 @@
 		r.lengths.note("stream", 80, 50*time.Millisecond, 4*time.Second)
 		r.lengths.note("plain", 0, 0, 60*time.Millisecond)
 	}
-	r.Leave(time.Now().Add(2 * time.Second))
+	r.StopAt(time.Now().Add(2 * time.Second))
 	resp, _ := r.do(t, "POST", "/s/x", "a.example", standin.CallerHeaders("r1", 30*time.Second, "aa:10"), "")
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("long stream: status %d, headers %v", resp.StatusCode, resp.Header)
--- a/request/stream/chunk.go
+++ b/request/stream/chunk.go
@@ -56,10 +56,10 @@
 	return false
 }
 
-// Rename replaces the id of an attempt by the id of the caller's request in
+// ReplaceID replaces the id of an attempt by the id of the caller's request in
 // an answer. Attempt ids hold a number that no content can know, so that the
 // first place where one stands is the answer's id.
-func Rename(data []byte, attempt, id string) []byte {
+func ReplaceID(data []byte, attempt, id string) []byte {
 	return rename(nil, data, quote(attempt), quote(id))
 }
 
