--- a/request/entry/admit.go
+++ b/request/entry/admit.go
@@ -12,52 +12,54 @@
 	"github.com/pomelospool/pomelospool/request/routing"
 )
 
-// permit is the right of one request to run.
+// permit allows one request to run.
 type permit struct {
 	decision routing.Decision
-	release  func() // to be called when the request is over; once
+	release  func() // must be called when the request has ended; later calls do nothing
 }
 
-// admit decides at once whether q may run, and where it would go first.
-func (e *Entry) admit(q *attempt.Request, t terms, cost float64) (*permit, error) {
-	if err := e.enter(); err != nil {
+// admit decides, without queueing, whether q may run, and chooses its first
+// target.
+func (e *Entry) admit(q *attempt.Request, params requestParams, cost float64) (*permit, error) {
+	if err := e.begin(); err != nil {
 		return nil, err
 	}
-	leave, err := e.streams.Enter(t.caller, q.Service.Doc.Limits.StreamsPerCaller)
+	closeStream, err := e.streams.Enter(params.caller, q.Service.Doc.Limits.StreamsPerCaller)
 	if err != nil {
-		e.leave()
+		e.finish()
 		return nil, err
 	}
-	p, err := e.place(q, t, cost)
+	p, err := e.routeAndAdmit(q, params, cost)
 	if err != nil {
-		leave()
-		e.leave()
+		closeStream()
+		e.finish()
 		return nil, err
 	}
-	done := p.release
+	release := p.release
 	p.release = sync.OnceFunc(func() {
-		done()
-		leave()
-		e.leave()
+		release()
+		closeStream()
+		e.finish()
 	})
 	return p, nil
 }
 
-// place has routing name a target and admission weigh it.
-func (e *Entry) place(q *attempt.Request, t terms, cost float64) (*permit, error) {
+// routeAndAdmit lets the router choose a target, then applies admission
+// control.
+func (e *Entry) routeAndAdmit(q *attempt.Request, params requestParams, cost float64) (*permit, error) {
 	d, targets, err := e.runner.Choose(q)
 	if err != nil {
-		return nil, e.noPlace(err, q, targets)
+		return nil, e.withRetryAfter(err, q, targets)
 	}
 	release, err := e.admission.Admit(admission.Request{
 		Doc:        q.Service.Doc,
-		Org:        t.org,
-		Priority:   t.priority,
+		Org:        params.org,
+		Priority:   params.priority,
 		Cost:       cost,
-		TimeLeft:   time.Until(t.deadline),
+		TimeLeft:   time.Until(params.deadline),
 		Decision:   d,
 		Targets:    targets,
-		IdleFinish: func() (time.Duration, bool) { return e.idleFinish(q, targets) },
+		IdleFinish: func() (time.Duration, bool) { return e.idleCompletionTime(q, targets) },
 	})
 	if err != nil {
 		return nil, err
@@ -65,8 +67,8 @@
 	return &permit{decision: d, release: release}, nil
 }
 
-// noPlace says when to come back if routing didn't.
-func (e *Entry) noPlace(err error, q *attempt.Request, targets []routing.Target) error {
+// withRetryAfter adds a Retry-After time to a routing error that has none.
+func (e *Entry) withRetryAfter(err error, q *attempt.Request, targets []routing.Target) error {
 	var ce *code.Error
 	if !errors.As(err, &ce) {
 		return err
@@ -80,8 +82,9 @@
 	return err
 }
 
-// idleFinish asks routing how long q would take if no target had work.
-func (e *Entry) idleFinish(q *attempt.Request, targets []routing.Target) (time.Duration, bool) {
+// idleCompletionTime returns the time to completion that the router would
+// predict for q if all targets were idle.
+func (e *Entry) idleCompletionTime(q *attempt.Request, targets []routing.Target) (time.Duration, bool) {
 	idle := make([]routing.Target, len(targets))
 	for i, t := range targets {
 		t.InFlight, t.SentCount, t.SentPrefill, t.SentDecode, t.LoadAge = 0, 0, 0, 0, 0
--- a/request/entry/answer.go
+++ b/request/entry/answer.go
@@ -9,7 +9,7 @@
 	"github.com/pomelospool/pomelospool/request/answer"
 )
 
-// writeError answers with err's code.
+// writeError writes an error answer with err's result code.
 func writeError(w http.ResponseWriter, err error) {
 	answer.Write(w, answer.Error(err), nil)
 }
@@ -19,11 +19,11 @@
 	if err != nil {
 		return err
 	}
-	writeWhole(w, http.StatusOK, "application/json", data)
+	writeAnswer(w, http.StatusOK, "application/json", data)
 	return nil
 }
 
-func writeWhole(w http.ResponseWriter, status int, contentType string, body []byte) {
+func writeAnswer(w http.ResponseWriter, status int, contentType string, body []byte) {
 	h := w.Header()
 	if contentType != "" {
 		h.Set("Content-Type", contentType)
--- a/request/entry/bench_test.go
+++ b/request/entry/bench_test.go
@@ -19,7 +19,8 @@
 
 const benchTokens = 32
 
-// benchEngine answers each request with benchTokens tokens at once.
+// benchEngine starts an engine that answers each request with benchTokens
+// tokens without delay.
 func benchEngine(b testing.TB) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -39,7 +40,7 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-func ask(b testing.TB, url string) {
+func postModelRequest(b testing.TB, url string) {
 	resp, err := http.Post(url+"/v1/completions", "application/json", strings.NewReader(modelRequest("prompt", benchTokens, true)))
 	if err != nil {
 		b.Fatal(err)
@@ -53,35 +54,36 @@
 
 func BenchmarkDirect(b *testing.B) {
 	url := "http://" + benchEngine(b)
-	run(b, url)
+	runBenchmark(b, url)
 }
 
 func BenchmarkThroughEntry(b *testing.B) {
-	run(b, newFixture(b, []string{benchEngine(b)}, nil, nil).url)
+	runBenchmark(b, newFixture(b, []string{benchEngine(b)}, nil, nil).url)
 }
 
-func run(b *testing.B, url string) {
-	ask(b, url)
+func runBenchmark(b *testing.B, url string) {
+	postModelRequest(b, url)
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			ask(b, url)
+			postModelRequest(b, url)
 		}
 	})
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "requests/s")
 }
 
-// maxAllocRatio bounds the allocations of a request through the entry, client
-// and engine included, over those of a direct call.
+// maxAllocRatio bounds the ratio of allocations of a request through an Entry,
+// client and engine included, to those of a direct request.
 const maxAllocRatio = 5.5
 
-// TestAllocationBound: the cost of a request must not creep up unseen. Counted
-// in allocations, in the same run as the direct call, as times vary.
+// TestAllocationBound guards against a gradual increase of the cost of a
+// request. It compares allocations with those of direct requests in the same
+// run, since times vary too much.
 func TestAllocationBound(t *testing.T) {
 	engine := benchEngine(t)
 	f := newFixture(t, []string{engine}, nil, nil)
 	measure := func(url string) float64 {
-		return testing.AllocsPerRun(200, func() { ask(t, url) })
+		return testing.AllocsPerRun(200, func() { postModelRequest(t, url) })
 	}
 	direct, through := measure("http://"+engine), measure(f.url)
 	t.Logf("allocations a request of %d tokens: %.0f direct, %.0f through the entry", benchTokens, direct, through)
@@ -90,7 +92,7 @@
 	}
 }
 
-// countingWriter counts what a log writes.
+// countingWriter counts the lines written to it.
 type countingWriter struct{ lines atomic.Int64 }
 
 func (c *countingWriter) Write(p []byte) (int, error) {
@@ -98,8 +100,9 @@
 	return len(p), nil
 }
 
-// BenchmarkLogInStorm gives the log's lines a second when all targets fail
-// every request, and when all requests are refused, with and without the bound.
+// BenchmarkLogInStorm reports the log lines a second when every request fails
+// on all targets, and when all requests are refused, each with and without rate
+// limiting.
 func BenchmarkLogInStorm(b *testing.B) {
 	for _, bounded := range []bool{false, true} {
 		for name, limit := range map[string]int{"failing": 1000, "refused": 0} {
@@ -111,7 +114,7 @@
 					}
 					return logfmt.New(w)
 				})
-				s := newScript(b, func(c *call) { c.w.WriteHeader(http.StatusInternalServerError) })
+				s := newScriptedTarget(b, func(c *call) { c.w.WriteHeader(http.StatusInternalServerError) })
 				f := newFixture(b, []string{s.addr()}, nil, func(_ *Options, d *document.Document) { d.Limits.QueuePerTarget = limit })
 				b.RunParallel(func(pb *testing.PB) {
 					for pb.Next() {
--- a/request/entry/caller_test.go
+++ b/request/entry/caller_test.go
@@ -16,8 +16,8 @@
 	"github.com/pomelospool/pomelospool/version/document"
 )
 
-// TestRefusals: requests that can't run are refused with a code, and say
-// truly that nothing ran.
+// TestRefusals checks that requests that can't run are refused with a result
+// code, are marked as not run, and don't reach an engine.
 func TestRefusals(t *testing.T) {
 	e := startEngine(t)
 	f := newFixture(t, []string{e.Addr()}, nil, func(o *Options, d *document.Document) {
@@ -57,7 +57,7 @@
 				t.Errorf("got %d, code %s, body %s", r.status, r.code(), r.body)
 			}
 			if r.header.Get("X-Request-Id") == "" || !strings.Contains(r.body, `"code":`+tc.code) {
-				t.Errorf("form: %+v", r)
+				t.Errorf("request id or code missing: %+v", r)
 			}
 		})
 	}
@@ -66,9 +66,10 @@
 	}
 }
 
-// TestNoTarget: no engine is reachable; the refusal says when to come back.
+// TestNoTarget checks that the refusal has a Retry-After header if no engine is
+// reachable.
 func TestNoTarget(t *testing.T) {
-	s := newScript(t, nil)
+	s := newScriptedTarget(t, nil)
 	s.Close()
 	f := newFixture(t, []string{s.addr()}, nil, nil)
 	for _, want := range []string{"2002", "2001"} {
@@ -79,7 +80,7 @@
 	}
 }
 
-// rawConn sends text to the entry and returns the connection.
+// rawConn connects to the server, sends text and returns the connection.
 func (f *fixture) rawConn(text string) net.Conn {
 	f.t.Helper()
 	c, err := net.Dial("tcp", f.addr)
@@ -97,9 +98,9 @@
 	return fmt.Sprintf("POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", length, body)
 }
 
-// TestSlowLoris: callers send a header or a body and stop in the middle. The
-// daemon must end those connections by itself, or a few such callers hold all
-// it takes.
+// TestSlowLoris covers callers that stop in the middle of a header or body. The
+// daemon must close these connections, or a few such callers can use up all
+// connections.
 func TestSlowLoris(t *testing.T) {
 	f := newFixture(t, nil, nil, func(o *Options, _ *document.Document) {
 		o.Limits.ReadHeader = 50 * time.Millisecond
@@ -115,8 +116,8 @@
 	}
 }
 
-// TestConnectionLimit: one connection more than the daemon takes gets a code,
-// and a place that comes free is taken again.
+// TestConnectionLimit checks that a connection over the limit is answered with
+// a result code.
 func TestConnectionLimit(t *testing.T) {
 	f := newFixture(t, nil, nil, func(o *Options, _ *document.Document) { o.Limits.Connections = 1 })
 	first := f.rawConn("GET /v1/addresses HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -130,10 +131,10 @@
 	}
 }
 
-// TestStreamLimit: a caller opens more streams than it may.
+// TestStreamLimit covers a caller that opens more streams than its limit.
 func TestStreamLimit(t *testing.T) {
 	started, release := make(chan struct{}, 10), make(chan struct{})
-	s := newScript(t, func(c *call) {
+	s := newScriptedTarget(t, func(c *call) {
 		started <- struct{}{}
 		<-release
 		c.head().finish(0)
@@ -160,18 +161,19 @@
 	}
 }
 
-// TestCallerGone: a caller closes its connection in the middle of a stream.
-// The engine must see the end of its own, or it makes tokens for nobody.
+// TestCallerGone covers a caller that disconnects in the middle of a stream.
+// The engine's connection must be closed too, or the engine continues to
+// generate tokens.
 func TestCallerGone(t *testing.T) {
 	cancelled := make(chan struct{})
-	s := newScript(t, func(c *call) {
+	s := newScriptedTarget(t, func(c *call) {
 		c.head().tokens(0)
 		c.hang()
 		close(cancelled)
 	})
 	f := newFixture(t, []string{s.addr()}, nil, func(o *Options, d *document.Document) {
 		o.ReadTimeout = time.Minute
-		d.Objectives.Answer = time.Hour // nothing but the close may end it
+		d.Objectives.Answer = time.Hour // only the disconnect may end the stream
 	})
 	body := modelRequest("p", 5, true)
 	c := f.rawConn(rawPost(len(body), body))
@@ -183,14 +185,15 @@
 	<-cancelled
 }
 
-// TestSlowCaller: a caller asks for a long answer and reads none of it. The
-// engine is made to wait, then the caller is cut off; other callers notice
-// nothing. Without the bound the daemon would take all the engine can send.
+// TestSlowCaller covers a caller that requests a long answer and reads none of
+// it. The engine is blocked, then the caller is disconnected; other callers
+// aren't affected. Without the limit the daemon would buffer everything that
+// the engine sends.
 func TestSlowCaller(t *testing.T) {
 	const chunk, chunks = 64 << 10, 1024 // 64 MiB
 	var sent atomic.Int64
 	ended := make(chan struct{})
-	s := newScript(t, func(c *call) {
+	s := newScriptedTarget(t, func(c *call) {
 		defer close(ended)
 		c.head()
 		text := strings.Repeat("x", chunk)
@@ -204,8 +207,8 @@
 	})
 	e := startEngine(t)
 	f := newFixture(t, []string{s.addr(), e.Addr()}, nil, func(o *Options, d *document.Document) {
-		o.WriteTimeout = time.Second    // enough for all of it to arrive, were it taken
-		d.Objectives.Answer = time.Hour // nothing but the stall may end it
+		o.WriteTimeout = time.Second    // long enough to receive the whole answer, if there were no limit
+		d.Objectives.Answer = time.Hour // only the write timeout may end the stream
 	})
 	body := modelRequest("p", 1, true)
 	f.rawConn(rawPost(len(body), body))
@@ -218,31 +221,31 @@
 	}
 	<-ended
 	if n := sent.Load(); n >= chunk*chunks/2 {
-		t.Errorf("the daemon took %d bytes for a caller that reads none", n)
+		t.Errorf("the daemon read %d bytes for a caller that reads none", n)
 	}
 }
 
-// gate refuses with a code once it is closed.
-type gate struct{ closed atomic.Bool }
+// fakeGate refuses requests with a result code once it is closed.
+type fakeGate struct{ closed atomic.Bool }
 
-func (g *gate) Admit() error {
+func (g *fakeGate) Admit() error {
 	if g.closed.Load() {
 		return code.New(code.Isolated, "")
 	}
 	return nil
 }
 
-// TestGateAndDrain: an isolated or a stopping daemon refuses new requests at
-// once, while those that it has run to their end.
+// TestGateAndDrain checks that an isolated or a draining daemon refuses new
+// requests at once and lets open ones finish.
 func TestGateAndDrain(t *testing.T) {
 	started, release := make(chan struct{}), make(chan struct{})
-	s := newScript(t, func(c *call) {
+	s := newScriptedTarget(t, func(c *call) {
 		c.head().tokens(0)
 		close(started)
 		<-release
 		c.finish(1)
 	})
-	g := &gate{}
+	g := &fakeGate{}
 	f := newFixture(t, []string{s.addr()}, nil, func(o *Options, _ *document.Document) {
 		o.Gate = g
 		o.ReadTimeout = time.Minute
--- a/request/entry/entry.go
+++ b/request/entry/entry.go
@@ -1,5 +1,6 @@
-// Package entry takes callers' requests over HTTP: it reads and checks them,
-// has them admitted, run and answered, and gives every answer a result code.
+// Package entry serves callers' HTTP requests. It reads and validates each
+// request, passes it through admission control, runs it on a target and writes
+// the answer. Every answer has a result code.
 package entry
 
 import (
@@ -25,8 +26,8 @@
 	"github.com/pomelospool/pomelospool/version/view"
 )
 
-// Options of an Entry. View, Pool, Router, Targets and Addresses are needed;
-// the other interfaces may be nil.
+// Options configures an Entry. View, Pool, Router, Targets and Addresses are
+// required. The other interfaces may be nil.
 type Options struct {
 	View             *view.Holder
 	Gate             view.Gate
@@ -43,13 +44,13 @@
 	Zone             string        // availability zone of this process
 	MinHeaderTimeout time.Duration // see attempt.Options
 	ReadTimeout      time.Duration // see attempt.Options
-	// OnModelRequest is called once for each model request of good form, refused ones
-	// included, with its estimated tokens; nil: nobody asks.
+	// OnModelRequest is called once for each valid model request, including
+	// those that are refused later, with the estimated tokens. It may be nil.
 	OnModelRequest func(model string, prompt, output int)
-	WriteTimeout   time.Duration // longest stall of a caller that reads a stream; 10s
+	WriteTimeout   time.Duration // longest time a caller may stop reading a stream; default 10s
 }
 
-// Entry is the callers' HTTP handler. It is safe for concurrent use.
+// Entry is the HTTP handler for callers. It is safe for concurrent use.
 type Entry struct {
 	opts      Options
 	router    *bunrouter.Router
@@ -61,21 +62,21 @@
 	draining  atomic.Bool
 }
 
-// The defaults of settings.Limits and of Options.
+// Defaults of settings.Limits and Options.
 const (
-	defaultHeaderBytes = 32 << 10
-	defaultBodyBytes   = 8 << 20
-	defaultReadHeader  = 5 * time.Second
-	defaultReadBody    = 30 * time.Second
-	defaultBuffer      = 256 << 10
-	defaultWrite       = 10 * time.Second
+	defaultHeaderBytes   = 32 << 10
+	defaultBodyBytes     = 8 << 20
+	defaultHeaderTimeout = 5 * time.Second
+	defaultBodyTimeout   = 30 * time.Second
+	defaultBufferBytes   = 256 << 10
+	defaultWriteTimeout  = 10 * time.Second
 )
 
-// New returns an Entry. Close ends what it started.
+// New returns an Entry. Call Close to release its resources.
 func New(o Options) *Entry {
 	o.Limits = withDefaults(o.Limits)
 	if o.WriteTimeout <= 0 {
-		o.WriteTimeout = defaultWrite
+		o.WriteTimeout = defaultWriteTimeout
 	}
 	e := &Entry{
 		opts:      o,
@@ -108,13 +109,13 @@
 		l.BodyBytes = defaultBodyBytes
 	}
 	if l.ReadHeader <= 0 {
-		l.ReadHeader = defaultReadHeader
+		l.ReadHeader = defaultHeaderTimeout
 	}
 	if l.ReadBody <= 0 {
-		l.ReadBody = defaultReadBody
+		l.ReadBody = defaultBodyTimeout
 	}
 	if l.BufferBytes <= 0 {
-		l.BufferBytes = defaultBuffer
+		l.BufferBytes = defaultBufferBytes
 	}
 	return l
 }
@@ -145,12 +146,12 @@
 	http.MethodPatch, http.MethodDelete, http.MethodOptions,
 }
 
-// ServeHTTP answers one request of a caller.
+// ServeHTTP implements http.Handler.
 func (e *Entry) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	id, err := requestID(req)
 	w.Header().Set(attempt.HeaderID, id)
 	if err == nil {
-		err = e.checkForm(req)
+		err = e.checkHeaderAndPath(req)
 	}
 	if err != nil {
 		writeError(w, err)
@@ -162,21 +163,22 @@
 	e.router.ServeHTTP(w, req)
 }
 
-// enter counts a request that is about to run, or refuses it. The count goes
-// up before the flag is read, so that Drain can't miss a request that saw no
-// drain.
-func (e *Entry) enter() error {
+// begin counts a request as open, or refuses it. The count is incremented
+// before the draining flag is read, so that Drain can't miss a request that
+// passed the check.
+func (e *Entry) begin() error {
 	e.open.Add(1)
-	err := e.gate()
+	err := e.checkAccepting()
 	if err != nil {
 		e.open.Add(-1)
 	}
 	return err
 }
 
-func (e *Entry) leave() { e.open.Add(-1) }
+func (e *Entry) finish() { e.open.Add(-1) }
 
-func (e *Entry) gate() error {
+// checkAccepting returns an error if the daemon doesn't accept requests.
+func (e *Entry) checkAccepting() error {
 	if e.draining.Load() {
 		return code.New(code.Draining, "").After(time.Second)
 	}
@@ -186,17 +188,17 @@
 	return nil
 }
 
-// Open returns the number of requests that are running.
+// Open returns the number of open requests.
 func (e *Entry) Open() int { return int(e.open.Load()) }
 
-const drainPoll = 20 * time.Millisecond
+const drainPollInterval = 20 * time.Millisecond
 
-// Drain refuses new requests from now on and waits for the open ones to end.
-// Call it when this process has left the address answers for longer than
-// their time to live, so that callers have gone elsewhere before.
+// Drain refuses new requests from now on and waits until the open ones have
+// ended. Call it once this daemon has been absent from the published addresses
+// for longer than their TTL, so that callers have switched to other daemons.
 func (e *Entry) Drain(ctx context.Context) error {
 	e.draining.Store(true)
-	tick := time.NewTicker(drainPoll)
+	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
 	for e.Open() > 0 {
 		select {
@@ -208,8 +210,8 @@
 	return nil
 }
 
-// Close refuses new requests and waits for the calls that outlived their
-// callers.
+// Close refuses new requests and waits for calls that still run after their
+// callers have disconnected.
 func (e *Entry) Close() error {
 	e.draining.Store(true)
 	e.tomb.Kill(nil)
--- a/request/entry/entry_test.go
+++ b/request/entry/entry_test.go
@@ -28,7 +28,7 @@
 	return s
 }
 
-func TestWholePath(t *testing.T) {
+func TestEndToEnd(t *testing.T) {
 	e, p := startEngine(t), startPlain(t)
 	f := newFixture(t, []string{e.Addr()}, []string{p.Addr()}, nil)
 
@@ -41,7 +41,7 @@
 	}
 	r = f.do("POST", "/v1/completions", modelRequest("hello", 5, false), "X-Request-Id", "id-2")
 	if r.status != 200 || r.code() != "0" {
-		t.Fatalf("whole: %+v", r)
+		t.Fatalf("unstreamed: %+v", r)
 	}
 	r = f.do("PUT", "/s/app/echo?x=1", "body")
 	if r.status != 200 || r.body != "body" || r.code() != "0" {
--- a/request/entry/fault_test.go
+++ b/request/entry/fault_test.go
@@ -13,16 +13,16 @@
 
 const answerTokens = 6
 
-// TestModelFaults: a caller streams an answer while the first engine that
-// gets the request misbehaves and the second one is well. Whatever the first
-// one does, the caller sees each token of its own answer once, then the end.
+// TestModelFaults streams an answer while the first engine misbehaves and the
+// second one works. Whatever the first one does, the caller must get each token
+// of its own answer once, then the end marker.
 func TestModelFaults(t *testing.T) {
 	long := strings.Repeat("x", 300<<10)
 	cases := []struct {
 		name  string
 		play  func(c *call)
 		other int // requests that the second engine gets
-		kept  int // tokens that the first engine need not be asked for again
+		kept  int // tokens of the first engine that aren't generated again
 	}{
 		{"well", func(c *call) { c.head().tokens(0, 1, 2, 3, 4).finish(5) }, 0, 0},
 		{"crossed chunk", func(c *call) { c.head().tokens(0, 1).token("other", 2, false).tokens(2, 3, 4).finish(5) }, 0, 0},
@@ -62,7 +62,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			bad, good := newScript(t, tc.play), startEngine(t)
+			bad, good := newScriptedTarget(t, tc.play), startEngine(t)
 			f := newFixture(t, []string{bad.addr(), good.Addr()}, nil, nil)
 			r := f.complete("prompt", answerTokens, "X-Request-Id", "mine")
 			if err := checkStream(r.body, "mine", "prompt", answerTokens); err != nil || r.code() != "0" {
@@ -77,20 +77,20 @@
 			if n := bad.count(); n != 1 {
 				t.Errorf("first engine got %d requests, want 1", n)
 			}
-			// The close of a silent connection doesn't arrive: the engine would
-			// go on for nobody unless it is told over a new one.
+			// An engine doesn't see a silent connection being closed. It has to
+			// be told to stop over a new connection.
 			if strings.HasPrefix(tc.name, "silent") {
-				if id := <-bad.cancels; id != bad.id() {
-					t.Errorf("%q was cancelled, want %q", id, bad.id())
+				if id := <-bad.cancels; id != bad.firstRequestID() {
+					t.Errorf("%q was cancelled, want %q", id, bad.firstRequestID())
 				}
 			}
 		})
 	}
 }
 
-// TestWholeFaults: as TestModelFaults, for answers that aren't streamed.
-func TestWholeFaults(t *testing.T) {
-	whole := func(id string) string {
+// TestUnstreamedFaults is like TestModelFaults, for unstreamed answers.
+func TestUnstreamedFaults(t *testing.T) {
+	answer := func(id string) string {
 		return `{"id":"` + id + `","choices":[],"usage":{"completion_tokens":1}}`
 	}
 	send := func(c *call, length string, body string) *call {
@@ -105,17 +105,17 @@
 		play  func(c *call)
 		other int
 	}{
-		{"well", func(c *call) { send(c, "", whole(c.id)) }, 0},
-		{"another's body", func(c *call) { send(c, "", whole("other")) }, 1},
+		{"well", func(c *call) { send(c, "", answer(c.id)) }, 0},
+		{"another's body", func(c *call) { send(c, "", answer("other")) }, 1},
 		{"no usage", func(c *call) { send(c, "", `{"id":"`+c.id+`"}`) }, 1},
-		{"cut within JSON", func(c *call) { send(c, "", whole(c.id)[:20]) }, 1},
-		{"shorter than its length", func(c *call) { send(c, "500", whole(c.id)).reset() }, 1},
-		{"silent within the answer", func(c *call) { send(c, "", whole(c.id)[:20]).hang() }, 1},
+		{"cut within JSON", func(c *call) { send(c, "", answer(c.id)[:20]) }, 1},
+		{"shorter than its length", func(c *call) { send(c, "500", answer(c.id)).reset() }, 1},
+		{"silent within the answer", func(c *call) { send(c, "", answer(c.id)[:20]).hang() }, 1},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			bad, good := newScript(t, tc.play), startEngine(t)
+			bad, good := newScriptedTarget(t, tc.play), startEngine(t)
 			f := newFixture(t, []string{bad.addr(), good.Addr()}, nil, nil)
 			r := f.do("POST", "/v1/completions", modelRequest("p", 3, false), "X-Request-Id", "mine")
 			if r.status != 200 || !strings.Contains(r.body, `"id":"mine"`) || !strings.Contains(r.body, `"usage"`) {
@@ -128,10 +128,10 @@
 	}
 }
 
-// TestSilentConnections: a dispatcher's stream stops in the middle: a
-// middlebox forgot every connection to the engine, idle ones too, while new
-// ones work. The stream goes on over a new connection, and no later request is
-// put on one of the old ones.
+// TestSilentConnections covers a middlebox that drops the state of all
+// connections to the engine, idle ones too, while new connections work. The
+// stream must continue over a new connection, and later requests must not use
+// an old one.
 func TestSilentConnections(t *testing.T) {
 	e := startEngine(t)
 	f := newFixture(t, []string{e.Addr()}, nil, nil)
@@ -153,9 +153,9 @@
 	}
 }
 
-// TestRetryAmplification: every engine answers each request with a failure or
-// a refusal. Retries would multiply the load that may be the cause; the
-// service's budget of 0.1 bounds attempts to 1.1 times the requests.
+// TestRetryAmplification covers engines that all fail or refuse every request.
+// Retries would multiply the load that may be the cause. The service's retry
+// budget of 0.1 bounds the attempts to 1.1 times the requests.
 func TestRetryAmplification(t *testing.T) {
 	plays := map[string]func(c *call){
 		"failing":  func(c *call) { c.w.WriteHeader(http.StatusInternalServerError) },
@@ -164,7 +164,7 @@
 		"dying":    func(c *call) { c.reset() },
 	}
 	for name, play := range plays {
-		a, b := newScript(t, play), newScript(t, play)
+		a, b := newScriptedTarget(t, play), newScriptedTarget(t, play)
 		f := newFixture(t, []string{a.addr(), b.addr()}, nil, nil)
 		const requests = 1000
 		for range requests {
@@ -178,14 +178,14 @@
 	}
 }
 
-// TestHandover: routing sends the prompt to a prefill engine and the answer to
-// a decode engine. The caller sees one stream, and neither a retry nor a
-// failure is counted.
+// TestHandover routes the prompt to a prefill engine and the answer to a decode
+// engine. The caller must get one stream. Only one attempt is allowed, so that
+// the handover must count neither as a retry nor as a failure.
 func TestHandover(t *testing.T) {
 	prefill, decode := startEngine(t), startEngine(t)
-	kv := &moves{}
+	kv := &fakeKVMover{}
 	f := newFixture(t, []string{prefill.Addr(), decode.Addr()}, nil, func(o *Options, d *document.Document) {
-		o.Router = handover{}
+		o.Router = handoverRouter{}
 		o.KV = kv
 		d.Retry.Attempts = 1
 	})
@@ -193,21 +193,22 @@
 	if err := checkStream(r.body, "mine", "prompt", 200); err != nil {
 		t.Fatal(err)
 	}
-	if kv.said != "e0>e1" {
-		t.Errorf("cache moved %q", kv.said)
+	if kv.moved != "e0>e1" {
+		t.Errorf("KV cache transfers %q, want e0>e1", kv.moved)
 	}
 	if n := len(decode.Record().Requests); n != 1 {
 		t.Errorf("the decode engine got %d requests", n)
 	}
 }
 
-// TestHandoverToTheDead: the decode engine refuses connections. The prefill
-// engine goes on by itself, and is not asked for one token at a time.
-func TestHandoverToTheDead(t *testing.T) {
+// TestHandoverToUnreachableEngine covers a decode engine that refuses
+// connections. The prefill engine continues the answer by itself in one request
+// instead of one request per token.
+func TestHandoverToUnreachableEngine(t *testing.T) {
 	prefill := startEngine(t)
-	dead := newScript(t, nil)
-	dead.Close()
-	f := newFixture(t, []string{prefill.Addr(), dead.addr()}, nil, func(o *Options, _ *document.Document) { o.Router = handover{} })
+	unreachable := newScriptedTarget(t, nil)
+	unreachable.Close()
+	f := newFixture(t, []string{prefill.Addr(), unreachable.addr()}, nil, func(o *Options, _ *document.Document) { o.Router = handoverRouter{} })
 	r := f.complete("prompt", 50, "X-Request-Id", "mine")
 	if err := checkStream(r.body, "mine", "prompt", 50); err != nil {
 		t.Fatal(err)
@@ -217,16 +218,17 @@
 	}
 }
 
-// handover sends every prompt to e0 and every answer to e1.
-type handover struct{}
+// handoverRouter routes every prompt to e0 and every answer to e1.
+type handoverRouter struct{}
 
-func (handover) Route(routing.Request, []routing.Target) (routing.Decision, error) {
+func (handoverRouter) Route(routing.Request, []routing.Target) (routing.Decision, error) {
 	return routing.Decision{Target: "e0", DecodeTarget: "e1"}, nil
 }
 
-type moves struct{ said string }
+// fakeKVMover records KV cache transfers.
+type fakeKVMover struct{ moved string }
 
-func (m *moves) Move(_ context.Context, from, to string, _ []uint64) error {
-	m.said += from + ">" + to
+func (m *fakeKVMover) Move(_ context.Context, from, to string, _ []uint64) error {
+	m.moved += from + ">" + to
 	return nil
 }
--- a/request/entry/fixture_test.go
+++ b/request/entry/fixture_test.go
@@ -24,35 +24,35 @@
 	"github.com/pomelospool/pomelospool/version/view"
 )
 
-// TestMain keeps the log lines of provoked faults out of the output.
+// TestMain suppresses the log lines of provoked faults.
 func TestMain(m *testing.M) {
 	log.SetLevel(log.FatalLevel)
 	m.Run()
 }
 
-const pollLimit = time.Minute // stops a poll whose condition never comes
+const pollLimit = time.Minute // for a poll whose condition never holds
 
-// await polls until the condition holds.
-func await(t testing.TB, holds func() bool) {
+// await polls until cond returns true.
+func await(t testing.TB, cond func() bool) {
 	t.Helper()
 	tick := time.NewTicker(time.Millisecond)
 	defer tick.Stop()
 	limit := time.After(pollLimit)
-	for !holds() {
+	for !cond() {
 		select {
 		case <-tick.C:
 		case <-limit:
-			t.Fatal("the condition never came")
+			t.Fatal("timed out waiting for the condition")
 		}
 	}
 }
 
 const (
-	testModel = "m"
-	patience  = 300 * time.Millisecond // for a target's progress, in tests
+	testModel       = "m"
+	progressTimeout = 300 * time.Millisecond // for a target's progress
 )
 
-// leastLoaded is the smallest Router that keeps the contract.
+// leastLoaded is a minimal Router.
 type leastLoaded struct{ finish time.Duration }
 
 func (l leastLoaded) Route(r routing.Request, targets []routing.Target) (routing.Decision, error) {
@@ -94,7 +94,7 @@
 	return false
 }
 
-// docTargets gives a document's targets as the pool sees them.
+// docTargets returns a document's targets with their status in the pool.
 type docTargets struct{ pool *pool.Pool }
 
 func (d docTargets) Targets(svc *view.Service) []routing.Target {
@@ -109,7 +109,8 @@
 	return out
 }
 
-// fixture is one entry on a real listener before targets on real listeners.
+// fixture is an Entry that serves on a real listener, with targets on real
+// listeners.
 type fixture struct {
 	t     testing.TB
 	entry *Entry
@@ -118,14 +119,14 @@
 	addr  string
 }
 
-// newFixture serves models at the addresses of engines and the service "app"
-// at those of plains. change may alter what it likes.
+// newFixture serves models at the addresses of engines and the service "app" at
+// those of plains. change may modify the options and documents.
 func newFixture(t testing.TB, engines, plains []string, change func(*Options, *document.Document)) *fixture {
 	t.Helper()
-	p := pool.New(pool.Options{ProbeEvery: 10 * time.Millisecond, ProbeWait: patience})
+	p := pool.New(pool.Options{ProbeEvery: 10 * time.Millisecond, ProbeWait: progressTimeout})
 	llm := &document.Document{Service: "llm", Kind: document.KindModel, Models: []document.Model{{Name: testModel}}, Targets: targets("e", engines)}
 	app := &document.Document{Service: "app", Kind: document.KindPlain, Targets: targets("p", plains), Once: document.Once{Paths: []string{"/holds"}}}
-	o := Options{View: &view.Holder{}, Pool: p, Router: leastLoaded{}, MinHeaderTimeout: patience, ReadTimeout: patience, WriteTimeout: patience}
+	o := Options{View: &view.Holder{}, Pool: p, Router: leastLoaded{}, MinHeaderTimeout: progressTimeout, ReadTimeout: progressTimeout, WriteTimeout: progressTimeout}
 	o.Targets = docTargets{p}
 	o.Addresses = address.NewSelector(func() []address.Member { return []address.Member{{Addr: "127.0.0.1:1", Zone: "a"}} }, time.Second)
 	for _, d := range []*document.Document{llm, app} {
@@ -166,12 +167,12 @@
 	return out
 }
 
-// reply is an answer as a caller sees it.
+// reply is an answer as the caller received it.
 type reply struct {
 	status int
 	header http.Header
 	body   string
-	err    error // of reading the body
+	err    error // from reading the body
 }
 
 func (r reply) code() string { return r.header.Get(answer.HeaderCode) }
@@ -198,7 +199,7 @@
 	return fmt.Sprintf(`{"model":%q,"prompt":%q,"max_tokens":%d,"stream":%v}`, testModel, prompt, tokens, stream)
 }
 
-// complete asks for a streamed completion.
+// complete requests a streamed completion.
 func (f *fixture) complete(prompt string, tokens int, header ...string) reply {
 	f.t.Helper()
 	return f.do("POST", "/v1/completions", modelRequest(prompt, tokens, true), header...)
@@ -210,7 +211,7 @@
 	Error   *struct{ Code int }
 }
 
-// checkStream tells what a caller would find wrong with a streamed answer.
+// checkStream returns an error if a streamed answer isn't the expected one.
 func checkStream(body, id, prompt string, tokens int) error {
 	var text strings.Builder
 	done := false
--- a/request/entry/fuzz_test.go
+++ b/request/entry/fuzz_test.go
@@ -14,9 +14,9 @@
 	"github.com/pomelospool/pomelospool/version/view"
 )
 
-// FuzzModelBody: whatever a caller sends, it is refused with a code, or the
-// body that goes to the engine is JSON that names the same model and carries
-// our own resume and priority, not the caller's.
+// FuzzModelBody checks that any body is either refused with a result code, or
+// sent to the engine as JSON with the same model and with the priority and
+// resume fields that the daemon sets.
 func FuzzModelBody(f *testing.F) {
 	f.Add([]byte(modelRequest("p", 1, true)), 3)
 	f.Add([]byte(`{"model":"m","resume":{"tokens":9},"priority":1,"messages":[{"role":"user","content":[{"text":"x"}]}]} `), 0)
@@ -45,16 +45,17 @@
 		if err := json.Unmarshal(c.payload(resume), &got); err != nil {
 			t.Fatalf("payload %s: %v", c.payload(resume), err)
 		}
-		if got.Model != testModel || got.Priority == nil || *got.Priority != c.terms.priority {
+		if got.Model != testModel || got.Priority == nil || *got.Priority != c.params.priority {
 			t.Fatalf("payload %s", c.payload(resume))
 		}
 		if resume > 0 && (got.Resume == nil || got.Resume.Tokens != resume) {
-			t.Fatalf("payload %s resumes elsewhere than %d", c.payload(resume), resume)
+			t.Fatalf("payload %s doesn't resume at %d", c.payload(resume), resume)
 		}
 	})
 }
 
-// FuzzHeaders: callers' headers are taken or refused, never more than that.
+// FuzzHeaders checks that any header values are either refused or yield valid
+// parameters.
 func FuzzHeaders(f *testing.F) {
 	f.Add("id-1", "1000", "1", "org")
 	f.Add("a\"b", "-1", "x", strings.Repeat("o", 300))
@@ -69,7 +70,7 @@
 			t.Fatalf("id %q for %q", got, id)
 		}
 		now := time.Unix(0, 0)
-		got, err := readTerms(req, doc, now)
+		got, err := readParams(req, doc, now)
 		if err != nil {
 			return
 		}
--- a/request/entry/header.go
+++ b/request/entry/header.go
@@ -15,7 +15,7 @@
 	"github.com/pomelospool/pomelospool/version/document"
 )
 
-// Headers of requests.
+// Request headers.
 const (
 	headerPriority = "X-Priority"
 	headerOrg      = "X-Organisation"
@@ -23,25 +23,25 @@
 )
 
 const (
-	maxID           = 128 // bytes of an id, a key, an organisation's name
+	maxIDBytes      = 128 // of an id, an idempotency key or an organisation's name
 	defaultDeadline = 30 * time.Second
 )
 
-// requestID returns the caller's id, or a new one when there is none or it
-// can't be used.
+// requestID returns the request id that the caller sent. If the id is missing
+// or invalid, it returns a new one, with an error in the latter case.
 func requestID(req *http.Request) (string, error) {
 	id := req.Header.Get(attempt.HeaderID)
 	if id == "" {
 		return uuid.NewString(), nil
 	}
 	if !validID(id) {
-		return uuid.NewString(), code.New(code.BadRequest, "X-Request-Id has over %d bytes or other signs than A-Z a-z 0-9 . _ : -", maxID)
+		return uuid.NewString(), code.New(code.BadRequest, "X-Request-Id has over %d bytes or other signs than A-Z a-z 0-9 . _ : -", maxIDBytes)
 	}
 	return id, nil
 }
 
 func validID(id string) bool {
-	if len(id) > maxID {
+	if len(id) > maxIDBytes {
 		return false
 	}
 	for _, c := range []byte(id) {
@@ -54,12 +54,13 @@
 	return true
 }
 
-// checkForm refuses headers over the limit and paths that aren't clean.
+// checkHeaderAndPath refuses headers over the limit and paths that aren't in
+// canonical form.
 //
-// A path such as "/s/app/x/../holds" would not look like a call to /holds
-// here, and run as an idempotent one, while the target takes it as such: a
-// slot hold could run twice. Only clean paths pass.
-func (e *Entry) checkForm(req *http.Request) error {
+// A path such as "/s/app/x/../holds" doesn't match the prefix /holds here and
+// would be handled as an idempotent call, but the target resolves it to /holds.
+// A retry could then run a non-idempotent call twice.
+func (e *Entry) checkHeaderAndPath(req *http.Request) error {
 	if n := headerBytes(req); n > e.opts.Limits.HeaderBytes {
 		return code.New(code.HeaderTooLarge, "%d bytes, at most %d", n, e.opts.Limits.HeaderBytes)
 	}
@@ -83,50 +84,50 @@
 	return n
 }
 
-// terms are what a caller asks of any request.
-type terms struct {
+// requestParams holds the parameters that a caller can set on every request.
+type requestParams struct {
 	org      string
 	priority int
 	deadline time.Time
-	caller   string // for limits per caller
+	caller   string // key of the limits per caller
 }
 
-func readTerms(req *http.Request, doc *document.Document, now time.Time) (terms, error) {
-	t := terms{org: req.Header.Get(headerOrg)}
-	if len(t.org) > maxID {
-		return t, code.New(code.BadRequest, "X-Organisation has over %d bytes", maxID)
+func readParams(req *http.Request, doc *document.Document, now time.Time) (requestParams, error) {
+	params := requestParams{org: req.Header.Get(headerOrg)}
+	if len(params.org) > maxIDBytes {
+		return params, code.New(code.BadRequest, "X-Organisation has over %d bytes", maxIDBytes)
 	}
 	if v := req.Header.Get(headerPriority); v != "" {
 		p, err := strconv.Atoi(v)
 		if err != nil || p < -1 || p > 1 {
-			return t, code.New(code.BadRequest, "X-Priority is -1, 0 or 1")
+			return params, code.New(code.BadRequest, "X-Priority is -1, 0 or 1")
 		}
-		t.priority = p
+		params.priority = p
 	}
-	left, err := timeLeft(req.Header.Get(attempt.HeaderDeadline), doc)
+	timeout, err := requestTimeout(req.Header.Get(attempt.HeaderDeadline), doc)
 	if err != nil {
-		return t, err
+		return params, err
 	}
-	t.deadline = now.Add(left)
+	params.deadline = now.Add(timeout)
 	host, _, _ := net.SplitHostPort(req.RemoteAddr)
-	t.caller = t.org + "\x00" + host
-	return t, nil
+	params.caller = params.org + "\x00" + host
+	return params, nil
 }
 
-func timeLeft(header string, doc *document.Document) (time.Duration, error) {
-	left := doc.Objectives.Answer
-	if left <= 0 {
-		left = defaultDeadline
+func requestTimeout(header string, doc *document.Document) (time.Duration, error) {
+	timeout := doc.Objectives.Answer
+	if timeout <= 0 {
+		timeout = defaultDeadline
 	}
 	if header != "" {
 		ms, err := strconv.ParseInt(header, 10, 32)
 		if err != nil || ms <= 0 {
 			return 0, code.New(code.BadRequest, "X-Deadline-Ms is a positive number of milliseconds")
 		}
-		left = time.Duration(ms) * time.Millisecond
+		timeout = time.Duration(ms) * time.Millisecond
 	}
-	if most := doc.Limits.MaxDeadline; most > 0 {
-		left = min(left, most)
+	if limit := doc.Limits.MaxDeadline; limit > 0 {
+		timeout = min(timeout, limit)
 	}
-	return left, nil
+	return timeout, nil
 }
--- a/request/entry/info.go
+++ b/request/entry/info.go
@@ -12,9 +12,10 @@
 	"github.com/pomelospool/pomelospool/version/view"
 )
 
-// addresses answers which daemons to use. The query may name the caller's
-// zone and a seed; the seed is otherwise the caller's address, port included,
-// so that callers behind one address spread too.
+// addresses answers with the addresses of the daemons to use. The query
+// parameters zone and seed are optional. The seed defaults to a hash of the
+// caller's address and port, so that callers that share an IP address are
+// spread over the daemons too.
 func (e *Entry) addresses(w http.ResponseWriter, req bunrouter.Request) error {
 	q := req.URL.Query()
 	seed := xxhash.Sum64String(req.RemoteAddr)
@@ -28,7 +29,7 @@
 	return writeJSON(w, e.opts.Addresses.Answer(zone, seed))
 }
 
-// modelList is the OpenAI form of the models in force.
+// modelList is the list of configured models in the format of the OpenAI API.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelInfo `json:"data"`
--- a/request/entry/logs_test.go
+++ b/request/entry/logs_test.go
@@ -17,22 +17,22 @@
 	"github.com/pomelospool/pomelospool/version/document"
 )
 
-// lines keeps what the process logs, as it is written and by its fields.
-type lines struct {
+// logRecorder records log entries and their JSON form.
+type logRecorder struct {
 	mu      sync.Mutex
 	text    bytes.Buffer
 	entries []*log.Entry
 }
 
-func (l *lines) HandleLog(e *log.Entry) error {
+func (l *logRecorder) HandleLog(e *log.Entry) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.entries = append(l.entries, e)
 	return json.New(&l.text).HandleLog(e)
 }
 
-// of returns the entries with that message.
-func (l *lines) of(message string) []*log.Entry {
+// withMessage returns the entries with the given message.
+func (l *logRecorder) withMessage(message string) []*log.Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []*log.Entry
@@ -44,10 +44,11 @@
 	return out
 }
 
-// captureLog sends all lines, debug ones too, to the returned lines until the
-// test ends. It is for tests that don't run in parallel.
-func captureLog(t testing.TB, wrap func(log.Handler) log.Handler) *lines {
-	l := &lines{}
+// captureLog sends all log entries, including debug ones, to the returned
+// logRecorder until the test ends. It changes the global logger, so tests that
+// use it can't run in parallel.
+func captureLog(t testing.TB, wrap func(log.Handler) log.Handler) *logRecorder {
+	l := &logRecorder{}
 	std := log.Log.(*log.Logger)
 	before := *std
 	t.Cleanup(func() { *std = before })
@@ -56,9 +57,10 @@
 	return l
 }
 
-func asIs(h log.Handler) log.Handler { return h }
+func noWrap(h log.Handler) log.Handler { return h }
 
-// marks are what a caller sends and a target answers; none may be logged.
+// Markers in the content that callers send and targets return. None may be
+// logged.
 const (
 	markPrompt = "MARK-prompt"
 	markBody   = "MARK-body"
@@ -67,11 +69,10 @@
 	markQuery  = "MARK-query"
 )
 
-// TestLogsHoldNoContent: a member of staff's organisation sends a confidential
-// prompt to an engine that fails and quotes it. Whoever may read the daemon's
-// log must not learn prompts, answers, keys or tokens from it, in whatever way
-// the target fails.
-func TestLogsHoldNoContent(t *testing.T) {
+// TestLogsOmitRequestContent checks that the log doesn't contain prompts,
+// answers, keys or tokens, in whatever way a target fails. Failing engines may
+// quote the prompt in their errors.
+func TestLogsOmitRequestContent(t *testing.T) {
 	raw := func(text string) func(c *call) {
 		return func(c *call) {
 			conn, _, err := http.NewResponseController(c.w).Hijack()
@@ -109,9 +110,9 @@
 	}
 	for name, play := range plays {
 		t.Run(name, func(t *testing.T) {
-			l := captureLog(t, asIs)
-			s := newScript(t, play)
-			f := newFixture(t, []string{s.addr()}, []string{s.addr()}, withLedger(newLedger()))
+			l := captureLog(t, noWrap)
+			s := newScriptedTarget(t, play)
+			f := newFixture(t, []string{s.addr()}, []string{s.addr()}, withKeeper(newFakeKeeper()))
 			secret := []string{"Authorization", "Bearer " + markToken, "Idempotency-Key", markKey}
 			f.complete(markPrompt, 3, secret...)
 			f.do("POST", "/v1/completions", `{"model":"`+markPrompt, secret...)
@@ -119,8 +120,8 @@
 			f.do("PUT", "/s/app/holds?q="+markQuery, markBody, secret...)
 			s.Close()
 			f.do("PUT", "/s/app/reads?q="+markQuery, markBody, secret...)
-			if len(l.of("attempt: failed")) == 0 {
-				t.Error("no attempt failed: the test shows nothing")
+			if len(l.withMessage("attempt: failed")) == 0 {
+				t.Error("no attempt failed, so nothing was tested")
 			}
 			for _, line := range strings.Split(l.text.String(), "\n") {
 				if strings.Contains(line, "MARK") {
@@ -131,48 +132,48 @@
 	}
 }
 
-// TestRequestID: a caller reports a failed request by its id. The id stands in
-// the log lines of all its attempts, in the answer, and each id that a target
-// saw begins with it, so that one search finds all of it.
+// TestRequestID checks that a failed request can be found by its id. The id
+// must be in the answer and in the log lines of all attempts, and be the prefix
+// of each id that a target got.
 func TestRequestID(t *testing.T) {
-	l := captureLog(t, asIs)
+	l := captureLog(t, noWrap)
 	failing := func(c *call) { c.w.Header().Set("X-Request-Id", c.id); c.w.WriteHeader(500) }
-	a, b := newScript(t, failing), newScript(t, failing)
+	a, b := newScriptedTarget(t, failing), newScriptedTarget(t, failing)
 	f := newFixture(t, []string{a.addr(), b.addr()}, []string{a.addr(), b.addr()}, func(_ *Options, d *document.Document) {
 		d.Retry.Budget = 1
 	})
-	for id, ask := range map[string]func(id string) reply{
+	for id, send := range map[string]func(id string) reply{
 		"model-7": func(id string) reply { return f.complete("p", 3, "X-Request-Id", id) },
 		"plain-7": func(id string) reply { return f.do("GET", "/s/app/x", "", "X-Request-Id", id) },
 	} {
 		before := a.count() + b.count()
-		if r := ask(id); r.header.Get("X-Request-Id") != id || r.code() == "0" && r.status == 200 {
+		if r := send(id); r.header.Get("X-Request-Id") != id || r.code() == "0" && r.status == 200 {
 			t.Errorf("%s: caller saw %+v", id, r)
 		}
-		seen := slices.Concat(a.seen(), b.seen())
-		tried := 0
-		for _, s := range seen {
+		ids := slices.Concat(a.requestIDs(), b.requestIDs())
+		matching := 0
+		for _, s := range ids {
 			if strings.HasPrefix(s, id+".") {
-				tried++
+				matching++
 			}
 		}
 		logged := 0
-		for _, e := range l.of("attempt: failed") {
+		for _, e := range l.withMessage("attempt: failed") {
 			if e.Fields["request"] == id {
 				logged++
 			}
 		}
-		if n := len(seen) - before; n < 2 || tried != n || logged != n {
-			t.Errorf("%s: targets saw %d requests, %d under its id, %d lines", id, n, tried, logged)
+		if n := len(ids) - before; n < 2 || matching != n || logged != n {
+			t.Errorf("%s: targets saw %d requests, %d under its id, %d lines", id, n, matching, logged)
 		}
 	}
 }
 
-// TestRequestIDAtTheTargets: from a caller's id one finds what the stand-ins
-// recorded of its requests, also of an at-most-once call.
-func TestRequestIDAtTheTargets(t *testing.T) {
+// TestRequestIDReachesTargets checks that the requests recorded by the targets
+// can be found by the caller's id, including an at-most-once call.
+func TestRequestIDReachesTargets(t *testing.T) {
 	e, p := startEngine(t), startPlain(t)
-	f := newFixture(t, []string{e.Addr()}, []string{p.Addr()}, withLedger(newLedger()))
+	f := newFixture(t, []string{e.Addr()}, []string{p.Addr()}, withKeeper(newFakeKeeper()))
 	f.complete("p", 1, "X-Request-Id", "model-8")
 	f.do("GET", "/s/app/x", "", "X-Request-Id", "plain-8")
 	f.do("POST", "/s/app/holds", "", "X-Request-Id", "once-8", "Idempotency-Key", "k")
@@ -188,39 +189,40 @@
 	}
 }
 
-// TestStormOfFailures: callers ask ten times what the engines carry, of which
-// one refuses all and one breaks every connection. The log holds a burst of
-// lines and what was left out, not a line for every attempt.
-func TestStormOfFailures(t *testing.T) {
-	const callers, each = 20, 50
+// TestFailureLogIsRateLimited covers an overload in which one engine refuses
+// every request and the other one breaks every connection. The log must contain
+// a burst of lines and the count of the dropped ones, not a line for every
+// attempt.
+func TestFailureLogIsRateLimited(t *testing.T) {
+	const callers, requestsPerCaller = 20, 50
 	var limiter *logging.Limiter
 	l := captureLog(t, func(h log.Handler) log.Handler {
-		limiter = logging.NewLimiter(h, logging.Options{Rate: 1e-9}) // the burst only: real time has no say
+		limiter = logging.NewLimiter(h, logging.Options{Rate: 1e-9}) // only the burst passes, whatever the test's duration
 		return limiter
 	})
-	full := newScript(t, func(c *call) { c.w.WriteHeader(503) })
-	dying := newScript(t, func(c *call) { c.reset() })
-	f := newFixture(t, []string{full.addr(), dying.addr()}, nil, nil)
+	refusing := newScriptedTarget(t, func(c *call) { c.w.WriteHeader(503) })
+	breaking := newScriptedTarget(t, func(c *call) { c.reset() })
+	f := newFixture(t, []string{refusing.addr(), breaking.addr()}, nil, nil)
 	var wg sync.WaitGroup
 	for range callers {
 		wg.Go(func() {
-			for range each {
+			for range requestsPerCaller {
 				f.complete("p", 3)
 			}
 		})
 	}
 	wg.Wait()
 	limiter.Report()
-	attempts := full.count() + dying.count()
-	passed, counted := len(l.of("attempt: failed")), 0
-	for _, e := range l.of(logging.LeftOut) {
+	attempts := refusing.count() + breaking.count()
+	logged, dropped := len(l.withMessage("attempt: failed")), 0
+	for _, e := range l.withMessage(logging.LeftOut) {
 		if e.Fields["message"] == "attempt: failed" {
-			counted += e.Fields["count"].(int)
+			dropped += e.Fields["count"].(int)
 		}
 	}
-	t.Logf("%d requests, %d attempts: %d lines, %d counted", callers*each, attempts, passed, counted)
-	if passed > logging.DefaultBurst || passed+counted < attempts {
-		t.Errorf("%d lines and %d counted for %d attempts", passed, counted, attempts)
+	t.Logf("%d requests, %d attempts: %d lines, %d dropped", callers*requestsPerCaller, attempts, logged, dropped)
+	if logged > logging.DefaultBurst || logged+dropped < attempts {
+		t.Errorf("%d lines and %d dropped for %d attempts", logged, dropped, attempts)
 	}
 	if n := len(l.entries); n > 10*logging.DefaultBurst {
 		t.Errorf("%d lines in all", n)
--- a/request/entry/model.go
+++ b/request/entry/model.go
@@ -21,12 +21,12 @@
 )
 
 const (
-	defaultOutput = 256 // tokens expected of a request that sets no max_tokens
-	outputCost    = 8   // work of one output token, in prompt tokens
-	retryAfter    = time.Second
+	defaultOutputTokens = 256 // estimated output of a request without max_tokens
+	outputTokenCost     = 8   // cost of an output token relative to a prompt token
+	retryAfter          = time.Second
 )
 
-// modelBody is what entry reads of a model request's body.
+// modelBody holds the fields of a model request's body that this package reads.
 type modelBody struct {
 	Model     string           `json:"model"`
 	Messages  []prefix.Message `json:"messages"`
@@ -42,15 +42,15 @@
 	Tokens int `json:"tokens"`
 }
 
-// modelCall is one model request, read and checked.
+// modelCall is a parsed and validated model request.
 type modelCall struct {
-	raw    []byte // a JSON object
-	body   modelBody
-	svc    *view.Service
-	terms  terms
-	prompt string
-	tokens int // estimate of the prompt
-	output int // estimate of the answer
+	raw          []byte // a JSON object
+	body         modelBody
+	svc          *view.Service
+	params       requestParams
+	prompt       string
+	promptTokens int // estimate of the prompt
+	outputTokens int // estimate of the answer
 }
 
 func (e *Entry) model(chat bool) bunrouter.HandlerFunc {
@@ -66,7 +66,7 @@
 }
 
 func (e *Entry) readModel(w http.ResponseWriter, req *http.Request, chat bool) (*modelCall, error) {
-	if err := e.gate(); err != nil {
+	if err := e.checkAccepting(); err != nil {
 		return nil, err
 	}
 	snap, err := e.snapshot()
@@ -85,14 +85,15 @@
 	if c.svc == nil {
 		return nil, code.New(code.UnknownService, "model %.80q", c.body.Model)
 	}
-	if c.terms, err = readTerms(req, c.svc.Doc, time.Now()); err != nil {
+	if c.params, err = readParams(req, c.svc.Doc, time.Now()); err != nil {
 		return nil, err
 	}
-	return c, c.check(req, chat)
+	return c, c.estimateAndCheck(req, chat)
 }
 
-// check fills in the estimates and holds them against the limits.
-func (c *modelCall) check(req *http.Request, chat bool) error {
+// estimateAndCheck estimates the request's tokens and checks it against the
+// limits.
+func (c *modelCall) estimateAndCheck(req *http.Request, chat bool) error {
 	doc := c.svc.Doc
 	if max := doc.Limits.BodyBytes; max > 0 && int64(len(c.raw)) > max {
 		return code.New(code.BodyTooLarge, "%d bytes, at most %d", len(c.raw), max)
@@ -101,51 +102,51 @@
 		return code.New(code.BadRequest, "a number of tokens is negative")
 	}
 	if c.body.Priority != nil && req.Header.Get(headerPriority) == "" {
-		c.terms.priority = min(max(*c.body.Priority, -1), 1)
+		c.params.priority = min(max(*c.body.Priority, -1), 1)
 	}
 	c.prompt = c.body.Prompt
 	if chat {
 		c.prompt = prefix.Prompt(c.body.Messages)
 	}
-	c.tokens = prefix.EstimateTokens(c.prompt)
-	c.output = c.body.MaxTokens
-	if c.output == 0 {
-		c.output = defaultOutput
+	c.promptTokens = prefix.EstimateTokens(c.prompt)
+	c.outputTokens = c.body.MaxTokens
+	if c.outputTokens == 0 {
+		c.outputTokens = defaultOutputTokens
 	}
 	return c.checkTokens(doc)
 }
 
 func (c *modelCall) checkTokens(doc *document.Document) error {
-	if max := doc.Limits.PromptTokens; max > 0 && c.tokens > max {
-		return code.New(code.PromptTooLong, "about %d prompt tokens, at most %d", c.tokens, max)
+	if max := doc.Limits.PromptTokens; max > 0 && c.promptTokens > max {
+		return code.New(code.PromptTooLong, "about %d prompt tokens, at most %d", c.promptTokens, max)
 	}
 	if max := doc.Limits.OutputTokens; max > 0 && c.body.MaxTokens > max {
 		return code.New(code.PromptTooLong, "%d output tokens, at most %d", c.body.MaxTokens, max)
 	}
 	for _, m := range doc.Models {
-		if m.Name == c.body.Model && m.MaxTokens > 0 && c.tokens+c.body.MaxTokens > m.MaxTokens {
-			return code.New(code.PromptTooLong, "%d tokens in all, at most %d", c.tokens+c.body.MaxTokens, m.MaxTokens)
+		if m.Name == c.body.Model && m.MaxTokens > 0 && c.promptTokens+c.body.MaxTokens > m.MaxTokens {
+			return code.New(code.PromptTooLong, "%d tokens in all, at most %d", c.promptTokens+c.body.MaxTokens, m.MaxTokens)
 		}
 	}
 	return nil
 }
 
-// start is the index of the first token that the caller wants.
-func (c *modelCall) start() int {
+// firstToken returns the index of the first token that the caller requests.
+func (c *modelCall) firstToken() int {
 	if c.body.Resume == nil {
 		return 0
 	}
 	return c.body.Resume.Tokens
 }
 
-// payload returns the body for an attempt that goes on after resume tokens.
-// The fields are put behind the caller's: of two that are named alike JSON
-// readers take the last.
+// payload returns the body of an attempt that resumes after the given number of
+// tokens. The added fields come after those of the caller, since JSON parsers
+// use the last of several fields with the same name.
 func (c *modelCall) payload(resume int) []byte {
 	out := make([]byte, 0, len(c.raw)+64)
 	out = append(out, c.raw[:len(c.raw)-1]...)
 	out = append(out, `,"priority":`...)
-	out = strconv.AppendInt(out, int64(c.terms.priority), 10)
+	out = strconv.AppendInt(out, int64(c.params.priority), 10)
 	if resume > 0 {
 		out = append(out, `,"resume":{"tokens":`...)
 		out = strconv.AppendInt(out, int64(resume), 10)
@@ -158,14 +159,14 @@
 	return routing.Request{
 		ID:           id,
 		Service:      c.svc.Doc.Service,
-		Org:          c.terms.org,
+		Org:          c.params.org,
 		Model:        c.body.Model,
 		Adapter:      c.body.Adapter,
-		Priority:     c.terms.priority,
-		PromptTokens: c.tokens,
-		OutputTokens: c.output,
+		Priority:     c.params.priority,
+		PromptTokens: c.promptTokens,
+		OutputTokens: c.outputTokens,
 		Prefix:       prefix.Blocks(c.prompt),
-		Deadline:     time.Until(c.terms.deadline),
+		Deadline:     time.Until(c.params.deadline),
 		Zone:         e.opts.Zone,
 		Seed:         xxhash.Sum64String(id),
 
@@ -178,7 +179,7 @@
 		ID:          id,
 		Service:     c.svc,
 		Route:       c.route(id, e),
-		Deadline:    c.terms.deadline,
+		Deadline:    c.params.deadline,
 		Method:      http.MethodPost,
 		Path:        path,
 		Header:      http.Header{"Content-Type": {"application/json"}},
@@ -189,7 +190,8 @@
 	}
 }
 
-// fingerprint names content whatever id or key it comes under.
+// fingerprint identifies a request's content independently of its id and
+// idempotency key.
 func fingerprint(model, prompt string) uint64 {
 	return xxhash.Sum64String(model + "\x00" + prompt)
 }
@@ -197,40 +199,40 @@
 func (e *Entry) runModel(w http.ResponseWriter, req *http.Request, c *modelCall) {
 	id := w.Header().Get(attempt.HeaderID)
 	q := c.request(id, req.URL.Path, e)
-	obs := newObservation(e.opts.Burn, c.svc.Doc.Service, c.terms.org)
+	obs := newObservation(e.opts.Burn, c.svc.Doc.Service, c.params.org)
 	if e.opts.OnModelRequest != nil {
-		e.opts.OnModelRequest(c.body.Model, c.tokens, c.output)
+		e.opts.OnModelRequest(c.body.Model, c.promptTokens, c.outputTokens)
 	}
-	cost := float64(c.tokens + outputCost*c.output)
-	p, err := e.admit(q, c.terms, cost)
+	cost := float64(c.promptTokens + outputTokenCost*c.outputTokens)
+	p, err := e.admit(q, c.params, cost)
 	if err != nil {
-		obs.end(err, 0)
+		obs.finish(err, 0)
 		writeError(w, err)
 		return
 	}
 	defer p.release()
-	ctx, cancel := context.WithDeadline(req.Context(), c.terms.deadline)
+	ctx, cancel := context.WithDeadline(req.Context(), c.params.deadline)
 	defer cancel()
 	if c.body.Stream {
 		e.runStream(ctx, w, q, c, p, obs)
 		return
 	}
-	recv := &wholeModel{id: id, max: int64(e.opts.Limits.BodyBytes)}
+	recv := &unstreamedReceiver{id: id, max: int64(e.opts.Limits.BodyBytes)}
 	_, err = e.runner.Run(ctx, q, &p.decision, recv)
-	obs.end(err, recv.tokens)
+	obs.finish(err, recv.tokens)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
-	writeWhole(w, http.StatusOK, "application/json", recv.body)
+	writeAnswer(w, http.StatusOK, "application/json", recv.body)
 }
 
 func (e *Entry) runStream(ctx context.Context, w http.ResponseWriter, q *attempt.Request, c *modelCall, p *permit, obs *observation) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	out := &streamOut{w: w, limit: e.opts.Limits.BufferBytes, timeout: e.opts.WriteTimeout, gone: cancel, obs: obs}
-	recv := newStreamModel(q.ID, c.start(), out)
+	out := &streamSink{w: w, bufferBytes: e.opts.Limits.BufferBytes, writeTimeout: e.opts.WriteTimeout, cancel: cancel, obs: obs}
+	recv := newStreamReceiver(q.ID, c.firstToken(), out)
 	_, err := e.runner.Run(ctx, q, &p.decision, recv)
 	err = out.close(err)
-	obs.end(err, recv.relay.Next()-c.start())
+	obs.finish(err, recv.relay.Next()-c.firstToken())
 }
--- a/request/entry/observe.go
+++ b/request/entry/observe.go
@@ -9,44 +9,44 @@
 	"github.com/pomelospool/pomelospool/process/burn"
 )
 
-// Metrics of all entries of the process.
+// Metrics of all Entry values in the process.
 var (
-	results    = expvar.NewMap("entry_results")        // finished requests by result code
-	firstToken = expvar.NewInt("entry_first_token_ns") // sum over the streamed answers that began
-	firsts     = expvar.NewInt("entry_first_tokens")   // streamed answers that began
-	tokensSent = expvar.NewInt("entry_tokens")         // passed on to callers
+	results         = expvar.NewMap("entry_results")        // finished requests by result code
+	firstTokenSum   = expvar.NewInt("entry_first_token_ns") // sum of the times to the first token of streamed answers
+	firstTokenCount = expvar.NewInt("entry_first_tokens")   // streamed answers that sent a first token
+	tokensSent      = expvar.NewInt("entry_tokens")         // tokens sent to callers
 )
 
-// observation measures one request for the burn report.
+// observation measures one request for the report on error budget burn.
 type observation struct {
-	to    burn.Observer
-	s     burn.Sample
-	begun time.Time
+	observer burn.Observer
+	sample   burn.Sample
+	started  time.Time
 }
 
 func newObservation(to burn.Observer, service, org string) *observation {
-	return &observation{to: to, s: burn.Sample{Service: service, Org: org}, begun: time.Now()}
+	return &observation{observer: to, sample: burn.Sample{Service: service, Org: org}, started: time.Now()}
 }
 
-// token notes the first token.
-func (o *observation) token() {
-	o.s.First = time.Since(o.begun)
-	firstToken.Add(int64(o.s.First))
-	firsts.Add(1)
+// firstToken records the time to the first token.
+func (o *observation) firstToken() {
+	o.sample.First = time.Since(o.started)
+	firstTokenSum.Add(int64(o.sample.First))
+	firstTokenCount.Add(1)
 }
 
-// end hands the sample over.
-func (o *observation) end(err error, tokens int) {
+// finish records the result and passes the sample to the observer.
+func (o *observation) finish(err error, tokens int) {
 	results.Add(strconv.Itoa(int(code.Of(err))), 1)
 	tokensSent.Add(int64(tokens))
-	if o.to == nil {
+	if o.observer == nil {
 		return
 	}
-	o.s.Code = code.Of(err)
-	o.s.Total = time.Since(o.begun)
-	o.s.Tokens = tokens
-	if tokens > 1 && o.s.First > 0 {
-		o.s.Between = (o.s.Total - o.s.First) / time.Duration(tokens-1)
+	o.sample.Code = code.Of(err)
+	o.sample.Total = time.Since(o.started)
+	o.sample.Tokens = tokens
+	if tokens > 1 && o.sample.First > 0 {
+		o.sample.Between = (o.sample.Total - o.sample.First) / time.Duration(tokens-1)
 	}
-	o.to.Observe(o.s)
+	o.observer.Observe(o.sample)
 }
--- a/request/entry/once.go
+++ b/request/entry/once.go
@@ -13,7 +13,7 @@
 	"github.com/pomelospool/pomelospool/request/once"
 )
 
-// onceResult is how a non-idempotent call ended.
+// onceResult is the outcome of a non-idempotent call.
 type onceResult struct {
 	answer *once.Answer
 	err    error
@@ -21,14 +21,14 @@
 
 // runOnce runs a non-idempotent call at most once.
 //
-// A caller that goes away, or whose deadline passes, must not cancel a call
-// that may be running at a target: the outcome would be unknown for good,
-// although the target answers a moment later. So the call runs in a goroutine
-// of its own to its end, and the handler only waits for it.
+// The call runs to its end in its own goroutine and the handler only waits for
+// it. If a disconnected caller or an expired deadline cancelled a call that may
+// be running on a target, its outcome would stay unknown, although the target
+// might answer a moment later.
 func (e *Entry) runOnce(w http.ResponseWriter, req *http.Request, c *plainCall) {
-	obs := newObservation(e.opts.Burn, c.svc.Doc.Service, c.terms.org)
+	obs := newObservation(e.opts.Burn, c.svc.Doc.Service, c.params.org)
 	res := e.startOnce(w, req, c)
-	timer := time.NewTimer(time.Until(c.terms.deadline))
+	timer := time.NewTimer(time.Until(c.params.deadline))
 	defer timer.Stop()
 	var r onceResult
 	select {
@@ -38,16 +38,17 @@
 	case <-req.Context().Done():
 		r.err = code.New(code.CallerGone, "")
 	}
-	obs.end(r.err, 0)
+	obs.finish(r.err, 0)
 	if r.err != nil {
 		writeError(w, r.err)
 		return
 	}
-	writeWhole(w, r.answer.Status, r.answer.Type, r.answer.Body)
+	writeAnswer(w, r.answer.Status, r.answer.Type, r.answer.Body)
 }
 
 // startOnce admits the call and starts it. Admission comes before the key is
-// taken: refusals, which are many under overload, cost no append to the log.
+// claimed, so that refusals, which are frequent under overload, don't append to
+// the log.
 func (e *Entry) startOnce(w http.ResponseWriter, req *http.Request, c *plainCall) <-chan onceResult {
 	res := make(chan onceResult, 1)
 	if e.opts.Once == nil {
@@ -55,7 +56,7 @@
 		return res
 	}
 	q := c.request(w.Header().Get(attempt.HeaderID), req, e)
-	p, err := e.admit(q, c.terms, 1)
+	p, err := e.admit(q, c.params, 1)
 	if err != nil {
 		res <- onceResult{err: err}
 		return res
@@ -64,24 +65,24 @@
 	ctx := context.WithoutCancel(req.Context())
 	e.tomb.Go(func() error {
 		defer p.release()
-		res <- e.onceCall(ctx, q, p, call)
+		res <- e.executeOnce(ctx, q, p, call)
 		return nil
 	})
 	return res
 }
 
-// onceLimit bounds a call whose document gives no longest deadline.
-const onceLimit = 2 * time.Minute
+// defaultOnceTimeout bounds a call whose document sets no maximum deadline.
+const defaultOnceTimeout = 2 * time.Minute
 
-func (e *Entry) onceCall(ctx context.Context, q *attempt.Request, p *permit, call once.Call) onceResult {
+func (e *Entry) executeOnce(ctx context.Context, q *attempt.Request, p *permit, call once.Call) onceResult {
 	beginCtx, cancelBegin := context.WithDeadline(ctx, q.Deadline)
-	ticket, known, err := e.opts.Once.Begin(beginCtx, call)
+	ticket, recorded, err := e.opts.Once.Begin(beginCtx, call)
 	cancelBegin()
 	if err != nil {
 		return onceResult{err: err}
 	}
-	if known != nil {
-		return onceResult{answer: known}
+	if recorded != nil {
+		return onceResult{answer: recorded}
 	}
 	if time.Now().After(q.Deadline) {
 		ticket.NotRun(code.DeadlineTooShort)
@@ -89,25 +90,26 @@
 	}
 	limit := q.Service.Doc.Limits.MaxDeadline
 	if limit <= 0 {
-		limit = onceLimit
+		limit = defaultOnceTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	recv := &plainAnswer{hold: e.opts.Limits.BodyBytes}
-	result, err := e.runner.Run(ctx, q, &p.decision, &wholePlain{recv})
-	return settle(ticket, recv, result, err)
+	recv := &plainReceiver{maxBuffered: e.opts.Limits.BodyBytes}
+	result, err := e.runner.Run(ctx, q, &p.decision, &bufferedReceiver{recv})
+	return closeTicket(ticket, recv, result, err)
 }
 
-// settle closes the ticket by what is proven.
-func settle(ticket once.Ticket, recv *plainAnswer, result attempt.Result, err error) onceResult {
+// closeTicket closes the ticket according to what is certain about the call:
+// done, not run or unknown.
+func closeTicket(ticket once.Ticket, recv *plainReceiver, result attempt.Result, err error) onceResult {
 	var f *failure.Failure
 	failed := errors.As(err, &f) && f.Class == failure.Failed && recv.status != 0
-	if (err == nil || failed) && recv.refusedUnrun() {
+	if (err == nil || failed) && recv.notRunByTarget() {
 		ticket.NotRun(code.NoTarget)
 		return onceResult{err: code.Wrap(code.NoTarget, err, "the target refused the call and didn't run it").After(retryAfter)}
 	}
 	if err == nil || failed {
-		a := once.Answer{Status: recv.status, Type: recv.header.Get("Content-Type"), Body: recv.held}
+		a := once.Answer{Status: recv.status, Type: recv.header.Get("Content-Type"), Body: recv.buffered}
 		ticket.Done(a)
 		return onceResult{answer: &a}
 	}
@@ -122,25 +124,25 @@
 	return onceResult{err: code.Wrap(code.OutcomeUnknown, err, "")}
 }
 
-// refusedUnrun reports whether the target itself says that it didn't run the
-// call. Such a refusal is no answer to keep: recorded as one, it would be all
-// that the key ever gives, and the call would never run.
-func (r *plainAnswer) refusedUnrun() bool {
+// notRunByTarget reports whether the target states that it didn't run the call.
+// Such a refusal must not be recorded as the answer: every retry with the same
+// key would get it, and the call would never run.
+func (r *plainReceiver) notRunByTarget() bool {
 	return r.status >= http.StatusInternalServerError && r.header.Get(answer.HeaderNotRun) == "true"
 }
 
-// wholePlain takes an answer only as a whole: it has to be recorded.
-type wholePlain struct{ *plainAnswer }
+// bufferedReceiver buffers a whole answer, because the answer must be recorded.
+type bufferedReceiver struct{ *plainReceiver }
 
-// Receive takes one attempt's answer and never passes it on as it comes.
-func (r *wholePlain) Receive(a attempt.Answer) error {
-	body, err := readLimited(a.Body, r.hold)
+// Receive reads one attempt's answer without forwarding it.
+func (r *bufferedReceiver) Receive(a attempt.Answer) error {
+	body, err := readLimited(a.Body, r.maxBuffered)
 	if err == nil && !a.Framed && answer.HasBody(a.Status) {
-		err = errUnmarked
+		err = errNoEndMarker
 	}
 	if err != nil {
 		return &failure.Failure{Class: failure.Cut, Target: a.Target, Err: err}
 	}
-	r.status, r.header, r.held = a.Status, a.Header, body
+	r.status, r.header, r.buffered = a.Status, a.Header, body
 	return nil
 }
--- a/request/entry/once_test.go
+++ b/request/entry/once_test.go
@@ -13,39 +13,40 @@
 	"github.com/pomelospool/pomelospool/version/document"
 )
 
-// ledger is a Keeper that lets every call run and notes what became of it.
-type ledger struct {
-	begin chan struct{} // if set, Begin waits for it
-	ended chan string
+// fakeKeeper is a Keeper that lets every call run, except one with the key
+// "known", and records the outcomes.
+type fakeKeeper struct {
+	beginAllowed chan struct{} // if not nil, Begin waits for it
+	outcomes     chan string
 }
 
-func newLedger() *ledger { return &ledger{ended: make(chan string, 10)} }
+func newFakeKeeper() *fakeKeeper { return &fakeKeeper{outcomes: make(chan string, 10)} }
 
-func (l *ledger) Begin(ctx context.Context, c once.Call) (once.Ticket, *once.Answer, error) {
-	if l.begin != nil {
-		<-l.begin
+func (k *fakeKeeper) Begin(ctx context.Context, c once.Call) (once.Ticket, *once.Answer, error) {
+	if k.beginAllowed != nil {
+		<-k.beginAllowed
 	}
 	if c.Key == "known" {
 		return nil, &once.Answer{Status: 201, Body: []byte("first")}, nil
 	}
-	return l, nil, nil
+	return k, nil, nil
 }
 
-func (l *ledger) Done(a once.Answer) { l.ended <- "done " + string(a.Body) }
-func (l *ledger) NotRun(c code.Code) { l.ended <- "not run" }
-func (l *ledger) Unknown()           { l.ended <- "unknown" }
-func withLedger(l *ledger) func(*Options, *document.Document) {
-	return func(o *Options, _ *document.Document) { o.Once = l }
+func (k *fakeKeeper) Done(a once.Answer) { k.outcomes <- "done " + string(a.Body) }
+func (k *fakeKeeper) NotRun(c code.Code) { k.outcomes <- "not run" }
+func (k *fakeKeeper) Unknown()           { k.outcomes <- "unknown" }
+func withKeeper(k *fakeKeeper) func(*Options, *document.Document) {
+	return func(o *Options, _ *document.Document) { o.Once = k }
 }
 
-// TestOnceFaults: a family's slot hold meets a target that fails in some way.
-// The hold reaches a target at most once, whatever happens; the caller is told
-// truly whether it ran, and the ticket is closed to match.
+// TestOnceFaults covers non-idempotent calls to targets that fail in different
+// ways. The call must reach a target at most once. The caller must be told
+// correctly whether it ran, and the ticket must be closed accordingly.
 func TestOnceFaults(t *testing.T) {
 	answers := func(c *call) { c.w.Header().Set("X-Request-Id", c.id); c.raw("held") }
 	cases := []struct {
 		name   string
-		play   func(c *call) // nil: nothing listens there
+		play   func(c *call) // nil: the targets don't listen
 		code   string
 		ticket string
 		notRun string
@@ -74,18 +75,18 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			a, b := newScript(t, tc.play), newScript(t, tc.play)
+			a, b := newScriptedTarget(t, tc.play), newScriptedTarget(t, tc.play)
 			if tc.play == nil {
 				a.Close()
 				b.Close()
 			}
-			l := newLedger()
-			f := newFixture(t, nil, []string{a.addr(), b.addr()}, withLedger(l))
+			keeper := newFakeKeeper()
+			f := newFixture(t, nil, []string{a.addr(), b.addr()}, withKeeper(keeper))
 			r := f.do("POST", "/s/app/holds/7", "seat", "Idempotency-Key", "k")
 			if r.code() != tc.code || r.header.Get(answer.HeaderNotRun) != tc.notRun {
 				t.Errorf("caller saw %+v", r)
 			}
-			if got := <-l.ended; got != tc.ticket {
+			if got := <-keeper.outcomes; got != tc.ticket {
 				t.Errorf("ticket: %s, want %s", got, tc.ticket)
 			}
 			if n := a.count() + b.count(); n != tc.runs {
@@ -95,20 +96,20 @@
 	}
 }
 
-// TestOnceOnReusedConnection: a target closes its idle connections just when a
-// hold is sent, after it had run earlier ones. net/http repeats a request with
-// an Idempotency-Key by itself on a broken reused connection: the hold would
-// run twice, and nobody would know.
+// TestOnceOnReusedConnection covers a target that closes its reused connections
+// just when a non-idempotent call is sent. net/http itself repeats a request
+// with an Idempotency-Key on a broken reused connection, so the call would run
+// twice without notice.
 func TestOnceOnReusedConnection(t *testing.T) {
-	s := newScript(t, func(c *call) {
+	s := newScriptedTarget(t, func(c *call) {
 		if c.prompt == "break" {
 			c.reset()
 		}
 		c.w.Header().Set("X-Request-Id", c.id)
 		c.raw("ok")
 	})
-	l := newLedger()
-	f := newFixture(t, nil, []string{s.addr()}, withLedger(l))
+	keeper := newFakeKeeper()
+	f := newFixture(t, nil, []string{s.addr()}, withKeeper(keeper))
 	f.do("POST", "/s/app/read", "warm")
 	for _, body := range []string{`{"prompt":"break"}`, ""} {
 		before := s.count()
@@ -119,12 +120,12 @@
 	}
 }
 
-// TestOnceCallerGone: a family's app loses its connection after the hold was
-// sent to the target. The hold is running; cancelling it would leave its
-// outcome unknown for good. It runs to its end and the answer is recorded.
+// TestOnceCallerGone covers a caller that disconnects after the call was sent
+// to the target. Cancelling the call would leave its outcome unknown. It must
+// run to its end and its answer must be recorded.
 func TestOnceCallerGone(t *testing.T) {
 	reached, proceed := make(chan struct{}), make(chan struct{})
-	s := newScript(t, func(c *call) {
+	s := newScriptedTarget(t, func(c *call) {
 		close(reached)
 		select {
 		case <-proceed:
@@ -133,9 +134,9 @@
 		c.w.Header().Set("X-Request-Id", c.id)
 		c.raw("held")
 	})
-	l := newLedger()
+	keeper := newFakeKeeper()
 	f := newFixture(t, nil, []string{s.addr()}, func(o *Options, d *document.Document) {
-		o.Once = l
+		o.Once = keeper
 		o.MinHeaderTimeout = time.Minute
 	})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -152,18 +153,18 @@
 	cancel()
 	<-gone
 	if n := f.entry.Open(); n != 1 {
-		t.Errorf("%d requests count as open, want 1: a drain would cut the hold", n)
+		t.Errorf("%d requests count as open, want 1: a drain would cut the call", n)
 	}
 	close(proceed)
-	if got := <-l.ended; got != "done held" {
+	if got := <-keeper.outcomes; got != "done held" {
 		t.Errorf("ticket: %s", got)
 	}
 }
 
-// TestOnceForm: the calls that never reach a target or a key.
-func TestOnceForm(t *testing.T) {
-	s := newScript(t, func(c *call) { c.w.Header().Set("X-Request-Id", c.id); c.raw("ran") })
-	f := newFixture(t, nil, []string{s.addr()}, withLedger(newLedger()))
+// TestOnceRejectsInvalidRequests covers calls that must not reach a target.
+func TestOnceRejectsInvalidRequests(t *testing.T) {
+	s := newScriptedTarget(t, func(c *call) { c.w.Header().Set("X-Request-Id", c.id); c.raw("ran") })
+	f := newFixture(t, nil, []string{s.addr()}, withKeeper(newFakeKeeper()))
 	cases := []struct{ name, path, key, code, body string }{
 		{"no key", "/s/app/holds/7", "", "3001", ""},
 		{"escaped", "/s/app/%68olds/7", "", "3001", ""},
--- a/request/entry/path_test.go
+++ b/request/entry/path_test.go
@@ -17,8 +17,9 @@
 	"github.com/pomelospool/pomelospool/version/document"
 )
 
-// real replaces the fixture's fakes by the real routing and load watcher.
-func real(t testing.TB, o *Options) *load.Watcher {
+// useRealRouting replaces the fixture's fakes by the real router and load
+// watcher.
+func useRealRouting(t testing.TB, o *Options) *load.Watcher {
 	var w *load.Watcher
 	o.Pool = pool.New(pool.Options{Down: func(addr string, err error) { w.Down(addr, err) }})
 	w = load.New(load.Options{
@@ -36,10 +37,10 @@
 	return w
 }
 
-// TestEngineLost: under load, two of three engines are lost, one after the
-// other. In a planned stop one announces that it leaves, gets no new work,
-// ends what it has and is gone; or it crashes; or all its connections go
-// silent. No caller sees anything but its whole answer.
+// TestEngineLost loses two of three engines under load, one after the other.
+// Each engine stops gracefully (it announces that it leaves, gets no new
+// requests and finishes the open ones), crashes, or all its connections go
+// silent. Every caller must get its complete answer.
 func TestEngineLost(t *testing.T) {
 	fault := func(kind string) func(*testing.T, *fixture, *load.Watcher, *engine.Engine, int) {
 		return func(t *testing.T, _ *fixture, _ *load.Watcher, e *engine.Engine, _ int) {
@@ -50,17 +51,17 @@
 	}
 	cases := []struct {
 		name   string
-		budget float64 // 0: the reserve only, less than there are callers
+		budget float64 // 0: only the reserve, which is smaller than the number of callers
 		lose   func(*testing.T, *fixture, *load.Watcher, *engine.Engine, int)
 	}{
-		{"leaves", 0, leave},
+		{"leaves", 0, stopGracefully},
 		{"crashes", 0.1, fault("crash")},
 		{"goes silent", 0.1, fault("silent")},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			engines := []*engine.Engine{startEngine(t), startEngine(t), startEngine(t)}
-			underLoad(t, engines, tc.budget, tc.lose)
+			loseEnginesUnderLoad(t, engines, tc.budget, tc.lose)
 			for i, e := range engines {
 				for id, q := range e.Record().Requests {
 					if q.Starts > 1 || tc.name == "leaves" && q.Cut+q.Cancelled > 0 {
@@ -72,8 +73,9 @@
 	}
 }
 
-// underLoad loses the first two engines while callers check their answers.
-func underLoad(t *testing.T, engines []*engine.Engine, budget float64, lose func(*testing.T, *fixture, *load.Watcher, *engine.Engine, int)) {
+// loseEnginesUnderLoad loses the first two engines while callers check their
+// answers.
+func loseEnginesUnderLoad(t *testing.T, engines []*engine.Engine, budget float64, lose func(*testing.T, *fixture, *load.Watcher, *engine.Engine, int)) {
 	var addrs []string
 	for _, e := range engines {
 		addrs = append(addrs, e.Addr())
@@ -82,10 +84,10 @@
 	f := newFixture(t, addrs, nil, func(o *Options, d *document.Document) {
 		d.Retry.Budget = budget
 		if w == nil {
-			w = real(t, o)
+			w = useRealRouting(t, o)
 		}
 	})
-	const callers, between = 32, 300
+	const callers, answersBetweenLosses = 32, 300
 	var stop atomic.Bool
 	var answered atomic.Int32
 	var wg sync.WaitGroup
@@ -103,7 +105,7 @@
 	}
 	for i := range 3 {
 		n := answered.Load()
-		await(t, func() bool { return answered.Load() >= n+between })
+		await(t, func() bool { return answered.Load() >= n+answersBetweenLosses })
 		if i < 2 {
 			lose(t, f, w, engines[i], i)
 		}
@@ -113,8 +115,8 @@
 	t.Logf("%d requests answered while two engines were lost", answered.Load())
 }
 
-// leave takes one engine through its planned stop.
-func leave(t *testing.T, f *fixture, w *load.Watcher, e *engine.Engine, i int) {
+// stopGracefully stops one engine in the planned way.
+func stopGracefully(t *testing.T, f *fixture, w *load.Watcher, e *engine.Engine, i int) {
 	t.Helper()
 	if err := e.Apply(t.Context(), standin.Fault{Kind: "leaving", Count: 1}); err != nil {
 		t.Fatal(err)
--- a/request/entry/plain.go
+++ b/request/entry/plain.go
@@ -23,14 +23,14 @@
 	"github.com/pomelospool/pomelospool/version/view"
 )
 
-// plainCall is one request to a plain service, read and checked.
+// plainCall is a parsed and validated request to a plain service.
 type plainCall struct {
-	svc   *view.Service
-	terms terms
-	path  string // with the query, as the target gets it
-	body  []byte
-	once  bool
-	key   string
+	svc        *view.Service
+	params     requestParams
+	path       string // with the query, as sent to the target
+	body       []byte
+	atMostOnce bool
+	key        string
 }
 
 func (e *Entry) plain(w http.ResponseWriter, req bunrouter.Request) error {
@@ -39,7 +39,7 @@
 		writeError(w, err)
 		return nil
 	}
-	if c.once {
+	if c.atMostOnce {
 		e.runOnce(w, req.Request, c)
 		return nil
 	}
@@ -48,7 +48,7 @@
 }
 
 func (e *Entry) readPlain(w http.ResponseWriter, req bunrouter.Request) (*plainCall, error) {
-	if err := e.gate(); err != nil {
+	if err := e.checkAccepting(); err != nil {
 		return nil, err
 	}
 	snap, err := e.snapshot()
@@ -60,7 +60,7 @@
 	if c.svc == nil || c.svc.Doc.Kind != document.KindPlain {
 		return nil, code.New(code.UnknownService, "service %.80q", name)
 	}
-	if c.terms, err = readTerms(req.Request, c.svc.Doc, time.Now()); err != nil {
+	if c.params, err = readParams(req.Request, c.svc.Doc, time.Now()); err != nil {
 		return nil, err
 	}
 	if err := c.readPath(req.Request, name); err != nil {
@@ -77,25 +77,25 @@
 	return e.opts.Limits.BodyBytes
 }
 
-// readPath cuts the service off the path and looks up whether the call is
-// idempotent. The prefixes are held against the decoded path, which is what
-// the target will see.
+// readPath removes the service's prefix from the path and determines whether
+// the call is idempotent. The configured prefixes are compared with the decoded
+// path, which is what the target acts on.
 func (c *plainCall) readPath(req *http.Request, name string) error {
-	before := "/s/" + name
-	decoded := strings.TrimPrefix(req.URL.Path, before)
-	c.path = strings.TrimPrefix(req.URL.EscapedPath(), before)
+	servicePrefix := "/s/" + name
+	decoded := strings.TrimPrefix(req.URL.Path, servicePrefix)
+	c.path = strings.TrimPrefix(req.URL.EscapedPath(), servicePrefix)
 	if req.URL.RawQuery != "" {
 		c.path += "?" + req.URL.RawQuery
 	}
 	for _, p := range c.svc.Doc.Once.Paths {
-		c.once = c.once || strings.HasPrefix(decoded, p)
+		c.atMostOnce = c.atMostOnce || strings.HasPrefix(decoded, p)
 	}
 	c.key = req.Header.Get(headerKey)
-	if c.once && c.key == "" {
+	if c.atMostOnce && c.key == "" {
 		return code.New(code.KeyMissing, "")
 	}
-	if len(c.key) > maxID {
-		return code.New(code.BadRequest, "Idempotency-Key has over %d bytes", maxID)
+	if len(c.key) > maxIDBytes {
+		return code.New(code.BadRequest, "Idempotency-Key has over %d bytes", maxIDBytes)
 	}
 	return nil
 }
@@ -107,8 +107,9 @@
 	return d.Sum64()
 }
 
-// fingerprint names the content. Calls without a body share theirs with too
-// many others to be suspected of anything.
+// fingerprint identifies the call's content. It is 0 for a call without a body:
+// too many unrelated calls would share one fingerprint for a target's crash to
+// be attributed to it.
 func (c *plainCall) fingerprint(method string) uint64 {
 	if len(c.body) == 0 {
 		return 0
@@ -123,38 +124,37 @@
 		Route: routing.Request{
 			ID:       id,
 			Service:  c.svc.Doc.Service,
-			Org:      c.terms.org,
-			Priority: c.terms.priority,
-			Deadline: time.Until(c.terms.deadline),
+			Org:      c.params.org,
+			Priority: c.params.priority,
+			Deadline: time.Until(c.params.deadline),
 			Zone:     e.opts.Zone,
 			Seed:     xxhash.Sum64String(id),
 		},
-		Deadline:    c.terms.deadline,
+		Deadline:    c.params.deadline,
 		Method:      req.Method,
 		Path:        c.path,
-		Header:      forwarded(req.Header),
+		Header:      forwardedHeaders(req.Header),
 		Body:        func(int) []byte { return c.body },
-		Idempotent:  !c.once,
+		Idempotent:  !c.atMostOnce,
 		Fingerprint: c.fingerprint(req.Method),
 	}
 }
 
-// ownHeaders are set by this process.
+// ownHeaders are the headers that this process sets itself.
 var ownHeaders = []string{attempt.HeaderID, attempt.HeaderDeadline, answer.HeaderCode, answer.HeaderNotRun}
 
-// forwarded returns a copy of a caller's header without what ends at this
-// process.
-func forwarded(h http.Header) http.Header {
-	out := without(h)
+// forwardedHeaders returns a copy of a caller's headers without those that must
+// not be forwarded.
+func forwardedHeaders(h http.Header) http.Header {
+	out := stripHeaders(h)
 	for _, k := range hop.ConnectionOptions(h) {
 		out.Del(k)
 	}
 	return out
 }
 
-// without returns a copy of h without the headers of connections and those
-// that this process sets itself.
-func without(h http.Header) http.Header {
+// stripHeaders returns a copy of h without hop-by-hop headers and ownHeaders.
+func stripHeaders(h http.Header) http.Header {
 	out := maps.Clone(h)
 	hop.Strip(out)
 	for _, k := range ownHeaders {
@@ -165,47 +165,48 @@
 
 func (e *Entry) runPlain(w http.ResponseWriter, req *http.Request, c *plainCall) {
 	q := c.request(w.Header().Get(attempt.HeaderID), req, e)
-	obs := newObservation(e.opts.Burn, c.svc.Doc.Service, c.terms.org)
-	p, err := e.admit(q, c.terms, 1)
+	obs := newObservation(e.opts.Burn, c.svc.Doc.Service, c.params.org)
+	p, err := e.admit(q, c.params, 1)
 	if err != nil {
-		obs.end(err, 0)
+		obs.finish(err, 0)
 		writeError(w, err)
 		return
 	}
 	defer p.release()
-	ctx, cancel := context.WithDeadline(req.Context(), c.terms.deadline)
+	ctx, cancel := context.WithDeadline(req.Context(), c.params.deadline)
 	defer cancel()
-	recv := &plainAnswer{w: w, hold: int64(e.opts.Limits.BufferBytes), stall: e.opts.WriteTimeout}
+	recv := &plainReceiver{w: w, maxBuffered: int64(e.opts.Limits.BufferBytes), writeTimeout: e.opts.WriteTimeout}
 	_, err = e.runner.Run(ctx, q, &p.decision, recv)
-	obs.end(err, 0)
+	obs.finish(err, 0)
 	recv.finish(err)
 }
 
-// finish answers with what was received, or with err.
-func (r *plainAnswer) finish(err error) {
+// finish writes the received answer, or an error answer for err.
+func (r *plainReceiver) finish(err error) {
 	if err != nil && r.committed {
-		// Breaking the connection off is HTTP's only way to say that an answer
-		// whose header went out is not whole.
+		// Once the header is sent, aborting the connection is the only way in
+		// HTTP to signal that the answer is incomplete.
 		panic(http.ErrAbortHandler)
 	}
 	if r.committed {
 		return
 	}
-	if err != nil && !r.passOn(err) {
+	if err != nil && !r.isTargetAnswer(err) {
 		writeError(r.w, err)
 		return
 	}
 	r.writeHeader(code.Of(err))
 	if answer.HasBody(r.status) {
-		r.w.Header().Set("Content-Length", strconv.Itoa(len(r.held)))
+		r.w.Header().Set("Content-Length", strconv.Itoa(len(r.buffered)))
 	}
 	r.w.WriteHeader(r.status)
-	_, _ = r.w.Write(r.held)
+	_, _ = r.w.Write(r.buffered)
 }
 
-// passOn reports whether err is the target's own whole answer of failure, which
-// the caller of a plain service understands better than ours.
-func (r *plainAnswer) passOn(err error) bool {
+// isTargetAnswer reports whether err stands for a complete error answer of the
+// target. Such an answer is forwarded, since it tells the caller of a plain
+// service more than an answer of this daemon.
+func (r *plainReceiver) isTargetAnswer(err error) bool {
 	var f *failure.Failure
 	return errors.As(err, &f) && f.Class == failure.Failed && r.status != 0
 }
--- a/request/entry/receive.go
+++ b/request/entry/receive.go
@@ -14,17 +14,18 @@
 	"github.com/pomelospool/pomelospool/request/stream"
 )
 
-const maxErrorDetail = 512 // bytes of a target's error that are kept
+const maxErrorDetail = 512 // bytes of a target's error message that are kept
 
 const (
-	errTooLarge  = failure.Detail("answer over the limit")
-	errUnmarked  = failure.Detail("answer without an end marker")
-	errNotWhole  = failure.Detail("answer isn't whole")
-	errOtherID   = failure.Detail("answer names another id")
-	errNotStream = failure.Detail("answer isn't an event stream")
+	errTooLarge       = failure.Detail("answer over the limit")
+	errNoEndMarker    = failure.Detail("answer without an end marker")
+	errIncomplete     = failure.Detail("answer isn't whole")
+	errIDMismatch     = failure.Detail("answer names another id")
+	errNotEventStream = failure.Detail("answer isn't an event stream")
 )
 
-// modelFailure returns how an engine's status failed, nil for a good one.
+// modelFailure classifies the HTTP status of an engine's answer. It returns nil
+// for status 200.
 func modelFailure(a attempt.Answer) error {
 	if a.Status == http.StatusOK {
 		return nil
@@ -45,28 +46,28 @@
 	return f
 }
 
-// wholeModel receives an unstreamed answer of an engine.
-type wholeModel struct {
+// unstreamedReceiver receives an unstreamed answer of an engine.
+type unstreamedReceiver struct {
 	id     string
 	max    int64
 	body   []byte
 	tokens int
 }
 
-// wholeAnswer is what is checked of an unstreamed answer.
-type wholeAnswer struct {
+// unstreamedAnswer holds the fields of an unstreamed answer that are checked.
+type unstreamedAnswer struct {
 	ID    string `json:"id"`
 	Usage *struct {
 		CompletionTokens int `json:"completion_tokens"`
 	} `json:"usage"`
 }
 
-func (r *wholeModel) Progress() int   { return 0 }
-func (r *wholeModel) Committed() bool { return false }
+func (r *unstreamedReceiver) Progress() int   { return 0 }
+func (r *unstreamedReceiver) Committed() bool { return false }
 
-// Receive takes the answer only if it is whole: valid JSON with the attempt's
-// id and the usage that an engine adds last.
-func (r *wholeModel) Receive(a attempt.Answer) error {
+// Receive accepts the answer only if it is complete: valid JSON that has the
+// attempt's id and the usage field, which an engine adds last.
+func (r *unstreamedReceiver) Receive(a attempt.Answer) error {
 	if err := modelFailure(a); err != nil {
 		return err
 	}
@@ -74,15 +75,15 @@
 	if err != nil {
 		return &failure.Failure{Class: failure.Cut, Target: a.Target, Err: err}
 	}
-	var whole wholeAnswer
-	if err := json.Unmarshal(body, &whole); err != nil || whole.Usage == nil {
-		return &failure.Failure{Class: failure.Cut, Target: a.Target, Err: errNotWhole}
+	var parsed unstreamedAnswer
+	if err := json.Unmarshal(body, &parsed); err != nil || parsed.Usage == nil {
+		return &failure.Failure{Class: failure.Cut, Target: a.Target, Err: errIncomplete}
 	}
-	if whole.ID != a.ID {
-		return &failure.Failure{Class: failure.Mismatch, Target: a.Target, Err: fmt.Errorf("%w: %.80q", errOtherID, whole.ID)}
+	if parsed.ID != a.ID {
+		return &failure.Failure{Class: failure.Mismatch, Target: a.Target, Err: fmt.Errorf("%w: %.80q", errIDMismatch, parsed.ID)}
 	}
 	r.body = stream.ReplaceID(body, a.ID, r.id)
-	r.tokens = whole.Usage.CompletionTokens
+	r.tokens = parsed.Usage.CompletionTokens
 	return nil
 }
 
@@ -97,24 +98,24 @@
 	return body, nil
 }
 
-// streamModel receives a streamed answer over one or several attempts.
-type streamModel struct {
+// streamReceiver receives a streamed answer over one or more attempts.
+type streamReceiver struct {
 	relay *stream.Relay
 }
 
-func newStreamModel(id string, start int, out stream.Sink) *streamModel {
-	return &streamModel{relay: stream.NewRelay(id, start, out)}
+func newStreamReceiver(id string, start int, out stream.Sink) *streamReceiver {
+	return &streamReceiver{relay: stream.NewRelay(id, start, out)}
 }
 
-func (r *streamModel) Progress() int   { return r.relay.Next() }
-func (r *streamModel) Committed() bool { return false }
+func (r *streamReceiver) Progress() int   { return r.relay.Next() }
+func (r *streamReceiver) Committed() bool { return false }
 
-func (r *streamModel) Receive(a attempt.Answer) error {
+func (r *streamReceiver) Receive(a attempt.Answer) error {
 	if err := modelFailure(a); err != nil {
 		return err
 	}
 	if t, _, _ := mime.ParseMediaType(a.Header.Get("Content-Type")); t != "text/event-stream" {
-		return &failure.Failure{Class: failure.Failed, Target: a.Target, Err: fmt.Errorf("%w: %.80q", errNotStream, t)}
+		return &failure.Failure{Class: failure.Failed, Target: a.Target, Err: fmt.Errorf("%w: %.80q", errNotEventStream, t)}
 	}
 	r.relay.HandOver(0)
 	if a.Handover {
--- a/request/entry/script_test.go
+++ b/request/entry/script_test.go
@@ -13,27 +13,27 @@
 	"github.com/pomelospool/pomelospool/standin/token"
 )
 
-// script is a target that misbehaves on command.
-type script struct {
+// scriptedTarget is a target whose behaviour is set by a test.
+type scriptedTarget struct {
 	*httptest.Server
 	mu      sync.Mutex
 	runs    int
 	ids     []string
-	cancels chan string // ids of the cancel calls
+	cancels chan string // ids in cancel requests
 }
 
-// call is one request at a script.
+// call is one request to a scriptedTarget.
 type call struct {
 	w      http.ResponseWriter
-	ctx    <-chan struct{} // closed when the daemon gave the request up
+	ctx    <-chan struct{} // closed when the daemon gives up the request
 	id     string
 	prompt string
 	resume int
 }
 
-func newScript(t testing.TB, play func(c *call)) *script {
+func newScriptedTarget(t testing.TB, play func(c *call)) *scriptedTarget {
 	t.Helper()
-	s := &script{cancels: make(chan string, 100)}
+	s := &scriptedTarget{cancels: make(chan string, 100)}
 	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		var b struct {
@@ -59,29 +59,29 @@
 	return s
 }
 
-func (s *script) addr() string { return s.Listener.Addr().String() }
+func (s *scriptedTarget) addr() string { return s.Listener.Addr().String() }
 
-func (s *script) count() int {
+func (s *scriptedTarget) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs
 }
 
-// id returns the id of the first request.
-func (s *script) id() string {
+// firstRequestID returns the id of the first request.
+func (s *scriptedTarget) firstRequestID() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ids[0]
 }
 
-// seen returns the ids of all requests.
-func (s *script) seen() []string {
+// requestIDs returns the ids of all requests.
+func (s *scriptedTarget) requestIDs() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.ids)
 }
 
-// head sends a good header.
+// head sends a valid header.
 func (c *call) head() *call {
 	c.w.Header().Set("X-Request-Id", c.id)
 	c.w.Header().Set("Content-Type", "text/event-stream")
@@ -91,14 +91,14 @@
 
 func (c *call) flush() { _ = http.NewResponseController(c.w).Flush() }
 
-// raw sends text as it is.
+// raw sends text unchanged.
 func (c *call) raw(text string) *call {
 	fmt.Fprint(c.w, text)
 	c.flush()
 	return c
 }
 
-// token sends token i under id, the last one with its reason.
+// token sends token i with the given id. The last token has a finish_reason.
 func (c *call) token(id string, i int, last bool) *call {
 	end := "null"
 	if last {
@@ -108,7 +108,7 @@
 	return c.raw(fmt.Sprintf(`data: {"id":%q,"token_index":%d,"choices":[{"text":%q,"finish_reason":%s}]}`+"\n\n", id, i, text, end))
 }
 
-// tokens sends its own tokens named.
+// tokens sends tokens with the call's own id.
 func (c *call) tokens(indexes ...int) *call {
 	for _, i := range indexes {
 		c.token(c.id, i, false)
@@ -119,8 +119,8 @@
 // finish sends the last token and the end marker.
 func (c *call) finish(last int) { c.token(c.id, last, true).raw("data: [DONE]\n\n") }
 
-// hang makes no progress until the daemon gives up.
+// hang sends nothing until the daemon gives up.
 func (c *call) hang() { <-c.ctx }
 
-// reset breaks the connection off.
+// reset closes the connection abruptly.
 func (c *call) reset() { panic(http.ErrAbortHandler) }
--- a/request/entry/server.go
+++ b/request/entry/server.go
@@ -11,30 +11,32 @@
 
 const (
 	idleTimeout = 2 * time.Minute
-	// headerSlack is what net/http reads beyond the limit, so that headers a
-	// little too long get an answer with a code of ours.
-	headerSlack = 4
+	// headerLimitFactor is the ratio of net/http's header limit to the
+	// configured one. Headers slightly over the configured limit then get an
+	// answer with a result code instead of net/http's own.
+	headerLimitFactor = 4
 )
 
-// NewServer returns a server for callers. Serve it on Listen's listener.
+// NewServer returns a server for callers. Serve it on the listener that Listen
+// returns.
 //
-// A caller that sends its header a byte at a time would hold a connection for
-// good; ReadHeaderTimeout covers the whole header, so that dripping bytes
-// doesn't extend it. Streams are long, so there is no WriteTimeout: writes to
-// callers carry deadlines of their own.
+// ReadHeaderTimeout covers the whole header. A caller that sends its header one
+// byte at a time therefore can't hold a connection forever. There is no
+// WriteTimeout because streams are long; each write to a caller has its own
+// deadline.
 func NewServer(l settings.Limits, handler http.Handler) *http.Server {
 	l = withDefaults(l)
 	return &http.Server{
 		Handler:           handler,
 		ReadHeaderTimeout: l.ReadHeader,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    l.HeaderBytes * headerSlack,
+		MaxHeaderBytes:    l.HeaderBytes * headerLimitFactor,
 	}
 }
 
 const defaultConnections = 4096
 
-// Listen bounds the connections that l takes by the settings.
+// Listen limits the number of open connections of l to s.Connections.
 func Listen(l net.Listener, s settings.Limits) net.Listener {
 	max := s.Connections
 	if max <= 0 {
--- a/request/entry/streamout.go
+++ b/request/entry/streamout.go
@@ -10,39 +10,39 @@
 	"github.com/pomelospool/pomelospool/request/stream"
 )
 
-// streamOut writes a streamed answer. The header goes out with the first
-// token: until then a failure is answered with a status of its own.
-type streamOut struct {
-	w       http.ResponseWriter
-	limit   int
-	timeout time.Duration
-	gone    func(error)
-	obs     *observation
-	writer  *stream.Writer
+// streamSink writes a streamed answer to the caller. The header is sent with
+// the first token. A failure before that is answered with its own HTTP status.
+type streamSink struct {
+	w            http.ResponseWriter
+	bufferBytes  int
+	writeTimeout time.Duration
+	cancel       func(error)
+	obs          *observation
+	writer       *stream.Writer
 }
 
-// Event passes one event on.
-func (o *streamOut) Event(data []byte) error {
+// Event implements stream.Sink.
+func (o *streamSink) Event(data []byte) error {
 	if o.writer == nil {
 		o.begin()
 	}
 	return o.writer.Event(data)
 }
 
-func (o *streamOut) begin() {
-	o.obs.token()
+func (o *streamSink) begin() {
+	o.obs.firstToken()
 	h := o.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-cache")
 	h.Set(answer.HeaderCode, strconv.Itoa(int(code.OK)))
 	o.w.WriteHeader(http.StatusOK)
-	o.writer = stream.NewWriter(o.w, o.limit, o.timeout, o.gone)
+	o.writer = stream.NewWriter(o.w, o.bufferBytes, o.writeTimeout, o.cancel)
 }
 
-// close ends the answer with err, if there is one, and returns what became of
-// the request. An error after the first token is an event without an end
-// marker behind it.
-func (o *streamOut) close(err error) error {
+// close ends the answer and returns the final result of the request. An error
+// after the first token is sent as an event that isn't followed by an end
+// marker.
+func (o *streamSink) close(err error) error {
 	if o.writer == nil {
 		if err != nil {
 			writeError(o.w, err)
