--- a/request/ingress/answer.go
+++ b/request/ingress/answer.go
@@ -13,12 +13,12 @@
 	"github.com/pomelospool/pomelospool/request/limit"
 )
 
-// writeStall is how long a caller may take no byte of a stream. Callers give a
-// stream up after two seconds of silence.
-const writeStall = 10 * time.Second
+// writeTimeout is how long a caller may read nothing of a stream. Callers
+// abandon a stream after two seconds without data.
+const writeTimeout = 10 * time.Second
 
-// writeWhole passes a target's whole answer on.
-func (x *exchange) writeWhole(a *dispatch.Answer) error {
+// writeAnswer forwards a target's complete answer.
+func (x *exchange) writeAnswer(a *dispatch.Answer) error {
 	x.copyHeaders(a.Header)
 	x.w.Header().Set("Content-Length", strconv.Itoa(len(a.Body)))
 	if !answer.HasBody(a.Status) {
@@ -27,7 +27,7 @@
 	x.status = a.Status
 	x.w.WriteHeader(a.Status)
 	if _, err := x.w.Write(a.Body); err != nil && answer.HasBody(a.Status) {
-		x.begun = true
+		x.headerSent = true
 		return code.Wrap(code.CallerGone, err, "")
 	}
 	return nil
@@ -35,7 +35,8 @@
 
 func (x *exchange) copyHeaders(from http.Header) {
 	h := x.w.Header()
-	// net/http would add a type of its own where the target states none.
+	// A nil value keeps net/http from adding a detected type if the target
+	// sends none.
 	h["Content-Type"] = nil
 	maps.Copy(h, from)
 	hop.Strip(h)
@@ -46,7 +47,7 @@
 
 // Begin implements dispatch.Stream.
 func (x *exchange) Begin(status int, h http.Header) {
-	x.begun = true
+	x.headerSent = true
 	x.status = status
 	x.copyHeaders(h)
 	x.w.WriteHeader(status)
@@ -55,14 +56,14 @@
 // Write implements dispatch.Stream.
 func (x *exchange) Write(events []byte) error {
 	if x.out == nil {
-		x.out = limit.NewWriter(x.w, writeStall)
+		x.out = limit.NewWriter(x.w, writeTimeout)
 	}
 	return x.out.Send(events)
 }
 
-// fail answers with an error's code, if no header went out yet.
-func (x *exchange) fail(err error) {
-	if x.begun {
+// writeError writes an error answer, unless a header was already sent.
+func (x *exchange) writeError(err error) {
+	if x.headerSent {
 		return
 	}
 	e := answer.Error(err)
--- a/request/ingress/ingress.go
+++ b/request/ingress/ingress.go
@@ -1,6 +1,7 @@
-// Package ingress takes callers' requests over HTTP, finds their route in the
-// configuration in force, has them run and writes the answers. It gives every
-// answer of its own a numbered code.
+// Package ingress serves callers' HTTP requests. It finds the route of each
+// request in the current configuration, has the request run and writes the
+// answer. Every answer that the daemon itself generates has a numeric result
+// code.
 package ingress
 
 import (
@@ -21,21 +22,24 @@
 	"github.com/pomelospool/pomelospool/version/route"
 )
 
-// Options of an Ingress. All are needed but TargetsAge and ConfigAge.
+// Options configures an Ingress. All fields are required except TargetsAge,
+// ConfigAge and OnStart.
 type Options struct {
 	Config  *inforce.Holder
 	Wire    port.TargetWire
 	Runner  *dispatch.Runner
 	Observe func(Observation) // called at the end of each request
-	// TargetsAge is the age of the newest answer on the targets, by which requests
-	// are decided; false before there is one. It may be nil.
+	// TargetsAge returns the age of the latest list of targets, by which
+	// requests are routed. It returns false if there is none yet. It may be
+	// nil.
 	TargetsAge func() (age time.Duration, known bool)
-	// ConfigAge is the same for the configuration. It may be nil.
+	// ConfigAge returns the age of the configuration in the same way. It may be
+	// nil.
 	ConfigAge func() (age time.Duration, known bool)
-	// OnStart counts a request of an organisation that a target began to run
-	// that long ago. It may be nil.
+	// OnStart counts a request of an organisation that a target started to run
+	// the given time ago. It may be nil.
 	OnStart func(organisation string, ago time.Duration)
-	// MaxConfigAge is the age from which on the configuration may be outdated.
+	// MaxConfigAge is the age above which the configuration may be outdated.
 	MaxConfigAge time.Duration
 }
 
@@ -53,48 +57,50 @@
 	return o.TargetsAge()
 }
 
-// Observation is what a request's end shows.
+// Observation is the outcome of a request.
 type Observation struct {
 	Route       string
 	Kind        route.Kind
 	Code        code.Code
 	Status      int
-	Duration    time.Duration // from the arrival to the end of the answer
-	TimeToFirst time.Duration // to the first event, 0: none
+	Duration    time.Duration // from the request's arrival to the end of the answer
+	TimeToFirst time.Duration // time to the first event; 0 if there was none
 }
 
-// Ingress is the callers' http.Handler. It is safe for concurrent use.
+// Ingress is the HTTP handler for callers. It is safe for concurrent use.
 type Ingress struct {
-	o       Options
-	open    atomic.Int64
-	stopAt  atomic.Pointer[time.Time] // when the process ends; nil: it stays
-	lengths lengths
+	o         Options
+	open      atomic.Int64
+	stopAt    atomic.Pointer[time.Time] // when the process stops; nil: no stop is planned
+	durations durationPredictor
 }
 
 // New returns an Ingress.
 func New(o Options) *Ingress { return &Ingress{o: o} }
 
-// Open is the number of requests that are running.
+// Open returns the number of open requests.
 func (i *Ingress) Open() int { return int(i.open.Load()) }
 
-// StopAt says when the process ends. Until then every answer asks its caller to
-// open no further request on the connection, and a request whose answer can't
-// be whole by then is refused: another daemon can answer it.
+// StopAt announces that the process stops at end. Until then every answer asks
+// its caller to close the connection, and a request whose answer can't be
+// complete by then is refused, so that another daemon can answer it.
 func (i *Ingress) StopAt(end time.Time) { i.stopAt.Store(&end) }
 
-// leavesBefore reports whether the process ends before the call is answered.
-func (i *Ingress) leavesBefore(c *dispatch.Call) bool {
+// stopsBefore reports whether the process stops before the call's answer is
+// expected to be complete.
+func (i *Ingress) stopsBefore(c *dispatch.Call) bool {
 	end := i.stopAt.Load()
-	return end != nil && c.Arrived.Add(i.lengths.predict(c)).After(*end)
+	return end != nil && c.Arrived.Add(i.durations.predict(c)).After(*end)
 }
 
-// elsewhereAfter is when a caller may come back that another daemon can serve.
-const elsewhereAfter = 20 * time.Millisecond
+// stoppingRetryAfter is the Retry-After time of requests that are refused
+// because the process stops. It is short since other daemons can serve them.
+const stoppingRetryAfter = 20 * time.Millisecond
 
-// defaultTimeout bounds requests of routes that state none.
+// defaultTimeout applies to routes without a timeout.
 const defaultTimeout = 30 * time.Second
 
-// ServeHTTP answers one request of a caller.
+// ServeHTTP implements http.Handler.
 func (i *Ingress) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	i.open.Add(1)
 	defer i.open.Add(-1)
@@ -108,30 +114,30 @@
 		err = x.run(c)
 	}
 	if err != nil {
-		x.fail(err)
+		x.writeError(err)
 	}
 	x.observe(c, err)
-	if x.begun && err != nil {
-		// A broken connection is HTTP's only way to say that an answer whose
-		// header went out isn't whole.
+	if x.headerSent && err != nil {
+		// Once the header is sent, aborting the connection is the only way in
+		// HTTP to signal that the answer is incomplete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// exchange is one request and its answer.
+// exchange is one request with its answer.
 type exchange struct {
 	*Ingress
-	w       http.ResponseWriter
-	req     *http.Request
-	arrived time.Time
-	ask     port.Ask
-	trace   dispatch.Trace
-	status  int
-	begun   bool          // the header of a target's answer went out
-	out     *limit.Writer // of a stream's events; nil before the first
+	w          http.ResponseWriter
+	req        *http.Request
+	arrived    time.Time
+	ask        port.Ask
+	trace      dispatch.Trace
+	status     int
+	headerSent bool          // the header of a target's answer was sent
+	out        *limit.Writer // writes a stream's events; nil before the first one
 }
 
-// read reads and checks the request.
+// read parses and validates the request.
 func (x *exchange) read() (*dispatch.Call, error) {
 	ask, err := x.o.Wire.Ask(x.req.Header)
 	x.ask = ask
@@ -140,7 +146,7 @@
 	}
 	cfg := x.o.Config.Load()
 	if cfg == nil {
-		return nil, code.New(code.NoConfiguration, "").After(noConfigurationAfter)
+		return nil, code.New(code.NoConfiguration, "").After(noConfigurationRetryAfter)
 	}
 	uri := requestURI(x.req)
 	path, _, _ := strings.Cut(uri, "?")
@@ -154,9 +160,9 @@
 	}
 	svc := cfg.Services[r.Service(route.Seed(ask.ID))]
 	if svc == nil {
-		return nil, code.New(code.NoTarget, "route %q names a service that the configuration lacks", r.Name).After(noConfigurationAfter)
+		return nil, code.New(code.NoTarget, "route %q names a service that the configuration lacks", r.Name).After(noConfigurationRetryAfter)
 	}
-	body, err := limit.ReadBody(x.w, x.req, bodyBytes(cfg.Limits), bodyTime)
+	body, err := limit.ReadBody(x.w, x.req, maxBodyBytes(cfg.Limits), bodyReadTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -183,43 +189,45 @@
 			c.Priority = *org.Priority
 		}
 	}
-	c.Deadline = x.arrived.Add(patience(c))
-	if x.leavesBefore(c) {
-		return c, code.New(code.Draining, "the answer would take longer than this daemon stays").After(elsewhereAfter)
+	c.Deadline = x.arrived.Add(callTimeout(c))
+	if x.stopsBefore(c) {
+		return c, code.New(code.Draining, "the answer would take longer than this daemon stays").After(stoppingRetryAfter)
 	}
 	return c, nil
 }
 
-// unknownKey rejects a caller whose key the configuration doesn't hold. A
-// daemon that may have missed a newer one doesn't know: callers take a 401 for
-// final.
+// unknownKey returns the error for a key that isn't in the configuration.
+// Callers don't retry a 401, so a daemon whose configuration may be outdated
+// returns a retryable error instead.
 func (x *exchange) unknownKey(cfg *route.Config) error {
 	if age, known := x.o.configAge(); known && age > x.o.MaxConfigAge {
-		return code.New(code.StaleConfiguration, "version %d was confirmed %v ago", cfg.Version, age.Round(time.Millisecond)).After(noConfigurationAfter)
+		return code.New(code.StaleConfiguration, "version %d was confirmed %v ago", cfg.Version, age.Round(time.Millisecond)).After(noConfigurationRetryAfter)
 	}
 	return code.New(code.Unauthorized, "version %d", cfg.Version)
 }
 
 const (
-	// bodyTime bounds the reading of a body.
-	bodyTime = 10 * time.Second
-	// defaultBody is the largest body while the configuration names none.
-	defaultBody = 8 << 20
+	// bodyReadTimeout bounds the time to read a body.
+	bodyReadTimeout = 10 * time.Second
+	// defaultBodyBytes is the maximum body size if the configuration sets none.
+	defaultBodyBytes = 8 << 20
 )
 
-func bodyBytes(l route.Limits) int64 {
+func maxBodyBytes(l route.Limits) int64 {
 	if l.BodyBytes > 0 {
 		return l.BodyBytes
 	}
-	return defaultBody
+	return defaultBodyBytes
 }
 
-// noConfigurationAfter is when a caller may come back to a daemon that has
-// just started: it reads the configuration some milliseconds later.
-const noConfigurationAfter = 300 * time.Millisecond
+// noConfigurationRetryAfter is the Retry-After time while the configuration is
+// missing or outdated. A daemon that has just started reads it within
+// milliseconds.
+const noConfigurationRetryAfter = 300 * time.Millisecond
 
-// patience is how long a call may take, by its route and by its caller.
-func patience(c *dispatch.Call) time.Duration {
+// callTimeout returns the time that a call may take: the route's timeout, or
+// the caller's remaining time if that is shorter.
+func callTimeout(c *dispatch.Call) time.Duration {
 	timeout := c.Route.Timeout
 	if timeout <= 0 {
 		timeout = defaultTimeout
@@ -230,7 +238,7 @@
 	return timeout
 }
 
-// requestURI is path and query as the caller sent them.
+// requestURI returns the path and query as the caller sent them.
 func requestURI(req *http.Request) string {
 	if strings.HasPrefix(req.RequestURI, "/") {
 		return req.RequestURI
@@ -250,18 +258,19 @@
 	if err != nil {
 		return err
 	}
-	return x.writeWhole(a)
+	return x.writeAnswer(a)
 }
 
-// observe writes the request's log line and counts it.
+// observe logs the request, updates the duration estimates and reports the
+// Observation.
 func (x *exchange) observe(c *dispatch.Call, err error) {
-	whole := time.Since(x.arrived)
-	o := Observation{Code: code.Of(err), Status: x.status, Duration: whole, TimeToFirst: x.trace.TimeToFirst}
+	duration := time.Since(x.arrived)
+	o := Observation{Code: code.Of(err), Status: x.status, Duration: duration, TimeToFirst: x.trace.TimeToFirst}
 	fields := log.Fields{
 		"request": x.ask.ID,
 		"code":    int(o.Code),
 		"status":  x.status,
-		"ms":      whole.Milliseconds(),
+		"ms":      duration.Milliseconds(),
 		"sends":   x.trace.Sends,
 		"failed":  err != nil || x.status >= http.StatusBadRequest || len(x.trace.Causes) > 0,
 	}
@@ -303,23 +312,23 @@
 	}
 	entry := log.WithFields(fields)
 	if err != nil {
-		entry = entry.WithField("error", detail(err))
+		entry = entry.WithField("error", errorDetail(err))
 		if after := answer.Error(err).RetryAfter; after > 0 {
 			entry = entry.WithField("retry_after_ms", after.Milliseconds())
 		}
 	}
 	entry.Info("ingress: request ended")
 	if err == nil && c != nil {
-		x.lengths.note(c.Route.Name, c.Ask.Output, x.trace.TimeToFirst, whole)
+		x.durations.observe(c.Route.Name, c.Ask.Output, x.trace.TimeToFirst, duration)
 	}
 	if x.o.Observe != nil {
 		x.o.Observe(o)
 	}
 }
 
-// detail is an error's code and detail, without the chain of what is wrapped,
-// which may quote what others sent.
-func detail(err error) string {
+// errorDetail returns an error's code and detail. It omits wrapped errors,
+// since these may quote content of callers or targets.
+func errorDetail(err error) string {
 	var e *code.Error
 	if !errors.As(err, &e) {
 		return "internal"
--- a/request/ingress/ingress_test.go
+++ b/request/ingress/ingress_test.go
@@ -35,20 +35,20 @@
 	m.Run()
 }
 
-// rig is an Ingress on loopback before one plain and one decoding target.
-type rig struct {
+// fixture is an Ingress on loopback with one plain and one decode target.
+type fixture struct {
 	*Ingress
-	srv     *httptest.Server
-	plain   *standin.Target
-	decode  *standin.Target
-	entries map[string][]port.TargetEntry
-	seen    chan Observation
+	srv          *httptest.Server
+	plain        *standin.Target
+	decode       *standin.Target
+	entries      map[string][]port.TargetEntry
+	observations chan Observation
 }
 
 // Targets implements dispatch.Targets.
-func (r *rig) Targets(service string) *targets.Set { return targets.NewSet(r.entries[service]) }
+func (r *fixture) Targets(service string) *targets.Set { return targets.NewSet(r.entries[service]) }
 
-// noControl is an engine control that is not used.
+// noControl is an engine control that does nothing.
 type noControl struct{}
 
 func (noControl) Report(context.Context, string, string) (port.RoleReport, error) {
@@ -62,7 +62,7 @@
 
 func config(version int64) *route.Config { return keyedConfig(version, nil) }
 
-// keyedConfig has one more route, which is public.
+// keyedConfig returns a configuration with the given keys.
 func keyedConfig(version int64, keys *route.Keys) *route.Config {
 	routes := []*route.Route{
 		{Name: "plain", Host: "a.example", Prefix: "/p/", Kind: route.Unsafe, Attempts: 1, Timeout: time.Minute, Split: []route.Share{{Service: "app", Weight: 1}}},
@@ -74,19 +74,19 @@
 	return route.New(version, routes, services, route.Limits{BodyBytes: 1000}, keys)
 }
 
-func start(t *testing.T, configured bool) *rig {
+func start(t *testing.T, configured bool) *fixture {
 	if !configured {
 		return startWith(t, nil)
 	}
 	return startWith(t, config(7))
 }
 
-// startWith starts a rig with a configuration, nil: none yet.
-func startWith(t *testing.T, cfg *route.Config) *rig {
-	r := &rig{
-		plain:  standin.NewTarget("i-plain", ""),
-		decode: standin.NewTarget("i-decode", "decode"),
-		seen:   make(chan Observation, 100),
+// startWith starts a fixture with a configuration; nil means none.
+func startWith(t *testing.T, cfg *route.Config) *fixture {
+	r := &fixture{
+		plain:        standin.NewTarget("i-plain", ""),
+		decode:       standin.NewTarget("i-decode", "decode"),
+		observations: make(chan Observation, 100),
 	}
 	addr := func(h http.Handler) string {
 		srv := httptest.NewServer(h)
@@ -104,7 +104,7 @@
 	pool := h1.New(h1.Options{})
 	t.Cleanup(pool.Close)
 	r.Ingress = New(Options{
-		Config: holder, Wire: platform.Wire{}, Observe: func(o Observation) { r.seen <- o },
+		Config: holder, Wire: platform.Wire{}, Observe: func(o Observation) { r.observations <- o },
 		Runner: dispatch.New(dispatch.Options{
 			Wire: platform.Wire{}, Pool: pool, Targets: r, Control: noControl{},
 			Engines: engines.New(time.Now, func(engines.Work) {}), Health: health.New(time.Now, nil), Speed: speed.NewTracker(), Queues: noQueues{}, Demand: demand.New(time.Now),
@@ -116,7 +116,7 @@
 	return r
 }
 
-func (r *rig) do(t *testing.T, method, path, host string, h http.Header, body string) (*http.Response, string) {
+func (r *fixture) do(t *testing.T, method, path, host string, h http.Header, body string) (*http.Response, string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, r.srv.URL+path, strings.NewReader(body))
 	if err != nil {
@@ -135,15 +135,15 @@
 	return resp, string(text)
 }
 
-func ask(id string) http.Header { return standin.CallerHeaders(id, 30*time.Second, "") }
+func headers(id string) http.Header { return standin.CallerHeaders(id, 30*time.Second, "") }
 
-func TestAnswersArePassedOnUnchanged(t *testing.T) {
+func TestAnswersAreForwardedUnchanged(t *testing.T) {
 	r := start(t, true)
-	resp, body := r.do(t, "POST", "/p/x?y=%20", "a.example", ask("r1"), "hello")
+	resp, body := r.do(t, "POST", "/p/x?y=%20", "a.example", headers("r1"), "hello")
 	if resp.StatusCode != 200 || body != "answer to r1" || resp.Header.Get(answer.HeaderCode) != "" {
 		t.Errorf("status %d, body %q", resp.StatusCode, body)
 	}
-	if o := <-r.seen; o.Route != "plain" || o.Code != code.OK {
+	if o := <-r.observations; o.Route != "plain" || o.Code != code.OK {
 		t.Errorf("observed %+v", o)
 	}
 	resp, body = r.do(t, "POST", "/s/x", "a.example", standin.CallerHeaders("r2", 30*time.Second, "aa:10"), "")
@@ -152,20 +152,20 @@
 	}
 }
 
-// Each answer of our own has its number, says whether the request ran, and
-// names the request.
-func TestOwnAnswers(t *testing.T) {
+// Each error answer of the daemon has its result code and states that the
+// request did not run.
+func TestErrorAnswers(t *testing.T) {
 	cases := []struct {
 		name, path, host, body string
 		h                      http.Header
 		status                 int
 		code                   code.Code
 	}{
-		{"no route", "/z/", "a.example", "", ask("r1"), 404, code.UnknownRoute},
-		{"no host", "/p/", "b.example", "", ask("r1"), 404, code.UnknownRoute},
-		{"a route's service is absent", "/absent/", "a.example", "", ask("r1"), 503, code.NoTarget},
+		{"no route", "/z/", "a.example", "", headers("r1"), 404, code.UnknownRoute},
+		{"no host", "/p/", "b.example", "", headers("r1"), 404, code.UnknownRoute},
+		{"a route's service is absent", "/absent/", "a.example", "", headers("r1"), 503, code.NoTarget},
 		{"a header makes no sense", "/p/", "a.example", "", standin.CallerHeaders("r1", time.Second, "aa"), 400, code.BadRequest},
-		{"the body is too large", "/p/", "a.example", strings.Repeat("x", 1001), ask("r1"), 413, code.BodyTooLarge},
+		{"the body is too large", "/p/", "a.example", strings.Repeat("x", 1001), headers("r1"), 413, code.BodyTooLarge},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -184,25 +184,26 @@
 				t.Errorf("status %d, %s", resp.StatusCode, body)
 			}
 			if len(r.plain.Ran()) != 0 {
-				t.Error("it ran")
+				t.Error("the request ran")
 			}
 		})
 	}
 }
 
-// A daemon that has just started answers "no such route" for what is there,
-// and callers take that for good.
-func TestWithoutConfigurationCallersComeBack(t *testing.T) {
+// Guards against a daemon that has just started and answers "no such route" for
+// an existing route: callers don't retry that error.
+func TestMissingConfigurationIsRetryable(t *testing.T) {
 	r := start(t, false)
-	resp, _ := r.do(t, "POST", "/p/", "a.example", ask("r1"), "")
+	resp, _ := r.do(t, "POST", "/p/", "a.example", headers("r1"), "")
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("status %d, headers %v", resp.StatusCode, resp.Header)
 	}
 }
 
-func TestForgedHeadersStopHere(t *testing.T) {
+// Headers that only daemons may set are not forwarded from callers.
+func TestForgedHeadersAreDropped(t *testing.T) {
 	r := start(t, true)
-	h := ask("r1")
+	h := headers("r1")
 	standin.Forge(h)
 	if resp, _ := r.do(t, "POST", "/p/", "a.example", h, ""); resp.StatusCode != 200 {
 		t.Fatalf("status %d", resp.StatusCode)
@@ -213,12 +214,12 @@
 	}
 }
 
-// A second request hidden in the first one's body must not run: the body goes
-// on with the length that was read here.
+// Guards against request smuggling: a request hidden in the body of another one
+// must not run. The body is forwarded with the length that was read here.
 func TestSmuggledRequestDoesNotRun(t *testing.T) {
 	r := start(t, true)
 	hidden := "POST /p/hidden HTTP/1.1\r\nHost: a.example\r\nContent-Length: 0\r\n\r\n"
-	h := ask("r1")
+	h := headers("r1")
 	if resp, _ := r.do(t, "POST", "/p/", "a.example", h, hidden); resp.StatusCode != 200 {
 		t.Fatalf("status %d", resp.StatusCode)
 	}
@@ -227,8 +228,8 @@
 	}
 }
 
-// A stream that breaks off must not look whole to the caller.
-func TestCutStreamBreaksTheConnection(t *testing.T) {
+// A stream that is cut must not look complete to the caller.
+func TestCutStreamAbortsConnection(t *testing.T) {
 	r := start(t, true)
 	r.decode.Set(func(b *standin.Behaviour) { b.Cut = 2 })
 	conn, err := (&http.Transport{}).RoundTrip(mustRequest(t, r))
@@ -238,11 +239,11 @@
 	defer conn.Body.Close()
 	text, err := io.ReadAll(bufio.NewReader(conn.Body))
 	if err == nil {
-		t.Errorf("a cut stream ended in order: %q", text)
+		t.Errorf("a cut stream ended without an error: %q", text)
 	}
 }
 
-func mustRequest(t *testing.T, r *rig) *http.Request {
+func mustRequest(t *testing.T, r *fixture) *http.Request {
 	req, err := http.NewRequestWithContext(t.Context(), "POST", r.srv.URL+"/s/x", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -251,25 +252,25 @@
 	return req
 }
 
-// While the daemon leaves, every answer asks its caller to go elsewhere.
-func TestLeavingAsksCallersToGo(t *testing.T) {
+// While the daemon stops, every answer asks its caller to close the connection.
+func TestStoppingClosesCallerConnections(t *testing.T) {
 	r := start(t, true)
 	r.StopAt(time.Now().Add(time.Hour))
-	resp, _ := r.do(t, "POST", "/p/", "a.example", ask("r1"), "")
+	resp, _ := r.do(t, "POST", "/p/", "a.example", headers("r1"), "")
 	if resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("status %d, close %v", resp.StatusCode, resp.Close)
 	}
 }
 
-// A caller's stream is cut in the middle. Its daemon was told to stop, took the
-// request on a kept connection all the same, and ended before the answer did.
-// It refuses what can't be whole by then, truly not run; a short answer is
-// still given.
-func TestLeavingRefusesWhatItCannotEnd(t *testing.T) {
+// Guards against a stream that is cut because the daemon stops: the daemon
+// accepted the request on a kept-alive connection after it was told to stop,
+// and stopped before the answer was complete. It must refuse such requests as
+// not run, and still answer short ones.
+func TestStoppingRefusesLongAnswers(t *testing.T) {
 	r := start(t, true)
 	for range 100 {
-		r.lengths.note("stream", 80, 50*time.Millisecond, 4*time.Second)
-		r.lengths.note("plain", 0, 0, 60*time.Millisecond)
+		r.durations.observe("stream", 80, 50*time.Millisecond, 4*time.Second)
+		r.durations.observe("plain", 0, 0, 60*time.Millisecond)
 	}
 	r.StopAt(time.Now().Add(2 * time.Second))
 	resp, _ := r.do(t, "POST", "/s/x", "a.example", standin.CallerHeaders("r1", 30*time.Second, "aa:10"), "")
@@ -279,32 +280,33 @@
 	if ran := r.decode.Ran(); len(ran) > 0 {
 		t.Errorf("ran %v", ran)
 	}
-	if resp, _ := r.do(t, "POST", "/p/", "a.example", ask("r2"), ""); resp.StatusCode != http.StatusOK {
+	if resp, _ := r.do(t, "POST", "/p/", "a.example", headers("r2"), ""); resp.StatusCode != http.StatusOK {
 		t.Errorf("short answer: status %d", resp.StatusCode)
 	}
 }
 
-// The length of an answer follows the output that it states; routes never seen
-// may take as long as they are allowed.
-func TestLengthsForesee(t *testing.T) {
-	var l lengths
+// The predicted duration grows with the requested output. A route without
+// earlier answers gets its timeout.
+func TestDurationPrediction(t *testing.T) {
+	var p durationPredictor
 	call := func(name string, output int) *dispatch.Call {
 		return &dispatch.Call{Route: &route.Route{Name: name, Timeout: 15 * time.Second}, Ask: port.Ask{Output: output}}
 	}
-	if got := l.predict(call("s", 10)); got != 15*time.Second {
-		t.Errorf("unseen: %v", got)
+	if got := p.predict(call("s", 10)); got != 15*time.Second {
+		t.Errorf("unknown route: %v", got)
 	}
-	l.note("s", 100, 100*time.Millisecond, 5100*time.Millisecond)
+	p.observe("s", 100, 100*time.Millisecond, 5100*time.Millisecond)
 	for range 20 {
-		l.note("s", 10, 50*time.Millisecond, 450*time.Millisecond)
+		p.observe("s", 10, 50*time.Millisecond, 450*time.Millisecond)
 	}
-	long, short := l.predict(call("s", 200)), l.predict(call("s", 10))
+	long, short := p.predict(call("s", 200)), p.predict(call("s", 10))
 	if long < 10*time.Second || long > 13*time.Second || short > time.Second {
 		t.Errorf("long %v, short %v", long, short)
 	}
 }
 
-// noQueues stands for a small fleet, whose daemons hear of all work at once.
+// noQueues stands for a small fleet, in which daemons exchange their load
+// directly and don't query each other's queues.
 type noQueues struct{}
 
 func (noQueues) CanQueryQueues() bool                             { return false }
--- a/request/ingress/key_test.go
+++ b/request/ingress/key_test.go
@@ -10,23 +10,24 @@
 	"github.com/pomelospool/pomelospool/version/route"
 )
 
-// keyed starts a rig whose organisation o1 holds k1, with a priority.
-func keyed(t *testing.T, priority *int) *rig {
+// startKeyed starts a fixture with organisation o1, its key k1 and the given
+// priority.
+func startKeyed(t *testing.T, priority *int) *fixture {
 	keys := route.NewKeys()
 	keys.Add("k1", &route.Organisation{Name: "o1", Priority: priority})
 	return startWith(t, keyedConfig(7, keys))
 }
 
-func askWith(id, key string) http.Header {
-	h := ask(id)
+func headersWithKey(id, key string) http.Header {
+	h := headers(id)
 	if key != "" {
 		standin.SetKey(h, key)
 	}
 	return h
 }
 
-// Guards against a target that runs a request without a valid key, or that
-// learns the key.
+// Guards against running a request without a valid key, and against forwarding
+// the key to the target.
 func TestKeys(t *testing.T) {
 	for name, tc := range map[string]struct {
 		path, key    string
@@ -42,8 +43,8 @@
 		"no route":                {"/none/x", "k2", 404, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := keyed(t, nil)
-			h := askWith("r1", tc.key)
+			r := startKeyed(t, nil)
+			h := headersWithKey("r1", tc.key)
 			standin.Forge(h)
 			resp, _ := r.do(t, "POST", tc.path, "a.example", h, "")
 			if resp.StatusCode != tc.status {
@@ -75,7 +76,7 @@
 		"the route's":        {nil, "3"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := keyed(t, tc.priority)
+			r := startKeyed(t, tc.priority)
 			h := standin.CallerHeaders("r1", 30*time.Second, "aa:10")
 			standin.SetKey(h, "k1")
 			if resp, _ := r.do(t, "POST", "/s/x", "a.example", h, ""); resp.StatusCode != 200 {
@@ -88,19 +89,19 @@
 	}
 }
 
-// Guards against a caller that gives up for good because a daemon that is cut
-// off doesn't know its new key yet.
+// Guards against a caller that gives up because a daemon with an outdated
+// configuration rejects its new key as unknown.
 func TestUnknownKeyAtStaleDaemon(t *testing.T) {
 	age := 3 * time.Second
-	r := keyed(t, nil)
+	r := startKeyed(t, nil)
 	r.o.ConfigAge = func() (time.Duration, bool) { return age, true }
 	r.o.MaxConfigAge = 2 * time.Second
-	resp, _ := r.do(t, "POST", "/p/x", "a.example", askWith("r1", "k2"), "")
-	if o := <-r.seen; resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || o.Code != code.StaleConfiguration {
+	resp, _ := r.do(t, "POST", "/p/x", "a.example", headersWithKey("r1", "k2"), "")
+	if o := <-r.observations; resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || o.Code != code.StaleConfiguration {
 		t.Errorf("stale: status %d, code %d", resp.StatusCode, o.Code)
 	}
 	age = time.Second
-	if resp, _ := r.do(t, "POST", "/p/x", "a.example", askWith("r2", "k2"), ""); resp.StatusCode != 401 {
+	if resp, _ := r.do(t, "POST", "/p/x", "a.example", headersWithKey("r2", "k2"), ""); resp.StatusCode != 401 {
 		t.Errorf("current: status %d", resp.StatusCode)
 	}
 }
--- a/request/ingress/length.go
+++ b/request/ingress/length.go
@@ -8,65 +8,68 @@
 )
 
 const (
-	// lengthDecay is the part of a length that is given up with each answer
-	// that was shorter: half of it after some 35 answers.
-	lengthDecay = 0.02
-	// lengthMargin is how much longer than predicted a stream may take. Steps of
-	// an engine with all places taken are some fifth longer than with half.
-	lengthMargin = 1.25
+	// durationDecay is the fraction by which an estimate moves towards each
+	// shorter answer. The difference halves after about 35 answers.
+	durationDecay = 0.02
+	// durationMargin is the factor by which a stream may take longer than
+	// predicted. The steps of an engine with all slots in use take about a
+	// fifth longer than with half of them in use.
+	durationMargin = 1.25
 )
 
-// lengths learns how long the answers of each route take. It is safe for
-// concurrent use.
+// durationPredictor predicts how long the answers of each route take. It is
+// safe for concurrent use.
 //
-// The failure it stops: a daemon that is stopped takes a request whose answer
-// can't end before the stop, and the caller's stream is cut in the middle. Of
-// a day on which all daemons are stopped in turn, two streams of 4 s begun
-// 3.2 s after the signal were cut at the end of the 8 s that a stop has.
-type lengths struct {
+// It prevents this failure: a daemon that is being stopped accepts a request
+// whose answer can't end before the stop, and the caller's stream is cut. This
+// was observed with streams of 4 s that began 3.2 s after the signal, with 8 s
+// from the signal to the stop.
+type durationPredictor struct {
 	mu      sync.Mutex
-	byRoute map[string]*length
+	byRoute map[string]*routeDuration
 }
 
-// length is the longest that a route's answers took lately.
-type length struct {
-	first    time.Duration // to the first event; the whole of an answer without events
-	perToken time.Duration // from there on, for each output token stated
+// routeDuration holds decaying maxima from the recent answers of a route.
+type routeDuration struct {
+	first    time.Duration // until the first event, or of the whole answer if it has no events
+	perToken time.Duration // after the first event, for each output token requested
 }
 
-func (l *lengths) note(route string, output int, first, whole time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.byRoute == nil {
-		l.byRoute = make(map[string]*length)
+// observe updates the estimates of a route with the durations of an answer.
+func (p *durationPredictor) observe(route string, output int, first, total time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.byRoute == nil {
+		p.byRoute = make(map[string]*routeDuration)
 	}
-	one := l.byRoute[route]
-	if one == nil {
-		one = &length{}
-		l.byRoute[route] = one
+	d := p.byRoute[route]
+	if d == nil {
+		d = &routeDuration{}
+		p.byRoute[route] = d
 	}
 	if first <= 0 || output <= 0 {
-		one.first = slowly(one.first, whole)
+		d.first = decayingMax(d.first, total)
 		return
 	}
-	one.first = slowly(one.first, first)
-	one.perToken = slowly(one.perToken, (whole-first)/time.Duration(output))
+	d.first = decayingMax(d.first, first)
+	d.perToken = decayingMax(d.perToken, (total-first)/time.Duration(output))
 }
 
-// slowly rises at once and falls with each shorter sight.
-func slowly(old, seen time.Duration) time.Duration {
-	return max(seen, old-time.Duration(lengthDecay*float64(old-seen)))
+// decayingMax returns the new value if it is larger than the old one. Otherwise
+// it moves the old value towards the new one by durationDecay.
+func decayingMax(old, latest time.Duration) time.Duration {
+	return max(latest, old-time.Duration(durationDecay*float64(old-latest)))
 }
 
-// predict is how long the call will take at most, by what was seen; without a
-// sight of its route, as long as it may.
-func (l *lengths) predict(c *dispatch.Call) time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	one := l.byRoute[c.Route.Name]
-	if one == nil {
-		return patience(c)
+// predict returns an upper estimate of the call's duration. For a route without
+// earlier answers it returns the call's timeout.
+func (p *durationPredictor) predict(c *dispatch.Call) time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	d := p.byRoute[c.Route.Name]
+	if d == nil {
+		return callTimeout(c)
 	}
-	most := one.first + one.perToken*time.Duration(c.Ask.Output)
-	return min(time.Duration(lengthMargin*float64(most)), patience(c))
+	longest := d.first + d.perToken*time.Duration(c.Ask.Output)
+	return min(time.Duration(durationMargin*float64(longest)), callTimeout(c))
 }
