--- a/request/stream/chunk.go
+++ b/request/stream/chunk.go
@@ -7,16 +7,16 @@
 )
 
 var (
-	done      = []byte("[DONE]")
+	endMarker = []byte("[DONE]")
 	jsonNull  = []byte("null")
 	jsonEmpty = []byte(`""`)
 )
 
-// noIndex stands for a token_index that a chunk lacks.
-const noIndex = -1
+// noTokenIndex is the TokenIndex of a chunk without token_index.
+const noTokenIndex = -1
 
-// chunk is what a relay checks of a chunk of a streamed answer. Strings stay
-// as raw JSON: they are compared, and a relay reuses their memory.
+// chunk holds the fields of a streamed answer's chunk that a Relay checks.
+// Strings stay raw JSON: they are only compared, and their memory is reused.
 type chunk struct {
 	ID         json.RawMessage `json:"id"`
 	TokenIndex int             `json:"token_index"`
@@ -28,10 +28,10 @@
 	FinishReason json.RawMessage `json:"finish_reason"`
 }
 
-// parse reads data into c, whose memory it reuses.
+// parse decodes data into c and reuses c's memory.
 func (c *chunk) parse(data []byte) error {
 	c.ID, c.Error = c.ID[:0], c.Error[:0]
-	c.TokenIndex = noIndex
+	c.TokenIndex = noTokenIndex
 	clear(c.Choices)
 	c.Choices = c.Choices[:0]
 	if err := json.Unmarshal(data, c); err != nil {
@@ -46,6 +46,7 @@
 	return nil
 }
 
+// finished reports whether a choice has a finish_reason.
 func (c *chunk) finished() bool {
 	for _, ch := range c.Choices {
 		r := ch.FinishReason
@@ -56,15 +57,16 @@
 	return false
 }
 
-// ReplaceID replaces the id of an attempt by the id of the caller's request in
-// an answer. Attempt ids hold a number that no content can know, so that the
-// first place where one stands is the answer's id.
+// ReplaceID replaces the id of an attempt in an answer by the id of the
+// caller's request. An attempt's id contains a number that generated content
+// can't predict, so its first occurrence is the answer's id field.
 func ReplaceID(data []byte, attempt, id string) []byte {
-	return rename(nil, data, quote(attempt), quote(id))
+	return replaceFirst(nil, data, quote(attempt), quote(id))
 }
 
-// rename appends data to dst with the first old in it replaced.
-func rename(dst, data, old, new []byte) []byte {
+// replaceFirst appends data to dst with the first occurrence of old replaced by
+// new.
+func replaceFirst(dst, data, old, new []byte) []byte {
 	before, after, found := bytes.Cut(data, old)
 	dst = append(dst, before...)
 	if found {
@@ -73,5 +75,5 @@
 	return append(dst, after...)
 }
 
-// quote returns s in JSON. Ids hold no character that JSON escapes.
+// quote returns s as a JSON string. Ids contain no character that JSON escapes.
 func quote(s string) []byte { return []byte(`"` + s + `"`) }
--- a/request/stream/reader.go
+++ b/request/stream/reader.go
@@ -1,6 +1,6 @@
-// Package stream carries a streamed answer from targets to a caller: it
-// parses server-sent events strictly, checks each chunk's id and position,
-// and writes to the caller with bounded memory.
+// Package stream forwards a streamed answer from targets to a caller. It parses
+// server-sent events strictly, checks the id and position of each chunk, and
+// writes to the caller with bounded memory.
 package stream
 
 import (
@@ -10,31 +10,31 @@
 	"io"
 )
 
-// MaxEvent is the longest event, in bytes, that a target may send.
+// MaxEvent is the maximum size in bytes of an event from a target.
 const MaxEvent = 256 << 10
 
-// Errors of a Reader beside those of its source.
+// Errors of a Reader, in addition to those of its source.
 var (
 	ErrTooLong   = errors.New("event too long")
 	ErrMalformed = errors.New("malformed event stream")
 )
 
-// Reader reads server-sent events. It takes lines that end in LF or CRLF and
-// refuses fields that the protocol doesn't name.
+// Reader reads server-sent events. It accepts lines that end in LF or CRLF and
+// rejects fields that the protocol doesn't define.
 type Reader struct {
 	src  *bufio.Reader
 	line []byte
 	data []byte
 }
 
-// NewReader returns a Reader of src.
+// NewReader returns a Reader that reads from src.
 func NewReader(src io.Reader) *Reader {
 	return &Reader{src: bufio.NewReader(src)}
 }
 
-// Next returns the data of the next event, valid until the next call. It
-// gives io.EOF when the source ends between two events and
-// io.ErrUnexpectedEOF when it ends within one.
+// Next returns the data of the next event, which is valid until the next call.
+// It returns io.EOF if the source ends between two events and
+// io.ErrUnexpectedEOF if it ends within one.
 func (r *Reader) Next() ([]byte, error) {
 	r.data = r.data[:0]
 	lines := 0
@@ -52,7 +52,7 @@
 			}
 			continue
 		}
-		isData, err := r.field(line, lines)
+		isData, err := r.parseField(line, lines)
 		if err != nil {
 			return nil, err
 		}
@@ -62,11 +62,12 @@
 	}
 }
 
-// field takes one line into the event and reports whether it was data.
-func (r *Reader) field(line []byte, lines int) (bool, error) {
+// parseField adds one line to the event and reports whether it was a data
+// field.
+func (r *Reader) parseField(line []byte, lines int) (bool, error) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	switch string(name) {
-	case "", "event", "id", "retry": // a comment, or a field that carries no tokens
+	case "", "event", "id", "retry": // a comment, or a field without tokens
 		return false, nil
 	case "data":
 	default:
@@ -82,8 +83,8 @@
 	return true, nil
 }
 
-// readLine returns a line without its end. A source that ends in the middle
-// of a line gives the rest of it and io.EOF.
+// readLine returns a line without its line ending. If the source ends within a
+// line, it returns the incomplete line and io.EOF.
 func (r *Reader) readLine() ([]byte, error) {
 	r.line = r.line[:0]
 	for {
--- a/request/stream/relay.go
+++ b/request/stream/relay.go
@@ -9,99 +9,105 @@
 
 // Errors of Relay.Run.
 var (
-	// ErrCut means that the stream ended, or had a gap, before its end marker.
+	// ErrCut means that the stream ended before its end marker, or that tokens
+	// are missing.
 	ErrCut = errors.New("stream cut")
-	// ErrTarget is an error that the target reported in the stream.
+	// ErrTarget means that the target reported an error in the stream.
 	ErrTarget = errors.New("target reported an error")
-	// ErrCaller means that the caller doesn't take the answer any more.
-	ErrCaller = errors.New("caller takes no more")
-	// ErrHandover means that the stream is well and goes on at another engine.
+	// ErrCaller means that the answer can't be written to the caller any more.
+	ErrCaller = errors.New("caller accepts no more data")
+	// ErrHandover means that the stream is intact and continues on another
+	// engine.
 	ErrHandover = errors.New("handed over")
 )
 
-// maxForeign bounds the chunks of other requests that one attempt may carry.
-const maxForeign = 1024
+// maxForeignChunks bounds the chunks of other requests in the stream of one
+// attempt.
+const maxForeignChunks = 1024
 
-// Sink takes the data of events, each whole. It keeps none of the memory.
+// Sink receives the data of complete events. It must not retain the memory.
 type Sink interface {
 	Event(data []byte) error
 }
 
-// Relay carries one caller's stream over one or several attempts, so that the
-// caller sees each token once and in order. It is used by one goroutine.
+// Relay forwards one caller's stream over one or more attempts, so that the
+// caller gets each token once and in order. It is not safe for concurrent use.
 type Relay struct {
-	id       []byte // quoted
-	sink     Sink
-	next     int
-	finished bool
-	dropped  int
-	handover int
-	chunk    chunk
-	out      []byte
+	id            []byte // JSON string
+	sink          Sink
+	next          int
+	finished      bool
+	dropped       int
+	handoverAfter int
+	chunk         chunk
+	out           []byte
 }
 
-// NewRelay returns a Relay for the request id whose first token is at start.
+// NewRelay returns a Relay for the request id. The first token that it forwards
+// has index start.
 func NewRelay(id string, start int, sink Sink) *Relay {
 	return &Relay{id: quote(id), sink: sink, next: start}
 }
 
-// Next is the index of the next token: where another attempt resumes.
+// Next returns the index of the next token, at which another attempt resumes.
 func (r *Relay) Next() int { return r.next }
 
-// Finished reports whether the last token was passed on.
+// Finished reports whether the last token was forwarded.
 func (r *Relay) Finished() bool { return r.finished }
 
-// Dropped counts the chunks that were doubled or belonged to other requests.
+// Dropped returns the number of chunks that were dropped because they were
+// duplicates or belonged to other requests.
 func (r *Relay) Dropped() int { return r.dropped }
 
-// HandOver makes the next Run stop with ErrHandover once it passed on tokens
-// tokens, unless the answer is whole by then. 0 means that it doesn't stop.
-func (r *Relay) HandOver(tokens int) { r.handover = tokens }
+// HandOver makes Run return ErrHandover after it has forwarded the given number
+// of tokens, unless the answer is complete by then. 0 disables it.
+func (r *Relay) HandOver(tokens int) { r.handoverAfter = tokens }
 
-// Run passes on the stream of one attempt. It returns nil once the stream is
-// whole, else an error that wraps one of this package's or of src.
+// Run forwards the stream of one attempt. It returns nil once the stream is
+// complete, otherwise an error that wraps one of this package or of src.
 func (r *Relay) Run(src io.Reader, attempt string) error {
 	events := NewReader(src)
-	foreign, begun := 0, r.next
-	own := quote(attempt)
+	foreign, start := 0, r.next
+	quotedID := quote(attempt)
 	for {
 		data, err := events.Next()
 		if err != nil {
-			return r.ended(err)
+			return r.sourceEnded(err)
 		}
-		if bytes.Equal(data, done) {
-			return r.end()
+		if bytes.Equal(data, endMarker) {
+			return r.finish()
 		}
-		mine, err := r.take(data, own)
+		isOwn, err := r.forward(data, quotedID)
 		if err != nil {
 			return err
 		}
-		if r.handover > 0 && r.next-begun >= r.handover && !r.finished {
+		if r.handoverAfter > 0 && r.next-start >= r.handoverAfter && !r.finished {
 			return ErrHandover
 		}
-		if mine {
+		if isOwn {
 			continue
 		}
 		foreign++
-		if foreign > maxForeign {
+		if foreign > maxForeignChunks {
 			return fmt.Errorf("%w: chunks of other requests only", ErrCut)
 		}
 	}
 }
 
-// take passes on one chunk and reports whether it was the attempt's own.
+// forward forwards one chunk and reports whether it belongs to the attempt.
 //
-// Engines and what lies before them can cross streams, repeat a chunk, or send
-// one late: the caller would read another's tokens, or a token twice. A chunk
-// with another id, or with an index that was passed on before, is dropped. An
-// index beyond the next one means that tokens are lost: passing it on would
-// hide that, so the attempt counts as cut and is resumed at the gap.
-func (r *Relay) take(data, own []byte) (bool, error) {
+// Engines, and proxies in front of them, can mix up streams, or send a chunk
+// twice or late. The caller would then get tokens of another request, or a
+// token twice. A chunk with another id or with an index that was already
+// forwarded is dropped. An index beyond the next one means that tokens are
+// missing. Forwarding it would hide the gap, so the attempt counts as cut and
+// is resumed at the gap.
+func (r *Relay) forward(data, quotedID []byte) (bool, error) {
 	c := &r.chunk
 	if err := c.parse(data); err != nil {
 		return false, err
 	}
-	if !bytes.Equal(c.ID, own) {
+	if !bytes.Equal(c.ID, quotedID) {
 		r.dropped++
 		return false, nil
 	}
@@ -112,7 +118,7 @@
 	if c.TokenIndex > r.next {
 		return true, fmt.Errorf("%w: token %d after %d", ErrCut, c.TokenIndex, r.next-1)
 	}
-	r.out = rename(r.out[:0], data, own, r.id)
+	r.out = replaceFirst(r.out[:0], data, quotedID, r.id)
 	if err := r.sink.Event(r.out); err != nil {
 		return true, fmt.Errorf("%w: %w", ErrCaller, err)
 	}
@@ -121,23 +127,23 @@
 	return true, nil
 }
 
-// end passes on the end marker. A marker without a finish_reason before it
-// would make a caller take a shortened answer for a whole one.
-func (r *Relay) end() error {
+// finish forwards the end marker. It fails if no finish_reason came before: the
+// caller would take a truncated answer for a complete one.
+func (r *Relay) finish() error {
 	if !r.finished {
 		return fmt.Errorf("%w: end marker before the last token", ErrCut)
 	}
-	if err := r.sink.Event(done); err != nil {
+	if err := r.sink.Event(endMarker); err != nil {
 		return fmt.Errorf("%w: %w", ErrCaller, err)
 	}
 	return nil
 }
 
-// ended handles the end of the source. When the last token was passed on, the
-// answer is whole although the marker was lost, and needs no other attempt.
-func (r *Relay) ended(err error) error {
+// sourceEnded handles the end of the source. If the last token was forwarded,
+// the answer is complete even without an end marker and needs no other attempt.
+func (r *Relay) sourceEnded(err error) error {
 	if r.finished {
-		return r.end()
+		return r.finish()
 	}
 	return fmt.Errorf("%w: %w", ErrCut, err)
 }
--- a/request/stream/stream_test.go
+++ b/request/stream/stream_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// TestRelayErrors: why an attempt's stream counts as broken.
+// TestRelayErrors checks the error of each kind of broken stream.
 func TestRelayErrors(t *testing.T) {
 	own := `data: {"id":"a","token_index":0}` + "\n\n"
 	for in, want := range map[string]error{
@@ -71,7 +71,7 @@
 		own:                      io.EOF,
 		own + "data":             io.ErrUnexpectedEOF,
 		own + "data: {\n\n":      ErrMalformed,
-		strings.Repeat(`data: {"id":"b","token_index":0}`+"\n\n", maxForeign+1): ErrCut,
+		strings.Repeat(`data: {"id":"b","token_index":0}`+"\n\n", maxForeignChunks+1): ErrCut,
 	} {
 		if err := NewRelay("caller", 0, &sink{}).Run(strings.NewReader(in), "a"); !errors.Is(err, want) {
 			t.Errorf("%.80q: %v, want %v", in, err, want)
@@ -82,40 +82,40 @@
 	}
 }
 
-// FuzzSSE: whatever an engine sends, in whatever pieces, the reader ends, stays
-// within its limit, and a relay passes on no token twice, none out of order
-// and no end marker before the last token.
+// FuzzSSE checks that for any input, in chunks of any size, the Reader
+// terminates and respects its limit. A Relay must forward no token twice, none
+// out of order and no end marker before the last token.
 func FuzzSSE(f *testing.F) {
 	f.Add([]byte("data: {\"id\":\"a\",\"token_index\":0,\"choices\":[{\"finish_reason\":\"length\"}]}\n\ndata: [DONE]\n\n"))
 	f.Add([]byte("data: {\"id\":\"a\",\"token_index\":1}\n\n"))
 	f.Add([]byte(": x\r\n\r\ndata:\n\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		whole, err1 := readAll(bytes.NewReader(in))
-		bits, err2 := readAll(iotest.OneByteReader(bytes.NewReader(in)))
-		if fmt.Sprint(whole) != fmt.Sprint(bits) || fmt.Sprint(err1) != fmt.Sprint(err2) {
-			t.Fatalf("pieces matter: %q, %v and %q, %v", whole, err1, bits, err2)
+		atOnce, err1 := readAll(bytes.NewReader(in))
+		byByte, err2 := readAll(iotest.OneByteReader(bytes.NewReader(in)))
+		if fmt.Sprint(atOnce) != fmt.Sprint(byByte) || fmt.Sprint(err1) != fmt.Sprint(err2) {
+			t.Fatalf("result depends on chunk size: %q, %v and %q, %v", atOnce, err1, byByte, err2)
 		}
 		out := &sink{}
 		r := NewRelay("caller", 0, out)
 		err := r.Run(bytes.NewReader(in), "a")
-		checkRelayed(t, out.events, r, err)
+		checkForwarded(t, out.events, r, err)
 	})
 }
 
-func checkRelayed(t *testing.T, events []string, r *Relay, err error) {
+func checkForwarded(t *testing.T, events []string, r *Relay, err error) {
 	ended := false
 	next := 0
 	for _, e := range events {
 		if ended {
 			t.Fatalf("event %q after the end", e)
 		}
-		if e == string(done) {
+		if e == string(endMarker) {
 			ended = true
 			continue
 		}
 		var c chunk
 		if perr := c.parse([]byte(e)); perr != nil || c.TokenIndex != next {
-			t.Fatalf("passed on %q as token %d", e, next)
+			t.Fatalf("forwarded %q as token %d", e, next)
 		}
 		next++
 	}
@@ -124,23 +124,24 @@
 	}
 }
 
-// blocked is a caller that takes the header and then nothing more.
-type blocked struct {
+// blockedCaller blocks each write until it is released and then fails it.
+type blockedCaller struct {
 	httptest.ResponseRecorder
 	release chan struct{}
 }
 
-func (b *blocked) Write(p []byte) (int, error) {
+func (b *blockedCaller) Write(p []byte) (int, error) {
 	<-b.release
 	return 0, http.ErrHandlerTimeout
 }
 
-// TestWriterBound: a caller stops reading. Events are held up to the limit,
-// then the engine's side waits; once the write fails it is told so.
+// TestWriterBound covers a caller that stops reading. Events are buffered up to
+// the limit, then the engine's side blocks until the write fails and gets that
+// error.
 func TestWriterBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const limit, size = 1000, 92
-		b := &blocked{release: make(chan struct{})}
+		b := &blockedCaller{release: make(chan struct{})}
 		var gone error
 		w := NewWriter(b, limit, time.Second, func(err error) { gone = err })
 		taken := 0
@@ -156,7 +157,7 @@
 		}()
 		synctest.Wait()
 		if taken == 0 || taken > limit+size {
-			t.Errorf("%d bytes held, limit %d", taken, limit)
+			t.Errorf("%d bytes buffered, limit %d", taken, limit)
 		}
 		close(b.release)
 		if err := <-result; !errors.Is(err, http.ErrHandlerTimeout) {
@@ -168,8 +169,9 @@
 	})
 }
 
-// TestWriterWhole: what was added before Close arrives, in order.
-func TestWriterWhole(t *testing.T) {
+// TestWriterWritesAllEventsInOrder checks that all events added before Close
+// are written in order.
+func TestWriterWritesAllEventsInOrder(t *testing.T) {
 	rec := httptest.NewRecorder()
 	w := NewWriter(rec, 64, time.Second, func(error) {})
 	var want strings.Builder
--- a/request/stream/writer.go
+++ b/request/stream/writer.go
@@ -11,18 +11,18 @@
 
 var errClosed = errors.New("stream writer closed")
 
-// Writer writes events to a caller. It holds at most about maxBytes bytes, then
-// makes the target wait; a caller that takes nothing for the write timeout is
-// cut off.
+// Writer writes events to a caller. It buffers about maxBytes bytes and then
+// blocks the target's side. A caller that reads nothing for the write timeout
+// is disconnected.
 //
-// Without it one slow caller would either hold the engine's slot for as long
-// as it pleases, or let the daemon's memory grow with each token it doesn't
-// read. Two buffers of half the limit swap places: one fills while the other
-// is written, so the bound holds whatever the caller does.
+// Without the limit, a slow caller would either occupy the engine's slot for as
+// long as it takes, or make the daemon's memory grow with each unread token.
+// Two buffers of half the limit each are swapped: one is filled while the other
+// is written.
 type Writer struct {
 	dst     *limit.Writer
-	limit   int
-	gone    func(error)
+	maxFill int
+	onError func(error)
 	stopped chan struct{}
 
 	mu     sync.Mutex
@@ -32,13 +32,13 @@
 	err    error
 }
 
-// NewWriter returns a Writer to dst, whose header is already set. It calls
-// gone once when the caller can't be written to.
-func NewWriter(dst http.ResponseWriter, maxBytes int, timeout time.Duration, gone func(error)) *Writer {
+// NewWriter returns a Writer to dst, whose header must already be set. It calls
+// onError once if writing to the caller fails.
+func NewWriter(dst http.ResponseWriter, maxBytes int, timeout time.Duration, onError func(error)) *Writer {
 	w := &Writer{
 		dst:     limit.NewWriter(dst, timeout),
-		limit:   maxBytes / 2,
-		gone:    gone,
+		maxFill: maxBytes / 2,
+		onError: onError,
 		stopped: make(chan struct{}),
 	}
 	w.cond = sync.NewCond(&w.mu)
@@ -46,11 +46,11 @@
 	return w
 }
 
-// Event adds one event and waits while the buffer is full.
+// Event adds one event. It blocks while the buffer is full.
 func (w *Writer) Event(data []byte) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for w.err == nil && !w.closed && len(w.fill) > 0 && len(w.fill)+len(data) > w.limit {
+	for w.err == nil && !w.closed && len(w.fill) > 0 && len(w.fill)+len(data) > w.maxFill {
 		w.cond.Wait()
 	}
 	if w.err != nil {
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// Close writes what is held and ends the Writer. It must be called before the
-// HTTP handler returns.
+// Close writes the buffered events and stops the Writer. It must be called
+// before the HTTP handler returns.
 func (w *Writer) Close() error {
 	w.mu.Lock()
 	w.closed = true
@@ -79,9 +79,9 @@
 
 func (w *Writer) run() {
 	defer close(w.stopped)
-	var spare []byte
+	var free []byte
 	for {
-		buf := w.swap(spare)
+		buf := w.swap(free)
 		if buf == nil {
 			return
 		}
@@ -89,12 +89,13 @@
 			w.fail(err)
 			return
 		}
-		spare = buf[:0]
+		free = buf[:0]
 	}
 }
 
-// swap waits for events and returns them, nil at the end.
-func (w *Writer) swap(spare []byte) []byte {
+// swap waits for events and returns them. It returns nil once the Writer is
+// closed and empty.
+func (w *Writer) swap(free []byte) []byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for len(w.fill) == 0 && !w.closed {
@@ -104,7 +105,7 @@
 		return nil
 	}
 	buf := w.fill
-	w.fill = spare
+	w.fill = free
 	w.cond.Broadcast()
 	return buf
 }
@@ -114,5 +115,5 @@
 	w.err = err
 	w.cond.Broadcast()
 	w.mu.Unlock()
-	w.gone(err)
+	w.onError(err)
 }
