--- a/request/answer/answer.go
+++ b/request/answer/answer.go
@@ -1,5 +1,6 @@
-// Package answer writes answers of the daemons' own: errors with a numbered
-// code, whether the request ran, and when to come back.
+// Package answer writes the error answers of the daemons themselves. Each one
+// has a numeric result code, states whether the request ran and may have a
+// Retry-After time.
 package answer
 
 import (
@@ -14,19 +15,19 @@
 	"github.com/pomelospool/pomelospool/code"
 )
 
-// Headers of answers.
+// Response headers.
 const (
 	HeaderCode   = "X-Result-Code"
 	HeaderNotRun = "X-Not-Run"
 	HeaderRetry  = "Retry-After"
 )
 
-// body is the JSON form of an error.
-type body struct {
-	Error info `json:"error"`
+// errorBody is the JSON body of an error answer.
+type errorBody struct {
+	Error errorInfo `json:"error"`
 }
 
-type info struct {
+type errorInfo struct {
 	Code         int    `json:"code"`
 	Type         string `json:"type"`
 	Message      string `json:"message"`
@@ -34,7 +35,8 @@
 	RetryAfterMs int64  `json:"retry_after_ms,omitempty"`
 }
 
-// Error returns the coded error that err holds; any other one is internal.
+// Error returns the *code.Error that err wraps. Any other error becomes an
+// internal one.
 func Error(err error) *code.Error {
 	var e *code.Error
 	if errors.As(err, &e) {
@@ -43,14 +45,15 @@
 	return code.Wrap(code.Internal, err, "")
 }
 
-// Marshal gives e's JSON form. What e wraps isn't told: it may quote others.
+// Marshal returns e as JSON. It omits the wrapped error, which may quote
+// content of other callers.
 func Marshal(e *code.Error) []byte {
 	i := e.Code.Info()
 	message := i.Meaning
 	if e.Detail != "" {
 		message += " " + e.Detail
 	}
-	data, err := json.Marshal(body{info{
+	data, err := json.Marshal(errorBody{errorInfo{
 		Code:         int(e.Code),
 		Type:         i.Name,
 		Message:      message,
@@ -58,14 +61,14 @@
 		RetryAfterMs: e.RetryAfter.Milliseconds(),
 	}})
 	if err != nil {
-		log.WithError(err).Error("answer: error not encoded")
+		log.WithError(err).Error("answer: encoding the error failed")
 	}
 	return data
 }
 
-// Write answers with e. "Not run" is claimed by the code alone: the parts that
-// return such codes do so only before anything was written. adjust may change
-// the header before it goes out; nil: nothing to change.
+// Write writes e as the answer. The not-run header is derived from the code
+// alone: codes that claim it are only returned before anything was written to a
+// target. If adjust isn't nil, it may change the header before that is sent.
 func Write(w http.ResponseWriter, e *code.Error, adjust func(h http.Header)) {
 	i := e.Code.Info()
 	h := w.Header()
@@ -83,17 +86,17 @@
 		adjust(h)
 	}
 	w.WriteHeader(i.Status)
-	// A caller that is gone gets no answer.
+	// The error is ignored: a disconnected caller can't be answered.
 	_, _ = w.Write(data)
 }
 
-// seconds rounds up: HTTP's Retry-After has no smaller unit, and 0 would mean
+// seconds rounds up to whole seconds, the unit of Retry-After. 0 would mean
 // "now".
 func seconds(d time.Duration) int64 {
 	return int64((d + time.Second - 1) / time.Second)
 }
 
-// HasBody reports whether answers with the status may have a body.
+// HasBody reports whether an answer with the status may have a body.
 func HasBody(status int) bool {
 	return status != http.StatusNoContent && status != http.StatusNotModified
 }
--- a/request/answer/answer_test.go
+++ b/request/answer/answer_test.go
@@ -10,9 +10,10 @@
 	"github.com/pomelospool/pomelospool/code"
 )
 
-// A caller sends a confirmation again because the answer says "not run", while
-// it ran; or it gives up for good because it isn't told when to come back; or
-// it is shown what another caller sent, quoted by an error within.
+// Guards against three faults: an answer says "not run" for a request that ran,
+// so that the caller sends it again; an answer lacks Retry-After, so that the
+// caller gives up; or an answer quotes content of another caller from a wrapped
+// error.
 func TestWrite(t *testing.T) {
 	secret := errors.New("prompt of somebody else")
 	cases := []struct {
