--- a/request/entry/observe.go
+++ b/request/entry/observe.go
@@ -24,8 +24,8 @@
 	started  time.Time
 }
 
-func newObservation(to burn.Observer, service, org string) *observation {
-	return &observation{observer: to, sample: burn.Sample{Service: service, Org: org}, started: time.Now()}
+func newObservation(observer burn.Observer, service, org string) *observation {
+	return &observation{observer: observer, sample: burn.Sample{Service: service, Org: org}, started: time.Now()}
 }
 
 // firstToken records the time to the first token.
--- a/request/stream/writer.go
+++ b/request/stream/writer.go
@@ -18,7 +18,7 @@
 // Without the limit, a slow caller would either occupy the engine's slot for as
 // long as it takes, or make the daemon's memory grow with each unread token.
 // Two buffers of half the limit each are swapped: one is filled while the other
-// is written.
+// is written, so the limit holds however slowly the caller reads.
 type Writer struct {
 	dst     *limit.Writer
 	maxFill int
