--- a/process/front/metrics.go
+++ b/process/front/metrics.go
@@ -106,9 +106,9 @@
 func (m *metrics) observe(o ingress.Observation) {
 	kind := o.Kind.String()
 	m.requests.WithLabelValues(kind, strconv.Itoa(int(o.Code)), strconv.Itoa(o.Status)).Inc()
-	m.duration.WithLabelValues(kind).Observe(o.Whole.Seconds())
-	if o.First > 0 {
-		m.firstEvent.Observe(o.First.Seconds())
+	m.duration.WithLabelValues(kind).Observe(o.Duration.Seconds())
+	if o.TimeToFirst > 0 {
+		m.firstEvent.Observe(o.TimeToFirst.Seconds())
 	}
 }
 
