--- a/process/agreecheck/check_test.go
+++ b/process/agreecheck/check_test.go
@@ -137,12 +137,12 @@
 		w.expire()
 		p.start()
 	case 9, 10:
-		p.suspend(rule.T + rule.Guard + 2*d)
+		p.suspend(rule.Duration + rule.Guard + 2*d)
 		w.suspected[p.incarnation] = true
 	case 11:
 		w.publish(w.id("plain")+moved, w.truth.Services[service].Version)
-		w.backAt = w.now + rule.T + 2*rule.Guard
-		p.suspend(rule.T + 2*rule.Guard + d/4)
+		w.backAt = w.now + rule.Duration + 2*rule.Guard
+		p.suspend(rule.Duration + 2*rule.Guard + d/4)
 	case 12:
 		clear(w.suspected)
 	}
--- a/process/agreecheck/proc_test.go
+++ b/process/agreecheck/proc_test.go
@@ -45,7 +45,7 @@
 type work struct {
 	group    string
 	versions int64
-	memory   reconcile.Memory
+	memory   reconcile.Progress
 	until    time.Duration     // end of what the state of the decision allows
 	stall    time.Duration     // the engine answers a read of its state only then
 	seen     *port.EngineState // read, and not yet decided on
@@ -100,7 +100,7 @@
 	}
 	r := p.tracker.Rule()
 	_, ok := p.authority(k.group)
-	return ok && p.clock() >= k.memory.Since+r.T+r.Guard
+	return ok && p.clock() >= k.memory.JoinedAt+r.Duration+r.Guard
 }
 
 // groupOf returns the engine's group by the document that the process knows.
@@ -117,7 +117,7 @@
 	}
 	tail := p.tail
 	if p.w.plant == peersConfirm && p.confirmed(group) {
-		tail.Began = p.clock()
+		tail.ReadStart = p.clock()
 	}
 	return p.tracker.Authority(p.clock(), tail, group)
 }
@@ -228,13 +228,13 @@
 	if before == nil || len(r.recs) > 0 {
 		before, p.tail.State = p.tail.State, p.state.Clone()
 	}
-	p.tail.Began, p.tail.Fresh = began, true
+	p.tail.ReadStart, p.tail.Loaded = began, true
 	if before != nil && p.tail.State.Services[service].Version < before.Services[service].Version {
 		p.w.fail("%s: version went back from %d to %d", p.incarnation, before.Services[service].Version, p.tail.State.Services[service].Version)
 	}
 	seen := p.clock()
 	if p.w.plant == earlyTakeover {
-		seen -= rule.T + rule.Guard
+		seen -= rule.Duration + rule.Guard
 	}
 	p.tracker.Observe(seen, p.tail.State)
 }
@@ -277,7 +277,7 @@
 	if p.cut() || p.tail.State == nil {
 		return
 	}
-	for _, c := range p.tracker.Wanted(p.clock(), p.tail, groups, p) {
+	for _, c := range p.tracker.DueClaims(p.clock(), p.tail, groups, p) {
 		p.w.send(p.w.id("claim"), record.KindClaim, c)
 	}
 }
@@ -309,7 +309,7 @@
 	}
 	for _, g := range groups {
 		if a, ok := p.authority(g); ok {
-			p.tracker.Give(a.Fence)
+			p.tracker.MarkReleased(a.Fence)
 			p.w.send(p.w.id("release"), record.KindRelease, record.Release{Group: g, Claim: a.Fence})
 		}
 	}
--- a/process/agreecheck/work_test.go
+++ b/process/agreecheck/work_test.go
@@ -31,17 +31,17 @@
 	versions := p.tail.State.Versions
 	skipped := versions > k.versions+1 && p.w.plant != versionsSkipped
 	if g := p.groupOf(i); g != k.group || skipped {
-		*k = work{group: g, memory: reconcile.Memory{Since: p.clock(), Moved: p.tail.State.Changed}}
+		*k = work{group: g, memory: reconcile.Progress{JoinedAt: p.clock(), JoinedVersion: p.tail.State.Changed}}
 	}
 	k.versions = versions
 	if p.w.plant == noWaitInGroup {
-		k.memory.Since = -time.Hour
+		k.memory.JoinedAt = -time.Hour
 	}
 }
 
 // look reads the engine's state for the next decision.
 func (p *proc) look(e *engine, k *work) {
-	k.until = p.tracker.Rule().Until(p.tail.Began)
+	k.until = p.tracker.Rule().ValidUntil(p.tail.ReadStart)
 	e.settle(p.w.now)
 	seen := e.state
 	k.seen, k.tail = &seen, p.tail.State
@@ -59,26 +59,26 @@
 	}
 	s := k.tail
 	open := s.Engines[engineID(i)].Open
-	k.memory.ForOrder(open)
+	k.memory.ResetFor(open)
 	defer func() { k.seen = nil }()
 	d := reconcile.Decide(reconcile.Input{
 		Now: p.clock(), Rule: p.tracker.Rule(), Fence: a.Fence, Applied: s.Applied,
-		Want: p.want(s), Wanted: s.Services[service].Version > 0,
-		Open: open, Seen: *k.seen, Known: true, Memory: k.memory, Slots: 1,
+		Desired: p.want(s), HasDesired: s.Services[service].Version > 0,
+		Open: open, Observed: *k.seen, ObservedKnown: true, Progress: k.memory, Slots: 1,
 	})
 	switch d.Action {
-	case reconcile.Log:
+	case reconcile.AppendOrder:
 		id := p.w.id("o")
 		p.w.send(id, record.KindOrder, record.Order{Group: k.group, Claim: a.Fence, Engine: engineID(i), Spec: d.Spec, After: s.LastDone(engineID(i)), Reason: "why-" + id})
-	case reconcile.Send:
+	case reconcile.SendOrder:
 		k.order, k.ready = port.Order{ID: open.ID, Fence: a.Fence, Spec: open.Spec}, true
 	case reconcile.Reclaim:
 		if !p.w.chance(5) {
 			return
 		}
 		p.w.send(p.w.id("claim"), record.KindClaim, record.Claim{Group: k.group, Previous: a.Fence, Holder: p.incarnation})
-	case reconcile.Done:
-		k.memory.End(open, d.Why, p.clock())
+	case reconcile.EndOrder:
+		k.memory.RecordEnd(open, d.Reason, p.clock())
 		done := record.OrderDone{Group: k.group, Claim: a.Fence, Changed: s.Changed, Engine: engineID(i), Order: open.ID}
 		p.w.send(p.w.id("done"), record.KindOrderDone, done)
 	}
@@ -128,6 +128,6 @@
 	if !answered && p.w.now < k.ends {
 		return
 	}
-	k.memory.Note(k.write.order.ID, k.sentAt, p.clock(), answered, "", p.tracker.Rule().Guard)
+	k.memory.RecordSend(k.write.order.ID, k.sentAt, p.clock(), answered, "", p.tracker.Rule().Guard)
 	k.write = nil
 }
--- a/process/agreecheck/world_test.go
+++ b/process/agreecheck/world_test.go
@@ -40,7 +40,7 @@
 	return groups[engine%2]
 }
 
-var rule = lease.Rule{T: 3 * time.Second, Guard: 1500 * time.Millisecond, Stagger: 300 * time.Millisecond}
+var rule = lease.Rule{Duration: 3 * time.Second, Guard: 1500 * time.Millisecond, Stagger: 300 * time.Millisecond}
 
 // kind is a kind of engine.
 type kind struct {
--- a/process/claim/claim.go
+++ b/process/claim/claim.go
@@ -43,7 +43,7 @@
 	Store port.Store
 	Lease time.Duration
 	Clock clock.Clock
-	Seen  *Sightings
+	Ages  *AgeTracker
 }
 
 // Claims takes claims, one subject at a time. A claim is one conditional write
@@ -92,7 +92,7 @@
 	if err != nil {
 		return Claim{}, err
 	}
-	c.o.Seen.age(subject, fence)
+	c.o.Ages.age(subject, fence)
 	taken := Claim{Fence: fence, Until: begun + time.Duration(usableShare*float64(c.o.Lease))}
 	c.held[subject] = taken
 	log.WithFields(log.Fields{"subject": subject, "fence": fence, "lease_ms": c.o.Lease.Milliseconds()}).Info("claim: taken")
@@ -140,19 +140,19 @@
 	if !last.exists {
 		return nil
 	}
-	age := c.o.Seen.age(subject, last.offset)
+	age := c.o.Ages.age(subject, last.offset)
 	if last.holder != c.o.Self && age < c.o.Lease+waitMargin {
 		return ErrHeld
 	}
 	return nil
 }
 
-// Sight reads the newest claim, so that its lease is over by the time that a
+// Observe reads the newest claim, so that its lease is over by the time that a
 // claim is needed.
-func (c *Claims) Sight(ctx context.Context, subject string) error {
+func (c *Claims) Observe(ctx context.Context, subject string) error {
 	last, _, err := c.last(ctx, subject)
 	if err == nil && last.exists {
-		c.o.Seen.age(subject, last.offset)
+		c.o.Ages.age(subject, last.offset)
 	}
 	return err
 }
--- a/process/claim/claim_test.go
+++ b/process/claim/claim_test.go
@@ -64,7 +64,7 @@
 
 func claimer(self string, s port.Store, now *time.Duration) *Claims {
 	c := fixed(func() time.Duration { return *now })
-	return New(Options{Self: self, Store: s, Lease: lease, Clock: c, Seen: NewSightings(c)})
+	return New(Options{Self: self, Store: s, Lease: lease, Clock: c, Ages: NewAgeTracker(c)})
 }
 
 // fixed is a clock that tests move.
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	now = lease
-	b.o.Seen.Merge(a.o.Seen.Report())
+	b.o.Ages.Merge(a.o.Ages.Report())
 	if _, err := b.Get(t.Context(), "svc"); !errors.Is(err, ErrHeld) {
 		t.Errorf("claims within the margin: %v", err)
 	}
@@ -92,7 +92,7 @@
 		t.Errorf("waits though the lease is over: %v", err)
 	}
 	// An age reported of the claim before says nothing of the new one.
-	a.o.Seen.Merge([]roster.Claim{{Subject: "svc", Offset: 0, AgeMs: time.Hour.Milliseconds()}})
+	a.o.Ages.Merge([]roster.Claim{{Subject: "svc", Offset: 0, AgeMs: time.Hour.Milliseconds()}})
 	if _, err := a.Get(t.Context(), "svc"); !errors.Is(err, ErrHeld) {
 		t.Errorf("claims right after another holder: %v", err)
 	}
@@ -106,7 +106,7 @@
 	if _, err := a.Get(t.Context(), "svc"); err != nil {
 		t.Fatal(err)
 	}
-	if err := b.Sight(t.Context(), "svc"); err != nil {
+	if err := b.Observe(t.Context(), "svc"); err != nil {
 		t.Fatal(err)
 	}
 	now = lease + waitMargin
--- a/process/claim/sightings.go
+++ b/process/claim/sightings.go
@@ -8,11 +8,11 @@
 	"github.com/pomelospool/pomelospool/process/roster"
 )
 
-// Sightings knows for how long the newest claim on each subject has stood at
+// AgeTracker knows for how long the newest claim on each subject has stood at
 // least. The daemons exchange it in their heartbeats, so that one that takes a
 // duty over needn't wait for the whole lease from its own first look. An age
 // that another daemon reports can only be too short: time passes on the way.
-type Sightings struct {
+type AgeTracker struct {
 	now func() time.Duration
 
 	mu   sync.Mutex
@@ -25,15 +25,15 @@
 	at     time.Duration
 }
 
-// NewSightings returns an empty Sightings over a clock that goes on while the
+// NewAgeTracker returns an empty AgeTracker over a clock that goes on while the
 // machine sleeps.
-func NewSightings(c clock.Clock) *Sightings {
-	return &Sightings{now: c.Now, seen: make(map[string]sighting)}
+func NewAgeTracker(c clock.Clock) *AgeTracker {
+	return &AgeTracker{now: c.Now, seen: make(map[string]sighting)}
 }
 
 // age records that the store holds this claim as the newest one, and returns for
 // how long it has stood at least.
-func (s *Sightings) age(subject string, offset int64) time.Duration {
+func (s *AgeTracker) age(subject string, offset int64) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
@@ -46,7 +46,7 @@
 }
 
 // Report implements roster.Claims.
-func (s *Sightings) Report() []roster.Claim {
+func (s *AgeTracker) Report() []roster.Claim {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
@@ -58,7 +58,7 @@
 }
 
 // Merge implements roster.Claims.
-func (s *Sightings) Merge(claims []roster.Claim) {
+func (s *AgeTracker) Merge(claims []roster.Claim) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -224,27 +224,27 @@
 		HolderWait: d.s.Control.Lease / holderReads,
 		IdleWait:   min(d.s.Control.Isolation/idleReads, idleWait),
 	})
-	rule := lease.Rule{T: d.s.Control.Lease, Guard: d.s.Control.Drift}.WithDefaults()
+	rule := lease.Rule{Duration: d.s.Control.Lease, Guard: d.s.Control.Drift}.WithDefaults()
 	d.leases = lease.New(lease.Options{
-		Rule:     rule,
-		Clock:    d.clock,
-		Follower: d.follower,
-		View:     &leaseView{d: d},
-		Groups:   d.groupNames,
-		Self:     d.self,
-		Addr:     d.s.Listen.Peers,
+		Rule:       rule,
+		Clock:      d.clock,
+		Follower:   d.follower,
+		Membership: &leaseView{d: d},
+		Groups:     d.groupNames,
+		Self:       d.self,
+		Addr:       d.s.Listen.Peers,
 	})
 	d.planner = newRolePlanner(d)
 	d.reconciler = reconcile.New(reconcile.Options{
-		Rule:     rule,
-		Clock:    d.clock,
-		Follower: d.follower,
-		Leases:   d.leases,
-		Snapshot: d.view.Load,
-		Connect:  connectEngine,
-		Wish:     d.planner.wish,
-		Weights:  d.platform.weights,
-		Every:    d.s.Control.Look,
+		Rule:        rule,
+		Clock:       d.clock,
+		Follower:    d.follower,
+		Leases:      d.leases,
+		Snapshot:    d.view.Load,
+		Connect:     connectEngine,
+		PlannedRole: d.planner.wish,
+		Weights:     d.platform.weights,
+		Interval:    d.s.Control.Look,
 	})
 }
 
--- a/process/daemon/plan.go
+++ b/process/daemon/plan.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// wish implements reconcile.Wish.
+// wish implements reconcile.PlannedRole.
 func (p *rolePlanner) wish(_, engine string) (port.Role, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/process/follow/follower.go
+++ b/process/follow/follower.go
@@ -140,7 +140,7 @@
 // false before the first.
 func (f *Follower) LastReadBegan() (time.Duration, bool) {
 	t := f.tail.Load()
-	return t.Began, t.Fresh
+	return t.ReadStart, t.Loaded
 }
 
 // LogDown reports whether the last read of the log failed.
@@ -243,10 +243,10 @@
 func (f *Follower) publish() {
 	old := f.tail.Load()
 	s := old.State
-	if s.Applied != f.state.Applied || !old.Fresh {
+	if s.Applied != f.state.Applied || !old.Loaded {
 		s = f.state.Clone()
 	}
-	f.tail.Store(&lease.Tail{State: s, Began: f.began, Fresh: f.fresh})
+	f.tail.Store(&lease.Tail{State: s, ReadStart: f.began, Loaded: f.fresh})
 	f.announce(s.Applied != old.State.Applied)
 }
 
--- a/process/front/duties.go
+++ b/process/front/duties.go
@@ -43,7 +43,7 @@
 
 // newClaims returns the claims of one goroutine.
 func (d *Daemon) newClaims() *claim.Claims {
-	return claim.New(claim.Options{Self: d.s.VM, Store: d.reach, Lease: d.s.Bounds.Lease, Clock: clock.Boot{}, Seen: d.claims})
+	return claim.New(claim.Options{Self: d.s.VM, Store: d.reach, Lease: d.s.Bounds.Lease, Clock: clock.Boot{}, Ages: d.claims})
 }
 
 func (d *Daemon) startDuties() {
--- a/process/front/front.go
+++ b/process/front/front.go
@@ -83,7 +83,7 @@
 	incarnation uint64          // of this process
 	usage       *usage.Reporter // nil: nothing is reported
 	scaler      *scale.Scaler   // nil: nothing is ordered
-	claims      *claim.Sightings
+	claims      *claim.AgeTracker
 	ingress     *ingress.Ingress
 	metrics     *metrics
 	rate        *rateMeter // of callers' requests
@@ -108,7 +108,7 @@
 		s:      s,
 		config: inforce.New(platform.DecodeConfig),
 		pool:   h1.New(h1.Options{}),
-		claims: claim.NewSightings(clock.Boot{}),
+		claims: claim.NewAgeTracker(clock.Boot{}),
 		speed:  speed.NewTracker(),
 		demand: demand.New(time.Now),
 		rate:   newRateMeter(time.Now),
--- a/process/lease/lease_test.go
+++ b/process/lease/lease_test.go
@@ -23,7 +23,7 @@
 func tailOf(l fold.Lease, began time.Duration) Tail {
 	s := fold.New()
 	s.Leases["g"] = l
-	return Tail{State: s, Began: began, Fresh: true}
+	return Tail{State: s, ReadStart: began, Loaded: true}
 }
 
 // A holder is paused, cut off, replaced or stopped, and the next one is about
@@ -53,7 +53,7 @@
 		if ok != c.want || (ok && a.Fence != 7) {
 			t.Errorf("%s: %v %+v", c.name, ok, a)
 		}
-		tr.Give(7)
+		tr.MarkReleased(7)
 		if _, ok := tr.Authority(c.now, tailOf(c.lease, c.began), "g"); ok {
 			t.Errorf("%s: acts after it gave the lease back", c.name)
 		}
@@ -81,8 +81,8 @@
 	} {
 		tr := NewTracker(Rule{}.WithDefaults(), "me")
 		tail := tailOf(c.lease, 0)
-		tr.Wanted(0, tail, []string{"g"}, c.gone)
-		claims := tr.Wanted(c.now, tail, []string{"g"}, c.gone)
+		tr.DueClaims(0, tail, []string{"g"}, c.gone)
+		claims := tr.DueClaims(c.now, tail, []string{"g"}, c.gone)
 		if len(claims) != c.want || (c.want > 0 && claims[0].Previous != c.lease.Claim) {
 			t.Errorf("%s: %+v", c.name, claims)
 		}
--- a/process/lease/manager.go
+++ b/process/lease/manager.go
@@ -25,16 +25,16 @@
 	Write(ctx context.Context, id string, kind record.Kind, body any) (int64, error)
 }
 
-// Options of a Manager. All but Rule and Settle must be set.
+// Options of a Manager. All but Rule and StartDelay must be set.
 type Options struct {
-	Rule     Rule
-	Clock    clock.Clock
-	Follower Follower
-	View     View
-	Groups   func() []string // groups that exist now
-	Self     string          // incarnation of this process
-	Addr     string          // peer address, for the claim
-	Settle   time.Duration   // after the start, before the first claim; Rule.T
+	Rule       Rule
+	Clock      clock.Clock
+	Follower   Follower
+	Membership Membership
+	Groups     func() []string // groups that exist now
+	Self       string          // incarnation of this process
+	Addr       string          // peer address, for the claim
+	StartDelay time.Duration   // after the start, before the first claim; Rule.T
 }
 
 const (
@@ -61,8 +61,8 @@
 // New returns a Manager that doesn't run yet.
 func New(o Options) *Manager {
 	o.Rule = o.Rule.WithDefaults()
-	if o.Settle <= 0 {
-		o.Settle = o.Rule.T
+	if o.StartDelay <= 0 {
+		o.StartDelay = o.Rule.Duration
 	}
 	return &Manager{
 		o:        o,
@@ -109,10 +109,10 @@
 	defer m.mu.Unlock()
 	m.tracker.Observe(now, tail.State)
 	m.report(now, tail, groups)
-	if m.leaving || now < m.start+m.o.Settle {
+	if m.leaving || now < m.start+m.o.StartDelay {
 		return
 	}
-	for _, c := range m.tracker.Wanted(now, tail, groups, m.o.View) {
+	for _, c := range m.tracker.DueClaims(now, tail, groups, m.o.Membership) {
 		m.claim(c)
 	}
 }
@@ -219,7 +219,7 @@
 	given := map[string]int64{}
 	for g, l := range tail.State.Leases {
 		if l.Holder == m.o.Self && !l.Released {
-			m.tracker.Give(l.Claim)
+			m.tracker.MarkReleased(l.Claim)
 			given[g] = l.Claim
 		}
 	}
--- a/process/lease/rule.go
+++ b/process/lease/rule.go
@@ -10,25 +10,25 @@
 )
 
 // Rule holds the times by which leases are judged. Guard covers the drift of
-// two clocks over T and the time for which bytes written under the old lease
+// two clocks over Duration and the time for which bytes written under the old lease
 // can still reach an engine, so it must exceed UserTimeout.
 type Rule struct {
-	T       time.Duration // how long a tail read lets a holder act, from its begin
-	Guard   time.Duration // on top of T before a claimer acts
-	Stagger time.Duration // between the claims of two candidates
+	Duration time.Duration // how long a tail read lets a holder act, from its begin
+	Guard    time.Duration // on top of T before a claimer acts
+	Stagger  time.Duration // between the claims of two candidates
 }
 
 // Defaults of the times.
 const (
-	DefaultT       = 3 * time.Second
-	DefaultGuard   = time.Second
-	DefaultStagger = time.Second
+	DefaultDuration = 3 * time.Second
+	DefaultGuard    = time.Second
+	DefaultStagger  = time.Second
 )
 
 // WithDefaults fills the times that are not set.
 func (r Rule) WithDefaults() Rule {
-	if r.T <= 0 {
-		r.T = DefaultT
+	if r.Duration <= 0 {
+		r.Duration = DefaultDuration
 	}
 	if r.Guard <= 0 {
 		r.Guard = DefaultGuard
@@ -45,11 +45,11 @@
 func (r Rule) UserTimeout() time.Duration { return r.Guard / 2 }
 
 // Tail is what a process knows from its reads of the log. Began and State
-// belong together: State holds every record that stood in the log at Began.
+// belong together: State holds every record that stood in the log at ReadStart.
 type Tail struct {
-	State *fold.State
-	Began time.Duration // when the last finished read of the tail began
-	Fresh bool          // a tail read has finished
+	State     *fold.State
+	ReadStart time.Duration // when the last finished read of the tail began
+	Loaded    bool          // a tail read has finished
 }
 
 // Authority is the right to act for a group until a time.
@@ -58,27 +58,27 @@
 	Until time.Duration // on the clock of this process
 }
 
-// From returns when the holder of l may act at the earliest, if it saw its
+// ValidFrom returns when the holder of l may act at the earliest, if it saw its
 // claim stand at stood.
 //
 // The guard is against two holders at once. The old holder's last read that
-// showed no later claim began before this claim stood, so its time ends T
+// showed no later claim began before this claim stood, so its time ends Duration
 // after that; Guard covers its drift and its bytes on the way. After a release
 // nothing is left but the bytes on the way.
-func (r Rule) From(l fold.Lease, stood time.Duration) time.Duration {
+func (r Rule) ValidFrom(l fold.Lease, stood time.Duration) time.Duration {
 	if l.Clean {
 		return stood + r.Guard
 	}
-	return stood + r.T + r.Guard
+	return stood + r.Duration + r.Guard
 }
 
-// Until returns when the authority ends that a tail read gave.
+// ValidUntil returns when the authority ends that a tail read gave.
 //
 // The guard is against a holder that was paused, suspended or cut off from the
 // log and doesn't know of its successor: without a young read it may not act.
 // The time counts from the begin of the read, as a claim may have been
 // appended at any moment after that.
-func (r Rule) Until(began time.Duration) time.Duration { return began + r.T }
+func (r Rule) ValidUntil(began time.Duration) time.Duration { return began + r.Duration }
 
 // ClaimAt returns when the candidate of the given rank claims a group that was
 // seen vacant since the given time. Ranks spread the claims so that one append
--- a/process/lease/tracker.go
+++ b/process/lease/tracker.go
@@ -7,14 +7,14 @@
 	"github.com/pomelospool/pomelospool/process/record"
 )
 
-// claimAge times T is the age of the last read up to which a process claims.
-// It is longer than T because one that holds nothing reads with longer polls.
+// claimAge times Duration is the age of the last read up to which a process claims.
+// It is longer than Duration because one that holds nothing reads with longer polls.
 // A claim that was decided on an old state is void, so this is no guard but
 // only spares appends.
 const claimAge = 3
 
-// View is what membership knows, as far as leases need it.
-type View interface {
+// Membership is what membership knows, as far as leases need it.
+type Membership interface {
 	// Gone reports whether the incarnation is dead or has left.
 	Gone(incarnation string) bool
 	// Rank gives this process's place among the candidates for a group, 0
@@ -71,7 +71,7 @@
 // holds for one write, and only until Until; it must be asked again before the
 // next.
 func (t *Tracker) Authority(now time.Duration, tail Tail, group string) (Authority, bool) {
-	if !tail.Fresh {
+	if !tail.Loaded {
 		return Authority{}, false
 	}
 	l, ok := tail.State.Leases[group]
@@ -79,22 +79,22 @@
 		return Authority{}, false
 	}
 	stood, ok := t.stood[l.Claim]
-	if !ok || now < t.rule.From(l, stood) {
+	if !ok || now < t.rule.ValidFrom(l, stood) {
 		return Authority{}, false
 	}
-	a := Authority{Fence: l.Claim, Until: t.rule.Until(tail.Began)}
+	a := Authority{Fence: l.Claim, Until: t.rule.ValidUntil(tail.ReadStart)}
 	return a, now < a.Until
 }
 
-// Give notes that the claim is being given back. The process never acts under
+// MarkReleased notes that the claim is being given back. The process never acts under
 // it again, even if the release doesn't reach the log.
-func (t *Tracker) Give(claim int64) { t.given[claim] = true }
+func (t *Tracker) MarkReleased(claim int64) { t.given[claim] = true }
 
-// Wanted returns the claims that the process should append now: for groups
+// DueClaims returns the claims that the process should append now: for groups
 // without a living holder, when its turn has come. A process whose reads are
 // old wants none, so an outage of the log ends without a burst of claims.
-func (t *Tracker) Wanted(now time.Duration, tail Tail, groups []string, view View) []record.Claim {
-	if !tail.Fresh || now >= tail.Began+claimAge*t.rule.T {
+func (t *Tracker) DueClaims(now time.Duration, tail Tail, groups []string, view Membership) []record.Claim {
+	if !tail.Loaded || now >= tail.ReadStart+claimAge*t.rule.Duration {
 		return nil
 	}
 	t.dropVacant(groups)
@@ -113,7 +113,7 @@
 }
 
 // open reports whether nobody who lives holds the lease.
-func (t *Tracker) open(l fold.Lease, view View) bool {
+func (t *Tracker) open(l fold.Lease, view Membership) bool {
 	switch {
 	case l.Claim == 0 || l.Released:
 		return true
@@ -124,7 +124,7 @@
 }
 
 // turn reports whether the process's time to claim the vacant group has come.
-func (t *Tracker) turn(now time.Duration, group string, view View) bool {
+func (t *Tracker) turn(now time.Duration, group string, view Membership) bool {
 	since, ok := t.vacant[group]
 	if !ok {
 		since = now
--- a/process/reconcile/decide_test.go
+++ b/process/reconcile/decide_test.go
@@ -27,41 +27,41 @@
 		change func(*Input)
 		want   Action
 	}{
-		{"differs", nil, func(*Input) {}, Log},
-		{"as it should be", nil, func(in *Input) { in.Seen.Spec = newSpec }, Wait},
-		{"drained", nil, func(in *Input) { in.Wanted = false }, Wait},
-		{"leaving", nil, func(in *Input) { in.Seen.Leaving = true }, Wait},
-		{"changing without an order", nil, func(in *Input) { in.Seen.Changing = true }, Wait},
-		{"doesn't answer", nil, func(in *Input) { in.Known = false }, Wait},
-		{"new in the group", nil, func(in *Input) { in.Memory.Since = in.Now - time.Second }, Wait},
-		{"copy of the last order on its way", nil, func(in *Input) { in.Memory.Quiet = in.Now + 1 }, Wait},
+		{"differs", nil, func(*Input) {}, AppendOrder},
+		{"as it should be", nil, func(in *Input) { in.Observed.Spec = newSpec }, Wait},
+		{"drained", nil, func(in *Input) { in.HasDesired = false }, Wait},
+		{"leaving", nil, func(in *Input) { in.Observed.Leaving = true }, Wait},
+		{"changing without an order", nil, func(in *Input) { in.Observed.Changing = true }, Wait},
+		{"doesn't answer", nil, func(in *Input) { in.ObservedKnown = false }, Wait},
+		{"new in the group", nil, func(in *Input) { in.Progress.JoinedAt = in.Now - time.Second }, Wait},
+		{"copy of the last order on its way", nil, func(in *Input) { in.Progress.Quiet = in.Now + 1 }, Wait},
 		{"no slot for a load", nil, func(in *Input) { in.Ahead = 1 }, Wait},
-		{"no slot, role only", nil, func(in *Input) { in.Ahead = 1; in.Want = oldSpec; in.Want.Role = port.RoleDecode }, Log},
-		{"came after the claim", nil, func(in *Input) { in.Memory.Moved = 6 }, Reclaim},
-		{"fence behind", nil, func(in *Input) { in.Seen.LastFence = 9 }, Reclaim},
-		{"fence from nowhere", nil, func(in *Input) { in.Seen.LastFence = 1 << 40 }, Log},
+		{"no slot, role only", nil, func(in *Input) { in.Ahead = 1; in.Desired = oldSpec; in.Desired.Role = port.RoleDecode }, AppendOrder},
+		{"came after the claim", nil, func(in *Input) { in.Progress.JoinedVersion = 6 }, Reclaim},
+		{"fence behind", nil, func(in *Input) { in.Observed.LastFence = 9 }, Reclaim},
+		{"fence from nowhere", nil, func(in *Input) { in.Observed.LastFence = 1 << 40 }, AppendOrder},
 
-		{"open", open, func(*Input) {}, Send},
-		{"open, just sent", open, func(in *Input) { in.Memory.Sent, in.Memory.SentAt = true, in.Now }, Wait},
+		{"open", open, func(*Input) {}, SendOrder},
+		{"open, just sent", open, func(in *Input) { in.Progress.Sent, in.Progress.SentAt = true, in.Now }, Wait},
 		{"open, loads before it", open, func(in *Input) { in.Ahead = 1 }, Wait},
-		{"open, new in the group", open, func(in *Input) { in.Memory.Since = in.Now - time.Second }, Wait},
-		{"open, busy with another", open, func(in *Input) { in.Seen.Changing = true }, Wait},
-		{"open, being carried out", open, func(in *Input) { in.Seen.LastOrder, in.Seen.Changing = "o", true }, Wait},
-		{"open, carried out", open, func(in *Input) { in.Seen.LastOrder, in.Seen.Spec = "o", newSpec }, Done},
-		{"open, carried out, copy on its way", open, func(in *Input) { in.Seen.LastOrder, in.Memory.Quiet = "o", in.Now+1 }, Wait},
-		{"open, refused", open, func(in *Input) { in.Memory.Refused = "no" }, Done},
-		{"open, engine there without it", open, func(in *Input) { in.Seen.Spec = newSpec }, Send},
-		{"open, not wanted any more", open, func(in *Input) { in.Want = oldSpec }, Send},
-		{"open, its end appended, engine restarted", open, func(in *Input) { in.Memory.Ending = true }, Done},
+		{"open, new in the group", open, func(in *Input) { in.Progress.JoinedAt = in.Now - time.Second }, Wait},
+		{"open, busy with another", open, func(in *Input) { in.Observed.Changing = true }, Wait},
+		{"open, being carried out", open, func(in *Input) { in.Observed.LastOrder, in.Observed.Changing = "o", true }, Wait},
+		{"open, carried out", open, func(in *Input) { in.Observed.LastOrder, in.Observed.Spec = "o", newSpec }, EndOrder},
+		{"open, carried out, copy on its way", open, func(in *Input) { in.Observed.LastOrder, in.Progress.Quiet = "o", in.Now+1 }, Wait},
+		{"open, refused", open, func(in *Input) { in.Progress.Refused = "no" }, EndOrder},
+		{"open, engine there without it", open, func(in *Input) { in.Observed.Spec = newSpec }, SendOrder},
+		{"open, not wanted any more", open, func(in *Input) { in.Desired = oldSpec }, SendOrder},
+		{"open, its end appended, engine restarted", open, func(in *Input) { in.Progress.Ending = true }, EndOrder},
 	} {
 		in := Input{
 			Now: time.Minute, Rule: lease.Rule{}.WithDefaults(), Fence: 5, Applied: 20,
-			Want: newSpec, Wanted: true, Open: c.open, Known: true, Slots: 1,
-			Seen: port.EngineState{Spec: oldSpec},
+			Desired: newSpec, HasDesired: true, Open: c.open, ObservedKnown: true, Slots: 1,
+			Observed: port.EngineState{Spec: oldSpec},
 		}
 		c.change(&in)
 		if d := Decide(in); d.Action != c.want {
-			t.Errorf("%s: action %d (%s), want %d", c.name, d.Action, d.Why, c.want)
+			t.Errorf("%s: action %d (%s), want %d", c.name, d.Action, d.Reason, c.want)
 		}
 	}
 }
--- a/process/reconcile/desired.go
+++ b/process/reconcile/desired.go
@@ -8,13 +8,13 @@
 	"github.com/pomelospool/pomelospool/version/view"
 )
 
-// Wish gives the role that the planner wants for an engine, and false when it
+// PlannedRole gives the role that the planner wants for an engine, and false when it
 // has no wish.
-type Wish func(service, engine string) (port.Role, bool)
+type PlannedRole func(service, engine string) (port.Role, bool)
 
 // Desired returns what an engine should be, and false when it should be left
 // alone: its target is drained, or names a model that its document lacks.
-func Desired(m Member, wish Wish) (port.EngineSpec, bool) {
+func Desired(m Member, wish PlannedRole) (port.EngineSpec, bool) {
 	t := m.Target
 	version, ok := modelVersion(m.Doc, t.Model)
 	if !ok || t.Drain {
@@ -37,7 +37,7 @@
 	return "", false
 }
 
-func role(m Member, wish Wish) port.Role {
+func role(m Member, wish PlannedRole) port.Role {
 	if !m.Target.Pinned && wish != nil {
 		if r, ok := wish(m.Doc.Service, m.Engine); ok {
 			return r
--- a/process/reconcile/engine.go
+++ b/process/reconcile/engine.go
@@ -25,7 +25,7 @@
 	adapter port.Engine
 	check   lease.Check
 	until   atomic.Int64 // on the clock: end of what the step's state allows
-	memory  Memory
+	memory  Progress
 	why     string // of the last decision, for log lines
 }
 
@@ -36,7 +36,7 @@
 // the engine to another group. The holder of that group waits for T + Guard,
 // by when writes of this step have ended.
 func (e *engine) allow(rule lease.Rule, tail lease.Tail) {
-	e.until.Store(int64(rule.Until(tail.Began)))
+	e.until.Store(int64(rule.ValidUntil(tail.ReadStart)))
 }
 
 // bounded adds the bound of allow to the check of the lease.
@@ -79,22 +79,22 @@
 		r.setLeaving(e.id, seen.Leaving)
 	}
 	open := tail.State.Engines[e.id].Open
-	e.memory.ForOrder(open)
+	e.memory.ResetFor(open)
 	now := r.o.Clock.Now()
-	want, wanted := Desired(m, r.o.Wish)
+	want, wanted := Desired(m, r.o.PlannedRole)
 	d := Decide(Input{
-		Now:     now,
-		Rule:    r.o.Rule,
-		Fence:   e.fence,
-		Applied: tail.State.Applied,
-		Want:    want,
-		Wanted:  wanted,
-		Open:    open,
-		Seen:    seen,
-		Known:   err == nil,
-		Memory:  e.memory,
-		Ahead:   r.loads.Ahead(now, tail.State, open),
-		Slots:   r.slots,
+		Now:           now,
+		Rule:          r.o.Rule,
+		Fence:         e.fence,
+		Applied:       tail.State.Applied,
+		Desired:       want,
+		HasDesired:    wanted,
+		Open:          open,
+		Observed:      seen,
+		ObservedKnown: err == nil,
+		Progress:      e.memory,
+		Ahead:         r.loads.Ahead(now, tail.State, open),
+		Slots:         r.slots,
 	})
 	e.report(d)
 	r.act(ctx, e, d, open, tail.State)
@@ -108,24 +108,24 @@
 
 // report writes a log line when the reason changes.
 func (e *engine) report(d Decision) {
-	if d.Why == e.why {
+	if d.Reason == e.why {
 		return
 	}
-	e.why = d.Why
-	log.WithFields(log.Fields{"engine": e.id, "group": e.group, "why": d.Why}).Debug("reconcile: engine looked at")
+	e.why = d.Reason
+	log.WithFields(log.Fields{"engine": e.id, "group": e.group, "why": d.Reason}).Debug("reconcile: engine looked at")
 }
 
 // act carries a decision out.
 func (r *Reconciler) act(ctx context.Context, e *engine, d Decision, open *fold.Open, s *fold.State) {
 	switch d.Action {
 	case Wait:
-	case Log:
+	case AppendOrder:
 		r.logOrder(ctx, e, d, s)
-	case Send:
+	case SendOrder:
 		r.send(ctx, e, open)
-	case Done:
-		e.memory.End(open, d.Why, r.o.Clock.Now())
-		r.done(ctx, record.OrderDone{Group: e.group, Claim: e.fence, Changed: s.Changed, Engine: e.id, Order: open.ID, Detail: d.Why})
+	case EndOrder:
+		e.memory.RecordEnd(open, d.Reason, r.o.Clock.Now())
+		r.done(ctx, record.OrderDone{Group: e.group, Claim: e.fence, Changed: s.Changed, Engine: e.id, Order: open.ID, Detail: d.Reason})
 	case Reclaim:
 		log.WithField("group", e.group).Info("reconcile: engine knows a newer fence, claim anew")
 		r.o.Leases.Reclaim(e.group)
@@ -147,7 +147,7 @@
 		Spec:   d.Spec,
 		After:  s.LastDone(e.id),
 		Load:   d.Load,
-		Reason: d.Why,
+		Reason: d.Reason,
 	})
 }
 
@@ -164,7 +164,7 @@
 	err := e.adapter.Order(ctx, port.Order{ID: open.ID, Fence: e.fence, Spec: open.Spec})
 	counts.Add("orders_sent", 1)
 	answered, refused := answer(err)
-	e.memory.Note(open.ID, at, r.o.Clock.Now(), answered, refused, r.o.Rule.Guard)
+	e.memory.RecordSend(open.ID, at, r.o.Clock.Now(), answered, refused, r.o.Rule.Guard)
 	fields := log.Fields{"engine": e.id, "order": open.ID, "fence": e.fence}
 	if err != nil {
 		log.WithError(err).WithFields(fields).Warn("reconcile: order not accepted")
@@ -222,7 +222,7 @@
 		}
 		group := first[fold.ServiceOf(e.Open.Group)]
 		fence, _, held := r.o.Leases.Held(group)
-		if held && now >= seen[id]+r.o.Rule.T+r.o.Rule.Guard {
+		if held && now >= seen[id]+r.o.Rule.Duration+r.o.Rule.Guard {
 			r.done(ctx, record.OrderDone{Group: group, Claim: fence, Changed: tail.State.Changed, Engine: id, Order: e.Open.ID, Detail: "target left"})
 		}
 	}
--- a/process/reconcile/harness_test.go
+++ b/process/reconcile/harness_test.go
@@ -198,7 +198,7 @@
 	d := &daemon{fleet: f, id: id, rank: len(f.daemons), link: &link{Log: f.log}}
 	c := clock.NewRuntime()
 	d.follow = follow.New(follow.Options{Log: d.link, Clock: c, Self: id, Validate: validate, Rank: func() int { return d.rank }})
-	d.lease = lease.New(lease.Options{Clock: c, Follower: d.follow, View: members{d}, Groups: d.groups, Self: id})
+	d.lease = lease.New(lease.Options{Clock: c, Follower: d.follow, Membership: members{d}, Groups: d.groups, Self: id})
 	d.rec = New(Options{Clock: c, Follower: d.follow, Leases: d.lease, Snapshot: d.snapshot, Connect: d.connect, Weights: weights{f.rate}})
 	f.mu.Lock()
 	f.daemons = append(f.daemons, d)
--- a/process/reconcile/reconciler.go
+++ b/process/reconcile/reconciler.go
@@ -29,18 +29,18 @@
 // well. If the adapter is an io.Closer it is closed at the end of the term.
 type Connect func(engine string, check lease.Check, userTimeout time.Duration) port.Engine
 
-// Options of a Reconciler. All but Wish, Weights, and the numbers must be set.
+// Options of a Reconciler. All but PlannedRole, Weights, and the numbers must be set.
 type Options struct {
-	Rule     lease.Rule
-	Clock    clock.Clock
-	Follower lease.Follower
-	Leases   Leases
-	Snapshot func() *view.Snapshot
-	Connect  Connect
-	Wish     Wish
-	Weights  port.WeightStore
-	PerLoad  float64       // bytes a second that one load draws; 1e9
-	Every    time.Duration // between looks at an engine; 1s
+	Rule        lease.Rule
+	Clock       clock.Clock
+	Follower    lease.Follower
+	Leases      Leases
+	Snapshot    func() *view.Snapshot
+	Connect     Connect
+	PlannedRole PlannedRole
+	Weights     port.WeightStore
+	PerLoad     float64       // bytes a second that one load draws; 1e9
+	Interval    time.Duration // between looks at an engine; 1s
 }
 
 const (
@@ -76,8 +76,8 @@
 	if o.PerLoad <= 0 {
 		o.PerLoad = 1e9
 	}
-	if o.Every <= 0 {
-		o.Every = time.Second
+	if o.Interval <= 0 {
+		o.Interval = time.Second
 	}
 	return &Reconciler{
 		o:       o,
@@ -114,7 +114,7 @@
 
 func (r *Reconciler) loop() error {
 	ctx := r.t.Context(context.Background())
-	tick := time.NewTicker(r.o.Every)
+	tick := time.NewTicker(r.o.Interval)
 	defer tick.Stop()
 	for {
 		changed := r.o.Follower.Changed()
@@ -182,7 +182,7 @@
 			e := r.engines[m.Engine]
 			if e == nil || e.group != g.Name || skipped {
 				e.close()
-				r.engines[m.Engine] = &engine{id: m.Engine, group: g.Name, memory: Memory{Since: now, Moved: s.Changed}}
+				r.engines[m.Engine] = &engine{id: m.Engine, group: g.Name, memory: Progress{JoinedAt: now, JoinedVersion: s.Changed}}
 			}
 		}
 	}
--- a/process/reconcile/term_test.go
+++ b/process/reconcile/term_test.go
@@ -24,7 +24,7 @@
 	check  lease.Check // of the newest adapter
 }
 
-func (s *stub) Tail() lease.Tail         { return lease.Tail{State: s.state, Fresh: true} }
+func (s *stub) Tail() lease.Tail         { return lease.Tail{State: s.state, Loaded: true} }
 func (s *stub) Changed() <-chan struct{} { return nil }
 func (s *stub) Write(_ context.Context, _ string, kind record.Kind, _ any) (int64, error) {
 	if kind == record.KindOrderDone {
@@ -82,7 +82,7 @@
 	} {
 		step.change()
 		r.step(t.Context())
-		if young := now.Now() < lease.DefaultT; s.opened > 0 && (s.check() == nil) != young {
+		if young := now.Now() < lease.DefaultDuration; s.opened > 0 && (s.check() == nil) != young {
 			t.Errorf("%s: a step whose state began 0 s ago may write at %v: %v", step.name, now.Now(), !young)
 		}
 		if s.opened != step.opened || s.closed != step.closed || s.ends != step.ends {
--- a/process/roles/planner.go
+++ b/process/roles/planner.go
@@ -76,7 +76,7 @@
 	Speed   *speed.Tracker
 	Lease   time.Duration
 	Clock   clock.Clock // default: clock.Boot
-	Seen    *claim.Sightings
+	Seen    *claim.AgeTracker
 }
 
 // Planner sends role orders while this daemon is the leader.
@@ -111,7 +111,7 @@
 	}
 	return &Planner{
 		o:            o,
-		claims:       claim.New(claim.Options{Self: o.Self, Store: o.Store, Lease: o.Lease, Clock: o.Clock, Seen: o.Seen}),
+		claims:       claim.New(claim.Options{Self: o.Self, Store: o.Store, Lease: o.Lease, Clock: o.Clock, Ages: o.Seen}),
 		claimRead:    make(map[string]bool),
 		changing:     make(map[string]change),
 		refusedUntil: make(map[string]time.Duration),
@@ -266,7 +266,7 @@
 		return
 	}
 	p.claimRead[service] = true
-	if err := p.claims.Sight(ctx, service); err != nil {
+	if err := p.claims.Observe(ctx, service); err != nil {
 		log.WithError(err).WithField("service", service).Info("roles: can't read claim in advance; it will be read before the next order")
 	}
 }
--- a/process/scale/scaler_test.go
+++ b/process/scale/scaler_test.go
@@ -193,7 +193,7 @@
 	l := &fakeRoster{on: on}
 	s := New(Options{
 		Self: name, Clock: steady, Roster: l, Store: p, Duties: p, Targets: p.registry, Config: holder,
-		Claims: claim.New(claim.Options{Self: name, Store: p, Lease: lease, Clock: steady, Seen: claim.NewSightings(steady)}),
+		Claims: claim.New(claim.Options{Self: name, Store: p, Lease: lease, Clock: steady, Ages: claim.NewAgeTracker(steady)}),
 	})
 	s.Start()
 	t.Cleanup(func() { _ = s.Stop() })
--- a/process/usage/reporter.go
+++ b/process/usage/reporter.go
@@ -253,7 +253,7 @@
 	if before.End != page.End {
 		return errMoved
 	}
-	if err := r.o.Claims.Sight(ctx, subject); err != nil {
+	if err := r.o.Claims.Observe(ctx, subject); err != nil {
 		return err
 	}
 	r.end, r.final = page.End, nil
--- a/process/usage/usage_test.go
+++ b/process/usage/usage_test.go
@@ -72,7 +72,7 @@
 	d.Reporter = New(Options{
 		Self: Source{VM: name, Incarnation: d.born}, Period: period, Late: late,
 		Clock: clock.NewFleet(f.steady, time.Now), Roster: d, Store: f.store, Duties: f.duties,
-		Claims: claim.New(claim.Options{Self: name, Store: f.store, Lease: lease, Clock: f.steady, Seen: claim.NewSightings(f.steady)}),
+		Claims: claim.New(claim.Options{Self: name, Store: f.store, Lease: lease, Clock: f.steady, Ages: claim.NewAgeTracker(f.steady)}),
 	})
 	f.mu.Lock()
 	f.daemons[name] = d
