--- a/process/claim/claim_test.go
+++ b/process/claim/claim_test.go
@@ -17,12 +17,12 @@
 	m.Run()
 }
 
-// claimStore is a store with the topic of claims only.
+// claimStore is a store that holds only the topic of claims.
 type claimStore struct {
-	records []port.KeyedRecord
-	newest  map[string]port.KeyedRecord
-	lose    bool
-	between func() // called between a listing and the write after it
+	records    []port.KeyedRecord
+	newest     map[string]port.KeyedRecord
+	loseAnswer bool
+	beforePut  func() // called by PutAt before the write
 }
 
 func (s *claimStore) Newest(context.Context, port.Topic, string) (port.KeyedPage, error) {
@@ -34,8 +34,8 @@
 }
 
 func (s *claimStore) PutAt(_ context.Context, _ port.Topic, key string, value []byte, at int64) (int64, error) {
-	if s.between != nil {
-		s.between()
+	if s.beforePut != nil {
+		s.beforePut()
 	}
 	if at != int64(len(s.records)) {
 		return 0, port.ErrConflict
@@ -46,7 +46,7 @@
 		s.newest = make(map[string]port.KeyedRecord)
 	}
 	s.newest[key] = r
-	if s.lose {
+	if s.loseAnswer {
 		return 0, port.ErrUnavailable
 	}
 	return at, nil
@@ -62,47 +62,47 @@
 
 const lease = 3 * time.Second
 
-func claimer(self string, s port.Store, now *time.Duration) *Claims {
-	c := fixed(func() time.Duration { return *now })
+func newClaims(self string, s port.Store, now *time.Duration) *Claims {
+	c := clockFunc(func() time.Duration { return *now })
 	return New(Options{Self: self, Store: s, Lease: lease, Clock: c, Ages: NewAgeTracker(c)})
 }
 
-// fixed is a clock that tests move.
-type fixed func() time.Duration
+// clockFunc is a clock.Clock that tests control.
+type clockFunc func() time.Duration
 
 // Now implements clock.Clock.
-func (f fixed) Now() time.Duration { return f() }
+func (f clockFunc) Now() time.Duration { return f() }
 
-// All decoding engines are gone. The daemon that takes the duty over sees the
-// last claim for the first time, and waits for its lease, though it has stood
-// for minutes: the others know.
-func TestAgeOfAClaimIsReported(t *testing.T) {
+// Guards against a takeover that waits a whole lease for a claim that is minutes
+// old, because the new daemon reads it for the first time. Other daemons report
+// its age.
+func TestReportedAgeShortensWait(t *testing.T) {
 	s, now := &claimStore{}, time.Duration(0)
-	a, b := claimer("a", s, &now), claimer("b", s, &now)
+	a, b := newClaims("a", s, &now), newClaims("b", s, &now)
 	if _, err := a.Get(t.Context(), "svc"); err != nil {
 		t.Fatal(err)
 	}
 	now = lease
 	b.o.Ages.Merge(a.o.Ages.Report())
 	if _, err := b.Get(t.Context(), "svc"); !errors.Is(err, ErrHeld) {
-		t.Errorf("claims within the margin: %v", err)
+		t.Errorf("claimed within the margin: %v", err)
 	}
 	now += waitMargin
 	if _, err := b.Get(t.Context(), "svc"); err != nil {
-		t.Errorf("waits though the lease is over: %v", err)
+		t.Errorf("still waiting after the lease expired: %v", err)
 	}
-	// An age reported of the claim before says nothing of the new one.
+	// The age of the previous claim must not be applied to the new one.
 	a.o.Ages.Merge([]roster.Claim{{Subject: "svc", Offset: 0, AgeMs: time.Hour.Milliseconds()}})
 	if _, err := a.Get(t.Context(), "svc"); !errors.Is(err, ErrHeld) {
-		t.Errorf("claims right after another holder: %v", err)
+		t.Errorf("claimed right after another holder: %v", err)
 	}
 }
 
-// The daemon that begins to lead reads the claim at once, not when it first
-// needs an order.
-func TestClaimIsSightedEarly(t *testing.T) {
+// Guards against a new leader that starts to wait for the previous lease only
+// when it first needs a claim.
+func TestObserveStartsWait(t *testing.T) {
 	s, now := &claimStore{}, time.Duration(0)
-	a, b := claimer("a", s, &now), claimer("b", s, &now)
+	a, b := newClaims("a", s, &now), newClaims("b", s, &now)
 	if _, err := a.Get(t.Context(), "svc"); err != nil {
 		t.Fatal(err)
 	}
@@ -111,15 +111,15 @@
 	}
 	now = lease + waitMargin
 	if _, err := b.Get(t.Context(), "svc"); err != nil {
-		t.Errorf("waits from its second sight: %v", err)
+		t.Errorf("waited from its second read of the claim: %v", err)
 	}
 }
 
-// Two daemons give orders to the same engines in turn, and each undoes what the
-// other did. The second one claimed while the first one's lease still ran.
+// Guards against two daemons that alternately send orders to the same engines,
+// because the second one claimed before the first one's lease expired.
 func TestSecondHolderWaitsForTheLease(t *testing.T) {
 	s, now := &claimStore{}, time.Duration(0)
-	a, b := claimer("a", s, &now), claimer("b", s, &now)
+	a, b := newClaims("a", s, &now), newClaims("b", s, &now)
 	first, err := a.Get(t.Context(), "svc")
 	if err != nil || first.Fence != 0 {
 		t.Fatal(first, err)
@@ -130,7 +130,7 @@
 		}
 	}
 	if now < first.Until {
-		t.Fatal("the test ends before the claim does")
+		t.Fatal("the claim outlasts the test's wait")
 	}
 	now += waitMargin
 	second, err := b.Get(t.Context(), "svc")
@@ -138,14 +138,14 @@
 		t.Errorf("claim %+v, %v", second, err)
 	}
 	if _, err := a.Get(t.Context(), "svc"); !errors.Is(err, ErrHeld) {
-		t.Errorf("the first holder claims again at once: %v", err)
+		t.Errorf("the first holder claimed again at once: %v", err)
 	}
 }
 
-// A holder that goes on claiming keeps the others out.
-func TestWaitBeginsAnewWithEachClaim(t *testing.T) {
+// Other daemons can't claim while the holder keeps taking new claims.
+func TestWaitRestartsWithEachClaim(t *testing.T) {
 	s, now := &claimStore{}, time.Duration(0)
-	a, b := claimer("a", s, &now), claimer("b", s, &now)
+	a, b := newClaims("a", s, &now), newClaims("b", s, &now)
 	for ; now < 5*lease; now += lease / 2 {
 		if _, err := a.Get(t.Context(), "svc"); err != nil {
 			t.Fatal(err)
@@ -156,17 +156,17 @@
 	}
 }
 
-// A holder is paused and wakes after its lease: it must claim again before the
-// next order.
+// Guards against a holder that was paused and acts after its lease. It must take
+// a new claim before the next order.
 func TestClaimEndsBeforeTheLease(t *testing.T) {
 	s, now := &claimStore{}, time.Duration(0)
-	a := claimer("a", s, &now)
+	a := newClaims("a", s, &now)
 	first, err := a.Get(t.Context(), "svc")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if first.Until >= lease {
-		t.Errorf("acts until %v of %v", first.Until, lease)
+		t.Errorf("claim is valid until %v, with a lease of %v", first.Until, lease)
 	}
 	now = first.Until
 	second, err := a.Get(t.Context(), "svc")
@@ -175,40 +175,39 @@
 	}
 }
 
-// Two daemons read the same end of the topic; the other one's claim is written
-// first.
-func TestRaceHasOneWinner(t *testing.T) {
+// Two daemons read the same end of the topic. Only the first write succeeds.
+func TestConcurrentClaimsConflict(t *testing.T) {
 	s, now := &claimStore{}, time.Duration(0)
-	a, b := claimer("a", s, &now), claimer("b", s, &now)
-	s.between = func() {
-		s.between = nil
+	a, b := newClaims("a", s, &now), newClaims("b", s, &now)
+	s.beforePut = func() {
+		s.beforePut = nil
 		if _, err := b.Get(t.Context(), "svc"); err != nil {
 			t.Error(err)
 		}
 	}
 	if got, err := a.Get(t.Context(), "svc"); !errors.Is(err, port.ErrConflict) {
-		t.Errorf("both won: %+v, %v", got, err)
+		t.Errorf("both daemons hold a claim: %+v, %v", got, err)
 	}
 }
 
-// The store did the write and its answer was lost. Nothing is done under that
-// claim, and a new one takes its place.
-func TestLostAnswerGivesNoClaim(t *testing.T) {
-	s, now := &claimStore{lose: true}, time.Duration(0)
-	a := claimer("a", s, &now)
+// The store wrote the claim, but the response was lost. The claim is not used,
+// and the next call takes a new one.
+func TestLostResponseGivesNoClaim(t *testing.T) {
+	s, now := &claimStore{loseAnswer: true}, time.Duration(0)
+	a := newClaims("a", s, &now)
 	if _, err := a.Get(t.Context(), "svc"); err == nil {
-		t.Fatal("a claim without an answer")
+		t.Fatal("got a claim although the response was lost")
 	}
-	s.lose = false
+	s.loseAnswer = false
 	got, err := a.Get(t.Context(), "svc")
 	if err != nil || got.Fence != 1 {
 		t.Errorf("claim %+v, %v", got, err)
 	}
 }
 
-func TestDropEndsAClaim(t *testing.T) {
+func TestDropEndsClaim(t *testing.T) {
 	s, now := &claimStore{}, time.Duration(0)
-	a := claimer("a", s, &now)
+	a := newClaims("a", s, &now)
 	first, _ := a.Get(t.Context(), "svc")
 	a.Drop("svc")
 	second, err := a.Get(t.Context(), "svc")
--- a/process/claim/sightings.go
+++ b/process/claim/sightings.go
@@ -8,66 +8,68 @@
 	"github.com/pomelospool/pomelospool/process/roster"
 )
 
-// AgeTracker knows for how long the newest claim on each subject has stood at
-// least. The daemons exchange it in their heartbeats, so that one that takes a
-// duty over needn't wait for the whole lease from its own first look. An age
-// that another daemon reports can only be too short: time passes on the way.
+// AgeTracker tracks a lower bound of the age of the newest claim on each subject.
+// Daemons exchange these ages in heartbeats, so that a daemon that takes over
+// needn't wait a whole lease from its own first read. An age reported by another
+// daemon can only be too low, because of the transmission delay.
 type AgeTracker struct {
 	now func() time.Duration
 
-	mu   sync.Mutex
-	seen map[string]sighting // by subject
+	mu           sync.Mutex
+	observations map[string]observation // by subject
 }
 
-// sighting is a claim, and when it was first seen by any daemon, or later.
-type sighting struct {
+// observation is the newest known claim on a subject, with the earliest known
+// time at which any daemon observed it. The actual first observation may be
+// earlier.
+type observation struct {
 	offset int64
-	at     time.Duration
+	since  time.Duration
 }
 
-// NewAgeTracker returns an empty AgeTracker over a clock that goes on while the
-// machine sleeps.
+// NewAgeTracker returns an empty AgeTracker. The clock must include the time for
+// which the VM is suspended.
 func NewAgeTracker(c clock.Clock) *AgeTracker {
-	return &AgeTracker{now: c.Now, seen: make(map[string]sighting)}
+	return &AgeTracker{now: c.Now, observations: make(map[string]observation)}
 }
 
-// age records that the store holds this claim as the newest one, and returns for
-// how long it has stood at least.
-func (s *AgeTracker) age(subject string, offset int64) time.Duration {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	now := s.now()
-	old, known := s.seen[subject]
+// observe records that the claim at offset is the newest one in the store, and
+// returns a lower bound of its age.
+func (t *AgeTracker) observe(subject string, offset int64) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.now()
+	old, known := t.observations[subject]
 	if !known || old.offset != offset {
-		s.seen[subject] = sighting{offset: offset, at: now}
+		t.observations[subject] = observation{offset: offset, since: now}
 		return 0
 	}
-	return now - old.at
+	return now - old.since
 }
 
 // Report implements roster.Claims.
-func (s *AgeTracker) Report() []roster.Claim {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	now := s.now()
-	out := make([]roster.Claim, 0, len(s.seen))
-	for subject, one := range s.seen {
-		out = append(out, roster.Claim{Subject: subject, Offset: one.offset, AgeMs: (now - one.at).Milliseconds()})
+func (t *AgeTracker) Report() []roster.Claim {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.now()
+	out := make([]roster.Claim, 0, len(t.observations))
+	for subject, o := range t.observations {
+		out = append(out, roster.Claim{Subject: subject, Offset: o.offset, AgeMs: (now - o.since).Milliseconds()})
 	}
 	return out
 }
 
 // Merge implements roster.Claims.
-func (s *AgeTracker) Merge(claims []roster.Claim) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	now := s.now()
+func (t *AgeTracker) Merge(claims []roster.Claim) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.now()
 	for _, c := range claims {
-		reported := sighting{offset: c.Offset, at: now - time.Duration(c.AgeMs)*time.Millisecond}
-		old, known := s.seen[c.Subject]
+		reported := observation{offset: c.Offset, since: now - time.Duration(c.AgeMs)*time.Millisecond}
+		old, known := t.observations[c.Subject]
 		newer := !known || reported.offset > old.offset
-		if newer || reported.offset == old.offset && reported.at < old.at {
-			s.seen[c.Subject] = reported
+		if newer || reported.offset == old.offset && reported.since < old.since {
+			t.observations[c.Subject] = reported
 		}
 	}
 }
--- a/process/lease/conn.go
+++ b/process/lease/conn.go
@@ -8,23 +8,24 @@
 	"github.com/pomelospool/pomelospool/internal/sock"
 )
 
-// Check reports whether a write may be made now: nil, or an error with
-// code.LeaseLost.
+// Check returns nil if a write is allowed now, and an error with
+// code.LeaseLost otherwise.
 type Check func() error
 
-// Conn is a connection on which nothing is written without authority.
+// Conn is a net.Conn that checks the lease before each write.
 //
-// The guard is against a process that is paused between its decision and the
-// write, which would send an order long after its lease lapsed. The check runs
-// in Write, directly before the system call, so what a pause can still hit is
-// the microsecond between the two. Every write checks, so a connection that
-// was opened anew by the HTTP client is under the same guard.
+// It prevents a process that is paused between its decision and the write from
+// sending an order long after its lease expired. The check runs in Write,
+// directly before the system call, so only a pause in the microsecond between
+// the two goes undetected. Connections that the HTTP client reopens are
+// checked in the same way.
 type Conn struct {
 	net.Conn
 	check Check
 }
 
-// Write writes p if the check allows it.
+// Write writes p if the check returns nil, and returns the check's error
+// otherwise.
 func (c *Conn) Write(p []byte) (int, error) {
 	if err := c.check(); err != nil {
 		return 0, err
@@ -32,7 +33,8 @@
 	return c.Conn.Write(p)
 }
 
-// SetLinger sets what closing does with unsent bytes, see net.TCPConn.
+// SetLinger calls SetLinger of the underlying net.TCPConn. It does nothing on
+// other connections.
 func (c *Conn) SetLinger(sec int) error {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		return tcp.SetLinger(sec)
@@ -40,14 +42,14 @@
 	return nil
 }
 
-// Dialer returns a dial function for http.Transport.DialContext whose
-// connections check before each write and give up undelivered bytes after
+// Dialer returns a dial function for http.Transport.DialContext. Its
+// connections call check before each write and drop unacknowledged data after
 // userTimeout.
 //
-// The second guard is against a partition: bytes that were written under the
-// lease stay in the kernel, which sends them again for many minutes, and an
-// order arrives long after a successor took over. TCP_USER_TIMEOUT makes the
-// kernel drop the connection and its bytes; it must be below Rule.Guard.
+// The timeout covers network partitions: the kernel retransmits data that was
+// written under the lease for many minutes, so an order could arrive long after
+// a successor took over. TCP_USER_TIMEOUT makes the kernel drop the connection
+// and its data. userTimeout must be below Rule.Guard.
 func Dialer(check Check, userTimeout time.Duration) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	d := &net.Dialer{
 		Timeout: userTimeout,
--- a/process/lease/lease_test.go
+++ b/process/lease/lease_test.go
@@ -14,28 +14,28 @@
 	"github.com/pomelospool/pomelospool/process/fold"
 )
 
-// view is a membership in which the listed incarnations are gone.
-type view map[string]bool
+// deadSet is a Membership in which the listed incarnations are dead.
+type deadSet map[string]bool
 
-func (v view) Gone(i string) bool      { return v[i] }
-func (v view) Rank(string) (int, bool) { return 1, true }
+func (v deadSet) Gone(i string) bool      { return v[i] }
+func (v deadSet) Rank(string) (int, bool) { return 1, true }
 
-func tailOf(l fold.Lease, began time.Duration) Tail {
+func newTail(l fold.Lease, readStart time.Duration) Tail {
 	s := fold.New()
 	s.Leases["g"] = l
-	return Tail{State: s, ReadStart: began, Loaded: true}
+	return Tail{State: s, ReadStart: readStart, Loaded: true}
 }
 
-// A holder is paused, cut off, replaced or stopped, and the next one is about
-// to act. At no moment may both think that they may write.
+// Guards against two holders that both consider themselves authorized, when
+// the first one is paused, partitioned, replaced or stopped.
 func TestAuthority(t *testing.T) {
 	const s = time.Second
 	mine := fold.Lease{Claim: 7, Holder: "me"}
 	for _, c := range []struct {
-		name              string
-		lease             fold.Lease
-		stood, began, now time.Duration
-		want              bool
+		name                       string
+		lease                      fold.Lease
+		observedAt, readStart, now time.Duration
+		want                       bool
 	}{
 		{"first moment", mine, 10 * s, 13 * s, 14 * s, true},
 		{"old holder may still act", mine, 10 * s, 13 * s, 14*s - 1, false},
@@ -48,49 +48,49 @@
 		{"released", fold.Lease{Claim: 7, Holder: "me", Released: true}, 10 * s, 20 * s, 21 * s, false},
 	} {
 		tr := NewTracker(Rule{}.WithDefaults(), "me")
-		tr.Observe(c.stood, tailOf(c.lease, 0).State)
-		a, ok := tr.Authority(c.now, tailOf(c.lease, c.began), "g")
+		tr.Observe(c.observedAt, newTail(c.lease, 0).State)
+		a, ok := tr.Authority(c.now, newTail(c.lease, c.readStart), "g")
 		if ok != c.want || (ok && a.Fence != 7) {
 			t.Errorf("%s: %v %+v", c.name, ok, a)
 		}
 		tr.MarkReleased(7)
-		if _, ok := tr.Authority(c.now, tailOf(c.lease, c.began), "g"); ok {
-			t.Errorf("%s: acts after it gave the lease back", c.name)
+		if _, ok := tr.Authority(c.now, newTail(c.lease, c.readStart), "g"); ok {
+			t.Errorf("%s: still authorized after MarkReleased", c.name)
 		}
 	}
 }
 
-// A group stands without a living holder. It is claimed once a candidate's
-// turn has come, and never while the log can't be read.
-func TestWanted(t *testing.T) {
+// A group without a live holder is claimed once the candidate's delay has
+// passed, and never while the log can't be read.
+func TestDueClaims(t *testing.T) {
 	const s = time.Second
 	for _, c := range []struct {
 		name  string
 		lease fold.Lease
-		gone  view
+		dead  deadSet
 		now   time.Duration
 		want  int
 	}{
 		{"nobody yet", fold.Lease{}, nil, 2 * s, 1},
 		{"before its turn", fold.Lease{}, nil, s / 2, 0},
 		{"holder lives", fold.Lease{Claim: 3, Holder: "you"}, nil, 2 * s, 0},
-		{"holder gone", fold.Lease{Claim: 3, Holder: "you"}, view{"you": true}, 2 * s, 1},
+		{"holder gone", fold.Lease{Claim: 3, Holder: "you"}, deadSet{"you": true}, 2 * s, 1},
 		{"released", fold.Lease{Claim: 3, Holder: "you", Released: true}, nil, 2 * s, 1},
-		{"own", fold.Lease{Claim: 3, Holder: "me"}, view{"me": true}, 2 * s, 0},
+		{"own", fold.Lease{Claim: 3, Holder: "me"}, deadSet{"me": true}, 2 * s, 0},
 		{"log down", fold.Lease{}, nil, time.Hour, 0},
 	} {
 		tr := NewTracker(Rule{}.WithDefaults(), "me")
-		tail := tailOf(c.lease, 0)
-		tr.DueClaims(0, tail, []string{"g"}, c.gone)
-		claims := tr.DueClaims(c.now, tail, []string{"g"}, c.gone)
+		tail := newTail(c.lease, 0)
+		tr.DueClaims(0, tail, []string{"g"}, c.dead)
+		claims := tr.DueClaims(c.now, tail, []string{"g"}, c.dead)
 		if len(claims) != c.want || (c.want > 0 && claims[0].Previous != c.lease.Claim) {
 			t.Errorf("%s: %+v", c.name, claims)
 		}
 	}
 }
 
-// Many groups and daemons: each group has candidates of its own zone first,
-// and no daemon is the first for far more groups than others.
+// Candidates of a group's own zone rank first, and groups spread evenly over
+// the daemons of a zone.
 func TestRank(t *testing.T) {
 	var live []Candidate
 	for i := range 12 {
@@ -107,7 +107,7 @@
 				first[c.ID]++
 			}
 			if rank == 0 && c.Zone != "1" {
-				t.Errorf("group %d goes to zone %s", g, c.Zone)
+				t.Errorf("group %d has its first candidate in zone %s", g, c.Zone)
 			}
 		}
 	}
@@ -117,14 +117,14 @@
 		}
 	}
 	if ranked != 600*MaxCandidates {
-		t.Errorf("%d candidates in all", ranked)
+		t.Errorf("%d candidates in total", ranked)
 	}
 }
 
-// The lease lapses between two writes of one connection, and a partition keeps
-// bytes in the kernel. The second write must not leave, and the kernel must
-// have been told to give up.
-func TestConn(t *testing.T) {
+// Guards against orders that leave after the lease expired: the second write
+// of a connection after the lease expired between the two, and data that the
+// kernel retransmits during a partition.
+func TestConnChecksEachWrite(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -145,7 +145,7 @@
 	now = lost
 	_, second := c.Write([]byte("b"))
 	if first != nil || second != lost {
-		t.Errorf("writes gave %v and %v", first, second)
+		t.Errorf("writes returned %v and %v", first, second)
 	}
 	if got := userTimeout(t, c.(*Conn).Conn.(*net.TCPConn)); got != 500 {
 		t.Errorf("TCP_USER_TIMEOUT is %d ms", got)
@@ -154,7 +154,7 @@
 	buf := make([]byte, 8)
 	n, _ := peer.Read(buf)
 	if string(buf[:n]) != "a" {
-		t.Errorf("%q arrived", buf[:n])
+		t.Errorf("peer received %q", buf[:n])
 	}
 }
 
@@ -173,9 +173,9 @@
 	return ms
 }
 
-// BenchmarkCheckToWrite gives the time from the reading of the clock to the
-// end of the write: the window in which a pause can't be caught.
-func BenchmarkCheckToWrite(b *testing.B) {
+// BenchmarkCheckToWriteWindow measures the time from the check to the end of
+// the write. A pause in this window goes undetected.
+func BenchmarkCheckToWriteWindow(b *testing.B) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
--- a/process/lease/manager.go
+++ b/process/lease/manager.go
@@ -16,49 +16,50 @@
 	"github.com/pomelospool/pomelospool/process/record"
 )
 
-// Follower is what leases need of the control stream.
+// Follower reads and writes the control stream.
 type Follower interface {
 	Tail() Tail
 	Changed() <-chan struct{}
-	// Write appends a decision once and waits until it is folded here. After
-	// an error the record may stand all the same.
+	// Write appends a record once and waits until the local state includes it.
+	// After an error the record may be in the log nevertheless.
 	Write(ctx context.Context, id string, kind record.Kind, body any) (int64, error)
 }
 
-// Options of a Manager. All but Rule and StartDelay must be set.
+// Options configures a Manager. All fields except Rule and StartDelay are
+// required.
 type Options struct {
 	Rule       Rule
 	Clock      clock.Clock
 	Follower   Follower
 	Membership Membership
-	Groups     func() []string // groups that exist now
+	Groups     func() []string // returns the current groups
 	Self       string          // incarnation of this process
-	Addr       string          // peer address, for the claim
-	StartDelay time.Duration   // after the start, before the first claim; Rule.T
+	Addr       string          // peer address, recorded in the claim
+	StartDelay time.Duration   // from Start to the first claim; default Rule.Duration
 }
 
 const (
-	tickEvery    = 250 * time.Millisecond
+	tickInterval = 250 * time.Millisecond
 	claimTimeout = 10 * time.Second
 )
 
 var counts = expvar.NewMap("lease")
 
-// Manager claims groups, keeps them and gives them back. Held and Check are
-// safe for concurrent use and don't block.
+// Manager acquires, holds and releases the leases of groups. Held and Check
+// are safe for concurrent use and don't block.
 type Manager struct {
 	o  Options
 	t  tomb.Tomb
 	mu sync.Mutex
 	// guarded by mu
-	tracker  *Tracker
-	claiming map[string]bool
-	held     map[string]bool // for log lines only
-	leaving  bool            // Release was called
-	start    time.Duration
+	tracker   *Tracker
+	claiming  map[string]bool // groups with a claim being appended
+	held      map[string]bool // used only to log changes
+	releasing bool            // set by Release: no more claims
+	start     time.Duration
 }
 
-// New returns a Manager that doesn't run yet.
+// New returns a Manager that is not started.
 func New(o Options) *Manager {
 	o.Rule = o.Rule.WithDefaults()
 	if o.StartDelay <= 0 {
@@ -72,21 +73,21 @@
 	}
 }
 
-// Start begins to claim.
+// Start starts claiming groups, after Options.StartDelay.
 func (m *Manager) Start() {
 	m.start = m.o.Clock.Now()
 	m.t.Go(m.loop)
 }
 
-// Stop ends the goroutines and waits for them. It gives nothing back; call
-// Release for that, after the last order was answered.
+// Stop stops the goroutines and waits for them. It releases no leases; call
+// Release for that, after the response to the last order has arrived.
 func (m *Manager) Stop() error {
 	m.t.Kill(nil)
 	return m.t.Wait()
 }
 
 func (m *Manager) loop() error {
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		changed := m.o.Follower.Changed()
@@ -100,7 +101,7 @@
 	}
 }
 
-// step notes what stands and claims what is wanted.
+// step updates the tracker and starts the claims that are due.
 func (m *Manager) step() {
 	tail := m.o.Follower.Tail()
 	now := m.o.Clock.Now()
@@ -108,8 +109,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.tracker.Observe(now, tail.State)
-	m.report(now, tail, groups)
-	if m.leaving || now < m.start+m.o.StartDelay {
+	m.logChanges(now, tail, groups)
+	if m.releasing || now < m.start+m.o.StartDelay {
 		return
 	}
 	for _, c := range m.tracker.DueClaims(now, tail, groups, m.o.Membership) {
@@ -117,7 +118,8 @@
 	}
 }
 
-// claim appends c on a goroutine of its own, one at a time for each group.
+// claim appends c in a new goroutine, at most one at a time for each group.
+// The caller holds m.mu.
 func (m *Manager) claim(c record.Claim) {
 	if m.claiming[c.Group] || !m.t.Alive() {
 		return
@@ -125,7 +127,7 @@
 	m.claiming[c.Group] = true
 	c.Addr = m.o.Addr
 	m.t.Go(func() error {
-		defer m.claimed(c.Group)
+		defer m.claimFinished(c.Group)
 		counts.Add("claims", 1)
 		ctx, cancel := context.WithTimeout(m.t.Context(context.Background()), claimTimeout)
 		defer cancel()
@@ -136,14 +138,14 @@
 	})
 }
 
-func (m *Manager) claimed(group string) {
+func (m *Manager) claimFinished(group string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.claiming, group)
 }
 
-// report writes a log line for each group that was taken over or lost.
-func (m *Manager) report(now time.Duration, tail Tail, groups []string) {
+// logChanges logs each group that was acquired or lost.
+func (m *Manager) logChanges(now time.Duration, tail Tail, groups []string) {
 	for _, g := range groups {
 		a, ok := m.tracker.Authority(now, tail, g)
 		if ok == m.held[g] {
@@ -161,8 +163,9 @@
 	}
 }
 
-// Held returns the fencing number of the group and until when this process may
-// act for it, as of now. It must be asked before each write.
+// Held returns the group's fencing number and the time until which this process
+// may act for the group. ok is false if it may not act now. Held must be called
+// before each write.
 func (m *Manager) Held(group string) (fence int64, until time.Duration, ok bool) {
 	tail := m.o.Follower.Tail()
 	m.mu.Lock()
@@ -183,9 +186,9 @@
 	}
 }
 
-// Reclaim claims a group again that this process holds, for a higher fencing
-// number. It is needed when an engine came from another group whose claim is
-// newer and refuses the number of this one.
+// Reclaim claims a group that this process already holds, to get a higher
+// fencing number. This is needed when an engine moved here from a group with a
+// newer claim and therefore refuses this group's fencing number.
 func (m *Manager) Reclaim(group string) {
 	fence, _, ok := m.Held(group)
 	if !ok {
@@ -196,13 +199,13 @@
 	m.claim(record.Claim{Group: group, Previous: fence, Holder: m.o.Self})
 }
 
-// Release gives back all that this process holds. From its call on the process
-// never acts under these claims again, even if the log can't be reached; then
-// its successors wait as after a death. It claims nothing more, or it would
-// take back what it has just released.
+// Release releases all leases of this process, which never acts under these
+// claims again. If the log is unreachable, the successors wait as they do after
+// a crash. Release also stops claiming, as the process would otherwise reclaim
+// the groups that it has just released.
 func (m *Manager) Release(ctx context.Context) error {
 	var first error
-	for g, claim := range m.giveAll() {
+	for g, claim := range m.markAllReleased() {
 		_, err := m.o.Follower.Write(ctx, fmt.Sprintf("release-%d", claim), record.KindRelease, record.Release{Group: g, Claim: claim})
 		if err != nil && first == nil {
 			first = fmt.Errorf("lease: release %s: %w", g, err)
@@ -211,17 +214,17 @@
 	return first
 }
 
-func (m *Manager) giveAll() map[string]int64 {
+func (m *Manager) markAllReleased() map[string]int64 {
 	tail := m.o.Follower.Tail()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.leaving = true
-	given := map[string]int64{}
+	m.releasing = true
+	released := map[string]int64{}
 	for g, l := range tail.State.Leases {
 		if l.Holder == m.o.Self && !l.Released {
 			m.tracker.MarkReleased(l.Claim)
-			given[g] = l.Claim
+			released[g] = l.Claim
 		}
 	}
-	return given
+	return released
 }
--- a/process/lease/rank.go
+++ b/process/lease/rank.go
@@ -6,20 +6,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Candidate is a live daemon that may hold leases.
+// Candidate is a live daemon that can hold leases.
 type Candidate struct {
 	ID   string // VM id
 	Zone string // availability zone
 }
 
-// MaxCandidates is how many daemons stand ready to claim one group. More would
-// only lengthen the wait of the last.
+// MaxCandidates is the number of daemons that may claim one group. More
+// candidates would only make the last one wait longer.
 const MaxCandidates = 5
 
-// Rank returns the place of self among the candidates for a group: daemons of
-// the group's availability zone first, then by a hash, so that groups spread
-// evenly and few move when a daemon comes or goes. It gives false beyond
-// MaxCandidates.
+// Rank returns the rank of self among the candidates for a group, starting at
+// 0. Daemons of the group's availability zone come first. Within a zone,
+// rendezvous hashing spreads the groups evenly and moves few of them when a
+// daemon joins or leaves. Rank returns false if self is not in live or its rank
+// is MaxCandidates or more.
 func Rank(group, zone, self string, live []Candidate) (int, bool) {
 	me := slices.IndexFunc(live, func(c Candidate) bool { return c.ID == self })
 	if me < 0 {
@@ -27,23 +28,23 @@
 	}
 	rank := 0
 	for _, c := range live {
-		if before(group, zone, c, live[me]) {
+		if precedes(group, zone, c, live[me]) {
 			rank++
 		}
 	}
 	return rank, rank < MaxCandidates
 }
 
-// before reports whether a precedes b among the candidates for the group.
-func before(group, zone string, a, b Candidate) bool {
+// precedes reports whether a ranks before b for the group.
+func precedes(group, zone string, a, b Candidate) bool {
 	if (a.Zone == zone) != (b.Zone == zone) {
 		return a.Zone == zone
 	}
-	ha, hb := weight(group, a.ID), weight(group, b.ID)
+	ha, hb := hashScore(group, a.ID), hashScore(group, b.ID)
 	if ha != hb {
 		return ha < hb
 	}
 	return a.ID < b.ID
 }
 
-func weight(group, id string) uint64 { return xxhash.Sum64String(group + "|" + id) }
+func hashScore(group, id string) uint64 { return xxhash.Sum64String(group + "|" + id) }
--- a/process/lease/rule.go
+++ b/process/lease/rule.go
@@ -1,6 +1,7 @@
 // Package lease decides when a process may act for a group of engines. A lease
-// is a claim record in the control stream, and its offset is the fencing
-// number. Reads of the log's tail renew it; no append is spent on that.
+// is a claim record in the control stream, and the record's offset is the
+// fencing number. The holder renews the lease by reading the log's tail, which
+// takes no append.
 package lease
 
 import (
@@ -9,23 +10,23 @@
 	"github.com/pomelospool/pomelospool/process/fold"
 )
 
-// Rule holds the times by which leases are judged. Guard covers the drift of
-// two clocks over Duration and the time for which bytes written under the old lease
-// can still reach an engine, so it must exceed UserTimeout.
+// Rule holds the durations that govern leases. Guard covers the drift of two
+// clocks over Duration and the time during which data written under the old
+// lease can still reach an engine, so it must exceed UserTimeout.
 type Rule struct {
-	Duration time.Duration // how long a tail read lets a holder act, from its begin
-	Guard    time.Duration // on top of T before a claimer acts
-	Stagger  time.Duration // between the claims of two candidates
+	Duration time.Duration // how long a holder may act after the start of a tail read
+	Guard    time.Duration // extra wait of a new holder after Duration
+	Stagger  time.Duration // delay between the claims of consecutive candidates
 }
 
-// Defaults of the times.
+// Defaults of Rule.
 const (
 	DefaultDuration = 3 * time.Second
 	DefaultGuard    = time.Second
 	DefaultStagger  = time.Second
 )
 
-// WithDefaults fills the times that are not set.
+// WithDefaults returns a copy of r in which unset fields have their defaults.
 func (r Rule) WithDefaults() Rule {
 	if r.Duration <= 0 {
 		r.Duration = DefaultDuration
@@ -39,50 +40,49 @@
 	return r
 }
 
-// UserTimeout is the TCP_USER_TIMEOUT for connections that carry orders: the
-// longest time for which the kernel goes on trying to deliver them. The other
-// half of the guard is left for drift and for the network itself.
+// UserTimeout returns the TCP_USER_TIMEOUT of connections that carry orders,
+// which is how long the kernel tries to deliver them. The other half of Guard
+// covers clock drift and network delay.
 func (r Rule) UserTimeout() time.Duration { return r.Guard / 2 }
 
-// Tail is what a process knows from its reads of the log. Began and State
-// belong together: State holds every record that stood in the log at ReadStart.
+// Tail is the result of a process's reads of the log. State includes every
+// record that was in the log at ReadStart.
 type Tail struct {
 	State     *fold.State
-	ReadStart time.Duration // when the last finished read of the tail began
-	Loaded    bool          // a tail read has finished
+	ReadStart time.Duration // start of the last completed tail read
+	Loaded    bool          // at least one tail read has completed
 }
 
-// Authority is the right to act for a group until a time.
+// Authority is the right to act for a group until a given time.
 type Authority struct {
 	Fence int64         // offset of the claim
 	Until time.Duration // on the clock of this process
 }
 
-// ValidFrom returns when the holder of l may act at the earliest, if it saw its
-// claim stand at stood.
+// ValidFrom returns the earliest time at which the holder of l may act, if it
+// first observed its claim in the log at observedAt.
 //
-// The guard is against two holders at once. The old holder's last read that
-// showed no later claim began before this claim stood, so its time ends Duration
-// after that; Guard covers its drift and its bytes on the way. After a release
-// nothing is left but the bytes on the way.
-func (r Rule) ValidFrom(l fold.Lease, stood time.Duration) time.Duration {
+// The wait prevents two holders at once. The old holder's last read without
+// this claim started before the claim was appended, so its authority ends
+// within Duration of the append. Guard covers its clock drift and its data in
+// flight. After a clean release only data in flight remains.
+func (r Rule) ValidFrom(l fold.Lease, observedAt time.Duration) time.Duration {
 	if l.Clean {
-		return stood + r.Guard
+		return observedAt + r.Guard
 	}
-	return stood + r.Duration + r.Guard
+	return observedAt + r.Duration + r.Guard
 }
 
-// ValidUntil returns when the authority ends that a tail read gave.
+// ValidUntil returns the end of the authority that a tail read grants.
 //
-// The guard is against a holder that was paused, suspended or cut off from the
-// log and doesn't know of its successor: without a young read it may not act.
-// The time counts from the begin of the read, as a claim may have been
-// appended at any moment after that.
-func (r Rule) ValidUntil(began time.Duration) time.Duration { return began + r.Duration }
+// It stops a holder that was paused, suspended or partitioned from the log and
+// doesn't know its successor. The time counts from the start of the read, as
+// another claim may have been appended at any moment after that.
+func (r Rule) ValidUntil(readStart time.Duration) time.Duration { return readStart + r.Duration }
 
-// ClaimAt returns when the candidate of the given rank claims a group that was
-// seen vacant since the given time. Ranks spread the claims so that one append
-// is enough in most cases.
-func (r Rule) ClaimAt(vacant time.Duration, rank int) time.Duration {
-	return vacant + time.Duration(rank)*r.Stagger
+// ClaimAt returns when the candidate with the given rank claims a group that has
+// been vacant since vacantSince. The delay by rank avoids competing claims, so
+// one append is enough in most cases.
+func (r Rule) ClaimAt(vacantSince time.Duration, rank int) time.Duration {
+	return vacantSince + time.Duration(rank)*r.Stagger
 }
