--- a/process/reconcile/decide.go
+++ b/process/reconcile/decide.go
@@ -8,62 +8,65 @@
 	"github.com/pomelospool/pomelospool/process/lease"
 )
 
-// Action is what to do next for one engine.
+// Action is the next step for one engine.
 type Action int
 
 // The actions.
 const (
-	Wait        Action = iota // nothing now
+	Wait        Action = iota // do nothing
 	AppendOrder               // append a new order to the log
 	SendOrder                 // send the open order to the engine
-	EndOrder                  // append the end of the open order
-	Reclaim                   // claim the group anew for a higher fencing number
+	EndOrder                  // append the end of the open order to the log
+	Reclaim                   // claim the group again to get a higher fencing number
 )
 
-// ResendAfter is how long an order that was sent may stay without a sign of
-// it in the engine's state before it is sent again.
-const ResendAfter = 2 * time.Second
+// ResendDelay is how long to wait for an order to appear in the engine's state
+// before it is sent again.
+const ResendDelay = 2 * time.Second
 
-// Progress is what a process remembers of one engine while it holds its group.
+// Progress is what a process records about one engine while it holds the lease of
+// the engine's group. It is kept in memory only.
 type Progress struct {
-	JoinedAt      time.Duration // when this process first saw the engine in the group
-	JoinedVersion int64         // offset of the newest version at that time
-	Order         string        // the open order that the fields below are about
-	Sent          bool          // sent by this process
+	JoinedAt      time.Duration // when this process first found the engine in the group
+	JoinedVersion int64         // offset of the newest document version at that time
+	OrderID       string        // the open order that the next fields refer to
+	Sent          bool          // this process has sent it
 	SentAt        time.Duration
-	Quiet         time.Duration // until then a copy of this or the last order may be on its way
-	Refused       string        // why the engine refused it for good, or empty
-	Ending        bool          // its end was appended, perhaps without an answer
-
-	// orders that ended otherwise than asked, over several orders
-	Failed   port.EngineSpec
-	FailedAt time.Duration
-	Fails    int // in a row for the same spec
+	InFlightUntil time.Duration // until then a copy of this or the previous order may be in flight
+	RefusedReason string        // why the engine rejected it permanently, or empty
+	EndAppended   bool          // its end was appended, perhaps without confirmation
+
+	// Failures of orders. They are kept from order to order.
+	FailedSpec port.EngineSpec
+	FailedAt   time.Duration
+	Failures   int // consecutive failures for the same spec
 }
 
-// Waits before an order for a spec that failed is logged again. They double.
+// Delay before an order for a failed spec is appended again. It doubles with each
+// consecutive failure.
 const (
-	failWait     = 5 * time.Second
-	failWaitMost = 2 * time.Minute
+	retryDelay    = 5 * time.Second
+	maxRetryDelay = 2 * time.Minute
 )
 
-// Input is all that a decision depends on.
+// Input holds everything that a decision depends on.
 type Input struct {
 	Now           time.Duration
 	Rule          lease.Rule
-	Fence         int64           // of the lease
-	Applied       int64           // offset of the state that the rest was taken from
-	Desired       port.EngineSpec // what the engine should be
-	HasDesired    bool            // false: leave it alone
-	Open          *fold.Open      // its open order, or nil
+	Fence         int64           // fencing number of the lease
+	Applied       int64           // offset of the log state that the input is based on
+	Desired       port.EngineSpec // desired spec of the engine
+	HasDesired    bool            // false: the engine gets no new orders
+	Open          *fold.Open      // the engine's open order, or nil
 	Observed      port.EngineState
-	ObservedKnown bool // Seen was read under this lease, after the last action
+	ObservedKnown bool // Observed was read under this lease, after the last action
 	Progress      Progress
-	Ahead         int // open loads before its open order, or all of them without one
-	Slots         int // loads that may run at once in the whole fleet
+	Ahead         int // open loads before Open in the log, or all open loads if Open is nil
+	Slots         int // maximum of concurrent loads of all daemons
 }
 
-// Decision is an action with its reason, and for AppendOrder the new order.
+// Decision is an action and its reason. Spec and Load describe the new order of
+// AppendOrder.
 type Decision struct {
 	Action Action
 	Reason string
@@ -73,12 +76,12 @@
 
 // Decide returns the next step for one engine. It is a pure function.
 //
-// An engine that came into the group is left alone for as long as a claimer
-// waits. The guard is against a holder of its old group that hasn't read the
-// new document yet and still acts for the engine. The claim must be younger
-// than that document too: the old holder's number may be higher than an older
-// claim of this group, and the engine would take a write of the old holder that
-// a pause made late.
+// An engine that joined the group gets no orders for as long as a new holder of a
+// lease waits. Until then a holder of its old group that hasn't read the new
+// document may still act on it. The claim must also be newer than that document.
+// Otherwise the old holder's fencing number could be higher than this group's,
+// and the engine would accept a write of the old holder that was delayed by a
+// pause.
 func Decide(in Input) Decision {
 	switch {
 	case in.Fence < in.Progress.JoinedVersion:
@@ -95,97 +98,100 @@
 	return decideNew(in)
 }
 
-func wait(why string) Decision { return Decision{Reason: why} }
+func wait(reason string) Decision { return Decision{Reason: reason} }
 
-// decideOpen brings the open order to its end, whoever logged it.
+// decideOpen brings the open order to its end, whichever process appended it.
 //
-// The order ends only when the engine has accepted its id. So every copy that
-// a former holder may still write, however late, meets an engine that knows
-// the id, or one that knows a newer fencing number, and has no effect.
-// Quiet is the guard against this process's own copies: after a send without
-// an answer the order stays open until the kernel has given the bytes up.
+// The order ends only when the engine has accepted its id. A copy that a former
+// holder writes later then has no effect, because the engine knows either the id
+// or a newer fencing number. InFlightUntil covers this process's own copies:
+// after a send without a response the order stays open until the kernel has
+// dropped the data.
 func decideOpen(in Input) Decision {
 	accepted := in.Observed.LastOrder == in.Open.ID
 	switch {
-	case in.Progress.Ending:
-		return Decision{Action: EndOrder, Reason: in.Progress.Refused}
+	case in.Progress.EndAppended:
+		return Decision{Action: EndOrder, Reason: in.Progress.RefusedReason}
 	case accepted && in.Observed.Changing:
 		return wait("order is being carried out")
-	case in.Now < in.Progress.Quiet && (accepted || in.Progress.Refused != ""):
+	case in.Now < in.Progress.InFlightUntil && (accepted || in.Progress.RefusedReason != ""):
 		return wait("a copy of the order may be on its way")
 	case accepted && in.Observed.Spec != in.Open.Spec:
 		return Decision{Action: EndOrder, Reason: "engine shows something else"}
 	case accepted:
 		return Decision{Action: EndOrder}
-	case in.Progress.Refused != "":
-		return Decision{Action: EndOrder, Reason: "refused: " + in.Progress.Refused}
+	case in.Progress.RefusedReason != "":
+		return Decision{Action: EndOrder, Reason: "refused: " + in.Progress.RefusedReason}
 	case in.Observed.Changing:
 		return wait("engine is busy with an earlier order")
 	case in.Open.Load && in.Ahead >= in.Slots:
 		return wait("weight store is taken")
-	case in.Progress.Sent && in.Now < in.Progress.SentAt+ResendAfter:
+	case in.Progress.Sent && in.Now < in.Progress.SentAt+ResendDelay:
 		return wait("order was sent")
 	}
 	return Decision{Action: SendOrder, Reason: "order is open"}
 }
 
-// RecordSend notes that the order was sent at the time at and answered, or not, at
-// the time now. An answer that refuses it for good is given as refused; as it
-// may be an error of the way and not the engine's, it counts as no answer too.
-func (m *Progress) RecordSend(order string, at, now time.Duration, answered bool, refused string, guard time.Duration) {
-	m.Order = order
-	m.Sent, m.SentAt = true, at
-	m.Refused = refused
-	if !answered || refused != "" {
-		m.Quiet = now + guard
+// RecordSend records that the order was sent at sentAt and that the call returned
+// at now. refused is the reason if the engine rejected the order permanently. The
+// rejection may come from an intermediary instead of the engine, so it also
+// counts as no response.
+func (p *Progress) RecordSend(order string, sentAt, now time.Duration, responded bool, refused string, guard time.Duration) {
+	p.OrderID = order
+	p.Sent, p.SentAt = true, sentAt
+	p.RefusedReason = refused
+	if !responded || refused != "" {
+		p.InFlightUntil = now + guard
 	}
 }
 
-// RecordEnd notes that the end of the order is being appended. why is empty if it
-// was carried out.
+// RecordEnd records that the end of the order is being appended. reason is empty
+// if the order succeeded.
 //
-// The guard is against an engine that refuses or loses each order at once: it
-// would get orders, and the log records, as fast as both answer. Each failure
-// in a row for the same spec doubles the wait.
-func (m *Progress) RecordEnd(open *fold.Open, why string, now time.Duration) {
-	again := m.Order == open.ID && m.Ending
-	m.Order, m.Ending = open.ID, true
+// Without a delay, an engine that rejects or loses each order immediately would
+// receive orders, and the log records, as fast as both respond. Each consecutive
+// failure for the same spec doubles the delay.
+func (p *Progress) RecordEnd(open *fold.Open, reason string, now time.Duration) {
+	again := p.OrderID == open.ID && p.EndAppended
+	p.OrderID, p.EndAppended = open.ID, true
 	switch {
 	case again:
-	case why == "":
-		m.Fails = 0
-	case m.Failed != open.Spec:
-		m.Fails = 1
+	case reason == "":
+		p.Failures = 0
+	case p.FailedSpec != open.Spec:
+		p.Failures = 1
 	default:
-		m.Fails++
+		p.Failures++
 	}
-	m.Failed, m.FailedAt = open.Spec, now
+	p.FailedSpec, p.FailedAt = open.Spec, now
 }
 
-// retryAt returns when the spec that failed may be ordered again.
-func (m *Progress) retryAt() time.Duration {
-	if m.Fails == 0 {
+// retryAt returns when the failed spec may be ordered again.
+func (p *Progress) retryAt() time.Duration {
+	if p.Failures == 0 {
 		return 0
 	}
-	return m.FailedAt + min(failWait<<min(m.Fails-1, 8), failWaitMost)
+	return p.FailedAt + min(retryDelay<<min(p.Failures-1, 8), maxRetryDelay)
 }
 
-// ResetFor drops what was remembered of another order, but for Quiet.
-func (m *Progress) ResetFor(open *fold.Open) {
-	if open != nil && open.ID == m.Order {
+// ResetFor clears the fields about an order other than open. It keeps
+// InFlightUntil, as copies of the previous order may still arrive, and the
+// failures, which span orders.
+func (p *Progress) ResetFor(open *fold.Open) {
+	if open != nil && open.ID == p.OrderID {
 		return
 	}
-	*m = Progress{JoinedAt: m.JoinedAt, JoinedVersion: m.JoinedVersion, Quiet: m.Quiet, Failed: m.Failed, FailedAt: m.FailedAt, Fails: m.Fails}
+	*p = Progress{JoinedAt: p.JoinedAt, JoinedVersion: p.JoinedVersion, InFlightUntil: p.InFlightUntil, FailedSpec: p.FailedSpec, FailedAt: p.FailedAt, Failures: p.Failures}
 }
 
-// decideNew compares the engine with what it should be. Because it looks at
-// the engine's own word, one that restarts with something old is brought back.
+// decideNew compares the engine's reported state with the desired spec. An engine
+// that restarts with an old spec is therefore brought back to the desired one.
 func decideNew(in Input) Decision {
-	load := loads(in.Observed.Spec, in.Desired)
+	load := changesWeights(in.Observed.Spec, in.Desired)
 	switch {
 	case !in.HasDesired:
 		return wait("nothing is asked of it")
-	case in.Now < in.Progress.Quiet:
+	case in.Now < in.Progress.InFlightUntil:
 		return wait("a copy of the last order may be on its way")
 	case in.Observed.Leaving:
 		return wait("engine is leaving")
@@ -193,7 +199,7 @@
 		return wait("engine is changing")
 	case in.Observed.Spec == in.Desired:
 		return wait("engine is as it should be")
-	case in.Desired == in.Progress.Failed && in.Now < in.Progress.retryAt():
+	case in.Desired == in.Progress.FailedSpec && in.Now < in.Progress.retryAt():
 		return wait("the last order for this failed")
 	case load && in.Ahead >= in.Slots:
 		return wait("weight store is taken")
@@ -201,7 +207,7 @@
 	return Decision{Action: AppendOrder, Reason: "engine differs", Spec: in.Desired, Load: load}
 }
 
-// loads reports whether a change reads from the weight store.
-func loads(from, to port.EngineSpec) bool {
+// changesWeights reports whether a change reads from the weight store.
+func changesWeights(from, to port.EngineSpec) bool {
 	return from.Model != to.Model || from.Version != to.Version || from.Adapter != to.Adapter
 }
--- a/process/reconcile/decide_test.go
+++ b/process/reconcile/decide_test.go
@@ -18,8 +18,8 @@
 	open    = &fold.Open{ID: "o", Offset: 8, Spec: newSpec, Load: true}
 )
 
-// An engine gets a change twice, a change that is over, or two at once, if one
-// of these decisions is wrong. Each case differs from a plain one in one thing.
+// Guards against an engine that gets a change twice, a change that has ended, or
+// two changes at once. Each case changes one aspect of a base input.
 func TestDecide(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -34,7 +34,7 @@
 		{"changing without an order", nil, func(in *Input) { in.Observed.Changing = true }, Wait},
 		{"doesn't answer", nil, func(in *Input) { in.ObservedKnown = false }, Wait},
 		{"new in the group", nil, func(in *Input) { in.Progress.JoinedAt = in.Now - time.Second }, Wait},
-		{"copy of the last order on its way", nil, func(in *Input) { in.Progress.Quiet = in.Now + 1 }, Wait},
+		{"copy of the last order on its way", nil, func(in *Input) { in.Progress.InFlightUntil = in.Now + 1 }, Wait},
 		{"no slot for a load", nil, func(in *Input) { in.Ahead = 1 }, Wait},
 		{"no slot, role only", nil, func(in *Input) { in.Ahead = 1; in.Desired = oldSpec; in.Desired.Role = port.RoleDecode }, AppendOrder},
 		{"came after the claim", nil, func(in *Input) { in.Progress.JoinedVersion = 6 }, Reclaim},
@@ -48,11 +48,11 @@
 		{"open, busy with another", open, func(in *Input) { in.Observed.Changing = true }, Wait},
 		{"open, being carried out", open, func(in *Input) { in.Observed.LastOrder, in.Observed.Changing = "o", true }, Wait},
 		{"open, carried out", open, func(in *Input) { in.Observed.LastOrder, in.Observed.Spec = "o", newSpec }, EndOrder},
-		{"open, carried out, copy on its way", open, func(in *Input) { in.Observed.LastOrder, in.Progress.Quiet = "o", in.Now+1 }, Wait},
-		{"open, refused", open, func(in *Input) { in.Progress.Refused = "no" }, EndOrder},
+		{"open, carried out, copy on its way", open, func(in *Input) { in.Observed.LastOrder, in.Progress.InFlightUntil = "o", in.Now+1 }, Wait},
+		{"open, refused", open, func(in *Input) { in.Progress.RefusedReason = "no" }, EndOrder},
 		{"open, engine there without it", open, func(in *Input) { in.Observed.Spec = newSpec }, SendOrder},
 		{"open, not wanted any more", open, func(in *Input) { in.Desired = oldSpec }, SendOrder},
-		{"open, its end appended, engine restarted", open, func(in *Input) { in.Progress.Ending = true }, EndOrder},
+		{"open, its end appended, engine restarted", open, func(in *Input) { in.Progress.EndAppended = true }, EndOrder},
 	} {
 		in := Input{
 			Now: time.Minute, Rule: lease.Rule{}.WithDefaults(), Fence: 5, Applied: 20,
@@ -66,8 +66,9 @@
 	}
 }
 
-// Forty engines in two zones and two services, one engine in both. Every
-// engine must be in one group, or two holders would order it in turns.
+// Guards against an engine in two groups, to which two holders would send
+// conflicting orders. Two services with engines in two zones share three
+// engines.
 func TestGroups(t *testing.T) {
 	doc := func(name string, n int) *view.Service {
 		d := &document.Document{Service: name, Kind: document.KindModel}
@@ -77,23 +78,23 @@
 		return &view.Service{Doc: d}
 	}
 	groups := Groups(view.NewSnapshot(1, []*view.Service{doc("b", 3), doc("a", 40)}, nil))
-	seen := map[string]string{}
+	groupOf := map[string]string{}
 	for _, g := range groups {
 		for _, m := range g.Engines {
-			if old, ok := seen[m.Engine]; ok {
+			if old, ok := groupOf[m.Engine]; ok {
 				t.Errorf("engine %s in %s and %s", m.Engine, old, g.Name)
 			}
-			seen[m.Engine] = g.Name
+			groupOf[m.Engine] = g.Name
 		}
 	}
-	if got := fmt.Sprint(Names(groups)); got != "[a/x/0 a/x/1 a/y/0 a/y/1]" || len(seen) != 40 {
-		t.Errorf("groups %s with %d engines", got, len(seen))
+	if got := fmt.Sprint(Names(groups)); got != "[a/x/0 a/x/1 a/y/0 a/y/1]" || len(groupOf) != 40 {
+		t.Errorf("groups %s with %d engines", got, len(groupOf))
 	}
 }
 
-// A target leaves by its document, by the VM list or by its own word. Each
-// must take it out of the traffic.
-func TestLeaving(t *testing.T) {
+// A target is leaving if its document drains it, if its VM is leaving, or if its
+// engine reports that it is leaving.
+func TestLeavingTargets(t *testing.T) {
 	d := &document.Document{Service: "s", Targets: []document.Target{{Addr: "a:1"}, {Addr: "b:1", Drain: true}, {Addr: "c:1"}, {Addr: "d:1"}}}
 	snap := view.NewSnapshot(1, []*view.Service{{Doc: d}}, nil)
 	got := Leaving(snap, []port.VM{{Addr: "a"}, {Addr: "c", Leaving: true}}, map[string]bool{"d:1": true})
--- a/process/reconcile/desired.go
+++ b/process/reconcile/desired.go
@@ -8,20 +8,21 @@
 	"github.com/pomelospool/pomelospool/version/view"
 )
 
-// PlannedRole gives the role that the planner wants for an engine, and false when it
-// has no wish.
+// PlannedRole returns the role that the planner assigns to an engine, and false if
+// it assigns none.
 type PlannedRole func(service, engine string) (port.Role, bool)
 
-// Desired returns what an engine should be, and false when it should be left
-// alone: its target is drained, or names a model that its document lacks.
-func Desired(m Member, wish PlannedRole) (port.EngineSpec, bool) {
+// Desired returns the desired spec of an engine. It returns false if the engine
+// gets no orders, because its target is drained or names a model that is missing
+// from its document.
+func Desired(m Member, planned PlannedRole) (port.EngineSpec, bool) {
 	t := m.Target
 	version, ok := modelVersion(m.Doc, t.Model)
 	if !ok || t.Drain {
 		return port.EngineSpec{}, false
 	}
 	return port.EngineSpec{
-		Role:    role(m, wish),
+		Role:    role(m, planned),
 		Model:   t.Model,
 		Version: version,
 		Adapter: t.Adapter,
@@ -37,9 +38,9 @@
 	return "", false
 }
 
-func role(m Member, wish PlannedRole) port.Role {
-	if !m.Target.Pinned && wish != nil {
-		if r, ok := wish(m.Doc.Service, m.Engine); ok {
+func role(m Member, planned PlannedRole) port.Role {
+	if !m.Target.Pinned && planned != nil {
+		if r, ok := planned(m.Doc.Service, m.Engine); ok {
 			return r
 		}
 	}
@@ -49,20 +50,20 @@
 	return port.RoleMixed
 }
 
-// Leaving returns the addresses of targets that get no new work: drained by
-// their document, on a VM that the list shows as leaving, or leaving by their
-// own word.
-func Leaving(snap *view.Snapshot, vms []port.VM, own map[string]bool) map[string]bool {
-	hosts := make(map[string]bool)
+// Leaving returns the addresses of targets that get no new work. These are drained
+// by their document, run on a VM that is marked as leaving in vms, or are in
+// selfReported.
+func Leaving(snap *view.Snapshot, vms []port.VM, selfReported map[string]bool) map[string]bool {
+	leavingVMs := make(map[string]bool)
 	for _, vm := range vms {
 		if vm.Leaving {
-			hosts[vm.Addr] = true
+			leavingVMs[vm.Addr] = true
 		}
 	}
 	leaving := make(map[string]bool)
 	for _, svc := range snap.Services {
 		for _, t := range svc.Doc.Targets {
-			if t.Drain || own[t.Addr] || hosts[hostOf(t.Addr)] {
+			if t.Drain || selfReported[t.Addr] || leavingVMs[hostOf(t.Addr)] {
 				leaving[t.Addr] = true
 			}
 		}
@@ -70,7 +71,7 @@
 	return leaving
 }
 
-// hostOf returns the host of host:port.
+// hostOf returns the host of an address host:port.
 func hostOf(addr string) string {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
--- a/process/reconcile/engine.go
+++ b/process/reconcile/engine.go
@@ -17,51 +17,52 @@
 	"github.com/pomelospool/pomelospool/process/record"
 )
 
-// engine is what this process keeps of one engine.
+// engine is this process's state about one engine.
 type engine struct {
-	id      string
-	group   string
-	fence   int64 // lease term of adapter
-	adapter port.Engine
-	check   lease.Check
-	until   atomic.Int64 // on the clock: end of what the step's state allows
-	memory  Progress
-	why     string // of the last decision, for log lines
-}
-
-// allow bounds the writes of a step by the age of the state that it decides on.
+	id         string
+	group      string
+	fence      int64 // fencing number under which adapter was made
+	adapter    port.Engine
+	check      lease.Check
+	deadline   atomic.Int64 // end of the step's writes, on Options.Clock
+	progress   Progress
+	lastReason string // reason of the last decision, used only for logging
+}
+
+// setDeadline limits the writes of a step by the age of the state that the step
+// is based on.
 //
-// The guard is against a step that stalls: the process reads on meanwhile, so
-// its lease stays young, but the step doesn't know of a document that moved
-// the engine to another group. The holder of that group waits for T + Guard,
-// by when writes of this step have ended.
-func (e *engine) allow(rule lease.Rule, tail lease.Tail) {
-	e.until.Store(int64(rule.ValidUntil(tail.ReadStart)))
+// It covers a step that stalls. The process meanwhile reads on, so its lease stays
+// valid, but the step doesn't know a document that moved the engine to another
+// group. The holder of that group waits for Duration + Guard, and by then writes
+// of this step are no longer allowed.
+func (e *engine) setDeadline(rule lease.Rule, tail lease.Tail) {
+	e.deadline.Store(int64(rule.ValidUntil(tail.ReadStart)))
 }
 
-// bounded adds the bound of allow to the check of the lease.
-func (e *engine) bounded(check lease.Check, now func() time.Duration) lease.Check {
+// withDeadline returns a check that also enforces the deadline of setDeadline.
+func (e *engine) withDeadline(check lease.Check, now func() time.Duration) lease.Check {
 	return func() error {
-		if now() >= time.Duration(e.until.Load()) {
+		if now() >= time.Duration(e.deadline.Load()) {
 			return code.New(code.LeaseLost, "the state of the step is too old")
 		}
 		return check()
 	}
 }
 
-// term makes a fresh adapter at the begin of a lease term. Bytes of an older
-// term can't leave through its connections.
-func (e *engine) term(group string, fence int64, o Options) {
+// startTerm creates a new adapter at the start of a lease term. Data of an earlier
+// term can't be sent over its connections.
+func (e *engine) startTerm(group string, fence int64, o Options) {
 	if e.adapter != nil && e.fence == fence {
 		return
 	}
 	e.close()
 	e.fence = fence
-	e.check = e.bounded(o.Leases.Check(group, fence), o.Clock.Now)
+	e.check = e.withDeadline(o.Leases.Check(group, fence), o.Clock.Now)
 	e.adapter = o.Connect(e.id, e.check, o.Rule.UserTimeout())
 }
 
-// close drops the adapter. It may be called on nil.
+// close closes the adapter. It may be called on a nil engine.
 func (e *engine) close() {
 	if e == nil || e.adapter == nil {
 		return
@@ -72,74 +73,74 @@
 	e.adapter = nil
 }
 
-// reconcile reads the engine's state and takes the next step.
+// reconcile reads the engine's state and executes the next step.
 func (r *Reconciler) reconcile(ctx context.Context, e *engine, m Member, tail lease.Tail) {
-	seen, err := e.state(ctx)
+	observed, err := e.readState(ctx)
 	if err == nil {
-		r.setLeaving(e.id, seen.Leaving)
+		r.setLeaving(e.id, observed.Leaving)
 	}
 	open := tail.State.Engines[e.id].Open
-	e.memory.ResetFor(open)
+	e.progress.ResetFor(open)
 	now := r.o.Clock.Now()
-	want, wanted := Desired(m, r.o.PlannedRole)
+	desired, hasDesired := Desired(m, r.o.PlannedRole)
 	d := Decide(Input{
 		Now:           now,
 		Rule:          r.o.Rule,
 		Fence:         e.fence,
 		Applied:       tail.State.Applied,
-		Desired:       want,
-		HasDesired:    wanted,
+		Desired:       desired,
+		HasDesired:    hasDesired,
 		Open:          open,
-		Observed:      seen,
+		Observed:      observed,
 		ObservedKnown: err == nil,
-		Progress:      e.memory,
+		Progress:      e.progress,
 		Ahead:         r.loads.Ahead(now, tail.State, open),
 		Slots:         r.slots,
 	})
-	e.report(d)
-	r.act(ctx, e, d, open, tail.State)
+	e.logReason(d)
+	r.execute(ctx, e, d, open, tail.State)
 }
 
-func (e *engine) state(ctx context.Context) (port.EngineState, error) {
+func (e *engine) readState(ctx context.Context) (port.EngineState, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return e.adapter.State(ctx)
 }
 
-// report writes a log line when the reason changes.
-func (e *engine) report(d Decision) {
-	if d.Reason == e.why {
+// logReason logs the reason of a decision when it differs from the last one.
+func (e *engine) logReason(d Decision) {
+	if d.Reason == e.lastReason {
 		return
 	}
-	e.why = d.Reason
-	log.WithFields(log.Fields{"engine": e.id, "group": e.group, "why": d.Reason}).Debug("reconcile: engine looked at")
+	e.lastReason = d.Reason
+	log.WithFields(log.Fields{"engine": e.id, "group": e.group, "why": d.Reason}).Debug("reconcile: decision for engine changed")
 }
 
-// act carries a decision out.
-func (r *Reconciler) act(ctx context.Context, e *engine, d Decision, open *fold.Open, s *fold.State) {
+// execute executes a decision.
+func (r *Reconciler) execute(ctx context.Context, e *engine, d Decision, open *fold.Open, s *fold.State) {
 	switch d.Action {
 	case Wait:
 	case AppendOrder:
-		r.logOrder(ctx, e, d, s)
+		r.appendOrder(ctx, e, d, s)
 	case SendOrder:
-		r.send(ctx, e, open)
+		r.sendOrder(ctx, e, open)
 	case EndOrder:
-		e.memory.RecordEnd(open, d.Reason, r.o.Clock.Now())
-		r.done(ctx, record.OrderDone{Group: e.group, Claim: e.fence, Changed: s.Changed, Engine: e.id, Order: open.ID, Detail: d.Reason})
+		e.progress.RecordEnd(open, d.Reason, r.o.Clock.Now())
+		r.endOrder(ctx, record.OrderDone{Group: e.group, Claim: e.fence, Changed: s.Changed, Engine: e.id, Order: open.ID, Detail: d.Reason})
 	case Reclaim:
-		log.WithField("group", e.group).Info("reconcile: engine knows a newer fence, claim anew")
+		log.WithField("group", e.group).Info("reconcile: engine may know a higher fencing number; claiming the group again")
 		r.o.Leases.Reclaim(e.group)
 	}
 }
 
-// logOrder appends a new order. Whether it stands is seen in the state: after
-// a lost answer the next step finds it open, and if it doesn't stand another
-// is decided, of which the fold takes only the first.
-func (r *Reconciler) logOrder(ctx context.Context, e *engine, d Decision, s *fold.State) {
+// appendOrder appends a new order. The state shows whether the append succeeded:
+// after a lost response, the next step finds the order open. If the order isn't
+// there yet, another one is appended, and the fold accepts only the first.
+func (r *Reconciler) appendOrder(ctx context.Context, e *engine, d Decision, s *fold.State) {
 	if e.check() != nil {
 		return
 	}
-	r.write(ctx, "order-"+uuid.NewString(), record.KindOrder, record.Order{
+	r.appendRecord(ctx, "order-"+uuid.NewString(), record.KindOrder, record.Order{
 		Group:  e.group,
 		Claim:  e.fence,
 		Engine: e.id,
@@ -151,20 +152,20 @@
 	})
 }
 
-// send sends the open order under this process's own fencing number. The lease
-// is checked here and once more by the connection before each write.
-func (r *Reconciler) send(ctx context.Context, e *engine, open *fold.Open) {
+// sendOrder sends the open order with this process's own fencing number. The lease
+// is checked here, and again by the connection before each write.
+func (r *Reconciler) sendOrder(ctx context.Context, e *engine, open *fold.Open) {
 	if err := e.check(); err != nil {
 		log.WithError(err).Warn("reconcile: order not sent")
 		return
 	}
-	at := r.o.Clock.Now()
+	sentAt := r.o.Clock.Now()
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	err := e.adapter.Order(ctx, port.Order{ID: open.ID, Fence: e.fence, Spec: open.Spec})
 	counts.Add("orders_sent", 1)
-	answered, refused := answer(err)
-	e.memory.RecordSend(open.ID, at, r.o.Clock.Now(), answered, refused, r.o.Rule.Guard)
+	responded, refused := classifyResponse(err)
+	e.progress.RecordSend(open.ID, sentAt, r.o.Clock.Now(), responded, refused, r.o.Rule.Guard)
 	fields := log.Fields{"engine": e.id, "order": open.ID, "fence": e.fence}
 	if err != nil {
 		log.WithError(err).WithFields(fields).Warn("reconcile: order not accepted")
@@ -173,13 +174,14 @@
 	log.WithFields(fields).Info("reconcile: order accepted")
 }
 
-// answer sorts the outcome of a send: whether the engine answered, and why it
-// refused the order for good. Busy and fenced are answers that end nothing.
+// classifyResponse reports whether the engine responded to an order, and why it
+// rejected the order permanently. After ErrBusy and ErrFenced the order stays
+// open.
 //
-// Any other error that isn't one of the way is a refusal for good. Without
-// that an order for a version that doesn't exist would stay open for ever, and
+// Errors other than these, transport errors, a lost lease and an ended context
+// are permanent rejections. Otherwise an order for a version that doesn't exist would stay open forever, and
 // the corrected document could never be ordered.
-func answer(err error) (answered bool, refused string) {
+func classifyResponse(err error) (responded bool, refused string) {
 	switch {
 	case err == nil, errors.Is(err, port.ErrBusy), errors.Is(err, port.ErrFenced):
 		return true, ""
@@ -190,15 +192,15 @@
 	return true, err.Error()
 }
 
-// done appends the end of an order.
-func (r *Reconciler) done(ctx context.Context, d record.OrderDone) {
+// endOrder appends the end of an order.
+func (r *Reconciler) endOrder(ctx context.Context, d record.OrderDone) {
 	if d.Detail != "" {
-		log.WithFields(log.Fields{"engine": d.Engine, "order": d.Order, "why": d.Detail}).Warn("reconcile: order ended otherwise")
+		log.WithFields(log.Fields{"engine": d.Engine, "order": d.Order, "why": d.Detail}).Warn("reconcile: order ended without success")
 	}
-	r.write(ctx, "done-"+uuid.NewString(), record.KindOrderDone, d)
+	r.appendRecord(ctx, "done-"+uuid.NewString(), record.KindOrderDone, d)
 }
 
-func (r *Reconciler) write(ctx context.Context, id string, kind record.Kind, body any) {
+func (r *Reconciler) appendRecord(ctx context.Context, id string, kind record.Kind, body any) {
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	if _, err := r.o.Follower.Write(ctx, id, kind, body); err != nil {
@@ -206,27 +208,27 @@
 	}
 }
 
-// endOrphans ends open orders of engines that no document names any more. The
-// holder of the first group of the service does it, after all others have had
-// time to learn of the new document.
+// endOrphans ends open orders of engines that no document names any more. This is
+// done by the holder of the service's first group, after all other daemons have
+// had time to read the new document.
 func (r *Reconciler) endOrphans(ctx context.Context, now time.Duration, groups []Group, tail lease.Tail) {
 	first := firstGroups(groups)
-	seen := make(map[string]time.Duration)
+	openSince := make(map[string]time.Duration)
 	for id, e := range tail.State.Engines {
 		if e.Open == nil || r.engines[id] != nil {
 			continue
 		}
-		seen[id] = now
-		if since, ok := r.orphans[id]; ok {
-			seen[id] = since
+		openSince[id] = now
+		if since, ok := r.orphanedSince[id]; ok {
+			openSince[id] = since
 		}
 		group := first[fold.ServiceOf(e.Open.Group)]
 		fence, _, held := r.o.Leases.Held(group)
-		if held && now >= seen[id]+r.o.Rule.Duration+r.o.Rule.Guard {
-			r.done(ctx, record.OrderDone{Group: group, Claim: fence, Changed: tail.State.Changed, Engine: id, Order: e.Open.ID, Detail: "target left"})
+		if held && now >= openSince[id]+r.o.Rule.Duration+r.o.Rule.Guard {
+			r.endOrder(ctx, record.OrderDone{Group: group, Claim: fence, Changed: tail.State.Changed, Engine: id, Order: e.Open.ID, Detail: "target left"})
 		}
 	}
-	r.orphans = seen
+	r.orphanedSince = openSince
 }
 
 // firstGroups returns the name of the first group of each service.
--- a/process/reconcile/groups.go
+++ b/process/reconcile/groups.go
@@ -1,6 +1,6 @@
-// Package reconcile brings model engines to what their documents and the role
-// planner say, and keeps them there. Each change is an order that stands in
-// the log before it is sent.
+// Package reconcile keeps model engines in the state that their documents and the
+// role planner specify. Each change is an order that is appended to the log before
+// it is sent.
 package reconcile
 
 import (
@@ -11,32 +11,30 @@
 	"github.com/pomelospool/pomelospool/version/view"
 )
 
-// MaxGroup is the most engines under one lease.
-const MaxGroup = 16
+// MaxGroupSize is the maximum number of engines under one lease.
+const MaxGroupSize = 16
 
-// Member is one engine of a group. Engines are known by their address, as
-// names are unique only within one document.
+// Member is one engine of a group. Engines are identified by their address,
+// because names are unique only within one document.
 type Member struct {
 	Engine string // host:port
 	Target document.Target
 	Doc    *document.Document
 }
 
-// Group is the engines that one lease covers: those of one service in one
-// availability zone, at most MaxGroup.
+// Group is the set of engines that one lease covers. They belong to one service
+// and one availability zone, and there are at most MaxGroupSize.
 type Group struct {
 	Name    string // service/zone/number
 	Zone    string
 	Engines []Member
 }
 
-// Groups returns the groups of all model services, in the order of their
-// names. Engines are split in the order of the document, so that one added at
-// its end moves no other. An engine that two documents name belongs to the
-// service whose name sorts first.
-//
-// The last rule is against two holders that order one engine in turns, each
-// by its own document.
+// Groups returns the groups of all model services, ordered by service, zone and
+// number. Engines are split in the order of the document, so that an engine
+// appended to the document moves no other. An engine that two documents name
+// belongs to the service whose name sorts first, so that two holders can't
+// alternately send it orders based on different documents.
 func Groups(snap *view.Snapshot) []Group {
 	var groups []Group
 	taken := make(map[string]bool)
@@ -67,7 +65,7 @@
 	return names
 }
 
-// split makes the groups of one document and marks their engines as taken.
+// split returns the groups of one document and marks their engines as taken.
 func split(doc *document.Document, taken map[string]bool) []Group {
 	zones := make(map[string][]Member)
 	for _, t := range doc.Targets {
@@ -84,7 +82,7 @@
 	slices.Sort(names)
 	var groups []Group
 	for _, z := range names {
-		for i, part := range slices.Collect(slices.Chunk(zones[z], MaxGroup)) {
+		for i, part := range slices.Collect(slices.Chunk(zones[z], MaxGroupSize)) {
 			groups = append(groups, Group{Name: fmt.Sprintf("%s/%s/%d", doc.Service, z, i), Zone: z, Engines: part})
 		}
 	}
--- a/process/reconcile/harness_test.go
+++ b/process/reconcile/harness_test.go
@@ -24,15 +24,16 @@
 
 const changeTime = 5 * time.Second
 
-// fakeEngine carries orders out in changeTime and notes what it was sent.
+// fakeEngine carries out each order in changeTime and records the accepted
+// orders.
 type fakeEngine struct {
 	port.Engine
-	mu     sync.Mutex
-	state  port.EngineState
-	until  time.Time
-	orders []port.Order // accepted, copies left out
-	lose   int          // answers to lose
-	deaf   bool         // orders don't arrive
+	mu          sync.Mutex
+	state       port.EngineState
+	until       time.Time
+	orders      []port.Order // accepted orders without duplicates
+	loseAnswers int          // number of responses to lose
+	unreachable bool         // orders return ErrUnavailable
 }
 
 func (e *fakeEngine) State(context.Context) (port.EngineState, error) {
@@ -53,7 +54,7 @@
 	defer e.mu.Unlock()
 	e.settle()
 	switch {
-	case e.deaf:
+	case e.unreachable:
 		return fmt.Errorf("order: %w", port.ErrUnavailable)
 	case e.state.ChecksFence && o.Fence < e.state.LastFence:
 		return port.ErrFenced
@@ -68,28 +69,28 @@
 		e.until = time.Now().Add(changeTime)
 		e.orders = append(e.orders, o)
 	}
-	if e.lose > 0 {
-		e.lose--
+	if e.loseAnswers > 0 {
+		e.loseAnswers--
 		return fmt.Errorf("order: %w", port.ErrUnavailable)
 	}
 	return nil
 }
 
-// restart makes the engine forget what it was told.
+// restart resets the engine to spec and discards its orders and fencing number.
 func (e *fakeEngine) restart(spec port.EngineSpec) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.state = port.EngineState{Spec: spec, ChecksFence: e.state.ChecksFence}
 }
 
-// set changes the engine under its lock.
+// set calls change with the engine's lock held.
 func (e *fakeEngine) set(change func(*fakeEngine)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	change(e)
 }
 
-// versions returns the versions that were ordered.
+// versions returns the versions of the accepted orders.
 func (e *fakeEngine) versions() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -105,17 +106,17 @@
 	return !s.Changing && s.Spec.Version == version
 }
 
-// fleet is a log, engines and daemons.
+// fleet is a set of daemons and engines that share one log.
 type fleet struct {
 	t       *testing.T
 	log     *logtest.Log
 	engines map[string]*fakeEngine
 	mu      sync.Mutex
-	daemons []*daemon // changed by the test alone, under mu
+	daemons []*daemon // changed only by the test's goroutine, with mu held
 	rate    float64
 }
 
-// daemon is one process as far as control goes.
+// daemon consists of the control components of one process.
 type daemon struct {
 	fleet  *fleet
 	id     string
@@ -126,7 +127,7 @@
 	rec    *Reconciler
 }
 
-// link is a daemon's way to the log, which can be cut.
+// link is a daemon's connection to the log. Tests can cut it.
 type link struct {
 	*logtest.Log
 	mu  sync.Mutex
@@ -163,7 +164,7 @@
 	return recs, newest, err
 }
 
-// newFleet has the engines e0, e1 and so on.
+// newFleet returns a fleet with the engines e0, e1 and so on, and no daemons.
 func newFleet(t *testing.T, engines int) *fleet {
 	f := &fleet{t: t, log: &logtest.Log{}, engines: map[string]*fakeEngine{}, rate: 1e9}
 	for i := range engines {
@@ -172,7 +173,7 @@
 	return f
 }
 
-// members is the membership view of one daemon.
+// members implements lease.Membership for one daemon.
 type members struct{ d *daemon }
 
 func (m members) Gone(incarnation string) bool {
@@ -193,7 +194,7 @@
 func (w weights) Size(context.Context, string, string) (int64, error) { return 1, nil }
 func (w weights) Rate(context.Context) (float64, error)               { return w.rate, nil }
 
-// add starts a daemon.
+// add starts a daemon and waits until it has read the log.
 func (f *fleet) add(id string) *daemon {
 	d := &daemon{fleet: f, id: id, rank: len(f.daemons), link: &link{Log: f.log}}
 	c := clock.NewRuntime()
@@ -210,18 +211,18 @@
 	return d
 }
 
-// kill ends a daemon without a release.
+// kill stops a daemon without releasing its leases.
 func (f *fleet) kill(d *daemon) {
 	for _, err := range []error{d.rec.Stop(), d.lease.Stop(), d.follow.Stop()} {
 		if err != nil {
 			f.t.Error(err)
 		}
 	}
-	f.forget(d)
+	f.markDead(d)
 }
 
-// forget lets the others see the daemon as dead.
-func (f *fleet) forget(d *daemon) {
+// markDead makes the membership of the other daemons report d as dead.
+func (f *fleet) markDead(d *daemon) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i, x := range f.daemons {
@@ -245,10 +246,10 @@
 	return code.OK, ""
 }
 
-// publish puts a document with all engines in force.
+// publish publishes a document that names all engines.
 func (f *fleet) publish(version string) { f.publishOf(version, len(f.engines)) }
 
-// publishOf names the first n engines only.
+// publishOf publishes a document that names the first n engines.
 func (f *fleet) publishOf(version string, n int) {
 	f.t.Helper()
 	base := int64(0)
@@ -294,21 +295,22 @@
 func (d *daemon) groups() []string { return Names(Groups(d.snapshot())) }
 
 func (d *daemon) connect(id string, check lease.Check, _ time.Duration) port.Engine {
-	return guarded{d.fleet.engines[id], check}
+	return checkedEngine{d.fleet.engines[id], check}
 }
 
-// guarded checks before each write, as lease.Conn does.
-type guarded struct {
+// checkedEngine calls check before each order, as lease.Conn does before each
+// write.
+type checkedEngine struct {
 	*fakeEngine
 	check lease.Check
 }
 
-func (g guarded) Order(ctx context.Context, o port.Order) error {
+func (g checkedEngine) Order(ctx context.Context, o port.Order) error {
 	if err := g.check(); err != nil {
 		return err
 	}
 	return g.fakeEngine.Order(ctx, o)
 }
 
-// advance lets the virtual clock of the synctest bubble run on.
+// advance advances the virtual clock of the synctest bubble by d.
 func advance(d time.Duration) { <-time.After(d) }
--- a/process/reconcile/loads.go
+++ b/process/reconcile/loads.go
@@ -6,43 +6,43 @@
 	"github.com/pomelospool/pomelospool/process/fold"
 )
 
-// LoadMax is how long an open load counts against the weight store. One that
-// is older belongs to an engine that doesn't answer and reads nothing.
-const LoadMax = 10 * time.Minute
+// MaxLoadAge is how long an open load counts against the weight store. An older
+// load belongs to an engine that doesn't respond and reads nothing.
+const MaxLoadAge = 10 * time.Minute
 
-// Loads counts the open loads of the whole fleet.
+// Loads counts the open loads of all daemons.
 //
-// An order is sent only while fewer loads than there are slots stand open
-// before it in the log. Every holder that sees its own order has folded all
-// that stands before it, so no two holders can both believe in the last slot,
-// and nothing has to be agreed between groups.
+// An order is sent only if fewer loads than there are slots are open before it in
+// the log. A holder that has read its own order from the log has also read
+// everything before it, so two holders can't take the same last slot, and groups
+// need no further coordination.
 type Loads struct {
-	first map[string]time.Duration // by order id: when it was seen first
+	firstSeen map[string]time.Duration // time of the first observation, by order id
 }
 
-// Observe notes the open loads.
+// Observe records when each open load was first observed.
 func (l *Loads) Observe(now time.Duration, s *fold.State) {
-	first := make(map[string]time.Duration)
+	firstSeen := make(map[string]time.Duration)
 	for _, e := range s.Engines {
 		if e.Open == nil || !e.Open.Load {
 			continue
 		}
-		at, ok := l.first[e.Open.ID]
+		at, ok := l.firstSeen[e.Open.ID]
 		if !ok {
 			at = now
 		}
-		first[e.Open.ID] = at
+		firstSeen[e.Open.ID] = at
 	}
-	l.first = first
+	l.firstSeen = firstSeen
 }
 
-// Ahead returns how many open loads stand before the open order, or all of
-// them when open is nil.
+// Ahead returns the number of open loads before the open order in the log, or of
+// all open loads if open is nil.
 func (l *Loads) Ahead(now time.Duration, s *fold.State, open *fold.Open) int {
 	n := 0
 	for _, e := range s.Engines {
 		o := e.Open
-		if o == nil || !o.Load || now >= l.first[o.ID]+LoadMax {
+		if o == nil || !o.Load || now >= l.firstSeen[o.ID]+MaxLoadAge {
 			continue
 		}
 		if open == nil || o.Offset < open.Offset {
@@ -52,8 +52,9 @@
 	return n
 }
 
-// Slots returns how many loads may run at once when each draws perLoad bytes a
-// second and the store gives rate to all together. One may always run.
+// Slots returns how many loads may run at once if each reads perLoad bytes per
+// second and the store provides rate bytes per second in total. It is at least
+// one.
 func Slots(rate, perLoad float64) int {
 	if perLoad <= 0 {
 		return 1
--- a/process/reconcile/reconciler.go
+++ b/process/reconcile/reconciler.go
@@ -17,19 +17,21 @@
 	"github.com/pomelospool/pomelospool/version/view"
 )
 
-// Leases tells what this process may act for. lease.Manager is one.
+// Leases gives the groups that this process may act for. lease.Manager implements it.
 type Leases interface {
 	Held(group string) (fence int64, until time.Duration, ok bool)
 	Check(group string, fence int64) lease.Check
 	Reclaim(group string)
 }
 
-// Connect makes the adapter of one engine for one lease term: with connections
-// of its own, made by lease.Dialer or one that checks before each write as
-// well. If the adapter is an io.Closer it is closed at the end of the term.
+// Connect returns the adapter of one engine for one lease term. The adapter has its
+// own connections, made by lease.Dialer or by another dialer that calls check
+// before each write. An adapter that is an io.Closer is closed at the end of the
+// term.
 type Connect func(engine string, check lease.Check, userTimeout time.Duration) port.Engine
 
-// Options of a Reconciler. All but PlannedRole, Weights, and the numbers must be set.
+// Options configures a Reconciler. Rule, PlannedRole, Weights, PerLoad and
+// Interval are optional.
 type Options struct {
 	Rule        lease.Rule
 	Clock       clock.Clock
@@ -39,38 +41,38 @@
 	Connect     Connect
 	PlannedRole PlannedRole
 	Weights     port.WeightStore
-	PerLoad     float64       // bytes a second that one load draws; 1e9
-	Interval    time.Duration // between looks at an engine; 1s
+	PerLoad     float64       // bytes per second that one load reads; default 1e9
+	Interval    time.Duration // between two steps; default 1s
 }
 
 const (
-	callTimeout   = 2 * time.Second // one call to an engine
-	appendTimeout = 3 * time.Second // one order or end of an order
-	rateEvery     = 30 * time.Second
-	parallel      = 64 // engines looked at at once
+	callTimeout   = 2 * time.Second // limit of one call to an engine or the weight store
+	appendTimeout = 3 * time.Second // limit of one append to the log
+	rateInterval  = 30 * time.Second
+	maxParallel   = 64 // engines reconciled at once
 )
 
 var counts = expvar.NewMap("reconcile")
 
-// Reconciler works on the engines of the groups that this process holds.
+// Reconciler reconciles the engines of the groups that this process holds.
 type Reconciler struct {
-	o     Options
-	t     tomb.Tomb
-	loads Loads
-	slots int
-	rated time.Duration // when the store's rate was read
-
-	// engines and orphans belong to the loop; each engine's entry is lent to
-	// one goroutine while a step runs.
-	engines  map[string]*engine
-	versions int64                    // in force so far, at the last step
-	orphans  map[string]time.Duration // open orders without a target: since when
+	o          Options
+	t          tomb.Tomb
+	loads      Loads
+	slots      int
+	rateReadAt time.Duration // when the store's rate was last read
+
+	// Only the loop uses these fields. During a step, each engine's entry is
+	// used by one goroutine.
+	engines       map[string]*engine
+	versions      int64                    // number of versions in effect so far, at the last step
+	orphanedSince map[string]time.Duration // first observation of open orders without a target, by engine
 
 	mu      sync.Mutex
-	leaving map[string]bool // by the engines' own word
+	leaving map[string]bool // engines that report that they are leaving
 }
 
-// New returns a Reconciler that doesn't run yet.
+// New returns a Reconciler that is not started.
 func New(o Options) *Reconciler {
 	o.Rule = o.Rule.WithDefaults()
 	if o.PerLoad <= 0 {
@@ -80,18 +82,18 @@
 		o.Interval = time.Second
 	}
 	return &Reconciler{
-		o:       o,
-		slots:   1,
-		engines: map[string]*engine{},
-		orphans: map[string]time.Duration{},
-		leaving: map[string]bool{},
+		o:             o,
+		slots:         1,
+		engines:       map[string]*engine{},
+		orphanedSince: map[string]time.Duration{},
+		leaving:       map[string]bool{},
 	}
 }
 
-// Start begins to reconcile.
+// Start starts reconciling.
 func (r *Reconciler) Start() { r.t.Go(r.loop) }
 
-// Stop ends the work and waits until no call to an engine is under way.
+// Stop stops reconciling and waits until no call to an engine is in progress.
 func (r *Reconciler) Stop() error {
 	r.t.Kill(nil)
 	err := r.t.Wait()
@@ -101,15 +103,16 @@
 	return err
 }
 
-// EnginesLeaving returns the engines of held groups that said that they leave.
+// EnginesLeaving returns the engines of held groups that report that they are
+// leaving.
 func (r *Reconciler) EnginesLeaving() map[string]bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	own := make(map[string]bool, len(r.leaving))
+	leaving := make(map[string]bool, len(r.leaving))
 	for e := range r.leaving {
-		own[e] = true
+		leaving[e] = true
 	}
-	return own
+	return leaving
 }
 
 func (r *Reconciler) loop() error {
@@ -128,13 +131,13 @@
 	}
 }
 
-// step looks once at each engine of the groups that this process holds.
+// step reconciles each engine of the groups that this process holds.
 //
-// A snapshot that is older than the newest version in the state is left
-// alone: engines may have moved to another group, whose holder trusts that
-// this process stops within the time of its reads.
+// It does nothing if the snapshot is older than the newest version in the state.
+// Engines may have moved to another group, whose holder relies on this process
+// stopping within the validity of its reads.
 func (r *Reconciler) step(ctx context.Context) {
-	snap := r.o.Snapshot() // before the state, so that it can't be ahead of it
+	snap := r.o.Snapshot() // read before the state, so that it can't be newer
 	tail := r.o.Follower.Tail()
 	if snap == nil || snap.Applied < tail.State.Changed {
 		return
@@ -143,9 +146,9 @@
 	now := r.o.Clock.Now()
 	r.loads.Observe(now, tail.State)
 	groups := Groups(snap)
-	r.keepEngines(now, groups, tail.State)
+	r.updateEngines(now, groups, tail.State)
 	work, _ := errgroup.WithContext(ctx)
-	work.SetLimit(parallel)
+	work.SetLimit(maxParallel)
 	for _, g := range groups {
 		fence, _, ok := r.o.Leases.Held(g.Name)
 		if !ok {
@@ -154,8 +157,8 @@
 		}
 		for _, m := range g.Engines {
 			e := r.engines[m.Engine]
-			e.allow(r.o.Rule, tail)
-			e.term(g.Name, fence, r.o)
+			e.setDeadline(r.o.Rule, tail)
+			e.startTerm(g.Name, fence, r.o)
 			work.Go(func() error {
 				r.reconcile(ctx, e, m, tail)
 				return nil
@@ -166,13 +169,14 @@
 	r.endOrphans(ctx, now, groups, tail)
 }
 
-// keepEngines has an entry for each engine of the groups. One that changed its
-// group is new there, and all are when versions were passed over.
+// updateEngines keeps one entry for each engine of the groups. An engine that
+// changed its group gets a new entry. All engines get new entries if document
+// versions were skipped.
 //
-// The second rule is against an engine that left a group and came back while
-// this process read neither: its group looks the same, but a holder of the one
-// between may still act for it.
-func (r *Reconciler) keepEngines(now time.Duration, groups []Group, s *fold.State) {
+// The latter covers an engine that left a group and returned between two steps.
+// Its group looks unchanged, but the holder of the group in between may still act
+// on it.
+func (r *Reconciler) updateEngines(now time.Duration, groups []Group, s *fold.State) {
 	skipped := s.Versions > r.versions+1
 	r.versions = s.Versions
 	listed := make(map[string]bool)
@@ -182,7 +186,7 @@
 			e := r.engines[m.Engine]
 			if e == nil || e.group != g.Name || skipped {
 				e.close()
-				r.engines[m.Engine] = &engine{id: m.Engine, group: g.Name, memory: Progress{JoinedAt: now, JoinedVersion: s.Changed}}
+				r.engines[m.Engine] = &engine{id: m.Engine, group: g.Name, progress: Progress{JoinedAt: now, JoinedVersion: s.Changed}}
 			}
 		}
 	}
@@ -194,7 +198,7 @@
 	}
 }
 
-// endTerm closes the connections of a group that this process doesn't hold.
+// endTerm closes the connections to a group that this process doesn't hold.
 func (r *Reconciler) endTerm(g Group) {
 	for _, m := range g.Engines {
 		r.engines[m.Engine].close()
@@ -202,19 +206,19 @@
 	}
 }
 
-// readRate reads the weight store's rate now and then. While it can't be read
-// the last one holds.
+// readRate reads the weight store's rate every rateInterval. If the read fails,
+// the last rate stays in use.
 func (r *Reconciler) readRate(ctx context.Context) {
 	now := r.o.Clock.Now()
-	if r.o.Weights == nil || (r.rated > 0 && now < r.rated+rateEvery) {
+	if r.o.Weights == nil || (r.rateReadAt > 0 && now < r.rateReadAt+rateInterval) {
 		return
 	}
-	r.rated = now
+	r.rateReadAt = now
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	rate, err := r.o.Weights.Rate(ctx)
 	if err != nil {
-		log.WithError(err).Warn("reconcile: weight store's rate not known")
+		log.WithError(err).Warn("reconcile: failed to read the weight store's rate")
 		return
 	}
 	r.slots = Slots(rate, r.o.PerLoad)
--- a/process/reconcile/term_test.go
+++ b/process/reconcile/term_test.go
@@ -14,14 +14,14 @@
 	"github.com/pomelospool/pomelospool/version/view"
 )
 
-// stub is the control state of one daemon, set by hand.
+// stub implements Leases and lease.Follower with a state that the test sets.
 type stub struct {
 	fence  int64 // 0: not held
 	state  *fold.State
-	ends   int // ends of orders appended
-	opened int // adapters made
-	closed int
-	check  lease.Check // of the newest adapter
+	ends   int         // appended ends of orders
+	opened int         // adapters created
+	closed int         // adapters closed
+	check  lease.Check // check of the newest adapter
 }
 
 func (s *stub) Tail() lease.Tail         { return lease.Tail{State: s.state, Loaded: true} }
@@ -47,9 +47,9 @@
 	return nil
 }
 
-// A daemon acts by an old document, over a connection of an old lease, or ends
-// an order that another daemon is still sending. None of them may happen.
-func TestTerm(t *testing.T) {
+// Guards against a daemon that acts on an old document, uses a connection of an
+// old lease term, or ends an order that another daemon may still be sending.
+func TestLeaseTerm(t *testing.T) {
 	s := &stub{fence: 5, state: fold.New()}
 	s.state.Changed = 10
 	s.state.Engines["gone"] = fold.Engine{Open: &fold.Open{ID: "o", Group: "s/z/0"}}
@@ -83,10 +83,10 @@
 		step.change()
 		r.step(t.Context())
 		if young := now.Now() < lease.DefaultDuration; s.opened > 0 && (s.check() == nil) != young {
-			t.Errorf("%s: a step whose state began 0 s ago may write at %v: %v", step.name, now.Now(), !young)
+			t.Errorf("%s: a step with the state read at 0 may write at %v: %v", step.name, now.Now(), !young)
 		}
 		if s.opened != step.opened || s.closed != step.closed || s.ends != step.ends {
-			t.Errorf("%s: %d adapters made, %d closed, %d orders ended; want %d, %d, %d",
+			t.Errorf("%s: %d adapters created, %d closed, %d orders ended; want %d, %d, %d",
 				step.name, s.opened, s.closed, s.ends, step.opened, step.closed, step.ends)
 		}
 	}
