--- a/process/clock/clock.go
+++ b/process/clock/clock.go
@@ -1,5 +1,6 @@
-// Package clock gives the time by which leases are judged. It goes on while a
-// VM is suspended, which Go's own monotonic clock does not.
+// Package clock provides the clocks by which leases are judged, and an estimate of
+// the time of day. Unlike Go's monotonic clock, the lease clock includes the time
+// for which a VM is suspended.
 package clock
 
 import (
@@ -9,21 +10,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock tells the time since an arbitrary start that stays fixed while the
-// process lives. It never goes back. Times of two processes don't compare.
+// Clock returns the time since an arbitrary start that is fixed for the life of
+// the process. It never goes back. Times of different processes are not
+// comparable.
 type Clock interface {
 	Now() time.Duration
 }
 
-// Boot reads CLOCK_BOOTTIME.
+// Boot is a Clock that reads CLOCK_BOOTTIME, which includes time spent suspended.
 //
-// The guard is against a VM that is suspended for minutes: time.Now's
-// monotonic part stands still meanwhile, so a lease would seem young after the
-// resume although another process took it over. CLOCK_BOOTTIME counts the time
-// spent suspended.
+// The monotonic reading of time.Now stops while a VM is suspended. After a
+// suspension of minutes, a lease would seem valid although another process had
+// taken it over.
 type Boot struct{}
 
-// Now returns the time since boot, suspended time included.
+// Now returns the time since boot, including time spent suspended.
 func (Boot) Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -32,8 +33,8 @@
 	return time.Duration(ts.Nano())
 }
 
-// Runtime follows Go's monotonic clock, so that it is virtual inside a
-// testing/synctest bubble. It isn't fit for production.
+// Runtime is a Clock that follows Go's monotonic clock, which is virtual inside a
+// testing/synctest bubble. It is not suitable for production.
 type Runtime struct{ start time.Time }
 
 // NewRuntime returns a Runtime clock that starts at zero.
@@ -42,11 +43,11 @@
 // Now returns the time since NewRuntime.
 func (r Runtime) Now() time.Duration { return time.Since(r.start) }
 
-// Manual stands still until it is moved. The zero value shows 0.
+// Manual is a Clock that moves only when Advance is called. The zero value is at 0.
 type Manual struct{ ns atomic.Int64 }
 
-// Now returns the time that was set.
+// Now returns the sum of all calls of Advance.
 func (m *Manual) Now() time.Duration { return time.Duration(m.ns.Load()) }
 
-// Advance moves the clock on by d.
+// Advance moves the clock forward by d.
 func (m *Manual) Advance(d time.Duration) { m.ns.Add(int64(d)) }
--- a/process/clock/fleet.go
+++ b/process/clock/fleet.go
@@ -7,61 +7,66 @@
 )
 
 const (
-	// sampleTTL is how long a sample of another VM's clock counts.
+	// sampleTTL is how long a sample of another VM's clock is valid.
 	sampleTTL = 5 * time.Second
-	// sampleMin is how long a sample that arrived with less delay replaces those
-	// after it: a delay makes a clock look late, never early.
-	sampleMin = 2 * time.Second
-	// estimateEvery is the time between two estimates.
-	estimateEvery = 100 * time.Millisecond
-	// stepMin is the difference from which on this VM's clock was stepped.
-	stepMin = 50 * time.Millisecond
+	// sampleHold is how long a sample takes precedence over later ones from the
+	// same sender with a lower offset. Delay in transit makes a clock appear
+	// late, never early, so the sample with the higher offset is more accurate.
+	sampleHold = 2 * time.Second
+	// estimateInterval is the minimum time between two estimates.
+	estimateInterval = 100 * time.Millisecond
+	// minStep is the change of offset above which this VM's clock is
+	// considered stepped.
+	minStep = 50 * time.Millisecond
 )
 
-// Fleet estimates the time of day from the clocks of many VMs, whose samples
-// other daemons send. It takes the median, so that clocks that are stepped by
-// seconds move it only if they are half of all. It is safe for concurrent use.
+// Fleet estimates the time of day from the clocks of many VMs, using samples
+// that other daemons send. The estimate is the median, so that stepped clocks
+// affect it only if they are at least half of all clocks. Fleet is safe for
+// concurrent use.
 type Fleet struct {
-	steady Clock
-	wall   func() time.Time
-	start  time.Duration // offset of this VM's clock at the start
+	monotonic   Clock
+	wall        func() time.Time
+	startOffset time.Duration // offset of this VM's clock when the Fleet was created
 
-	mu       sync.Mutex
-	samples  map[string]sample // by sender
-	offset   time.Duration     // the estimate
-	computed time.Duration     // when it was made
+	mu          sync.Mutex
+	samples     map[string]sample // by sender
+	offset      time.Duration     // last estimate
+	estimatedAt time.Duration     // time of the last estimate
 }
 
-// sample is the difference between another VM's clock and this one's steady
+// sample is the offset of another VM's time of day from this VM's monotonic
 // clock.
 type sample struct {
 	offset time.Duration
 	at     time.Duration
 }
 
-// NewFleet returns a Fleet over a steady clock and this VM's time of day.
-func NewFleet(steady Clock, wall func() time.Time) *Fleet {
-	f := &Fleet{steady: steady, wall: wall, samples: make(map[string]sample), computed: -estimateEvery}
-	f.start = f.own(steady.Now())
+// NewFleet returns a Fleet that uses a monotonic clock and this VM's time of
+// day.
+func NewFleet(monotonic Clock, wall func() time.Time) *Fleet {
+	f := &Fleet{monotonic: monotonic, wall: wall, samples: make(map[string]sample), estimatedAt: -estimateInterval}
+	f.startOffset = f.ownOffset(monotonic.Now())
 	return f
 }
 
-// own is the offset of this VM's clock.
-func (f *Fleet) own(now time.Duration) time.Duration {
+// ownOffset returns the offset of this VM's clock at now.
+func (f *Fleet) ownOffset(now time.Duration) time.Duration {
 	return time.Duration(f.wall().UnixNano()) - now
 }
 
-// Wall returns this VM's own time of day, to be sent to others.
+// Wall returns this VM's own time of day, which is sent to other daemons.
 func (f *Fleet) Wall() time.Time { return f.wall() }
 
-// Observe takes the time of day that a sender stated just now.
+// Observe records the time of day in a message that was just received from
+// sender.
 func (f *Fleet) Observe(sender string, wall time.Time) {
-	now := f.steady.Now()
+	now := f.monotonic.Now()
 	s := sample{offset: time.Duration(wall.UnixNano()) - now, at: now}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	old, known := f.samples[sender]
-	if known && now-old.at < sampleMin && old.offset > s.offset {
+	if known && now-old.at < sampleHold && old.offset > s.offset {
 		return
 	}
 	f.samples[sender] = s
@@ -69,22 +74,23 @@
 
 // Now returns the estimated time of day.
 func (f *Fleet) Now() time.Time {
-	now := f.steady.Now()
+	now := f.monotonic.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if now-f.computed >= estimateEvery {
-		f.offset, f.computed = f.estimate(now), now
+	if now-f.estimatedAt >= estimateInterval {
+		f.offset, f.estimatedAt = f.estimate(now), now
 	}
 	return time.Unix(0, int64(now+f.offset))
 }
 
-// estimate is the median offset. Callers hold f.mu.
+// estimate returns the median offset at now. The caller holds f.mu.
 func (f *Fleet) estimate(now time.Duration) time.Duration {
-	own := f.own(now)
+	own := f.ownOffset(now)
 	offsets := []time.Duration{own}
-	if (own - f.start).Abs() > stepMin {
-		// This VM's clock was stepped since the start: it counts as it was, too.
-		offsets = append(offsets, f.start)
+	if (own - f.startOffset).Abs() > minStep {
+		// This VM's clock was stepped since the start, so its offset at the
+		// start is included, too.
+		offsets = append(offsets, f.startOffset)
 	}
 	for sender, s := range f.samples {
 		if now-s.at > sampleTTL {
--- a/process/clock/fleet_test.go
+++ b/process/clock/fleet_test.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// vm is one VM of a fleet in a test.
+// vm is a VM whose time of day can be stepped.
 type vm struct {
 	*Fleet
-	step time.Duration // of its time of day
+	step time.Duration // added to its time of day
 }
 
-func vms(steady *Manual, n int) []*vm {
+func newVMs(monotonic *Manual, n int) []*vm {
 	begin := time.Unix(1_790_000_000, 0)
 	var out []*vm
 	for range n {
-		one := &vm{}
-		one.Fleet = NewFleet(steady, func() time.Time { return begin.Add(steady.Now() + one.step) })
-		out = append(out, one)
+		v := &vm{}
+		v.Fleet = NewFleet(monotonic, func() time.Time { return begin.Add(monotonic.Now() + v.step) })
+		out = append(out, v)
 	}
 	return out
 }
 
-// gossip has each VM receive the clocks of all others.
-func gossip(list []*vm) {
+// exchangeSamples delivers each VM's time of day to all others.
+func exchangeSamples(list []*vm) {
 	for i, to := range list {
 		for j, from := range list {
 			if i != j {
@@ -34,44 +34,45 @@
 	}
 }
 
-// Guards against usage that is counted in another window because the clocks of
+// Guards against usage that is counted in the wrong window because the clocks of
 // some VMs were stepped.
-func TestSteppedClocksAreOutvoted(t *testing.T) {
-	steady := &Manual{}
-	list := vms(steady, 6)
+func TestMedianIgnoresSteppedClocks(t *testing.T) {
+	monotonic := &Manual{}
+	list := newVMs(monotonic, 6)
 	truth := list[5].Wall
 	for _, step := range []time.Duration{2400 * time.Millisecond, -2400 * time.Millisecond} {
 		list[0].step, list[1].step = step, step
-		steady.Advance(sampleMin)
-		gossip(list)
-		for i, one := range list {
-			if off := one.Now().Sub(truth()).Abs(); off > time.Millisecond {
+		monotonic.Advance(sampleHold)
+		exchangeSamples(list)
+		for i, v := range list {
+			if off := v.Now().Sub(truth()).Abs(); off > time.Millisecond {
 				t.Errorf("VM %d is off by %v with a step of %v", i, off, step)
 			}
 		}
 	}
 }
 
-// Guards against a stepped clock of a daemon that nobody reaches.
-func TestOwnStepAlone(t *testing.T) {
-	steady := &Manual{}
-	one := vms(steady, 1)[0]
-	before := one.Now()
-	one.step = 4 * time.Second
-	steady.Advance(time.Second)
-	if off := one.Now().Sub(before) - time.Second; off.Abs() > 2*time.Second {
+// Guards against following a step of the VM's own clock when no samples of other
+// VMs arrive.
+func TestOwnStepWithoutPeers(t *testing.T) {
+	monotonic := &Manual{}
+	v := newVMs(monotonic, 1)[0]
+	before := v.Now()
+	v.step = 4 * time.Second
+	monotonic.Advance(time.Second)
+	if off := v.Now().Sub(before) - time.Second; off.Abs() > 2*time.Second {
 		t.Errorf("off by %v", off)
 	}
 }
 
-// Guards against datagrams that waited in a queue: they make all clocks look
-// late.
-func TestDelayedSamplesDontCount(t *testing.T) {
-	steady := &Manual{}
-	list := vms(steady, 6)
-	gossip(list)
+// Guards against datagrams that were delayed in a queue, which make all clocks
+// appear late.
+func TestDelayedSamplesAreIgnored(t *testing.T) {
+	monotonic := &Manual{}
+	list := newVMs(monotonic, 6)
+	exchangeSamples(list)
 	late := list[1].Wall()
-	steady.Advance(sampleMin / 2)
+	monotonic.Advance(sampleHold / 2)
 	for i := 1; i < len(list); i++ {
 		list[0].Observe(fmt.Sprint(i), late)
 	}
