--- a/process/agreecheck/proc_test.go
+++ b/process/agreecheck/proc_test.go
@@ -17,45 +17,45 @@
 	"github.com/pomelospool/pomelospool/process/record"
 )
 
-// proc is one process as a machine that makes one step at a time.
+// proc simulates one process as a state machine that is advanced step by step.
 type proc struct {
 	w           *world
 	index       int
 	incarnation string
-	strict      bool    // its binary refuses documents that others accept
-	drift       float64 // of its clock
-	lagging     time.Duration
-	wakes       time.Duration // paused until then
-	cutUntil    time.Duration // from the log
+	strict      bool    // its binary rejects documents that others accept
+	drift       float64 // relative drift of its clock
+	clockLag    time.Duration
+	pausedUntil time.Duration // end of the current pause
+	cutUntil    time.Duration // end of the current partition from the log
 	tracker     *lease.Tracker
 	state       *fold.State
 	tail        lease.Tail
 	read        *reading
-	works       []*work
+	engineWork  []*work
 }
 
-// reading is a read of the tail under way.
+// reading is a read of the tail in progress.
 type reading struct {
-	began  time.Duration // on the process's clock
+	start  time.Duration // on the process's clock
 	recs   []port.Record
 	newest int64
 }
 
-// work is what the process does at one engine.
+// work is a process's state about one engine.
 type work struct {
-	group    string
-	versions int64
-	memory   reconcile.Progress
-	until    time.Duration     // end of what the state of the decision allows
-	stall    time.Duration     // the engine answers a read of its state only then
-	seen     *port.EngineState // read, and not yet decided on
-	tail     *fold.State       // of the step that seen belongs to
-	order    port.Order        // checked, not yet written
-	ready    bool              // order is set
-	held     int               // incarnation of the engine that the connection leads to
-	sentAt   time.Duration
-	write    *write // waits for its answer
-	ends     time.Duration
+	group        string
+	versions     int64
+	progress     reconcile.Progress
+	deadline     time.Duration     // end of the writes that the state of the decision allows
+	stalledUntil time.Duration     // when the engine responds to the read of its state
+	observed     *port.EngineState // state read from the engine, until a decision is made
+	tail         *fold.State       // log state on which the decision is based
+	order        port.Order        // order to write
+	ready        bool              // order is set and not yet written
+	connectedTo  int               // incarnation of the connected engine
+	sentAt       time.Duration
+	write        *write // write that awaits its response
+	timeoutAt    time.Duration
 }
 
 func newProc(w *world, index int) *proc {
@@ -66,44 +66,44 @@
 	return p
 }
 
-// start begins a new incarnation with nothing but its settings.
+// start starts a new incarnation, which keeps only the settings of the process.
 func (p *proc) start() {
 	p.incarnation = p.w.id(fmt.Sprintf("p%d.", p.index))
 	r := rule
-	if p.w.plant == noDrift {
+	if p.w.planted == noDrift {
 		r.Guard = 0
 	}
 	p.tracker = lease.NewTracker(r, p.incarnation)
-	p.state, p.read, p.wakes, p.cutUntil = nil, nil, 0, 0
+	p.state, p.read, p.pausedUntil, p.cutUntil = nil, nil, 0, 0
 	p.tail = lease.Tail{}
-	p.works = nil
+	p.engineWork = nil
 	for range p.w.engines {
-		p.works = append(p.works, &work{})
+		p.engineWork = append(p.engineWork, &work{})
 	}
 }
 
-// clock is the time of the process: CLOCK_BOOTTIME with its drift.
+// clock returns the time of the process: CLOCK_BOOTTIME with drift.
 func (p *proc) clock() time.Duration {
 	t := p.w.now + time.Duration(float64(p.w.now)*p.drift)
-	return t - p.lagging
+	return t - p.clockLag
 }
 
 // cut reports whether the process can't reach the log now.
 func (p *proc) cut() bool { return p.w.now < p.cutUntil }
 
-// mayOrder reports whether the process would write to the engine if it decided
-// and wrote now.
+// mayOrder reports whether the process would write an order to the engine if it
+// decided and wrote now.
 func (p *proc) mayOrder(i int) bool {
-	k := p.works[i]
+	k := p.engineWork[i]
 	if p.state == nil || p.tail.State == nil || k.group == "" || k.group != p.groupOf(i) || p.tail.State.Versions > k.versions+1 {
 		return false
 	}
 	r := p.tracker.Rule()
 	_, ok := p.authority(k.group)
-	return ok && p.clock() >= k.memory.JoinedAt+r.Duration+r.Guard
+	return ok && p.clock() >= k.progress.JoinedAt+r.Duration+r.Guard
 }
 
-// groupOf returns the engine's group by the document that the process knows.
+// groupOf returns the engine's group in the document that the process knows.
 func (p *proc) groupOf(i int) string {
 	if yaml := p.tail.State.Services[service].YAML; yaml != "" {
 		return groupOf(yaml, i)
@@ -116,15 +116,16 @@
 		return lease.Authority{}, false
 	}
 	tail := p.tail
-	if p.w.plant == peersConfirm && p.confirmed(group) {
+	if p.w.planted == peersConfirm && p.majorityConfirms(group) {
 		tail.ReadStart = p.clock()
 	}
 	return p.tracker.Authority(p.clock(), tail, group)
 }
 
-// confirmed reports whether most processes know of no later claim. It is the way
-// that was weighed and not taken: peers read the log late, as holders do.
-func (p *proc) confirmed(group string) bool {
+// majorityConfirms reports whether most processes know no later claim. It is the
+// alternative design of peersConfirm, which is unsafe because peers read the log
+// as late as holders do.
+func (p *proc) majorityConfirms(group string) bool {
 	n := 0
 	for _, x := range p.w.procs {
 		if x.tail.State != nil && x.tail.State.Leases[group].Claim == p.tail.State.Leases[group].Claim {
@@ -134,19 +135,20 @@
 	return 2*n > len(p.w.procs)
 }
 
-// Gone and Rank are the membership view: late, and at times wrong.
+// Gone implements lease.Membership. Its result is late, and at times wrong.
 func (p *proc) Gone(incarnation string) bool {
 	alive := slices.ContainsFunc(p.w.procs, func(x *proc) bool { return x.incarnation == incarnation })
 	return !alive || p.w.suspected[incarnation]
 }
 
+// Rank implements lease.Membership.
 func (p *proc) Rank(group string) (int, bool) {
 	return (p.index + 2*slices.Index(groups, group)) % len(p.w.procs), true
 }
 
-// step lets the process do some of what its goroutines do.
+// step runs some of the actions that the process's goroutines perform.
 func (p *proc) step() {
-	if p.w.now < p.wakes {
+	if p.w.now < p.pausedUntil {
 		return
 	}
 	if p.w.chance(2) {
@@ -155,13 +157,13 @@
 	if p.state == nil || p.tail.State == nil {
 		return
 	}
-	for i, k := range p.works {
-		if p.w.chance(2) && p.w.now >= p.wakes {
+	for i, k := range p.engineWork {
+		if p.w.chance(2) && p.w.now >= p.pausedUntil {
 			p.workStep(i, k)
 		}
 	}
 	switch n := p.w.draw(0, 999); {
-	case p.w.now < p.wakes:
+	case p.w.now < p.pausedUntil:
 	case n < 300:
 		p.claimStep()
 	case n < 400:
@@ -173,8 +175,8 @@
 	}
 }
 
-// readStep begins or ends a read of the tail. The log answers with what stood
-// at the begin or at the end.
+// readStep starts or completes a read of the tail. The read returns the records
+// that were in the log at its start or at its end.
 func (p *proc) readStep() {
 	if p.cut() {
 		p.read = nil
@@ -185,7 +187,7 @@
 		return
 	}
 	if p.read == nil {
-		p.read = &reading{began: p.clock()}
+		p.read = &reading{start: p.clock()}
 		if p.w.chance(2) {
 			p.fetch()
 		}
@@ -194,7 +196,7 @@
 	if p.read.newest == 0 {
 		p.fetch()
 	}
-	p.finish()
+	p.finishRead()
 }
 
 func (p *proc) fetch() {
@@ -206,8 +208,9 @@
 	p.read.recs, p.read.newest, _ = logView{w: p.w}.Read(context.Background(), "", p.state.Applied+1, 500, 0)
 }
 
-// finish folds what was read and checks that nothing went back.
-func (p *proc) finish() {
+// finishRead folds the records that were read and checks that the version doesn't
+// go back.
+func (p *proc) finishRead() {
 	r := p.read
 	p.read = nil
 	if r == nil {
@@ -219,31 +222,31 @@
 		return
 	}
 	if before == nil {
-		p.compare()
+		p.checkState()
 	}
-	began := r.began
-	if p.w.plant == ageFromEnd {
-		began = p.clock()
+	readStart := r.start
+	if p.w.planted == ageFromEnd {
+		readStart = p.clock()
 	}
 	if before == nil || len(r.recs) > 0 {
 		before, p.tail.State = p.tail.State, p.state.Clone()
 	}
-	p.tail.ReadStart, p.tail.Loaded = began, true
+	p.tail.ReadStart, p.tail.Loaded = readStart, true
 	if before != nil && p.tail.State.Services[service].Version < before.Services[service].Version {
 		p.w.fail("%s: version went back from %d to %d", p.incarnation, before.Services[service].Version, p.tail.State.Services[service].Version)
 	}
-	seen := p.clock()
-	if p.w.plant == earlyTakeover {
-		seen -= rule.Duration + rule.Guard
+	observedAt := p.clock()
+	if p.w.planted == earlyTakeover {
+		observedAt -= rule.Duration + rule.Guard
 	}
-	p.tracker.Observe(seen, p.tail.State)
+	p.tracker.Observe(observedAt, p.tail.State)
 }
 
 func (p *proc) fold(recs []port.Record) {
 	for _, r := range recs {
 		data := r.Data
-		if p.w.plant == recomputeVerdict {
-			data = p.recomputed(data)
+		if p.w.planted == recomputeVerdict {
+			data = p.ownVerdict(data)
 		}
 		if err := p.state.Apply(r.Offset, data); err != nil {
 			p.w.fail("%s: %v", p.incarnation, err)
@@ -251,18 +254,18 @@
 	}
 }
 
-// compare checks that equal offsets mean equal states.
-func (p *proc) compare() {
+// checkState checks that the state equals the reference state at the same offset.
+func (p *proc) checkState() {
 	if got, want := encode(p.state), encode(p.w.states[p.state.Applied]); got != want {
 		p.w.fail("%s differs at offset %d:\n%s\nwant\n%s", p.incarnation, p.state.Applied, got, want)
 	}
 }
 
-// recover starts from a checkpoint by the real rule.
+// recover recovers the state with follow.Recover.
 func (p *proc) recover() {
 	p.w.stats.recoveries++
-	if p.w.plant == staleCheckpoint {
-		p.state = p.anyCheckpoint()
+	if p.w.planted == staleCheckpoint {
+		p.state = p.newestCheckpoint()
 		return
 	}
 	s, err := follow.Recover(context.Background(), logView{w: p.w})
@@ -287,12 +290,12 @@
 	if p.cut() || len(pending) == 0 {
 		return
 	}
-	v := record.Verdict{Service: service, Version: pending[0].Version, Accept: p.judge(pending[0].YAML), Code: code.DocSyntax}
+	v := record.Verdict{Service: service, Version: pending[0].Version, Accept: p.accepts(pending[0].YAML), Code: code.DocSyntax}
 	p.w.send(p.w.id("verdict"), record.KindVerdict, v)
 }
 
-// judge is the rule of the process's binary.
-func (p *proc) judge(yaml string) bool { return !p.strict || !strings.HasPrefix(yaml, "lax") }
+// accepts reports whether the process's binary accepts the document.
+func (p *proc) accepts(yaml string) bool { return !p.strict || !strings.HasPrefix(yaml, "lax") }
 
 func (p *proc) checkpointStep() {
 	if p.cut() {
@@ -302,9 +305,9 @@
 	p.w.send(p.w.id("checkpoint"), record.KindCheckpoint, record.Checkpoint{Covers: p.state.Applied, State: data})
 }
 
-// release is a planned stop: nothing is under way any more.
+// release simulates a planned stop. It does nothing while a write is in progress.
 func (p *proc) release() {
-	if slices.ContainsFunc(p.works, func(k *work) bool { return k.write != nil }) {
+	if slices.ContainsFunc(p.engineWork, func(k *work) bool { return k.write != nil }) {
 		return
 	}
 	for _, g := range groups {
@@ -316,15 +319,16 @@
 	p.start()
 }
 
-// recomputed is a verdict as the process's own binary would give it.
-func (p *proc) recomputed(data []byte) []byte {
+// ownVerdict returns the record with the verdict that the process's own binary
+// would give.
+func (p *proc) ownVerdict(data []byte) []byte {
 	var e record.Envelope
 	var v record.Verdict
 	pending := p.state.Services[service].Pending
 	if json.Unmarshal(data, &e) != nil || e.Kind != record.KindVerdict || json.Unmarshal(e.Body, &v) != nil || len(pending) == 0 {
 		return data
 	}
-	v.Accept = p.judge(pending[0].YAML)
+	v.Accept = p.accepts(pending[0].YAML)
 	e.Body, _ = json.Marshal(v)
 	data, _ = json.Marshal(e)
 	return data
--- a/process/agreecheck/world_test.go
+++ b/process/agreecheck/world_test.go
@@ -1,5 +1,6 @@
-// Package agreecheck drives the real fold, lease and order rules through
-// random histories of several processes and looks for what must never happen.
+// Package agreecheck tests the agreement protocol by simulation. It runs the real
+// fold, lease and order rules in random histories of several processes and checks
+// invariants after each step.
 package agreecheck
 
 import (
@@ -18,67 +19,71 @@
 
 const (
 	service = "s"
-	// maxDrift is far beyond real clocks, so that short histories show what
-	// drift does. Guard must cover it over T, and UserTimeout besides.
+	// maxDrift is far above the drift of real clocks, so that short histories
+	// show its effects. Guard must cover the drift over Duration, and
+	// UserTimeout in addition.
 	maxDrift = 0.08
 )
 
-// groups are two of one service. A document says which engine is in which.
+// groups are the two groups of one service. The document determines which engine
+// is in which group.
 var groups = []string{"s/z/0", "s/z/1"}
 
-// Endings of documents that move the engines and take it back.
+// Suffixes of documents that swap the groups of the engines and restore them.
 const (
 	moved     = "-moved-0"
 	movedBack = "-back-5"
 )
 
-// groupOf stands for the targets of a document: it gives an engine's group.
+// groupOf returns an engine's group according to a document. The last character
+// of the document stands for its list of targets.
 func groupOf(yaml string, engine int) string {
 	if yaml[len(yaml)-1] <= '1' {
-		engine++ // a fifth of the documents have the engines the other way round
+		engine++ // a fifth of the documents swap the groups
 	}
 	return groups[engine%2]
 }
 
 var rule = lease.Rule{Duration: 3 * time.Second, Guard: 1500 * time.Millisecond, Stagger: 300 * time.Millisecond}
 
-// kind is a kind of engine.
-type kind struct {
-	fenced   bool // refuses old fencing numbers
-	allIDs   bool // knows each order id of its incarnation, not only the last
-	anyDelay bool // bytes may stay on the way for longer than UserTimeout
+// engineKind is a set of capabilities of engines and of conditions that they are
+// tested with.
+type engineKind struct {
+	fenced   bool // the engine refuses old fencing numbers
+	allIDs   bool // the engine remembers each order id of its incarnation, not only the last
+	anyDelay bool // data may be in flight for longer than UserTimeout
 	anyPause bool // processes may be paused between the check and the write
 }
 
-// world is one history: the log, engines, processes, and all that is on its
-// way between them.
+// world simulates one history: the log, the engines, the processes, and all
+// messages in flight between them.
 type world struct {
 	rng       *rand.Rand
-	kind      kind
-	plant     plant
+	kind      engineKind
+	planted   plantedFault
 	now       time.Duration
-	pace      int           // most milliseconds from one step to the next
-	recs      []port.Record // all that ever stood, offset 1 first
+	maxStep   int           // maximum time between two steps, in milliseconds
+	recs      []port.Record // all records ever appended, starting at offset 1
 	earliest  int64
-	truth     *fold.State
-	states    []*fold.State     // truth at each offset
-	tokens    map[string]int64  // accepted document decisions: their version
-	decided   map[string]string // carried out order decisions: the order
+	reference *fold.State       // fold of all records in recs
+	states    []*fold.State     // reference state at each offset
+	tokens    map[string]int64  // version of each accepted document, by token
+	executed  map[string]string // id of each executed order, by decision
 	engines   []*engine
 	procs     []*proc
 	appends   []*pendingAppend
 	writes    []*write
-	backAt    time.Duration   // when an operator takes the last move back
-	suspected map[string]bool // live processes that membership takes for dead
+	revertAt  time.Duration   // when an operator reverts the last move
+	suspected map[string]bool // incarnations that membership reports as dead
 	ids       int
 	stats     stats
 	violation string
 }
 
-// stats count what the histories exercised.
+// stats counts what the histories exercised.
 type stats struct {
 	histories, accepted, effects, copies, takeovers, lost, recoveries, late, pauses int
-	excused                                                                         int // histories with a stale order that was let through
+	staleOrders                                                                     int // histories in which a stale order had an effect
 }
 
 func (s *stats) add(o stats) {
@@ -90,44 +95,45 @@
 	s.lost += o.lost
 	s.recoveries += o.recoveries
 	s.late += o.late
-	s.excused += o.excused
+	s.staleOrders += o.staleOrders
 	s.pauses += o.pauses
 }
 
-// pendingAppend is an append on its way to the log.
+// pendingAppend is an append in flight to the log.
 type pendingAppend struct {
 	due  time.Duration
 	data []byte
-	body any // what a planted double append decides anew when it lands
+	body any // for doubleAppend: decided again when it is appended
 }
 
-// write is an order on its way to an engine.
+// write is an order in flight to an engine.
 type write struct {
 	due         time.Duration
 	from        string // incarnation of the sender
 	engine      int
-	incarnation int // of the engine at the other end of the connection
+	incarnation int // incarnation of the connected engine
 	order       port.Order
-	excused     bool // a pause or delay beyond what the guard covers
+	beyondGuard bool // pause or delay exceeds what Guard covers
 	answered    bool
 	err         error
 }
 
-// engine carries out whatever it doesn't refuse; it never says that it is busy.
+// engine is a simulated engine. It carries out each order that it doesn't refuse,
+// and never responds that it is busy.
 type engine struct {
 	incarnation int
 	state       port.EngineState
-	until       time.Duration
+	changeEnds  time.Duration
 	ids         map[string]bool
 }
 
-func newWorld(seed uint64, k kind, p plant) *world {
-	w := &world{kind: k, plant: p, earliest: 1, truth: fold.New()}
+func newWorld(seed uint64, k engineKind, p plantedFault) *world {
+	w := &world{kind: k, planted: p, earliest: 1, reference: fold.New()}
 	w.rng = rand.New(rand.NewPCG(seed, 0))
-	w.pace = []int{60, 160, 200}[w.draw(0, 2)]
+	w.maxStep = []int{60, 160, 200}[w.draw(0, 2)]
 	w.states = []*fold.State{fold.New()}
 	w.tokens = map[string]int64{}
-	w.decided = map[string]string{}
+	w.executed = map[string]string{}
 	w.suspected = map[string]bool{}
 	w.stats.histories = 1
 	for range 2 {
@@ -143,7 +149,7 @@
 
 func (w *world) draw(lo, hi int) int { return lo + w.rng.IntN(hi-lo+1) }
 
-// chance is true once in n.
+// chance returns true with probability 1/n.
 func (w *world) chance(n int) bool { return w.rng.IntN(n) == 0 }
 
 func (w *world) ms(lo, hi int) time.Duration {
@@ -157,17 +163,17 @@
 
 func (w *world) fail(format string, args ...any) {
 	if w.violation == "" {
-		w.violation = fmt.Sprintf("at %v, offset %d: ", w.now, w.truth.Applied) + fmt.Sprintf(format, args...)
+		w.violation = fmt.Sprintf("at %v, offset %d: ", w.now, w.reference.Applied) + fmt.Sprintf(format, args...)
 	}
 }
 
-// publish puts a document with the decision token on its way.
+// publish sends a document whose text is the token of the decision.
 func (w *world) publish(token string, base int64) {
 	w.send(w.id("doc"), record.KindDocument, record.Document{Service: service, Base: base, YAML: token})
 }
 
-// send puts a record on its way; its answer may be lost, and then the writer
-// looks for it and sends it again, by when the first may still be on its way.
+// send sends a record to the log. The response may be lost. Then the writer looks
+// for the record and sends it again while the first copy may still be in flight.
 func (w *world) send(id string, k record.Kind, body any) {
 	raw, err := json.Marshal(body)
 	if err != nil {
@@ -177,27 +183,27 @@
 	if err != nil {
 		panic(err)
 	}
-	delay := w.ms(0, 2*w.pace)
+	delay := w.ms(0, 2*w.maxStep)
 	if w.chance(12) || k == record.KindCheckpoint && w.chance(2) {
 		delay = w.ms(300, 15000)
 	}
 	w.appends = append(w.appends, &pendingAppend{due: w.now + delay, data: data})
 	if w.chance(8) {
 		w.stats.lost++
-		w.again(data, body)
+		w.retryAppend(data, body)
 	}
 }
 
-// again is the writer's second try after a lost answer.
-func (w *world) again(data []byte, body any) {
+// retryAppend sends a record again after a lost response.
+func (w *world) retryAppend(data []byte, body any) {
 	a := &pendingAppend{due: w.now + w.ms(300, 6000), data: data}
-	if w.plant == doubleAppend {
+	if w.planted == doubleAppend {
 		a.body = body
 	}
 	w.appends = append(w.appends, a)
 }
 
-// tick moves time on and delivers what is due, in order.
+// tick advances the time by d and delivers the messages that are due, in order.
 func (w *world) tick(d time.Duration) {
 	end := w.now + d
 	for w.violation == "" {
@@ -209,9 +215,9 @@
 			x := w.appends[a]
 			w.appends = slices.Delete(w.appends, a, a+1)
 			if x.body != nil {
-				x.data = renewed(w, x)
+				x.data = redecided(w, x)
 			}
-			w.land(x.data)
+			w.appendRecord(x.data)
 		case m >= 0:
 			w.now = max(w.now, w.writes[m].due)
 			x := w.writes[m]
@@ -221,11 +227,12 @@
 			w.now = end
 			return
 		}
-		w.oneHolder()
+		w.checkHolders()
 	}
 }
 
-// earliestDue returns the index of what is due first, -1 when nothing is.
+// earliestDue returns the index of the first item that is due by end, or -1 if
+// there is none.
 func earliestDue[T any](list []T, due func(T) time.Duration, end time.Duration) int {
 	best := -1
 	for i, x := range list {
@@ -236,39 +243,39 @@
 	return best
 }
 
-// land appends a record to the log and folds the truth.
-func (w *world) land(data []byte) {
+// appendRecord appends a record to the log and applies it to the reference state.
+func (w *world) appendRecord(data []byte) {
 	offset := int64(len(w.recs)) + 1
 	w.recs = append(w.recs, port.Record{Offset: offset, Data: data})
-	before, claims := w.truth.Services[service].Version, w.truth.Leases
+	before, claims := w.reference.Services[service].Version, w.reference.Leases
 	claimed := claims[groups[0]].Claim + claims[groups[1]].Claim
-	if err := w.truth.Apply(offset, data); err != nil {
+	if err := w.reference.Apply(offset, data); err != nil {
 		panic(err)
 	}
-	w.pace = []int{60, 160, 200}[w.draw(0, 2)]
-	w.states = append(w.states, w.truth.Clone())
-	if svc := w.truth.Services[service]; svc.Version != before {
-		w.accepted(svc, before)
+	w.maxStep = []int{60, 160, 200}[w.draw(0, 2)]
+	w.states = append(w.states, w.reference.Clone())
+	if svc := w.reference.Services[service]; svc.Version != before {
+		w.checkAccepted(svc, before)
 	}
 	if claims[groups[0]].Claim+claims[groups[1]].Claim != claimed {
 		w.stats.takeovers++
 	}
 }
 
-// expire lets old records go, as far as the newest checkpoint allows.
-func (w *world) expire() {
-	if m := w.truth.Checkpoint; m.At > 0 && m.Covers+1 > w.earliest {
+// expireRecords expires old records as far as the newest checkpoint allows.
+func (w *world) expireRecords() {
+	if m := w.reference.Checkpoint; m.At > 0 && m.Covers+1 > w.earliest {
 		w.earliest = m.Covers + 1
 	}
 }
 
-func (e *engine) settle(now time.Duration) {
-	if e.state.Changing && now >= e.until {
+func (e *engine) finishChange(now time.Duration) {
+	if e.state.Changing && now >= e.changeEnds {
 		e.state.Changing, e.state.Spec = false, e.state.Target
 	}
 }
 
-// restart is a crash: the engine forgets all, and its connections are gone.
+// restart simulates a crash. The engine loses its state and its connections.
 func (e *engine) restart() {
 	e.incarnation++
 	e.ids = map[string]bool{}
@@ -285,7 +292,7 @@
 	return string(data)
 }
 
-// logView is the world's log as the real recovery reads it.
+// logView gives follow.Recover access to the simulated log.
 type logView struct {
 	port.Log
 	w *world
