--- a/process/daemon/plan.go
+++ b/process/daemon/plan.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// desiredRole implements reconcile.Wish.
+// desiredRole implements reconcile.PlannedRole.
 func (p *rolePlanner) desiredRole(_, engine string) (port.Role, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
