--- a/connection/h1/exchange.go
+++ b/connection/h1/exchange.go
@@ -25,14 +25,14 @@
 	Header http.Header
 	Body   []byte
 	Reuse  Reuse
-	// First is the longest wait for the answer's header, and for the first
+	// FirstByteTimeout is the longest wait for the answer's header, and for the first
 	// bytes of its body; 0: none. An engine sends the header when it takes a
 	// request and the first token when the prompt is read.
-	First time.Duration
-	// Between is the longest wait for further bytes of the body; 0: none.
-	Between time.Duration
-	// Mine reports whether an answer is the one to this request; nil: any is.
-	Mine func(status int, h http.Header) bool
+	FirstByteTimeout time.Duration
+	// ReadTimeout is the longest wait for further bytes of the body; 0: none.
+	ReadTimeout time.Duration
+	// Matches reports whether an answer is the one to this request; nil: any is.
+	Matches func(status int, h http.Header) bool
 }
 
 // Reuse says which connections may carry a request.
@@ -40,9 +40,9 @@
 
 // The kinds of reuse.
 const (
-	Idle   Reuse = iota // one that is idle, or a new one
-	Recent              // one that was used a moment ago, or a new one
-	Never               // a new one, which is closed after the answer
+	ReuseIdle   Reuse = iota // one that is idle, or a new one
+	ReuseRecent              // one that was used a moment ago, or a new one
+	ReuseNever               // a new one, which is closed after the answer
 )
 
 // Response is an answer whose header was read. Close it.
@@ -174,7 +174,7 @@
 		if resp.StatusCode >= http.StatusContinue && resp.StatusCode < http.StatusOK {
 			continue
 		}
-		if r.Mine != nil && !r.Mine(resp.StatusCode, resp.Header) {
+		if r.Matches != nil && !r.Matches(resp.StatusCode, resp.Header) {
 			strays++
 			counts.Add("strays", 1)
 			x.stray = true
@@ -231,9 +231,9 @@
 
 func (b *body) patience() time.Duration {
 	if b.begun {
-		return b.x.req.Between
+		return b.x.req.ReadTimeout
 	}
-	return b.x.req.First
+	return b.x.req.FirstByteTimeout
 }
 
 // Close keeps the connection if the answer was read to its marked end, the
@@ -252,7 +252,7 @@
 		default:
 		}
 		clean := !x.stray && x.ended.Load() && r.Framed && x.conn.reader.Buffered() == 0
-		if alive && whole && clean && !x.resp.Close && x.req.Reuse != Never {
+		if alive && whole && clean && !x.resp.Close && x.req.Reuse != ReuseNever {
 			x.pool.put(x.conn, keepAlive)
 			return
 		}
@@ -284,7 +284,7 @@
 
 // silenced retires the target's connections if err says that one is silent.
 func (x *exchange) silenced(err error) {
-	if errors.Is(err, ErrSilent) {
-		x.pool.Forget(x.req.Addr, x.req.Target)
+	if errors.Is(err, ErrNoProgress) {
+		x.pool.Retire(x.req.Addr, x.req.Target)
 	}
 }
--- a/connection/h1/h1_test.go
+++ b/connection/h1/h1_test.go
@@ -50,9 +50,9 @@
 func pool(n *pipenet.Net) *Pool { return New(Options{Dial: n.Dial}) }
 
 func get(p *Pool, fresh bool) (*Response, string, error) {
-	reuse := Idle
+	reuse := ReuseIdle
 	if fresh {
-		reuse = Recent
+		reuse = ReuseRecent
 	}
 	resp, err := p.Do(context.Background(), &Request{Addr: "a:1", Target: "t", Method: "GET", URI: "/x", Host: "h", Reuse: reuse})
 	if err != nil {
@@ -123,7 +123,7 @@
 		n.ServeConn("a:1", answer(func(int, *http.Request) string { return stray + mine }))
 		resp, err := p.Do(t.Context(), &Request{
 			Addr: "a:1", Target: "t", Method: "GET", URI: "/", Host: "h",
-			Mine: func(_ int, h http.Header) bool { return h.Get("Id") == "new" },
+			Matches: func(_ int, h http.Header) bool { return h.Get("Id") == "new" },
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -145,7 +145,7 @@
 		n.ServeConn("a:1", answer(func(int, *http.Request) string { return strings.Repeat(ok("x"), 10) }))
 		_, err := p.Do(t.Context(), &Request{
 			Addr: "a:1", Target: "t", Method: "GET", URI: "/", Host: "h",
-			Mine: func(int, http.Header) bool { return false },
+			Matches: func(int, http.Header) bool { return false },
 		})
 		if !errors.Is(err, errStray) {
 			t.Errorf("error %v", err)
@@ -264,7 +264,7 @@
 		go func() { busy <- get1(p, "/busy", 0) }()
 		synctest.Wait()
 		_ = pause.For(context.Background(), time.Second)
-		if err := get1(p, "/silent", time.Second); !errors.Is(err, ErrSilent) {
+		if err := get1(p, "/silent", time.Second); !errors.Is(err, ErrNoProgress) {
 			t.Errorf("a stream without progress ended with %v", err)
 		}
 		close(release)
@@ -282,7 +282,7 @@
 
 // get1 asks for a path and reads the whole answer.
 func get1(p *Pool, uri string, between time.Duration) error {
-	resp, err := p.Do(context.Background(), &Request{Addr: "a:1", Target: "t", Method: "GET", URI: uri, Host: "h", Between: between})
+	resp, err := p.Do(context.Background(), &Request{Addr: "a:1", Target: "t", Method: "GET", URI: uri, Host: "h", ReadTimeout: between})
 	if err != nil {
 		return err
 	}
@@ -295,15 +295,15 @@
 func TestWarm(t *testing.T) {
 	bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
 		n.ServeConn("a:1", answer(func(int, *http.Request) string { return ok("x") }))
-		if p.Warm("a:1", "t", Idle) {
+		if p.HasIdle("a:1", "t", ReuseIdle) {
 			t.Error("warm before the first request")
 		}
 		mustGet(t, p, false, "x")
-		if !p.Warm("a:1", "t", Idle) || p.Warm("a:1", "another", Idle) {
+		if !p.HasIdle("a:1", "t", ReuseIdle) || p.HasIdle("a:1", "another", ReuseIdle) {
 			t.Error("an idle connection isn't known, or to whom it goes")
 		}
 		_ = pause.For(context.Background(), defaultIdle)
-		if p.Warm("a:1", "t", Idle) {
+		if p.HasIdle("a:1", "t", ReuseIdle) {
 			t.Error("warm with a connection that was idle for long")
 		}
 	})
@@ -313,7 +313,7 @@
 func TestSlowReaderIsNoSilence(t *testing.T) {
 	bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
 		n.ServeConn("a:1", answer(func(int, *http.Request) string { return ok("whole") }))
-		resp, err := p.Do(t.Context(), &Request{Addr: "a:1", Target: "t", Method: "GET", URI: "/", Host: "h", First: time.Second, Between: time.Second})
+		resp, err := p.Do(t.Context(), &Request{Addr: "a:1", Target: "t", Method: "GET", URI: "/", Host: "h", FirstByteTimeout: time.Second, ReadTimeout: time.Second})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -465,7 +465,7 @@
 		mustGet(t, p, false, "2")
 		p.Retain(func(string) bool { return false })
 		mustGet(t, p, false, "1")
-		p.Forget("a:1", "t")
+		p.Retire("a:1", "t")
 		mustGet(t, p, false, "1")
 	})
 }
--- a/connection/h1/pool.go
+++ b/connection/h1/pool.go
@@ -40,9 +40,9 @@
 
 // Options of a Pool. Zero values take the defaults.
 type Options struct {
-	Connect     time.Duration // longest time to connect; 300ms
-	UserTimeout time.Duration // TCP_USER_TIMEOUT; 1.5s
-	MaxIdle     int           // idle connections kept to one target; 16
+	ConnectTimeout time.Duration // longest time to connect; 300ms
+	UserTimeout    time.Duration // TCP_USER_TIMEOUT; 1.5s
+	MaxIdle        int           // idle connections kept to one target; 16
 	// KeepAlive is when the kernel probes connections that carry no data. With
 	// it TCP_USER_TIMEOUT also ends those on which only an answer is awaited.
 	KeepAlive net.KeepAliveConfig
@@ -73,8 +73,8 @@
 
 // New returns a Pool.
 func New(o Options) *Pool {
-	if o.Connect <= 0 {
-		o.Connect = defaultConnect
+	if o.ConnectTimeout <= 0 {
+		o.ConnectTimeout = defaultConnect
 	}
 	if o.UserTimeout <= 0 {
 		o.UserTimeout = defaultUserTimeout
@@ -83,7 +83,7 @@
 		o.MaxIdle = defaultMaxIdle
 	}
 	if o.Dial == nil {
-		o.Dial = dialWithin(&net.Dialer{KeepAliveConfig: o.KeepAlive, Control: sock.UserTimeout(o.UserTimeout)}, o.Connect)
+		o.Dial = dialWithin(&net.Dialer{KeepAliveConfig: o.KeepAlive, Control: sock.UserTimeout(o.UserTimeout)}, o.ConnectTimeout)
 	}
 	return &Pool{opts: o, idle: make(map[string][]*conn), retired: make(map[string]time.Time)}
 }
@@ -95,7 +95,7 @@
 // a new one.
 func (p *Pool) take(ctx context.Context, r *Request) (*conn, error) {
 	key := Key(r.Addr, r.Target)
-	for r.Reuse != Never {
+	for r.Reuse != ReuseNever {
 		c := p.pop(key)
 		if c == nil {
 			break
@@ -142,15 +142,15 @@
 	switch {
 	case c.limit > 0:
 		return c.limit
-	case reuse == Recent:
+	case reuse == ReuseRecent:
 		return freshFor
 	}
 	return defaultIdle
 }
 
-// Warm reports whether a request to a target would find an idle connection that it
+// HasIdle reports whether a request to a target would find an idle connection that it
 // may use.
-func (p *Pool) Warm(addr, target string, reuse Reuse) bool {
+func (p *Pool) HasIdle(addr, target string, reuse Reuse) bool {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -201,10 +201,10 @@
 	p.idle[c.key] = append(list, c)
 }
 
-// Forget retires the connections to a target, because one of them went silent:
+// Retire retires the connections to a target, because one of them went silent:
 // what a device between lost of one connection it lost of many. Idle ones are
 // closed; those that carry a request now take no other one after it.
-func (p *Pool) Forget(addr, target string) {
+func (p *Pool) Retire(addr, target string) {
 	key := Key(addr, target)
 	p.mu.Lock()
 	list := p.idle[key]
@@ -225,7 +225,7 @@
 	for key, list := range p.idle {
 		var stay []*conn
 		for _, c := range list {
-			if keep(key) && c.good(now, Idle) {
+			if keep(key) && c.good(now, ReuseIdle) {
 				stay = append(stay, c)
 			} else {
 				closing = append(closing, c)
--- a/connection/h1/watchdog.go
+++ b/connection/h1/watchdog.go
@@ -9,10 +9,10 @@
 	"github.com/pomelospool/pomelospool/internal/watchdog"
 )
 
-// ErrSilent is the error of an exchange whose target made no progress in time.
-var ErrSilent = errors.New("no answer in time")
+// ErrNoProgress is the error of an exchange whose target made no progress in time.
+var ErrNoProgress = errors.New("no answer in time")
 
-// newWatchdog returns a context that is cancelled with ErrSilent when a wait of
+// newWatchdog returns a context that is cancelled with ErrNoProgress when a wait of
 // the exchange exceeds its limit, and the watchdog, armed with r.First.
 //
 // An open connection can go silent for good while new ones work; the request
@@ -21,8 +21,8 @@
 // silent target.
 func newWatchdog(ctx context.Context, r *Request) (context.Context, *watchdog.Watchdog, context.CancelCauseFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	dog := watchdog.New(func() { cancel(ErrSilent) })
-	dog.Arm(r.First)
+	dog := watchdog.New(func() { cancel(ErrNoProgress) })
+	dog.Arm(r.FirstByteTimeout)
 	return ctx, dog, cancel
 }
 
--- a/connection/pool/cancel.go
+++ b/connection/pool/cancel.go
@@ -60,7 +60,7 @@
 		Host:   addr,
 		Header: http.Header{"Content-Type": {"application/json"}},
 		Body:   body,
-		Reuse:  h1.Never,
+		Reuse:  h1.ReuseNever,
 	})
 	if err != nil {
 		return err
--- a/connection/pool/pool.go
+++ b/connection/pool/pool.go
@@ -32,18 +32,18 @@
 
 // Options of a Pool. Zero values take the defaults named beside them.
 type Options struct {
-	Connect     time.Duration // longest time to connect; 1s
-	UserTimeout time.Duration // TCP_USER_TIMEOUT; 2s
-	ProbeEvery  time.Duration // between probes of an unhealthy target; 200ms
-	ProbeWait   time.Duration // longest wait for a probe's answer; 500ms
+	ConnectTimeout time.Duration // longest time to connect; 1s
+	UserTimeout    time.Duration // TCP_USER_TIMEOUT; 2s
+	ProbeInterval  time.Duration // between probes of an unhealthy target; 200ms
+	ProbeTimeout   time.Duration // longest wait for a probe's answer; 500ms
 	// Dial replaces the TCP dialer, in tests.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
-	// Down is called once each time a target stops accepting connections, with
+	// OnDown is called once each time a target stops accepting connections, with
 	// the error of the dial, and once more when it refuses one after another
 	// error.
-	Down func(addr string, err error)
-	// Answered is called with the header of every answer.
-	Answered func(addr string, h http.Header)
+	OnDown func(addr string, err error)
+	// OnResponse is called with the header of every answer.
+	OnResponse func(addr string, h http.Header)
 }
 
 func (o Options) withDefaults() Options {
@@ -52,10 +52,10 @@
 			*d = v
 		}
 	}
-	def(&o.Connect, time.Second)
+	def(&o.ConnectTimeout, time.Second)
 	def(&o.UserTimeout, 2*time.Second)
-	def(&o.ProbeEvery, 200*time.Millisecond)
-	def(&o.ProbeWait, 500*time.Millisecond)
+	def(&o.ProbeInterval, 200*time.Millisecond)
+	def(&o.ProbeTimeout, 500*time.Millisecond)
 	return o
 }
 
@@ -100,11 +100,11 @@
 	p := &Pool{opts: o, targets: make(map[string]*target)}
 	p.cancels = make(chan struct{}, maxCancels)
 	p.wires = h1.New(h1.Options{
-		Connect:     o.Connect,
-		UserTimeout: o.UserTimeout,
-		MaxIdle:     idlePerTarget,
-		KeepAlive:   keepAlive,
-		Dial:        o.Dial,
+		ConnectTimeout: o.ConnectTimeout,
+		UserTimeout:    o.UserTimeout,
+		MaxIdle:        idlePerTarget,
+		KeepAlive:      keepAlive,
+		Dial:           o.Dial,
 	})
 	p.tomb.Go(func() error {
 		<-p.tomb.Dying()
@@ -127,8 +127,8 @@
 // Send sends r and reads the header of the answer. The error is a *h1.Error.
 func (p *Pool) Send(ctx context.Context, r *h1.Request) (*h1.Response, error) {
 	resp, err := p.wires.Do(ctx, r)
-	if err == nil && p.opts.Answered != nil {
-		p.opts.Answered(r.Addr, resp.Header)
+	if err == nil && p.opts.OnResponse != nil {
+		p.opts.OnResponse(r.Addr, resp.Header)
 	}
 	return resp, err
 }
@@ -160,11 +160,11 @@
 	}
 }
 
-// Refused reports that addr refused a request without running it: it is full,
+// ReportRefusal reports that addr refused a request without running it: it is full,
 // or leaving, or changing its role. Its own word about that comes with the
 // next state read; until then it has nothing in flight and looks like the best
 // choice, and would draw request after request.
-func (p *Pool) Refused(addr string) {
+func (p *Pool) ReportRefusal(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.get(addr).refused = time.Now()
@@ -212,26 +212,26 @@
 	})
 }
 
-// Silent reports that a connection to addr made no progress. None of the
+// ReportStall reports that a connection to addr made no progress. None of the
 // connections from before takes another request, and the target counts as
 // suspect until a probe over a new connection is answered.
-func (p *Pool) Silent(addr string) {
+func (p *Pool) ReportStall(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.wires.Forget(addr, "")
+	p.wires.Retire(addr, "")
 	t := p.get(addr)
 	t.suspect = true
 	p.watch(addr, t)
 	log.WithField("addr", addr).Warn("pool: connections retired")
 }
 
-// Unreachable reports that addr accepted no connection, with the dial's error.
+// ReportUnreachable reports that addr accepted no connection, with the dial's error.
 //
 // The first dial to a process that is ending may be reset, and the next one is
 // refused. Only a refusal shows that it has ended, so it is told of then, too:
 // otherwise the request that crashed it goes on to the next targets as innocent,
 // and takes three of them.
-func (p *Pool) Unreachable(addr string, err error) {
+func (p *Pool) ReportUnreachable(addr string, err error) {
 	p.mu.Lock()
 	t := p.get(addr)
 	refused := errors.Is(err, syscall.ECONNREFUSED)
@@ -248,8 +248,8 @@
 	}
 	defer close(told)
 	log.WithField("addr", addr).WithError(err).Warn("pool: target down")
-	if p.opts.Down != nil {
-		p.opts.Down(addr, err)
+	if p.opts.OnDown != nil {
+		p.opts.OnDown(addr, err)
 	}
 }
 
--- a/connection/pool/pool_test.go
+++ b/connection/pool/pool_test.go
@@ -73,11 +73,11 @@
 		do   func()
 		want int32
 	}{
-		{"first", h1.Idle, nil, 1},
-		{"shared", h1.Idle, nil, 1},
-		{"fresh", h1.Never, nil, 2},
-		{"fresh again", h1.Never, nil, 3},
-		{"after silence", h1.Idle, func() { p.Silent(s.addr()); waitHealthy(t, p, s.addr()) }, 5},
+		{"first", h1.ReuseIdle, nil, 1},
+		{"shared", h1.ReuseIdle, nil, 1},
+		{"fresh", h1.ReuseNever, nil, 2},
+		{"fresh again", h1.ReuseNever, nil, 3},
+		{"after silence", h1.ReuseIdle, func() { p.ReportStall(s.addr()); waitHealthy(t, p, s.addr()) }, 5},
 	}
 	for _, st := range steps {
 		if st.do != nil {
@@ -107,7 +107,7 @@
 	p := New(Options{})
 	defer p.Close()
 	ask := func(path string) string {
-		resp, err := p.Send(t.Context(), post(s.addr(), path, h1.Idle))
+		resp, err := p.Send(t.Context(), post(s.addr(), path, h1.ReuseIdle))
 		if err != nil {
 			t.Error(err)
 			return ""
@@ -119,7 +119,7 @@
 	streamed := make(chan string)
 	go func() { streamed <- ask("/stream") }()
 	old := <-reached
-	p.Silent(s.addr())
+	p.ReportStall(s.addr())
 	ask("/")
 	close(release)
 	<-streamed
@@ -160,7 +160,7 @@
 		name, addr string
 		want       bool
 	}{{"refused connection", gone.addr(), false}, {"reset after reading", reset.addr(), true}} {
-		err := send(t, p, tc.addr, h1.Never)
+		err := send(t, p, tc.addr, h1.ReuseNever)
 		var he *h1.Error
 		if !errors.As(err, &he) || he.Written != tc.want {
 			t.Errorf("%s: %+v", tc.name, err)
@@ -181,7 +181,7 @@
 	addr := l.Addr().String()
 	l.Close()
 	var told atomic.Int32
-	p := New(Options{ProbeEvery: time.Millisecond, Down: func(string, error) { told.Add(1) }})
+	p := New(Options{ProbeInterval: time.Millisecond, OnDown: func(string, error) { told.Add(1) }})
 	defer p.Close()
 	var wg sync.WaitGroup
 	for range 10 {
@@ -239,8 +239,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		telling := make(chan struct{})
 		p := New(Options{
-			Dial: func(context.Context, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED },
-			Down: func(string, error) { <-telling },
+			Dial:   func(context.Context, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED },
+			OnDown: func(string, error) { <-telling },
 		})
 		defer p.Close()
 		var verified atomic.Int32
@@ -276,17 +276,17 @@
 				}
 				return nil, syscall.ECONNREFUSED
 			},
-			Down: func(_ string, err error) { told = append(told, err) },
+			OnDown: func(_ string, err error) { told = append(told, err) },
 		})
 		defer p.Close()
-		p.Unreachable("a:1", syscall.ECONNRESET) // another request's dial
+		p.ReportUnreachable("a:1", syscall.ECONNRESET) // another request's dial
 		if !p.Verify(t.Context(), "a:1") {
 			t.Error("the target counts as alive")
 		}
 		if len(told) != 2 || !errors.Is(told[1], syscall.ECONNREFUSED) {
 			t.Errorf("told of %v as Verify returned", told)
 		}
-		p.Unreachable("a:1", syscall.ECONNREFUSED)
+		p.ReportUnreachable("a:1", syscall.ECONNREFUSED)
 		if len(told) != 2 {
 			t.Errorf("told again: %v", told)
 		}
--- a/connection/pool/probe.go
+++ b/connection/pool/probe.go
@@ -22,7 +22,7 @@
 // probeUntilHealthy probes a target over new connections until it answers or
 // leaves the pool.
 func (p *Pool) probeUntilHealthy(addr string, t *target) {
-	wait := p.opts.ProbeEvery
+	wait := p.opts.ProbeInterval
 	for {
 		err := p.Probe(context.Background(), addr)
 		if p.settle(addr, t, err) {
@@ -33,7 +33,7 @@
 			return
 		case <-time.After(wait):
 		}
-		wait = min(wait*2, p.opts.ProbeEvery*maxProbeBackoff)
+		wait = min(wait*2, p.opts.ProbeInterval*maxProbeBackoff)
 	}
 }
 
@@ -56,9 +56,9 @@
 // Probe asks addr for any answer over a new connection. OPTIONS * is HTTP's
 // own no-op: any status counts as an answer.
 func (p *Pool) Probe(ctx context.Context, addr string) error {
-	ctx, cancel := context.WithTimeout(ctx, p.opts.ProbeWait)
+	ctx, cancel := context.WithTimeout(ctx, p.opts.ProbeTimeout)
 	defer cancel()
-	resp, err := p.wires.Do(ctx, &h1.Request{Addr: addr, Method: http.MethodOptions, URI: "*", Host: addr, Reuse: h1.Never})
+	resp, err := p.wires.Do(ctx, &h1.Request{Addr: addr, Method: http.MethodOptions, URI: "*", Host: addr, Reuse: h1.ReuseNever})
 	if err != nil {
 		return err
 	}
@@ -77,11 +77,11 @@
 		return false
 	}
 	if errors.Is(err, h1.ErrConnect) {
-		p.Unreachable(addr, err)
+		p.ReportUnreachable(addr, err)
 		p.awaitTold(ctx, addr)
 		return true
 	}
-	p.Silent(addr)
+	p.ReportStall(addr)
 	return false
 }
 
--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -275,8 +275,8 @@
 
 func (d *Daemon) wireRequests() {
 	d.pool = pool.New(pool.Options{
-		Down:     func(addr string, err error) { d.watcher.Down(addr, err) },
-		Answered: func(addr string, h http.Header) { d.watcher.Answered(addr, h) },
+		OnDown:     func(addr string, err error) { d.watcher.Down(addr, err) },
+		OnResponse: func(addr string, h http.Header) { d.watcher.Answered(addr, h) },
 	})
 	d.watcher = load.New(load.Options{
 		View:         d.view,
--- a/process/daemon/logs.go
+++ b/process/daemon/logs.go
@@ -25,7 +25,7 @@
 	handler := logging.NewLimiter(format(s, w), logging.Options{})
 	log.SetHandler(handler)
 	stdlog.SetFlags(0)
-	stdlog.SetOutput(logging.Library{Next: handler})
+	stdlog.SetOutput(logging.StdlibWriter{Next: handler})
 	return handler.Report
 }
 
--- a/process/front/duties.go
+++ b/process/front/duties.go
@@ -30,14 +30,14 @@
 		return
 	}
 	d.usage = usage.New(usage.Options{
-		Self:   usage.Source{VM: d.s.VM, Incarnation: d.incarnation},
-		Period: d.s.Duties.UsageWindow,
-		Late:   d.s.Duties.UsageLate,
-		Clock:  d.clock,
-		Roster: d.roster,
-		Store:  d.reach,
-		Claims: d.newClaims(),
-		Duties: calls,
+		Self:           usage.Source{VM: d.s.VM, Incarnation: d.incarnation},
+		Period:         d.s.Duties.UsageWindow,
+		ReportDeadline: d.s.Duties.UsageLate,
+		Clock:          d.clock,
+		Roster:         d.roster,
+		Store:          d.reach,
+		Claims:         d.newClaims(),
+		Duties:         calls,
 	})
 }
 
--- a/process/front/logs.go
+++ b/process/front/logs.go
@@ -25,12 +25,12 @@
 		level = log.InfoLevel
 	}
 	log.SetLevel(level)
-	out := logging.NewAsync(w, logging.DefaultQueue)
+	out := logging.NewAsync(w, logging.DefaultQueueSize)
 	limited := logging.NewLimiter(out, logging.Options{Rate: linesPerSecond, Burst: linesAtOnce})
-	handler := logging.Requests{All: out, Other: limited}
+	handler := logging.RequestBypass{Unlimited: out, Limited: limited}
 	log.SetHandler(handler)
 	stdlog.SetFlags(0)
-	stdlog.SetOutput(logging.Library{Next: handler})
+	stdlog.SetOutput(logging.StdlibWriter{Next: handler})
 	return func() {
 		limited.Report()
 		out.Close()
--- a/process/logging/async.go
+++ b/process/logging/async.go
@@ -8,9 +8,9 @@
 	"github.com/apex/log/handlers/json"
 )
 
-// DefaultQueue is the number of lines that wait for a slow reader: at some 300
+// DefaultQueueSize is the number of lines that wait for a slow reader: at some 300
 // bytes a line about 1 MB.
-const DefaultQueue = 4096
+const DefaultQueueSize = 4096
 
 // Async is a log.Handler that writes JSON lines without ever making the caller
 // wait. It is safe for concurrent use.
@@ -69,7 +69,7 @@
 // sayDropped queues a line with the number of lines lost. Callers hold a.mu.
 func (a *Async) sayDropped(e *log.Entry) {
 	line, err := encode(&log.Entry{
-		Level: log.WarnLevel, Timestamp: e.Timestamp, Message: LeftOut,
+		Level: log.WarnLevel, Timestamp: e.Timestamp, Message: DroppedMessage,
 		Fields: log.Fields{"message": "(queue full)", "count": a.dropped},
 	})
 	if err != nil {
--- a/process/logging/async_test.go
+++ b/process/logging/async_test.go
@@ -21,7 +21,7 @@
 	return s.buf.Write(p)
 }
 
-// Requests stand still, one after the other: whoever reads the daemon's
+// RequestBypass stand still, one after the other: whoever reads the daemon's
 // standard output stopped, the pipe filled up, and each log line waits.
 func TestStuckReaderHoldsNobody(t *testing.T) {
 	s := &stuck{}
@@ -55,7 +55,7 @@
 	}
 	logger.Info("next")
 	a.Close()
-	if text := s.buf.String(); !strings.Contains(text, LeftOut) {
+	if text := s.buf.String(); !strings.Contains(text, DroppedMessage) {
 		t.Errorf("nothing says that lines were lost: %s", text)
 	}
 }
@@ -63,7 +63,7 @@
 // An engineer has a failed request's id, and its lines were left out.
 func TestLinesOfFailedRequestsPass(t *testing.T) {
 	k := &kept{}
-	r := Requests{All: k, Other: NewLimiter(k, Options{Rate: 1, Burst: 1})}
+	r := RequestBypass{Unlimited: k, Limited: NewLimiter(k, Options{Rate: 1, Burst: 1})}
 	logger := &log.Logger{Handler: r, Level: log.InfoLevel}
 	for range 100 {
 		logger.WithFields(log.Fields{FieldRequest: "r", FieldFailed: true}).Info("bad")
--- a/process/logging/bench_test.go
+++ b/process/logging/bench_test.go
@@ -20,7 +20,7 @@
 func BenchmarkRefusedLine(b *testing.B) {
 	out := &counting{}
 	async := NewAsync(io.Writer(out), 4096)
-	logger := &log.Logger{Handler: Requests{All: async}, Level: log.InfoLevel}
+	logger := &log.Logger{Handler: RequestBypass{Unlimited: async}, Level: log.InfoLevel}
 	fields := log.Fields{
 		"request": "0aa5c44340d12a2f", "route": "r-xxm9ghy", "service": "llm-desk", "version": 12,
 		"code": 1001, "status": 429, "ms": 0, "sends": 0, "targets": "", "failed": true,
--- a/process/logging/limit.go
+++ b/process/logging/limit.go
@@ -13,9 +13,9 @@
 // counts are the metrics of all limiters of the process.
 var counts = expvar.NewMap("logging")
 
-// LeftOut is the message of the lines that say what was left out. Its fields
+// DroppedMessage is the message of the lines that say what was left out. Its fields
 // are message, level and count.
-const LeftOut = "logging: lines left out"
+const DroppedMessage = "logging: lines left out"
 
 // The defaults of Options.
 const (
@@ -185,7 +185,7 @@
 		Logger:    b.logger,
 		Level:     log.WarnLevel,
 		Timestamp: l.opts.Now(),
-		Message:   LeftOut,
+		Message:   DroppedMessage,
 		Fields:    log.Fields{"message": k.message, "level": k.level.String(), "count": b.leftOut},
 	}
 }
--- a/process/logging/limit_test.go
+++ b/process/logging/limit_test.go
@@ -44,7 +44,7 @@
 	defer k.mu.Unlock()
 	n := 0
 	for _, e := range k.entries {
-		if e.Message == LeftOut && e.Fields["message"] == message {
+		if e.Message == DroppedMessage && e.Fields["message"] == message {
 			n += e.Fields["count"].(int)
 		}
 	}
@@ -72,14 +72,14 @@
 		}
 		advance(reportAfter)
 		passed := out.lines("attempt: failed")
-		t.Logf("%d lines a second in, %.1f out, %d reports", each, float64(passed)/seconds, out.lines(LeftOut))
+		t.Logf("%d lines a second in, %.1f out, %d reports", each, float64(passed)/seconds, out.lines(DroppedMessage))
 		if most := DefaultBurst + seconds*int(DefaultRate); passed > most {
 			t.Errorf("%d lines passed, at most %d may", passed, most)
 		}
 		if n := out.leftOut("attempt: failed"); passed+n != seconds*each {
 			t.Errorf("%d passed and %d counted, of %d", passed, n, seconds*each)
 		}
-		if n := out.lines(LeftOut); n > seconds+1 {
+		if n := out.lines(DroppedMessage); n > seconds+1 {
 			t.Errorf("%d reports in %d seconds", n, seconds)
 		}
 		if out.lines("lease: lost or out of date") != 1 {
@@ -103,7 +103,7 @@
 			synctest.Wait() // until the report is out
 			lg.Info("a")
 			lg.Info("a")
-		}, []string{"a", "a", LeftOut + " 1", "a"}},
+		}, []string{"a", "a", DroppedMessage + " 1", "a"}},
 		{"levels have budgets of their own", func(lg log.Interface, _ *Limiter) {
 			for range 2 {
 				lg.Info("a")
@@ -130,7 +130,7 @@
 			}
 			l.Report()
 			l.Report()
-		}, []string{"a", "a", LeftOut + " 2"}},
+		}, []string{"a", "a", DroppedMessage + " 2"}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -161,7 +161,7 @@
 // comes out as one line of ours, cut to a bound.
 func TestLibrary(t *testing.T) {
 	out := &kept{}
-	stdlog.New(Library{Next: out}, "", 0).Print("http: panic serving: " + strings.Repeat("x", maxLibraryText))
+	stdlog.New(StdlibWriter{Next: out}, "", 0).Print("http: panic serving: " + strings.Repeat("x", maxLibraryText))
 	if len(out.entries) != 1 || out.entries[0].Level != log.WarnLevel {
 		t.Fatalf("got %d lines", len(out.entries))
 	}
--- a/process/logging/requests.go
+++ b/process/logging/requests.go
@@ -9,23 +9,23 @@
 	FieldFailed  = "failed"
 )
 
-// Requests is a log.Handler that lets the lines of requests past the limiter,
+// RequestBypass is a log.Handler that lets the lines of requests past the limiter,
 // except the one line of a request that went well.
 //
 // The guard is against an engineer who has only a request's id and finds that
 // its lines were left out in a storm, which is when they are asked for.
-type Requests struct {
-	All   log.Handler // takes the lines of requests
-	Other *Limiter    // takes all other lines, and those of requests that went well
+type RequestBypass struct {
+	Unlimited log.Handler // takes the lines of requests
+	Limited   *Limiter    // takes all other lines, and those of requests that went well
 }
 
 // HandleLog passes the entry on.
-func (r Requests) HandleLog(e *log.Entry) error {
+func (r RequestBypass) HandleLog(e *log.Entry) error {
 	if _, ok := e.Fields[FieldRequest]; !ok {
-		return r.Other.HandleLog(e)
+		return r.Limited.HandleLog(e)
 	}
 	if failed, ended := e.Fields[FieldFailed].(bool); ended && !failed {
-		return r.Other.HandleLog(e)
+		return r.Limited.HandleLog(e)
 	}
-	return r.All.HandleLog(e)
+	return r.Unlimited.HandleLog(e)
 }
--- a/process/usage/reporter.go
+++ b/process/usage/reporter.go
@@ -63,14 +63,14 @@
 
 // Options of a Reporter. All are needed.
 type Options struct {
-	Self   Source
-	Period time.Duration // length of a window
-	Late   time.Duration // after a window's end until its report is due
-	Clock  Clock
-	Roster Roster
-	Store  port.Store
-	Claims *claim.Claims // not shared with other goroutines
-	Duties port.Duties
+	Self           Source
+	Period         time.Duration // length of a window
+	ReportDeadline time.Duration // after a window's end until its report is due
+	Clock          Clock
+	Roster         Roster
+	Store          port.Store
+	Claims         *claim.Claims // not shared with other goroutines
+	Duties         port.Duties
 }
 
 // Reporter counts, collects and reports. Add and Receive are safe for
@@ -308,7 +308,7 @@
 	if !any {
 		return true
 	}
-	if past < time.Duration(waitShare*float64(r.o.Late)) {
+	if past < time.Duration(waitShare*float64(r.o.ReportDeadline)) {
 		return false
 	}
 	log.WithFields(log.Fields{"window": window, "vm": missing.VM}).Warn("usage: counts of a daemon are missing")
--- a/process/usage/usage_test.go
+++ b/process/usage/usage_test.go
@@ -70,7 +70,7 @@
 func (f *fleet) start(name string) *daemon {
 	d := &daemon{f: f, name: name, born: uint64(time.Now().UnixNano()), alive: true}
 	d.Reporter = New(Options{
-		Self: Source{VM: name, Incarnation: d.born}, Period: period, Late: late,
+		Self: Source{VM: name, Incarnation: d.born}, Period: period, ReportDeadline: late,
 		Clock: clock.NewFleet(f.steady, time.Now), Roster: d, Store: f.store, Duties: f.duties,
 		Claims: claim.New(claim.Options{Self: name, Store: f.store, Lease: lease, Clock: f.steady, Seen: claim.NewSightings(f.steady)}),
 	})
--- a/request/attempt/attempt.go
+++ b/request/attempt/attempt.go
@@ -92,7 +92,7 @@
 	predicted := r.refusedBefore(t.Addr, p.chosenAt)
 	id := newAttemptID(q.ID)
 	req := r.build(q, t, id, recv.Progress())
-	req.First, req.Between = p.headerTimeout, r.opts.ReadTimeout
+	req.FirstByteTimeout, req.ReadTimeout = p.headerTimeout, r.opts.ReadTimeout
 	resp, err := r.opts.Pool.Send(ctx, req)
 	if err != nil {
 		f := r.sendFailure(ctx, t, err)
@@ -106,7 +106,7 @@
 		r.cancelSilent(f, q, t, id)
 	}
 	if f != nil && f.Class == failure.NotRun {
-		r.opts.Pool.Refused(t.Addr)
+		r.opts.Pool.ReportRefusal(t.Addr)
 		return f, !predicted
 	}
 	return f, false
@@ -114,7 +114,7 @@
 
 func (r *Runner) noteSilent(f *failure.Failure, t routing.Target) {
 	if f.Class == failure.Silent {
-		r.opts.Pool.Silent(t.Addr)
+		r.opts.Pool.ReportStall(t.Addr)
 	}
 }
 
@@ -165,10 +165,10 @@
 
 func (r *Runner) sendFailure(ctx context.Context, t routing.Target, err error) *failure.Failure {
 	if errors.Is(err, h1.ErrConnect) && ctx.Err() == nil {
-		r.opts.Pool.Unreachable(t.Addr, err)
+		r.opts.Pool.ReportUnreachable(t.Addr, err)
 	}
-	if errors.Is(err, h1.ErrSilent) {
-		r.opts.Pool.Silent(t.Addr)
+	if errors.Is(err, h1.ErrNoProgress) {
+		r.opts.Pool.ReportStall(t.Addr)
 	}
 	return failure.ClassifySend(ctx, t.Name, err)
 }
--- a/request/attempt/runner.go
+++ b/request/attempt/runner.go
@@ -77,9 +77,9 @@
 // unresponsive their outcome would be unknown.
 func (q *Request) reuse() h1.Reuse {
 	if q.Idempotent {
-		return h1.Idle
+		return h1.ReuseIdle
 	}
-	return h1.Never
+	return h1.ReuseNever
 }
 
 // Result describes the attempts of a request.
--- a/request/dispatch/plain.go
+++ b/request/dispatch/plain.go
@@ -102,7 +102,7 @@
 		if e.Zone != x.opts.Zone {
 			cost += zoneWeight
 		}
-		if !x.opts.Pool.Warm(e.Addr, e.ID, reuse) {
+		if !x.opts.Pool.HasIdle(e.Addr, e.ID, reuse) {
 			cost += dialWeight
 		}
 		cost += zoneWeight / 2 * hashFraction(x.call.Ask.ID, e.ID)
--- a/request/dispatch/prefill.go
+++ b/request/dispatch/prefill.go
@@ -124,7 +124,7 @@
 			Load:        t.load,
 			FailureRate: x.opts.Health.FailureRate(t.ID),
 			Slowdown:    x.opts.Health.Pace(t.ID),
-			HasIdleConn: x.opts.Pool.Warm(t.Addr, t.ID, reuse),
+			HasIdleConn: x.opts.Pool.HasIdle(t.Addr, t.ID, reuse),
 			LocalOnly:   t.localOnly,
 		})
 	}
--- a/request/dispatch/send.go
+++ b/request/dispatch/send.go
@@ -44,16 +44,16 @@
 	s.state.Left = time.Until(x.call.Deadline)
 	x.opts.Wire.Stamp(h, s.state)
 	return &h1.Request{
-		Addr:   s.target.Addr,
-		Target: s.target.ID,
-		Method: x.call.Method,
-		URI:    x.call.URI,
-		Host:   x.call.Host,
-		Header: h,
-		Body:   x.call.Body,
-		Reuse:  x.connReuse(s),
-		First:  s.headerTimeout,
-		Mine:   x.answersCall,
+		Addr:             s.target.Addr,
+		Target:           s.target.ID,
+		Method:           x.call.Method,
+		URI:              x.call.URI,
+		Host:             x.call.Host,
+		Header:           h,
+		Body:             x.call.Body,
+		Reuse:            x.connReuse(s),
+		FirstByteTimeout: s.headerTimeout,
+		Matches:          x.answersCall,
 	}
 }
 
@@ -62,9 +62,9 @@
 // would fail as one that may have run.
 func (x *execution) connReuse(s outgoing) h1.Reuse {
 	if x.call.Route.Idempotent() || s.state.Prefill {
-		return h1.Idle
+		return h1.ReuseIdle
 	}
-	return h1.Recent
+	return h1.ReuseRecent
 }
 
 // answersCall reports whether an answer belongs to this call. A success must
--- a/request/entry/fixture_test.go
+++ b/request/entry/fixture_test.go
@@ -122,7 +122,7 @@
 // at those of plains. change may alter what it likes.
 func newFixture(t testing.TB, engines, plains []string, change func(*Options, *document.Document)) *fixture {
 	t.Helper()
-	p := pool.New(pool.Options{ProbeEvery: 10 * time.Millisecond, ProbeWait: patience})
+	p := pool.New(pool.Options{ProbeInterval: 10 * time.Millisecond, ProbeTimeout: patience})
 	llm := &document.Document{Service: "llm", Kind: document.KindModel, Models: []document.Model{{Name: testModel}}, Targets: targets("e", engines)}
 	app := &document.Document{Service: "app", Kind: document.KindPlain, Targets: targets("p", plains), Once: document.Once{Paths: []string{"/holds"}}}
 	o := Options{View: &view.Holder{}, Pool: p, Router: leastLoaded{}, First: patience, Between: patience, Write: patience}
--- a/request/entry/logs_test.go
+++ b/request/entry/logs_test.go
@@ -213,7 +213,7 @@
 	limiter.Report()
 	attempts := full.count() + dying.count()
 	passed, counted := len(l.of("attempt: failed")), 0
-	for _, e := range l.of(logging.LeftOut) {
+	for _, e := range l.of(logging.DroppedMessage) {
 		if e.Fields["message"] == "attempt: failed" {
 			counted += e.Fields["count"].(int)
 		}
--- a/request/entry/path_test.go
+++ b/request/entry/path_test.go
@@ -20,7 +20,7 @@
 // real replaces the fixture's fakes by the real routing and load watcher.
 func real(t testing.TB, o *Options) *load.Watcher {
 	var w *load.Watcher
-	o.Pool = pool.New(pool.Options{Down: func(addr string, err error) { w.Down(addr, err) }})
+	o.Pool = pool.New(pool.Options{OnDown: func(addr string, err error) { w.Down(addr, err) }})
 	w = load.New(load.Options{
 		View:         o.View,
 		Pool:         o.Pool,
--- a/request/failure/failure.go
+++ b/request/failure/failure.go
@@ -110,7 +110,7 @@
 // a progress timeout, the passed deadline or a caller that has disconnected.
 func (f *Failure) refineClass(ctx context.Context) {
 	switch {
-	case errors.Is(f.Err, h1.ErrSilent):
+	case errors.Is(f.Err, h1.ErrNoProgress):
 		f.Class = Silent
 	case ctx.Err() == nil:
 	case errors.Is(context.Cause(ctx), context.DeadlineExceeded):
--- a/request/failure/failure_test.go
+++ b/request/failure/failure_test.go
@@ -32,8 +32,8 @@
 	}{
 		{"no connection", live, &h1.Error{Err: h1.ErrConnect}, NotWritten, false, false},
 		{"reset after the request", live, &h1.Error{Err: reset, Written: true}, NoAnswer, true, false},
-		{"silent after the request", live, &h1.Error{Err: h1.ErrSilent, Written: true}, Silent, true, false},
-		{"silent before the request", live, &h1.Error{Err: h1.ErrSilent}, NotWritten, false, false},
+		{"silent after the request", live, &h1.Error{Err: h1.ErrNoProgress, Written: true}, Silent, true, false},
+		{"silent before the request", live, &h1.Error{Err: h1.ErrNoProgress}, NotWritten, false, false},
 		{"caller left", gone, &h1.Error{Err: context.Canceled, Written: true}, CallerGone, true, true},
 		{"caller left before", gone, &h1.Error{Err: context.Canceled}, CallerGone, false, true},
 		{"deadline", over, &h1.Error{Err: context.DeadlineExceeded, Written: true}, Late, true, true},
