--- a/connection/h1/exchange.go
+++ b/connection/h1/exchange.go
@@ -15,110 +15,112 @@
 	"github.com/pomelospool/pomelospool/internal/watchdog"
 )
 
-// Request is one request to one target.
+// Request is an HTTP request to a target.
 type Request struct {
 	Addr   string // host:port
-	Target string // the target's id, which keeps connections of different targets at one address apart
+	Target string // the target's id; targets that share an address don't share connections
 	Method string
-	URI    string // path and query as they stand in the request line
+	URI    string // path and query, as written to the request line
 	Host   string
 	Header http.Header
 	Body   []byte
 	Reuse  Reuse
-	// FirstByteTimeout is the longest wait for the answer's header, and for the first
-	// bytes of its body; 0: none. An engine sends the header when it takes a
-	// request and the first token when the prompt is read.
+	// FirstByteTimeout limits the wait for the response header, and then the
+	// wait for the first bytes of the body. 0 means no limit. An engine sends
+	// the header when it accepts a request, and the first token after prefill.
 	FirstByteTimeout time.Duration
-	// ReadTimeout is the longest wait for further bytes of the body; 0: none.
+	// ReadTimeout limits each wait for further bytes of the body. 0 means no
+	// limit.
 	ReadTimeout time.Duration
-	// Matches reports whether an answer is the one to this request; nil: any is.
+	// Matches reports whether a response belongs to this request. If it is
+	// nil, every response does.
 	Matches func(status int, h http.Header) bool
 }
 
-// Reuse says which connections may carry a request.
+// Reuse selects the connections that may carry a request.
 type Reuse int
 
-// The kinds of reuse.
+// The values of Reuse.
 const (
-	ReuseIdle   Reuse = iota // one that is idle, or a new one
-	ReuseRecent              // one that was used a moment ago, or a new one
-	ReuseNever               // a new one, which is closed after the answer
+	ReuseIdle   Reuse = iota // an idle connection, or a new one
+	ReuseRecent              // a connection used within recentLimit or its keep-alive time, or a new one
+	ReuseNever               // a new connection, which is closed after the response
 )
 
-// Response is an answer whose header was read. Close it.
+// Response is a response whose header has been read. The caller must close it.
 type Response struct {
 	Status int
 	Header http.Header
-	Framed bool // the end of the body is marked; else the connection's end is its end
+	Framed bool // the body's end is marked by its length or chunks; otherwise the close of the connection ends it
 	Body   io.Reader
 
 	x *exchange
 }
 
-// Error is a failed exchange.
+// Error is the error of a failed exchange.
 type Error struct {
 	Err     error
 	Written bool // some byte of the request may have reached the target
 }
 
-// Error gives the cause.
+// Error returns the message of the cause.
 func (e *Error) Error() string { return e.Err.Error() }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// exchange is a request and its answer on one connection.
+// exchange is a request and its response on one connection.
 type exchange struct {
-	pool    *Pool
-	req     *Request
-	conn    *conn
-	ctx     context.Context
-	dog     *watchdog.Watchdog
-	cancel  context.CancelCauseFunc // of ctx
-	stop    func() bool             // ends the watch over the context
-	wrote   chan written
-	resp    *http.Response
-	ended   atomic.Bool // the body was read to its end
-	closing sync.Once
-	stray   bool // an answer to another request came
+	pool      *Pool
+	req       *Request
+	conn      *conn
+	ctx       context.Context
+	watchdog  *watchdog.Watchdog
+	cancel    context.CancelCauseFunc // of ctx
+	stop      func() bool             // stops the callback that closes conn when ctx ends
+	writeDone chan writeResult
+	resp      *http.Response
+	bodyEnded atomic.Bool // the body was read to EOF
+	closeOnce sync.Once
+	stray     bool // a response to another request arrived
 }
 
-// written is how the writing of a request ended.
-type written struct {
-	bytes int // that were handed to the kernel
+// writeResult is the result of writing a request.
+type writeResult struct {
+	bytes int // bytes that the kernel accepted
 	err   error
 }
 
-// inlineBody is the size up to which a body is written before the answer is
-// read. A larger one is written beside, since a target may answer before it
-// has read all of it.
+// inlineBody is the largest body, in bytes, that is written before the response
+// is read. A larger body is written concurrently, since a target may respond
+// before it has read the whole body.
 const inlineBody = 4 << 10
 
-// Do sends r and reads the header of the answer. The connection is closed when
-// ctx ends or the target makes no progress in time, which tells most targets
-// to stop. The error is an *Error.
+// Do sends r and reads the response header. It closes the connection when ctx
+// ends or when the target makes no progress in time; most targets then stop
+// processing the request. The error is an *Error.
 func (p *Pool) Do(ctx context.Context, r *Request) (*Response, error) {
-	ctx, dog, cancel := newWatchdog(ctx, r)
-	c, err := p.take(ctx, r)
+	ctx, wd, cancel := newWatchdog(ctx, r)
+	c, err := p.acquire(ctx, r)
 	if err != nil {
-		err = endOf(ctx, err)
-		dog.Disarm()
+		err = causeOf(ctx, err)
+		wd.Disarm()
 		cancel(nil)
 		return nil, &Error{Err: err}
 	}
-	x := &exchange{pool: p, req: r, conn: c, ctx: ctx, dog: dog, cancel: cancel, wrote: make(chan written, 1)}
+	x := &exchange{pool: p, req: r, conn: c, ctx: ctx, watchdog: wd, cancel: cancel, writeDone: make(chan writeResult, 1)}
 	x.stop = context.AfterFunc(ctx, func() { _ = c.Close() })
 	x.write()
 	resp, err := x.read()
 	if err != nil {
 		return nil, x.abort(err)
 	}
-	dog.Disarm()
+	wd.Disarm()
 	return resp, nil
 }
 
-// endOf names why an exchange under ctx ended, where ctx knows better than err.
-func endOf(ctx context.Context, err error) error {
+// causeOf returns the cause of ctx's end if ctx has ended, and err otherwise.
+func causeOf(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
 	}
@@ -129,7 +131,7 @@
 	all := append(encodeHead(x.req), x.req.Body...)
 	send := func() {
 		n, err := x.conn.Write(all)
-		x.wrote <- written{bytes: n, err: err}
+		x.writeDone <- writeResult{bytes: n, err: err}
 	}
 	if len(x.req.Body) <= inlineBody {
 		send()
@@ -150,20 +152,21 @@
 	return b.Bytes()
 }
 
-// maxStrays is how many answers to other requests are read past before the
-// answer to this one, and maxStray the size of one of them, in bytes.
+// maxStrays is the number of stray responses, which belong to other requests,
+// that are discarded before the response to this one. maxStrayBytes limits the
+// body of a stray response.
 const (
-	maxStrays = 3
-	maxStray  = 1 << 20
+	maxStrays     = 3
+	maxStrayBytes = 1 << 20
 )
 
-var errStray = errors.New("h1: the answer is to another request")
+var errStray = errors.New("h1: response belongs to another request")
 
-// read reads the answer's header, after informational ones.
+// read reads the response header and skips informational responses.
 //
-// The guard is against a target that answers an earlier request twice: the
-// second answer stands where the next one is expected, and a caller would get
-// what another asked. It is read past, and the connection isn't used again.
+// It also discards stray responses. A target that responds to an earlier
+// request twice would otherwise have its second response delivered to the next
+// caller on the connection. A connection with a stray response isn't reused.
 func (x *exchange) read() (*Response, error) {
 	r, strays := x.req, 0
 	for {
@@ -178,7 +181,7 @@
 			strays++
 			counts.Add("strays", 1)
 			x.stray = true
-			if err := skip(resp); err != nil || strays > maxStrays {
+			if err := discard(resp); err != nil || strays > maxStrays {
 				return nil, errStray
 			}
 			continue
@@ -195,95 +198,98 @@
 	}
 }
 
-// skip reads an answer to its marked end.
-func skip(resp *http.Response) error {
+// discard reads a framed response to its end. It fails if the response isn't
+// framed or is too large.
+func discard(resp *http.Response) error {
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
 		return errStray
 	}
-	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxStray))
-	if err == nil && n == maxStray {
+	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxStrayBytes))
+	if err == nil && n == maxStrayBytes {
 		err = errStray
 	}
 	return err
 }
 
-// body watches the progress of an answer and notes when its end was read.
+// body applies the read timeouts to a response body and records when its end
+// was read.
 type body struct {
-	x     *exchange
-	src   io.Reader
-	begun bool
+	x       *exchange
+	src     io.Reader
+	started bool
 }
 
 func (b *body) Read(p []byte) (int, error) {
-	b.x.dog.Arm(b.patience())
+	b.x.watchdog.Arm(b.timeout())
 	n, err := b.src.Read(p)
-	b.x.dog.Disarm()
-	b.begun = b.begun || n > 0
+	b.x.watchdog.Disarm()
+	b.started = b.started || n > 0
 	switch {
 	case errors.Is(err, io.EOF):
-		b.x.ended.Store(true)
+		b.x.bodyEnded.Store(true)
 	case err != nil:
-		err = endOf(b.x.ctx, err)
-		b.x.silenced(err)
+		err = causeOf(b.x.ctx, err)
+		b.x.retireIfStalled(err)
 	}
 	return n, err
 }
 
-func (b *body) patience() time.Duration {
-	if b.begun {
+func (b *body) timeout() time.Duration {
+	if b.started {
 		return b.x.req.ReadTimeout
 	}
 	return b.x.req.FirstByteTimeout
 }
 
-// Close keeps the connection if the answer was read to its marked end, the
-// request was written whole, and nothing follows the answer. Otherwise it
-// closes the connection: bytes that follow an answer belong to no request, and
-// would be taken for the next one's answer.
+// Close returns the connection to the pool if the framed response was read to
+// its end, the request was fully written, and no bytes follow the response.
+// Otherwise it closes the connection: bytes that follow a response belong to no
+// request and would be taken for the response to the next one. keepAlive is the
+// idle timeout that the target stated; 0 means none.
 func (r *Response) Close(keepAlive time.Duration) {
 	x := r.x
-	x.closing.Do(func() {
+	x.closeOnce.Do(func() {
 		alive := x.stop()
 		x.release()
-		whole := false
+		fullyWritten := false
 		select {
-		case w := <-x.wrote:
-			whole = w.err == nil
+		case w := <-x.writeDone:
+			fullyWritten = w.err == nil
 		default:
 		}
-		clean := !x.stray && x.ended.Load() && r.Framed && x.conn.reader.Buffered() == 0
-		if alive && whole && clean && !x.resp.Close && x.req.Reuse != ReuseNever {
-			x.pool.put(x.conn, keepAlive)
+		clean := !x.stray && x.bodyEnded.Load() && r.Framed && x.conn.reader.Buffered() == 0
+		if alive && fullyWritten && clean && !x.resp.Close && x.req.Reuse != ReuseNever {
+			x.pool.putIdle(x.conn, keepAlive)
 			return
 		}
 		_ = x.conn.Close()
 	})
 }
 
-// abort ends an exchange that got no answer, and reports whether the target may
-// have seen the request.
+// abort ends an exchange that got no response. The error reports whether the
+// target may have received any of the request.
 //
-// The guard is against "not run" said of a request that ran: the connection is
-// closed and the write over before the bytes are counted, so that nothing of
-// the request is written later.
+// abort closes the connection and waits for the write to end before it counts
+// the written bytes. Bytes written later could let a target run a request that
+// was reported as not run.
 func (x *exchange) abort(err error) *Error {
-	err = endOf(x.ctx, err)
-	x.silenced(err)
+	err = causeOf(x.ctx, err)
+	x.retireIfStalled(err)
 	x.stop()
 	x.release()
 	_ = x.conn.Close()
-	w := <-x.wrote
+	w := <-x.writeDone
 	return &Error{Err: err, Written: w.bytes > 0}
 }
 
-// release frees the watchdog and the context.
+// release disarms the watchdog and cancels the context.
 func (x *exchange) release() {
-	x.dog.Disarm()
+	x.watchdog.Disarm()
 	x.cancel(nil)
 }
 
-// silenced retires the target's connections if err says that one is silent.
-func (x *exchange) silenced(err error) {
+// retireIfStalled retires the target's connections if err reports a stall.
+func (x *exchange) retireIfStalled(err error) {
 	if errors.Is(err, ErrNoProgress) {
 		x.pool.Retire(x.req.Addr, x.req.Target)
 	}
--- a/connection/h1/h1_test.go
+++ b/connection/h1/h1_test.go
@@ -19,8 +19,10 @@
 	"github.com/pomelospool/pomelospool/internal/pipenet"
 )
 
-// answer is a raw server: it reads requests and writes what reply gives.
-func answer(reply func(n int, req *http.Request) string) func(net.Conn) {
+// serveResponses returns a connection handler that writes the raw response
+// returned by reply for the nth request. It closes the connection when reply
+// returns "".
+func serveResponses(reply func(n int, req *http.Request) string) func(net.Conn) {
 	return func(c net.Conn) {
 		defer c.Close()
 		r := bufio.NewReader(c)
@@ -47,11 +49,11 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-func pool(n *pipenet.Net) *Pool { return New(Options{Dial: n.Dial}) }
+func newPool(n *pipenet.Net) *Pool { return New(Options{Dial: n.Dial}) }
 
-func get(p *Pool, fresh bool) (*Response, string, error) {
+func get(p *Pool, recent bool) (*Response, string, error) {
 	reuse := ReuseIdle
-	if fresh {
+	if recent {
 		reuse = ReuseRecent
 	}
 	resp, err := p.Do(context.Background(), &Request{Addr: "a:1", Target: "t", Method: "GET", URI: "/x", Host: "h", Reuse: reuse})
@@ -63,18 +65,20 @@
 	return resp, string(body), err
 }
 
-// mustGet fails the test unless the answer is as wanted.
-func mustGet(t *testing.T, p *Pool, fresh bool, want string) {
+// mustGet fails the test unless the response body is want.
+func mustGet(t *testing.T, p *Pool, recent bool, want string) {
 	t.Helper()
-	if _, body, err := get(p, fresh); err != nil || body != want {
+	if _, body, err := get(p, recent); err != nil || body != want {
 		t.Fatalf("body %q, %v; want %q", body, err, want)
 	}
 }
 
-func bubble(t *testing.T, test func(t *testing.T, n *pipenet.Net, p *Pool)) {
+// runInBubble runs a test with an in-memory network and a pool in a synctest
+// bubble.
+func runInBubble(t *testing.T, test func(t *testing.T, n *pipenet.Net, p *Pool)) {
 	synctest.Test(t, func(t *testing.T) {
 		n := &pipenet.Net{}
-		p := pool(n)
+		p := newPool(n)
 		test(t, n, p)
 		p.Close()
 		n.Close()
@@ -82,12 +86,12 @@
 	})
 }
 
-func TestConnectionIsUsedAgain(t *testing.T) {
-	bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
-		n.ServeConn("a:1", answer(func(i int, _ *http.Request) string { return ok(fmt.Sprint(i)) }))
+func TestConnectionIsReused(t *testing.T) {
+	runInBubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
+		n.ServeConn("a:1", serveResponses(func(i int, _ *http.Request) string { return ok(fmt.Sprint(i)) }))
 		mustGet(t, p, false, "1")
 		mustGet(t, p, false, "2")
-		_ = pause.For(context.Background(), freshFor+time.Millisecond)
+		_ = pause.For(context.Background(), recentLimit+time.Millisecond)
 		mustGet(t, p, true, "1")
 		if d := n.DialCount("a:1"); d != 2 {
 			t.Errorf("%d connections, want 2", d)
@@ -95,11 +99,11 @@
 	})
 }
 
-// A confirmation ends as "may have run". It was written to a connection that
-// had been idle for long, just as the target closed it.
-func TestIdleConnectionsAreGivenUpBeforeTheTargetDoes(t *testing.T) {
-	bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
-		n.ServeConn("a:1", answer(func(i int, _ *http.Request) string { return ok(fmt.Sprint(i)) }))
+// Guards against a request that ends as "may have run" because it was written
+// to an idle connection just as the target's idle timeout closed it.
+func TestIdleConnectionIsDroppedBeforeTargetTimeout(t *testing.T) {
+	runInBubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
+		n.ServeConn("a:1", serveResponses(func(i int, _ *http.Request) string { return ok(fmt.Sprint(i)) }))
 		resp, err := p.Do(t.Context(), &Request{Addr: "a:1", Target: "t", Method: "GET", URI: "/", Host: "h"})
 		if err != nil {
 			t.Fatal(err)
@@ -109,18 +113,18 @@
 		_ = pause.For(context.Background(), 1850*time.Millisecond)
 		mustGet(t, p, false, "1")
 		if d := n.DialCount("a:1"); d != 2 {
-			t.Errorf("%d connections, want 2: the stated idle time was nearly over", d)
+			t.Errorf("%d connections, want 2: the stated idle time had nearly passed", d)
 		}
 	})
 }
 
-// A caller gets what another one asked. The target answered an earlier request
-// twice, and the second answer stood where the next one was expected.
-func TestStrayAnswerIsReadPast(t *testing.T) {
-	bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
+// Guards against a caller that gets the response to another caller's request,
+// because the target responded twice to the earlier request on the connection.
+func TestStrayResponseIsDiscarded(t *testing.T) {
+	runInBubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
 		stray := "HTTP/1.1 200 OK\r\nId: old\r\nContent-Length: 5\r\n\r\nwrong"
-		mine := "HTTP/1.1 200 OK\r\nId: new\r\nContent-Length: 5\r\n\r\nright"
-		n.ServeConn("a:1", answer(func(int, *http.Request) string { return stray + mine }))
+		matching := "HTTP/1.1 200 OK\r\nId: new\r\nContent-Length: 5\r\n\r\nright"
+		n.ServeConn("a:1", serveResponses(func(int, *http.Request) string { return stray + matching }))
 		resp, err := p.Do(t.Context(), &Request{
 			Addr: "a:1", Target: "t", Method: "GET", URI: "/", Host: "h",
 			Matches: func(_ int, h http.Header) bool { return h.Get("Id") == "new" },
@@ -135,14 +139,14 @@
 		}
 		_, _, _ = get(p, false)
 		if d := n.DialCount("a:1"); d != 2 {
-			t.Error("a connection on which a stray answer came was used again")
+			t.Error("a connection that received a stray response was reused")
 		}
 	})
 }
 
-func TestOnlyStrayAnswers(t *testing.T) {
-	bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
-		n.ServeConn("a:1", answer(func(int, *http.Request) string { return strings.Repeat(ok("x"), 10) }))
+func TestOnlyStrayResponses(t *testing.T) {
+	runInBubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
+		n.ServeConn("a:1", serveResponses(func(int, *http.Request) string { return strings.Repeat(ok("x"), 10) }))
 		_, err := p.Do(t.Context(), &Request{
 			Addr: "a:1", Target: "t", Method: "GET", URI: "/", Host: "h",
 			Matches: func(int, http.Header) bool { return false },
@@ -153,17 +157,18 @@
 	})
 }
 
-// Bytes that follow an answer belong to no request; the connection ends.
-func TestBytesAfterAnAnswerEndTheConnection(t *testing.T) {
-	bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
-		n.ServeConn("a:1", answer(func(i int, _ *http.Request) string { return ok(fmt.Sprint(i)) + "junk" }))
+// A connection with bytes after a response isn't reused, since they belong to no
+// request.
+func TestBytesAfterResponseCloseConnection(t *testing.T) {
+	runInBubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
+		n.ServeConn("a:1", serveResponses(func(i int, _ *http.Request) string { return ok(fmt.Sprint(i)) + "junk" }))
 		mustGet(t, p, false, "1")
 		mustGet(t, p, false, "1")
 	})
 }
 
-// A cut answer must not look whole.
-func TestCutAnswers(t *testing.T) {
+// Guards against a truncated response that is reported as complete.
+func TestTruncatedResponses(t *testing.T) {
 	cases := map[string]string{
 		"length":        "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
 		"chunks":        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
@@ -172,7 +177,7 @@
 	}
 	for name, text := range cases {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
+			runInBubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
 				n.ServeConn("a:1", func(c net.Conn) {
 					_, _ = http.ReadRequest(bufio.NewReader(c))
 					_, _ = io.WriteString(c, text)
@@ -186,8 +191,8 @@
 	}
 }
 
-func TestAnswerThatEndsWithItsConnection(t *testing.T) {
-	bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
+func TestResponseDelimitedByClose(t *testing.T) {
+	runInBubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
 		n.ServeConn("a:1", func(c net.Conn) {
 			_, _ = http.ReadRequest(bufio.NewReader(c))
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall of it")
@@ -200,16 +205,16 @@
 	})
 }
 
-// "Not run" is said of a request that ran, if it is wrong about what was
-// written.
-func TestWrittenOrNot(t *testing.T) {
-	bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
+// Guards against a request that ran and is reported as "not run", because
+// Error.Written is wrong.
+func TestErrorReportsWritten(t *testing.T) {
+	runInBubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
 		_, _, err := get(p, false)
 		var e *Error
 		if !errors.As(err, &e) || e.Written || !errors.Is(err, ErrConnect) {
 			t.Errorf("refused connection: %v", err)
 		}
-		n.ServeConn("a:1", answer(func(int, *http.Request) string { return "" }))
+		n.ServeConn("a:1", serveResponses(func(int, *http.Request) string { return "" }))
 		_, _, err = get(p, false)
 		if !errors.As(err, &e) || !e.Written {
 			t.Errorf("closed after the request: %v", err)
@@ -217,16 +222,17 @@
 	})
 }
 
-// A request is given up before a byte of it was written, and reported as not
-// run. The target reads from the connection a moment later. A write that went
-// on after the report would have it run what the caller was told didn't run.
-func TestGivenUpRequestIsNotWrittenLater(t *testing.T) {
+// Guards against a request that runs after it was reported as not run. The
+// request is aborted before a byte of it was written, and the target reads from
+// the connection only afterwards. A write that continues after the abort would
+// deliver the request.
+func TestAbortedRequestIsNotWrittenLater(t *testing.T) {
 	for _, size := range []int{1, 10 * inlineBody} {
-		bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
-			given := make(chan struct{})
+		runInBubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
+			aborted := make(chan struct{})
 			read := make(chan int)
 			n.ServeConn("a:1", func(c net.Conn) {
-				<-given
+				<-aborted
 				got, _ := c.Read(make([]byte, 1))
 				read <- got
 			})
@@ -237,21 +243,21 @@
 			if !errors.As(err, &e) || e.Written || !errors.Is(err, context.DeadlineExceeded) {
 				t.Errorf("%d bytes: %+v", size, err)
 			}
-			close(given)
+			close(aborted)
 			if got := <-read; got != 0 {
-				t.Errorf("%d bytes: the target read something after the request was given up", size)
+				t.Errorf("%d bytes: the target read something after the request was aborted", size)
 			}
 		})
 	}
 }
 
-// A stream goes silent in the middle while another request to the same target
-// is under way. When that one ends its connection is idle, and may be as dead:
-// the next caller's request would stall on it.
-func TestSilenceRetiresBusyConnectionsToo(t *testing.T) {
-	bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
+// Guards against a request that stalls on a reused dead connection. A stream
+// stalls while another request to the same target is in flight. The other
+// connection becomes idle when its request ends, but may be dead, too.
+func TestStallRetiresBusyConnections(t *testing.T) {
+	runInBubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
 		release := make(chan struct{})
-		n.ServeConn("a:1", answer(func(_ int, r *http.Request) string {
+		n.ServeConn("a:1", serveResponses(func(_ int, r *http.Request) string {
 			switch r.URL.Path {
 			case "/busy":
 				<-release
@@ -261,27 +267,27 @@
 			return ok("whole")
 		}))
 		busy := make(chan error)
-		go func() { busy <- get1(p, "/busy", 0) }()
+		go func() { busy <- getPath(p, "/busy", 0) }()
 		synctest.Wait()
 		_ = pause.For(context.Background(), time.Second)
-		if err := get1(p, "/silent", time.Second); !errors.Is(err, ErrNoProgress) {
+		if err := getPath(p, "/silent", time.Second); !errors.Is(err, ErrNoProgress) {
 			t.Errorf("a stream without progress ended with %v", err)
 		}
 		close(release)
 		if err := <-busy; err != nil {
 			t.Error(err)
 		}
-		if err := get1(p, "/after", 0); err != nil {
+		if err := getPath(p, "/after", 0); err != nil {
 			t.Error(err)
 		}
 		if d := n.DialCount("a:1"); d != 3 {
-			t.Errorf("%d connections, want 3: the busy one took another request", d)
+			t.Errorf("%d connections, want 3: the busy one was reused", d)
 		}
 	})
 }
 
-// get1 asks for a path and reads the whole answer.
-func get1(p *Pool, uri string, between time.Duration) error {
+// getPath requests a path and reads the whole response.
+func getPath(p *Pool, uri string, between time.Duration) error {
 	resp, err := p.Do(context.Background(), &Request{Addr: "a:1", Target: "t", Method: "GET", URI: uri, Host: "h", ReadTimeout: between})
 	if err != nil {
 		return err
@@ -291,28 +297,30 @@
 	return err
 }
 
-// A target is preferred for a connection that it closes in the next moment.
-func TestWarm(t *testing.T) {
-	bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
-		n.ServeConn("a:1", answer(func(int, *http.Request) string { return ok("x") }))
+// Guards against a target that is preferred for an idle connection which it is
+// about to close.
+func TestHasIdle(t *testing.T) {
+	runInBubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
+		n.ServeConn("a:1", serveResponses(func(int, *http.Request) string { return ok("x") }))
 		if p.HasIdle("a:1", "t", ReuseIdle) {
-			t.Error("warm before the first request")
+			t.Error("HasIdle before the first request")
 		}
 		mustGet(t, p, false, "x")
 		if !p.HasIdle("a:1", "t", ReuseIdle) || p.HasIdle("a:1", "another", ReuseIdle) {
-			t.Error("an idle connection isn't known, or to whom it goes")
+			t.Error("HasIdle doesn't report the idle connection, or reports it for another target")
 		}
-		_ = pause.For(context.Background(), defaultIdle)
+		_ = pause.For(context.Background(), defaultIdleTimeout)
 		if p.HasIdle("a:1", "t", ReuseIdle) {
-			t.Error("warm with a connection that was idle for long")
+			t.Error("HasIdle reports a connection that was idle for too long")
 		}
 	})
 }
 
-// A caller that reads a long answer slowly is no silent target.
-func TestSlowReaderIsNoSilence(t *testing.T) {
-	bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
-		n.ServeConn("a:1", answer(func(int, *http.Request) string { return ok("whole") }))
+// Guards against a caller that reads a response slowly and is taken for a
+// stalled target.
+func TestSlowCallerIsNoStall(t *testing.T) {
+	runInBubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
+		n.ServeConn("a:1", serveResponses(func(int, *http.Request) string { return ok("whole") }))
 		resp, err := p.Do(t.Context(), &Request{Addr: "a:1", Target: "t", Method: "GET", URI: "/", Host: "h", FirstByteTimeout: time.Second, ReadTimeout: time.Second})
 		if err != nil {
 			t.Fatal(err)
@@ -325,8 +333,8 @@
 	})
 }
 
-// The kernel must give up connections that a device between has forgotten;
-// these options are what tells it to.
+// Checks the socket options that make the kernel close a connection whose state
+// a network device has dropped.
 func TestUserTimeout(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -356,9 +364,10 @@
 	}
 }
 
-// A caller leaves; the target works on for nobody unless its connection ends.
-func TestEndOfContextEndsTheConnection(t *testing.T) {
-	bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
+// Guards against a target that keeps processing the request of a caller that
+// has disconnected, because its connection stays open.
+func TestEndOfContextClosesConnection(t *testing.T) {
+	runInBubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
 		closed := make(chan struct{})
 		n.ServeConn("a:1", func(c net.Conn) {
 			r := bufio.NewReader(c)
@@ -376,10 +385,11 @@
 	})
 }
 
-// A target rejects a long request before it has read all of it and reads on
-// later: it must get the rest of that body, or nothing.
-func TestAnswerBeforeTheBodyIsRead(t *testing.T) {
-	bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
+// A target may reject a long request before it has read the whole body and
+// continue to read afterwards. It must then read the rest of that body, or
+// nothing.
+func TestResponseBeforeBodyIsRead(t *testing.T) {
+	runInBubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
 		n.ServeConn("a:1", func(c net.Conn) {
 			r := bufio.NewReader(c)
 			req, err := http.ReadRequest(r)
@@ -400,10 +410,9 @@
 	})
 }
 
-// Go's loopback connections have a descriptor, so that an idle connection that
-// the target has closed, or sent bytes on, is found out before a request is
-// written to it.
-func TestQuiet(t *testing.T) {
+// Uses TCP loopback connections, which have a file descriptor: openAndEmpty must
+// detect that the peer closed an idle connection or sent bytes on it.
+func TestOpenAndEmpty(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -418,15 +427,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !quiet(ours) {
-		t.Error("an idle connection isn't quiet")
+	if !openAndEmpty(ours) {
+		t.Error("an idle connection isn't open and empty")
 	}
 	if _, err := theirs.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
 	waitReadable(t, ours)
-	if quiet(ours) {
-		t.Error("a connection with bytes to read is quiet")
+	if openAndEmpty(ours) {
+		t.Error("a connection with bytes to read is open and empty")
 	}
 	var b [1]byte
 	if _, err := ours.Read(b[:]); err != nil {
@@ -434,13 +443,13 @@
 	}
 	_ = theirs.Close()
 	waitReadable(t, ours)
-	if quiet(ours) {
-		t.Error("a closed connection is quiet")
+	if openAndEmpty(ours) {
+		t.Error("a closed connection is open and empty")
 	}
 }
 
-// waitReadable returns once the kernel has something to read on c, its end
-// included, without reading it.
+// waitReadable waits until c has data or EOF to read. It doesn't consume the
+// data.
 func waitReadable(t *testing.T, c net.Conn) {
 	t.Helper()
 	raw, err := c.(*net.TCPConn).SyscallConn()
@@ -458,8 +467,8 @@
 }
 
 func TestRetain(t *testing.T) {
-	bubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
-		n.ServeConn("a:1", answer(func(i int, _ *http.Request) string { return ok(fmt.Sprint(i)) }))
+	runInBubble(t, func(t *testing.T, n *pipenet.Net, p *Pool) {
+		n.ServeConn("a:1", serveResponses(func(i int, _ *http.Request) string { return ok(fmt.Sprint(i)) }))
 		mustGet(t, p, false, "1")
 		p.Retain(func(key string) bool { return key == Key("a:1", "t") })
 		mustGet(t, p, false, "2")
--- a/connection/h1/pool.go
+++ b/connection/h1/pool.go
@@ -1,7 +1,7 @@
-// Package h1 speaks HTTP/1.1 to targets over kept connections. It knows of
-// each connection what net/http doesn't tell: how long it was idle, whether
-// anything came on it unasked, and whether a byte of a failed request was
-// written. Requests that may run once at most depend on all three.
+// Package h1 is an HTTP/1.1 client with a pool of persistent connections to
+// targets. It exposes what net/http doesn't: how long a connection was idle,
+// whether it received unsolicited bytes, and whether any byte of a failed
+// request was written. Requests that may run at most once depend on all three.
 package h1
 
 import (
@@ -20,61 +20,64 @@
 )
 
 const (
-	// defaultConnect is the longest wait for a connection: round trips take
-	// up to 3 ms, a target takes 1 ms to accept, and a lost packet is sent
-	// again after 200 ms or more.
-	defaultConnect = 300 * time.Millisecond
-	// defaultUserTimeout is how long bytes may stand unacknowledged.
+	// defaultConnectTimeout allows for one lost packet: round trips take up to
+	// 3 ms, a target takes 1 ms to accept, and TCP retransmits after 200 ms or
+	// more.
+	defaultConnectTimeout = 300 * time.Millisecond
+	// defaultUserTimeout limits how long sent bytes may stay unacknowledged.
 	defaultUserTimeout = 1500 * time.Millisecond
-	// defaultIdle is how long an idle connection is used again when the
-	// target states no time.
-	defaultIdle = 4 * time.Second
-	// idleMargin is the part of a stated idle time that is made use of, so
-	// that a request doesn't cross the target's close: of 10 s, one is left.
-	idleMargin = 0.9
-	// freshFor is how long after its last use a connection counts as fresh.
-	freshFor = time.Second
-	// defaultMaxIdle is the number of idle connections kept to one target.
+	// defaultIdleTimeout limits the idle time of a reused connection when the
+	// target states no keep-alive time.
+	defaultIdleTimeout = 4 * time.Second
+	// idleTimeoutShare is the share of the stated keep-alive time in which a
+	// connection is reused. The margin, 1 s of 10 s, prevents a request from
+	// being sent while the target closes the connection.
+	idleTimeoutShare = 0.9
+	// recentLimit limits the idle time of a connection for ReuseRecent when the
+	// target states no keep-alive time.
+	recentLimit = time.Second
+	// defaultMaxIdle limits the idle connections per target.
 	defaultMaxIdle = 16
 )
 
-// Options of a Pool. Zero values take the defaults.
+// Options configures a Pool. Zero values select the defaults.
 type Options struct {
-	ConnectTimeout time.Duration // longest time to connect; 300ms
-	UserTimeout    time.Duration // TCP_USER_TIMEOUT; 1.5s
-	MaxIdle        int           // idle connections kept to one target; 16
-	// KeepAlive is when the kernel probes connections that carry no data. With
-	// it TCP_USER_TIMEOUT also ends those on which only an answer is awaited.
+	ConnectTimeout time.Duration // time limit for connecting; default 300ms
+	UserTimeout    time.Duration // TCP_USER_TIMEOUT; default 1.5s
+	MaxIdle        int           // idle connections per target; default 16
+	// KeepAlive configures TCP keep-alive probes. With probes,
+	// TCP_USER_TIMEOUT also closes dead connections that only wait for a
+	// response and have no unacknowledged data.
 	KeepAlive net.KeepAliveConfig
-	// Dial replaces the TCP dialer, in tests.
+	// Dial replaces the TCP dialer in tests.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 }
 
 var counts = expvar.NewMap("h1")
 
-// Pool is safe for concurrent use.
+// Pool sends requests over pooled connections. It is safe for concurrent use.
 type Pool struct {
 	opts Options
 
 	mu      sync.Mutex
-	idle    map[string][]*conn   // by target address and id, the newest last
-	retired map[string]time.Time // connections to a target that are older take no request
+	idle    map[string][]*conn   // by Key, most recently used last
+	retired map[string]time.Time // by Key; connections dialed up to this time aren't reused
 }
 
-// conn is one connection. It belongs to one exchange at a time, or to the pool.
+// conn is a connection. It is owned by one exchange, or by the pool while idle.
 type conn struct {
 	net.Conn
-	key    string
-	reader *bufio.Reader
-	dialed time.Time
-	used   time.Time     // end of the last exchange
-	limit  time.Duration // idle time that the target stated, less a margin; 0: none
+	key         string
+	reader      *bufio.Reader
+	dialed      time.Time
+	lastUsed    time.Time     // end of the last exchange
+	idleTimeout time.Duration // derived from the target's keep-alive time; 0 if it stated none
 }
 
 // New returns a Pool.
 func New(o Options) *Pool {
 	if o.ConnectTimeout <= 0 {
-		o.ConnectTimeout = defaultConnect
+		o.ConnectTimeout = defaultConnectTimeout
 	}
 	if o.UserTimeout <= 0 {
 		o.UserTimeout = defaultUserTimeout
@@ -88,19 +91,20 @@
 	return &Pool{opts: o, idle: make(map[string][]*conn), retired: make(map[string]time.Time)}
 }
 
-// ErrConnect is wrapped by the errors of requests that got no connection.
+// ErrConnect is wrapped by the errors of requests for which no connection could
+// be established.
 var ErrConnect = errors.New("can't connect")
 
-// take returns a connection to the target: an idle one that is still good, or
-// a new one.
-func (p *Pool) take(ctx context.Context, r *Request) (*conn, error) {
+// acquire returns an idle connection to the target that is still usable, or
+// dials a new one.
+func (p *Pool) acquire(ctx context.Context, r *Request) (*conn, error) {
 	key := Key(r.Addr, r.Target)
 	for r.Reuse != ReuseNever {
-		c := p.pop(key)
+		c := p.popIdle(key)
 		if c == nil {
 			break
 		}
-		if c.good(time.Now(), r.Reuse) {
+		if c.usable(time.Now(), r.Reuse) {
 			counts.Add("reused", 1)
 			return c, nil
 		}
@@ -115,7 +119,7 @@
 	return &conn{Conn: raw, key: key, reader: bufio.NewReader(raw), dialed: dialed}, nil
 }
 
-func (p *Pool) pop(key string) *conn {
+func (p *Pool) popIdle(key string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[key]
@@ -127,29 +131,31 @@
 	return c
 }
 
-// good reports whether the connection may carry a request.
+// usable reports whether an idle connection may carry a request. It rejects a
+// connection
 //
-// The guard is against three faults of idle connections: the target closed it
-// (a request would be lost, and one that may not be repeated with it), bytes
-// came that answer nothing (they would be taken for the next answer), and it
-// is about to be closed by the target's idle timeout.
-func (c *conn) good(now time.Time, reuse Reuse) bool {
-	return now.Sub(c.used) < c.idleLimit(reuse) && c.reader.Buffered() == 0 && quiet(c.Conn)
+//   - that the target has closed, since the request would be lost, also one that
+//     may not be retried,
+//   - that received unsolicited bytes, since these would be taken for the next
+//     response,
+//   - that the target's idle timeout is about to close.
+func (c *conn) usable(now time.Time, reuse Reuse) bool {
+	return now.Sub(c.lastUsed) < c.idleLimit(reuse) && c.reader.Buffered() == 0 && openAndEmpty(c.Conn)
 }
 
-// idleLimit is how long the connection may have been idle.
+// idleLimit returns the idle time from which the connection isn't reused.
 func (c *conn) idleLimit(reuse Reuse) time.Duration {
 	switch {
-	case c.limit > 0:
-		return c.limit
+	case c.idleTimeout > 0:
+		return c.idleTimeout
 	case reuse == ReuseRecent:
-		return freshFor
+		return recentLimit
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
 
-// HasIdle reports whether a request to a target would find an idle connection that it
-// may use.
+// HasIdle reports whether there is an idle connection to the target that is
+// recent enough for reuse. It doesn't check the state of the connection.
 func (p *Pool) HasIdle(addr, target string, reuse Reuse) bool {
 	now := time.Now()
 	p.mu.Lock()
@@ -159,11 +165,11 @@
 		return false
 	}
 	c := list[len(list)-1]
-	return now.Sub(c.used) < c.idleLimit(reuse)
+	return now.Sub(c.lastUsed) < c.idleLimit(reuse)
 }
 
-// IdleKeys returns the keys of the targets that there are idle connections to, the
-// ones used last first.
+// IdleKeys returns the keys of the targets with idle connections, most recently
+// used first.
 func (p *Pool) IdleKeys() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -175,17 +181,17 @@
 	}
 	used := func(key string) time.Time {
 		list := p.idle[key]
-		return list[len(list)-1].used
+		return list[len(list)-1].lastUsed
 	}
 	slices.SortFunc(out, func(a, b string) int { return used(b).Compare(used(a)) })
 	return out
 }
 
-// put keeps a connection whose exchange ended whole.
-func (p *Pool) put(c *conn, keepAlive time.Duration) {
-	c.used = time.Now()
+// putIdle returns a connection to the pool after a complete exchange.
+func (p *Pool) putIdle(c *conn, keepAlive time.Duration) {
+	c.lastUsed = time.Now()
 	if keepAlive > 0 {
-		c.limit = time.Duration(float64(keepAlive) * idleMargin)
+		c.idleTimeout = time.Duration(float64(keepAlive) * idleTimeoutShare)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -201,9 +207,10 @@
 	p.idle[c.key] = append(list, c)
 }
 
-// Retire retires the connections to a target, because one of them went silent:
-// what a device between lost of one connection it lost of many. Idle ones are
-// closed; those that carry a request now take no other one after it.
+// Retire ends the reuse of the existing connections to a target after one of
+// them stalled: a network device that dropped the state of one connection has
+// often dropped that of others. Idle connections are closed. Busy ones finish
+// their request and aren't reused.
 func (p *Pool) Retire(addr, target string) {
 	key := Key(addr, target)
 	p.mu.Lock()
@@ -216,25 +223,25 @@
 	}
 }
 
-// Retain closes the idle connections to all targets but those that keep names,
-// and those that were idle too long.
+// Retain closes the idle connections to targets whose key keep rejects, and the
+// connections that are no longer usable.
 func (p *Pool) Retain(keep func(key string) bool) {
 	now := time.Now()
 	var closing []*conn
 	p.mu.Lock()
 	for key, list := range p.idle {
-		var stay []*conn
+		var kept []*conn
 		for _, c := range list {
-			if keep(key) && c.good(now, ReuseIdle) {
-				stay = append(stay, c)
+			if keep(key) && c.usable(now, ReuseIdle) {
+				kept = append(kept, c)
 			} else {
 				closing = append(closing, c)
 			}
 		}
-		if len(stay) == 0 {
+		if len(kept) == 0 {
 			delete(p.idle, key)
 		} else {
-			p.idle[key] = stay
+			p.idle[key] = kept
 		}
 	}
 	for key := range p.retired {
@@ -248,10 +255,10 @@
 	}
 }
 
-// Key names a target as Retain does.
+// Key returns the key of a target in the pool.
 func Key(addr, target string) string { return addr + "/" + target }
 
-// SplitKey undoes Key: addresses hold no slash.
+// SplitKey returns the parts of a key. An address contains no slash.
 func SplitKey(key string) (addr, target string) {
 	addr, target, _ = strings.Cut(key, "/")
 	return addr, target
--- a/connection/h1/quiet.go
+++ b/connection/h1/quiet.go
@@ -7,10 +7,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// quiet reports whether an idle connection is open with nothing to read: no
-// close of the other end, and no bytes that answer nothing. Connections
-// without a descriptor, as in tests, count as quiet.
-func quiet(c net.Conn) bool {
+// openAndEmpty reports whether an idle connection is open and has nothing to
+// read: the peer has neither closed it nor sent unsolicited bytes. It returns
+// true for connections without a file descriptor, which tests use.
+func openAndEmpty(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return true
--- a/connection/pool/cancel.go
+++ b/connection/pool/cancel.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	cancelLimit = time.Second
-	maxCancels  = 64 // under way at a time; beyond that the engine's own timeouts have to do
+	cancelTimeout = time.Second
+	maxCancels    = 64 // calls in flight; further requests are left to the engine's own timeouts
 )
 
 // cancelBody is the body of an engine's cancel call.
@@ -21,10 +21,10 @@
 	ID string `json:"id"`
 }
 
-// Cancel tells the engine at addr over a new connection to drop a request, and
-// doesn't wait for it. Closing a connection is the usual way to cancel, but
-// the close of a silent one doesn't arrive: the engine would go on making
-// tokens for nobody and keep their place.
+// Cancel asks the engine at addr over a new connection to cancel a request, and
+// doesn't wait for the result. A request is usually cancelled by closing its
+// connection, but the close of a stalled connection doesn't arrive: the engine
+// would continue to generate tokens and occupy a decoding slot.
 func (p *Pool) Cancel(addr, id string) {
 	select {
 	case p.cancels <- struct{}{}:
@@ -40,20 +40,20 @@
 	p.tomb.Go(func() error {
 		defer func() { <-p.cancels }()
 		if err := p.sendCancel(addr, id); err != nil {
-			log.WithField("addr", addr).WithError(err).Info("pool: cancel lost")
+			log.WithField("addr", addr).WithError(err).Info("pool: cancel call failed")
 		}
 		return nil
 	})
 }
 
 func (p *Pool) sendCancel(addr, id string) error {
-	ctx, cancel := context.WithTimeout(p.tomb.Context(context.Background()), cancelLimit)
+	ctx, cancel := context.WithTimeout(p.tomb.Context(context.Background()), cancelTimeout)
 	defer cancel()
 	body, err := json.Marshal(cancelBody{ID: id})
 	if err != nil {
 		return err
 	}
-	resp, err := p.wires.Do(ctx, &h1.Request{
+	resp, err := p.conns.Do(ctx, &h1.Request{
 		Addr:   addr,
 		Method: http.MethodPost,
 		URI:    "/v1/cancel",
--- a/connection/pool/pool.go
+++ b/connection/pool/pool.go
@@ -1,7 +1,7 @@
-// Package pool keeps what this process knows of its targets by the requests it
-// sends them: how many run there, whether they accept connections, whether
-// their connections make progress. One that doesn't is probed over a new
-// connection until it answers.
+// Package pool sends requests to targets and tracks the state that this process
+// observes of each target: the requests in flight, whether it accepts
+// connections, and whether its connections make progress. It probes an unhealthy
+// target over new connections until the target responds.
 package pool
 
 import (
@@ -21,28 +21,28 @@
 )
 
 const (
-	idlePerTarget = 64
-	refusedFor    = 500 * time.Millisecond
+	maxIdlePerTarget = 64
+	refusalTTL       = 500 * time.Millisecond
 )
 
-// keepAlive has every connection carry data or a probe each second, so that
-// TCP_USER_TIMEOUT ends the ones that a device between has lost track of
-// within about that time plus a second.
+// keepAlive makes the kernel probe a connection after each second without data.
+// TCP_USER_TIMEOUT then closes a connection whose state a network device has
+// dropped, within about that timeout plus one second.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 3}
 
-// Options of a Pool. Zero values take the defaults named beside them.
+// Options configures a Pool. Zero values select the stated defaults.
 type Options struct {
-	ConnectTimeout time.Duration // longest time to connect; 1s
-	UserTimeout    time.Duration // TCP_USER_TIMEOUT; 2s
-	ProbeInterval  time.Duration // between probes of an unhealthy target; 200ms
-	ProbeTimeout   time.Duration // longest wait for a probe's answer; 500ms
-	// Dial replaces the TCP dialer, in tests.
+	ConnectTimeout time.Duration // time limit for connecting; default 1s
+	UserTimeout    time.Duration // TCP_USER_TIMEOUT; default 2s
+	ProbeInterval  time.Duration // initial time between probes of an unhealthy target; default 200ms
+	ProbeTimeout   time.Duration // time limit of a probe; default 500ms
+	// Dial replaces the TCP dialer in tests.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 	// OnDown is called once each time a target stops accepting connections, with
-	// the error of the dial, and once more when it refuses one after another
-	// error.
+	// the error of the dial. It is called once more if a dial is refused after
+	// a first dial failed in another way.
 	OnDown func(addr string, err error)
-	// OnResponse is called with the header of every answer.
+	// OnResponse is called with the header of every response.
 	OnResponse func(addr string, h http.Header)
 }
 
@@ -59,50 +59,51 @@
 	return o
 }
 
-// Pool is safe for concurrent use.
+// Pool sends requests to targets and tracks their state. It is safe for
+// concurrent use.
 type Pool struct {
 	opts  Options
-	wires *h1.Pool
+	conns *h1.Pool
 	tomb  tomb.Tomb
 
-	cancels chan struct{} // a place for each cancel call under way
+	cancels chan struct{} // semaphore of the cancel calls in flight
 
 	mu      sync.Mutex
 	targets map[string]*target
 	closed  bool
 }
 
-// target is the state of one address, guarded by Pool.mu.
+// target is the state of the target at an address, guarded by Pool.mu.
 type target struct {
-	inFlight int
-	sent     sent
-	suspect  bool
-	down     bool
-	gone     bool          // down, and it refused a connection: its process has ended
-	told     chan struct{} // closed once Options.Down returned, nil before the first time
-	probing  bool
-	refused  time.Time // when it last refused a request that it didn't run
+	inFlight     int
+	sent         sentRing
+	suspect      bool
+	down         bool
+	exited       bool          // down and refused a connection, so its process has exited
+	downReported chan struct{} // closed when the latest call of OnDown returns; nil before the first call
+	probing      bool
+	lastRefusal  time.Time // when it last refused a request without running it
 }
 
-// Status is what the pool knows of one target.
+// Status is the observed state of a target.
 type Status struct {
-	InFlight int  // requests of this process there now
-	Suspect  bool // a connection made no progress, and no probe was answered since
-	Down     bool // refuses connections
-	Refusing bool // refused a request within refusedFor
-	// RefusedAt is when the last refusal came.
+	InFlight int  // requests of this process in flight there
+	Suspect  bool // a connection stalled, and no probe has succeeded since
+	Down     bool // accepts no connections
+	Refusing bool // refused a request within the last refusalTTL
+	// RefusedAt is the time of the last refused request.
 	RefusedAt time.Time
 }
 
-// New returns a Pool; Close ends it.
+// New returns a Pool. The caller must close it.
 func New(o Options) *Pool {
 	o = o.withDefaults()
 	p := &Pool{opts: o, targets: make(map[string]*target)}
 	p.cancels = make(chan struct{}, maxCancels)
-	p.wires = h1.New(h1.Options{
+	p.conns = h1.New(h1.Options{
 		ConnectTimeout: o.ConnectTimeout,
 		UserTimeout:    o.UserTimeout,
-		MaxIdle:        idlePerTarget,
+		MaxIdle:        maxIdlePerTarget,
 		KeepAlive:      keepAlive,
 		Dial:           o.Dial,
 	})
@@ -113,28 +114,29 @@
 	return p
 }
 
-// Close ends the probes and the idle connections.
+// Close stops the probes and closes the idle connections.
 func (p *Pool) Close() error {
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
 	p.tomb.Kill(nil)
 	err := p.tomb.Wait()
-	p.wires.Close()
+	p.conns.Close()
 	return err
 }
 
-// Send sends r and reads the header of the answer. The error is a *h1.Error.
+// Send sends r and reads the response header. The error is a *h1.Error.
 func (p *Pool) Send(ctx context.Context, r *h1.Request) (*h1.Response, error) {
-	resp, err := p.wires.Do(ctx, r)
+	resp, err := p.conns.Do(ctx, r)
 	if err == nil && p.opts.OnResponse != nil {
 		p.opts.OnResponse(r.Addr, resp.Header)
 	}
 	return resp, err
 }
 
-// get returns the target of addr. Callers hold p.mu.
-func (p *Pool) get(addr string) *target {
+// target returns the state of addr and creates it if necessary. The caller must
+// hold p.mu.
+func (p *Pool) target(addr string) *target {
 	t, ok := p.targets[addr]
 	if !ok {
 		t = &target{}
@@ -143,7 +145,7 @@
 	return t
 }
 
-// Status returns what is known of addr.
+// Status returns the observed state of the target at addr.
 func (p *Pool) Status(addr string) Status {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -155,26 +157,26 @@
 		InFlight:  t.inFlight,
 		Suspect:   t.suspect,
 		Down:      t.down,
-		Refusing:  !t.refused.IsZero() && time.Since(t.refused) < refusedFor,
-		RefusedAt: t.refused,
+		Refusing:  !t.lastRefusal.IsZero() && time.Since(t.lastRefusal) < refusalTTL,
+		RefusedAt: t.lastRefusal,
 	}
 }
 
-// ReportRefusal reports that addr refused a request without running it: it is full,
-// or leaving, or changing its role. Its own word about that comes with the
-// next state read; until then it has nothing in flight and looks like the best
-// choice, and would draw request after request.
+// ReportRefusal records that addr refused a request without running it, because
+// it is full, shutting down or changing its role. The target's reported state
+// shows that only when it is read next. Until then the target would look idle
+// and attract every request.
 func (p *Pool) ReportRefusal(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.get(addr).refused = time.Now()
+	p.target(addr).lastRefusal = time.Now()
 }
 
 // Begin counts a request to addr with its estimated prompt and output tokens.
-// The function that it returns ends the request; call it once.
+// The caller must call the returned function once, when the request ends.
 func (p *Pool) Begin(addr string, prefill, decode int) func() {
 	p.mu.Lock()
-	t := p.get(addr)
+	t := p.target(addr)
 	t.inFlight++
 	t.sent.add(time.Now(), Sent{Count: 1, Prefill: prefill, Decode: decode})
 	p.mu.Unlock()
@@ -185,7 +187,8 @@
 	}
 }
 
-// SentSince sums what was begun at addr since then, at most sentSpan back.
+// SentSince returns the sum of the requests begun at addr since then. It covers
+// at most the last sentBuckets * sentBucket.
 func (p *Pool) SentSince(addr string, since time.Time) Sent {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -196,7 +199,7 @@
 	return t.sent.since(since, time.Now())
 }
 
-// Retain forgets the targets that keep doesn't hold and that are idle.
+// Retain removes the targets that are not in keep and have no requests in flight.
 func (p *Pool) Retain(keep map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -206,55 +209,58 @@
 		}
 		delete(p.targets, addr)
 	}
-	p.wires.Retain(func(key string) bool {
+	p.conns.Retain(func(key string) bool {
 		addr, _, _ := strings.Cut(key, "/")
 		return p.targets[addr] != nil
 	})
 }
 
-// ReportStall reports that a connection to addr made no progress. None of the
-// connections from before takes another request, and the target counts as
-// suspect until a probe over a new connection is answered.
+// ReportStall records that a connection to addr made no progress. The existing
+// connections aren't reused, and the target is suspect until a probe over a new
+// connection succeeds.
 func (p *Pool) ReportStall(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.wires.Retire(addr, "")
-	t := p.get(addr)
+	p.conns.Retire(addr, "")
+	t := p.target(addr)
 	t.suspect = true
-	p.watch(addr, t)
-	log.WithField("addr", addr).Warn("pool: connections retired")
+	p.startProbing(addr, t)
+	log.WithField("addr", addr).Warn("pool: connection stalled; existing connections won't be reused")
 }
 
-// ReportUnreachable reports that addr accepted no connection, with the dial's error.
+// ReportUnreachable records that addr accepted no connection. err is the error of
+// the dial.
 //
-// The first dial to a process that is ending may be reset, and the next one is
-// refused. Only a refusal shows that it has ended, so it is told of then, too:
-// otherwise the request that crashed it goes on to the next targets as innocent,
-// and takes three of them.
+// The first dial to a process that is exiting may be reset and the next one
+// refused. Only a refusal proves that the process has exited, so OnDown is called
+// for the refusal, too. Otherwise the request that crashed the target would not
+// be suspected and would be retried once more, which crashes three targets
+// instead of two.
 func (p *Pool) ReportUnreachable(addr string, err error) {
 	p.mu.Lock()
-	t := p.get(addr)
+	t := p.target(addr)
 	refused := errors.Is(err, syscall.ECONNREFUSED)
-	first := !t.down || refused && !t.gone
-	t.down, t.gone = true, t.gone || refused
+	first := !t.down || refused && !t.exited
+	t.down, t.exited = true, t.exited || refused
 	if first {
-		t.told = make(chan struct{})
+		t.downReported = make(chan struct{})
 	}
-	told := t.told
-	p.watch(addr, t)
+	reported := t.downReported
+	p.startProbing(addr, t)
 	p.mu.Unlock()
 	if !first {
 		return
 	}
-	defer close(told)
-	log.WithField("addr", addr).WithError(err).Warn("pool: target down")
+	defer close(reported)
+	log.WithField("addr", addr).WithError(err).Warn("pool: target accepts no connections")
 	if p.opts.OnDown != nil {
 		p.opts.OnDown(addr, err)
 	}
 }
 
-// watch starts the probes of an unhealthy target. Callers hold p.mu.
-func (p *Pool) watch(addr string, t *target) {
+// startProbing starts the probes of an unhealthy target. The caller must hold
+// p.mu.
+func (p *Pool) startProbing(addr string, t *target) {
 	if t.probing || p.closed {
 		return
 	}
--- a/connection/pool/pool_test.go
+++ b/connection/pool/pool_test.go
@@ -24,14 +24,14 @@
 	m.Run()
 }
 
-// counted is a server that counts its connections.
-type counted struct {
+// countingServer is an HTTP server that counts its connections.
+type countingServer struct {
 	*httptest.Server
 	conns atomic.Int32
 }
 
-func newCounted(t *testing.T, h http.HandlerFunc) *counted {
-	c := &counted{}
+func newCountingServer(t *testing.T, h http.HandlerFunc) *countingServer {
+	c := &countingServer{}
 	c.Server = httptest.NewUnstartedServer(h)
 	c.Config.ConnState = func(_ net.Conn, s http.ConnState) {
 		if s == http.StateNew {
@@ -43,7 +43,7 @@
 	return c
 }
 
-func (c *counted) addr() string { return c.Listener.Addr().String() }
+func (c *countingServer) addr() string { return c.Listener.Addr().String() }
 
 func send(t *testing.T, p *Pool, addr string, reuse h1.Reuse) error {
 	t.Helper()
@@ -59,12 +59,12 @@
 	return &h1.Request{Addr: addr, Method: http.MethodPost, URI: uri, Host: addr, Body: []byte("body"), Reuse: reuse}
 }
 
-func answer(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(w, r.Body) }
+func echo(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(w, r.Body) }
 
-// TestConnectionsReplaced: requests share a connection until one went silent;
-// then none goes on an old one. Calls that can't be repeated share none.
+// Requests share a connection until a connection stalls; afterwards no request
+// uses an old one. Requests that can't be retried share none.
 func TestConnectionsReplaced(t *testing.T) {
-	s := newCounted(t, answer)
+	s := newCountingServer(t, echo)
 	p := New(Options{})
 	defer p.Close()
 	steps := []struct {
@@ -92,12 +92,12 @@
 	}
 }
 
-// TestBusyConnectionIsRetiredToo: a connection carries a stream while another
-// one to the same target goes silent. Once its stream is over it is idle, and
-// may be as dead as the other: it must take no request any more.
-func TestBusyConnectionIsRetiredToo(t *testing.T) {
+// Guards against the reuse of a connection that was busy with a stream when
+// another connection to the same target stalled. It becomes idle when its stream
+// ends, but may be dead, too.
+func TestStallRetiresBusyConnection(t *testing.T) {
 	reached, release := make(chan string, 1), make(chan struct{})
-	s := newCounted(t, func(w http.ResponseWriter, r *http.Request) {
+	s := newCountingServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/stream" {
 			reached <- r.RemoteAddr
 			<-release
@@ -106,7 +106,7 @@
 	})
 	p := New(Options{})
 	defer p.Close()
-	ask := func(path string) string {
+	request := func(path string) string {
 		resp, err := p.Send(t.Context(), post(s.addr(), path, h1.ReuseIdle))
 		if err != nil {
 			t.Error(err)
@@ -117,42 +117,42 @@
 		return string(from)
 	}
 	streamed := make(chan string)
-	go func() { streamed <- ask("/stream") }()
+	go func() { streamed <- request("/stream") }()
 	old := <-reached
 	p.ReportStall(s.addr())
-	ask("/")
+	request("/")
 	close(release)
 	<-streamed
 	for range 3 {
-		if from := ask("/"); from == old {
-			t.Error("a request went over a connection from before the silence")
+		if from := request("/"); from == old {
+			t.Error("a request used a connection from before the stall")
 		}
 	}
 }
 
-const pollLimit = time.Minute // stops a poll for a target that stays unwell
+const pollTimeout = time.Minute // limits the wait for a target to become healthy
 
 func waitHealthy(t *testing.T, p *Pool, addr string) {
 	t.Helper()
 	tick := time.NewTicker(time.Millisecond)
 	defer tick.Stop()
-	limit := time.After(pollLimit)
+	limit := time.After(pollTimeout)
 	for s := p.Status(addr); s.Suspect || s.Down; s = p.Status(addr) {
 		select {
 		case <-tick.C:
 		case <-limit:
-			t.Fatalf("%s stays as %+v", addr, s)
+			t.Fatalf("%s stays unhealthy: %+v", addr, s)
 		}
 	}
 }
 
-// advance lets virtual time pass, in a synctest bubble.
+// advance advances the virtual time of a synctest bubble.
 func advance(d time.Duration) { <-time.After(d) }
 
-// TestWrittenProof: what a failed request proves about its bytes.
-func TestWrittenProof(t *testing.T) {
-	reset := newCounted(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
-	gone := newCounted(t, answer)
+// Checks that the error of a failed request reports whether bytes were written.
+func TestErrorReportsWritten(t *testing.T) {
+	reset := newCountingServer(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
+	gone := newCountingServer(t, echo)
 	gone.Close()
 	p := New(Options{})
 	defer p.Close()
@@ -171,38 +171,38 @@
 	}
 }
 
-// TestDownAndBack: a target refuses connections, is probed, and comes back.
-// The death is told once, however many requests meet it.
-func TestDownAndBack(t *testing.T) {
+// A target that refuses connections is probed until it recovers. OnDown is called
+// once, however many requests fail on the target.
+func TestTargetRecovers(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := l.Addr().String()
 	l.Close()
-	var told atomic.Int32
-	p := New(Options{ProbeInterval: time.Millisecond, OnDown: func(string, error) { told.Add(1) }})
+	var downs atomic.Int32
+	p := New(Options{ProbeInterval: time.Millisecond, OnDown: func(string, error) { downs.Add(1) }})
 	defer p.Close()
 	var wg sync.WaitGroup
 	for range 10 {
 		wg.Go(func() { p.Verify(context.Background(), addr) })
 	}
 	wg.Wait()
-	if !p.Status(addr).Down || told.Load() != 1 {
-		t.Fatalf("down %v, told %d times", p.Status(addr).Down, told.Load())
+	if !p.Status(addr).Down || downs.Load() != 1 {
+		t.Fatalf("down %v, OnDown called %d times", p.Status(addr).Down, downs.Load())
 	}
 	l, err = net.Listen("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &http.Server{Handler: http.HandlerFunc(answer)}
+	s := &http.Server{Handler: http.HandlerFunc(echo)}
 	go s.Serve(l)
 	defer s.Close()
 	waitHealthy(t, p, addr)
 }
 
-// TestSentSince: what was sent since a report counts, older things don't, and
-// the memory of a target stays as it is.
+// SentSince counts the requests sent since a time, without older ones. A target
+// with requests in flight is retained.
 func TestSentSince(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := New(Options{})
@@ -225,22 +225,24 @@
 		}
 		p.Retain(nil)
 		if len(p.targets) != 1 {
-			t.Error("a target with requests in flight was forgotten")
+			t.Error("a target with requests in flight was removed")
 		}
 		p.Close()
 	})
 }
 
-// TestVerifyWaitsForTheWord: one death breaks two requests. The first marks
-// the target as down and is still telling of the death when the second
-// verifies it. Were the second told at once, it would go to another target as
-// innocent, and if it is the cause, with others, crash that one beside them.
-func TestVerifyWaitsForTheWord(t *testing.T) {
+// Guards against a request that is retried before the crash of its target is
+// reported. One crash breaks two requests. The first marks the target as down,
+// and its call of OnDown is still running when the second verifies the target.
+// If Verify returned then, the second request would be retried unsuspected on
+// another target and, if it caused the crash, crash that one with its other
+// requests.
+func TestVerifyWaitsForOnDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		telling := make(chan struct{})
+		release := make(chan struct{})
 		p := New(Options{
 			Dial:   func(context.Context, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED },
-			OnDown: func(string, error) { <-telling },
+			OnDown: func(string, error) { <-release },
 		})
 		defer p.Close()
 		var verified atomic.Int32
@@ -252,23 +254,24 @@
 			synctest.Wait()
 		}
 		if n := verified.Load(); n != 0 {
-			t.Errorf("%d verified before the death was told", n)
+			t.Errorf("%d verified before OnDown returned", n)
 		}
-		close(telling)
+		close(release)
 		synctest.Wait()
 		if n := verified.Load(); n != 2 {
-			t.Errorf("%d verified after the death was told, want 2", n)
+			t.Errorf("%d verified after OnDown returned, want 2", n)
 		}
 	})
 }
 
-// A prompt crashes three engines instead of two. The first dial to an engine
-// whose process is ending is reset, as the accept queue is closed, and only the
-// next one is refused. The reset alone was told of, which counts as no death.
-func TestDeathAfterAResetIsTold(t *testing.T) {
+// Guards against a prompt that crashes three engines instead of two. The first
+// dial to an engine whose process is exiting is reset, since its accept queue is
+// closed, and only the next one is refused. If only the reset is reported, it
+// doesn't count as a crash.
+func TestRefusalAfterResetIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dials := 0
-		var told []error
+		var reported []error
 		p := New(Options{
 			Dial: func(context.Context, string) (net.Conn, error) {
 				if dials++; dials == 1 {
@@ -276,19 +279,19 @@
 				}
 				return nil, syscall.ECONNREFUSED
 			},
-			OnDown: func(_ string, err error) { told = append(told, err) },
+			OnDown: func(_ string, err error) { reported = append(reported, err) },
 		})
 		defer p.Close()
 		p.ReportUnreachable("a:1", syscall.ECONNRESET) // another request's dial
 		if !p.Verify(t.Context(), "a:1") {
-			t.Error("the target counts as alive")
+			t.Error("Verify reports the target as alive")
 		}
-		if len(told) != 2 || !errors.Is(told[1], syscall.ECONNREFUSED) {
-			t.Errorf("told of %v as Verify returned", told)
+		if len(reported) != 2 || !errors.Is(reported[1], syscall.ECONNREFUSED) {
+			t.Errorf("reported %v when Verify returned", reported)
 		}
 		p.ReportUnreachable("a:1", syscall.ECONNREFUSED)
-		if len(told) != 2 {
-			t.Errorf("told again: %v", told)
+		if len(reported) != 2 {
+			t.Errorf("reported again: %v", reported)
 		}
 	})
 }
--- a/connection/pool/probe.go
+++ b/connection/pool/probe.go
@@ -14,18 +14,21 @@
 )
 
 const (
-	maxProbeBackoff = 5 // times ProbeEvery
-	// resetPause is the time between probes of a target that resets connections.
-	resetPause = 5 * time.Millisecond
+	// maxProbeBackoff limits the time between probes, as a multiple of
+	// ProbeInterval.
+	maxProbeBackoff = 5
+	// resetRetryDelay is the time between probes in Verify while the target resets
+	// connections.
+	resetRetryDelay = 5 * time.Millisecond
 )
 
-// probeUntilHealthy probes a target over new connections until it answers or
-// leaves the pool.
+// probeUntilHealthy probes a target over new connections until it responds or is
+// removed from the pool.
 func (p *Pool) probeUntilHealthy(addr string, t *target) {
 	wait := p.opts.ProbeInterval
 	for {
 		err := p.Probe(context.Background(), addr)
-		if p.settle(addr, t, err) {
+		if p.recordProbe(addr, t, err) {
 			return
 		}
 		select {
@@ -37,8 +40,8 @@
 	}
 }
 
-// settle notes a probe's result and reports whether probing is over.
-func (p *Pool) settle(addr string, t *target, err error) bool {
+// recordProbe records the result of a probe and reports whether probing ends.
+func (p *Pool) recordProbe(addr string, t *target, err error) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || p.targets[addr] != t {
@@ -48,17 +51,17 @@
 	if err != nil {
 		return false
 	}
-	t.suspect, t.down, t.gone, t.probing = false, false, false, false
-	log.WithField("addr", addr).Info("pool: target answers")
+	t.suspect, t.down, t.exited, t.probing = false, false, false, false
+	log.WithField("addr", addr).Info("pool: target responds again")
 	return true
 }
 
-// Probe asks addr for any answer over a new connection. OPTIONS * is HTTP's
-// own no-op: any status counts as an answer.
+// Probe checks over a new connection that addr responds. It sends OPTIONS *,
+// which has no effect, and accepts any status.
 func (p *Pool) Probe(ctx context.Context, addr string) error {
 	ctx, cancel := context.WithTimeout(ctx, p.opts.ProbeTimeout)
 	defer cancel()
-	resp, err := p.wires.Do(ctx, &h1.Request{Addr: addr, Method: http.MethodOptions, URI: "*", Host: addr, Reuse: h1.ReuseNever})
+	resp, err := p.conns.Do(ctx, &h1.Request{Addr: addr, Method: http.MethodOptions, URI: "*", Host: addr, Reuse: h1.ReuseNever})
 	if err != nil {
 		return err
 	}
@@ -66,38 +69,40 @@
 	return nil
 }
 
-// Verify probes addr at once after a connection broke, and reports whether the
-// target is gone. A gone target is marked as down and told of before Verify returns.
+// Verify probes addr immediately after a connection broke and reports whether the
+// target accepts no connections. Such a target is marked as down, and the call of
+// OnDown has returned, before Verify returns.
 func (p *Pool) Verify(ctx context.Context, addr string) bool {
 	err := p.Probe(ctx, addr)
-	for errors.Is(err, syscall.ECONNRESET) && pause.For(ctx, resetPause) == nil {
-		err = p.Probe(ctx, addr) // a process that is ending refuses a moment later
+	for errors.Is(err, syscall.ECONNRESET) && pause.For(ctx, resetRetryDelay) == nil {
+		err = p.Probe(ctx, addr) // a process that is exiting resets first and then refuses
 	}
 	if err == nil || ctx.Err() != nil {
 		return false
 	}
 	if errors.Is(err, h1.ErrConnect) {
 		p.ReportUnreachable(addr, err)
-		p.awaitTold(ctx, addr)
+		p.awaitDownReport(ctx, addr)
 		return true
 	}
 	p.ReportStall(addr)
 	return false
 }
 
-// awaitTold waits until whoever found addr down first has told of it. The
-// guard is against a request that was broken by the same death and goes to
-// another target before the quarantine knows of it: it would run there as
-// innocent, beside others, and be in flight with them at a second death.
-func (p *Pool) awaitTold(ctx context.Context, addr string) {
+// awaitDownReport waits until the call of OnDown for addr has returned. Another
+// request that was broken by the same crash could otherwise be retried on
+// another target before the quarantine knows of the crash. It would run there
+// unsuspected beside other requests, and all of them would be in flight at a
+// second crash.
+func (p *Pool) awaitDownReport(ctx context.Context, addr string) {
 	p.mu.Lock()
-	told := p.get(addr).told
+	reported := p.target(addr).downReported
 	p.mu.Unlock()
-	if told == nil {
+	if reported == nil {
 		return
 	}
 	select {
-	case <-told:
+	case <-reported:
 	case <-ctx.Done():
 	}
 }
--- a/connection/pool/sent.go
+++ b/connection/pool/sent.go
@@ -2,43 +2,44 @@
 
 import "time"
 
+// The counts of sent requests are kept in sentBuckets buckets of sentBucket each.
 const (
-	sentStep  = 100 * time.Millisecond
-	sentSteps = 40
+	sentBucket  = 100 * time.Millisecond
+	sentBuckets = 40
 )
 
-// Sent counts requests and their estimated tokens.
+// Sent is a number of requests and the sums of their estimated tokens.
 type Sent struct {
 	Count   int
 	Prefill int
 	Decode  int
 }
 
-// sent keeps the last sentSteps steps of Sent in a ring.
-type sent struct {
-	steps [sentSteps]Sent
-	at    [sentSteps]int64
+// sentRing holds the counts of the last sentBuckets buckets in a ring.
+type sentRing struct {
+	buckets       [sentBuckets]Sent
+	bucketNumbers [sentBuckets]int64
 }
 
-func (s *sent) add(now time.Time, n Sent) {
-	step := now.UnixNano() / int64(sentStep)
-	i := step % sentSteps
-	if s.at[i] != step {
-		s.at[i], s.steps[i] = step, Sent{}
+func (s *sentRing) add(now time.Time, n Sent) {
+	bucket := now.UnixNano() / int64(sentBucket)
+	i := bucket % sentBuckets
+	if s.bucketNumbers[i] != bucket {
+		s.bucketNumbers[i], s.buckets[i] = bucket, Sent{}
 	}
-	s.steps[i].Count += n.Count
-	s.steps[i].Prefill += n.Prefill
-	s.steps[i].Decode += n.Decode
+	s.buckets[i].Count += n.Count
+	s.buckets[i].Prefill += n.Prefill
+	s.buckets[i].Decode += n.Decode
 }
 
-// since sums the steps that end after from. The step in which from lies
-// counts: load is rather seen too high than too low.
-func (s *sent) since(from, now time.Time) Sent {
-	first := from.UnixNano() / int64(sentStep)
-	oldest := now.UnixNano()/int64(sentStep) - sentSteps
+// since sums the buckets that end after from. The bucket that contains from is
+// included, because an overestimate of the load is preferred to an underestimate.
+func (s *sentRing) since(from, now time.Time) Sent {
+	first := from.UnixNano() / int64(sentBucket)
+	oldest := now.UnixNano()/int64(sentBucket) - sentBuckets
 	var sum Sent
-	for i, n := range s.steps {
-		if s.at[i] < first || s.at[i] <= oldest {
+	for i, n := range s.buckets {
+		if s.bucketNumbers[i] < first || s.bucketNumbers[i] <= oldest {
 			continue
 		}
 		sum.Count += n.Count
