--- a/process/usage/counter.go
+++ b/process/usage/counter.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// closeAfter is how long after its end a window still takes requests: the
-	// estimate of the time moves by some milliseconds.
-	closeAfter = 300 * time.Millisecond
-	// changeRepeats is the number of reports that a change is sent in, so that
-	// lost datagrams hardly hide it.
+	// closeDelay is how long after its end a window still accepts requests, since
+	// the clock estimate shifts by some milliseconds.
+	closeDelay = 300 * time.Millisecond
+	// changeRepeats is the number of reports that include a change, since
+	// datagrams can be lost.
 	changeRepeats = 4
-	// closedEvery is the number of reports between two that repeat a closed
-	// window.
-	closedEvery = 4
-	// keepWindows is how many windows are kept after their end.
-	keepWindows = 3
+	// closedRepeatInterval is the number of reports after which the counts of a
+	// closed window are repeated.
+	closedRepeatInterval = 4
+	// retainedWindows is the number of windows kept before the current one.
+	retainedWindows = 3
 )
 
 // counter counts the requests of this process. It is safe for concurrent use.
@@ -27,42 +27,44 @@
 	period time.Duration
 
 	mu    sync.Mutex
-	first int64
-	own   map[int64]*ownRow
+	first int64 // window in which the process started
+	rows  map[int64]*localRow
 }
 
-// ownRow is a row of this process.
-type ownRow struct {
+// localRow holds the counts of this process in a window.
+type localRow struct {
 	counts  Counts
-	changed map[string]int // reports since an organisation's count changed
+	changed map[string]int // by organisation, the number of reports since its count changed
 	closed  bool
-	reports int // since it was closed
+	reports int // sent since the window was closed
 }
 
 func newCounter(source Source, period time.Duration, now time.Time) *counter {
-	c := &counter{source: source, period: period, own: make(map[int64]*ownRow)}
+	c := &counter{source: source, period: period, rows: make(map[int64]*localRow)}
 	c.first = c.window(now)
 	c.row(c.first)
 	return c
 }
 
-// window is the number of the window of a time.
+// window returns the number of the window that contains t.
 func (c *counter) window(t time.Time) int64 { return t.UnixNano() / int64(c.period) }
 
-// end is the end of a window.
+// end returns the end of a window.
 func (c *counter) end(window int64) time.Time { return time.Unix(0, (window+1)*int64(c.period)) }
 
-// row returns the row of a window. Callers hold c.mu, or own c alone.
-func (c *counter) row(window int64) *ownRow {
-	r := c.own[window]
+// row returns the row of a window and creates it if necessary. The caller must
+// hold c.mu or have exclusive access to c.
+func (c *counter) row(window int64) *localRow {
+	r := c.rows[window]
 	if r == nil {
-		r = &ownRow{counts: make(Counts), changed: make(map[string]int)}
-		c.own[window] = r
+		r = &localRow{counts: make(Counts), changed: make(map[string]int)}
+		c.rows[window] = r
 	}
 	return r
 }
 
-// add counts a request that began to run at a time.
+// add counts a request that started to run at the given time. If that window is
+// closed, the request counts in the next open one.
 func (c *counter) add(org string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,34 +76,34 @@
 	r.changed[org] = 0
 }
 
-// close closes all windows.
+// close closes all windows of this process.
 func (c *counter) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, r := range c.own {
+	for _, r := range c.rows {
 		r.closed = true
 	}
 }
 
-// report returns what has changed, or with all every count, and closes windows
-// that have ended.
+// report closes the windows that have ended and returns the updates to send. The
+// updates hold the changed counts, or every count if all is set.
 func (c *counter) report(now time.Time, all bool) []update {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	current := c.window(now)
 	c.row(current)
 	var out []update
-	for _, window := range slices.Sorted(maps.Keys(c.own)) {
-		r := c.own[window]
-		if window < current-keepWindows {
-			delete(c.own, window)
+	for _, window := range slices.Sorted(maps.Keys(c.rows)) {
+		r := c.rows[window]
+		if window < current-retainedWindows {
+			delete(c.rows, window)
 			continue
 		}
-		if !r.closed && now.Sub(c.end(window)) >= closeAfter {
+		if !r.closed && now.Sub(c.end(window)) >= closeDelay {
 			r.closed = true
 		}
 		u := update{Source: c.source, First: c.first, Window: window, Closed: r.closed, Total: r.counts.total()}
-		repeat := r.closed && (r.reports < changeRepeats || r.reports%closedEvery == 0)
+		repeat := r.closed && (r.reports < changeRepeats || r.reports%closedRepeatInterval == 0)
 		u.Counts = r.changes(all || repeat)
 		if r.closed {
 			r.reports++
@@ -113,8 +115,9 @@
 	return out
 }
 
-// changes returns the counts that changed in the last reports, or all.
-func (r *ownRow) changes(all bool) Counts {
+// changes returns the counts that changed within the last changeRepeats reports,
+// or every count if all is set.
+func (r *localRow) changes(all bool) Counts {
 	out := make(Counts)
 	for org, age := range r.changed {
 		if age < changeRepeats {
--- a/process/usage/ledger.go
+++ b/process/usage/ledger.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// Counts are requests that began to run, by organisation.
+// Counts holds the number of requests that started to run, by organisation.
 type Counts map[string]uint32
 
 func (c Counts) total() uint32 {
@@ -17,27 +17,27 @@
 	return sum
 }
 
-// Source is one process of a daemon.
+// Source identifies a process of the daemon on a VM.
 type Source struct {
 	VM          string
 	Incarnation uint64
 }
 
-// row is what one process counted in one window. Counts only grow, so rows of
-// any age can be merged in any order.
+// row holds the counts of one process in one window. Counts only grow, so rows
+// can be merged in any order.
 type row struct {
 	counts Counts
-	total  uint32 // as its process stated with closed
-	closed bool   // its process counts nothing more there
+	total  uint32 // sum of the counts, as stated by the process when it closed the window
+	closed bool   // the process counts no further requests in the window
 }
 
-// whole reports whether nothing of the row is missing.
-func (r *row) whole() bool { return r.closed && r.counts.total() == r.total }
+// complete reports whether all counts of the row have been received.
+func (r *row) complete() bool { return r.closed && r.counts.total() == r.total }
 
-// update is a part of a row, as it is sent and stored.
+// update is a part of a row, as sent between daemons and stored.
 type update struct {
 	Source Source
-	First  int64 // window in which the process began
+	First  int64 // window in which the process started
 	Window int64
 	Total  uint32
 	Closed bool
@@ -46,23 +46,23 @@
 
 // ledger holds the rows of all processes. It is safe for concurrent use.
 type ledger struct {
-	mu      sync.Mutex
-	windows map[int64]map[Source]*row
-	first   map[Source]int64
-	floor   int64 // windows before it are forgotten
-	changes int
+	mu        sync.Mutex
+	windows   map[int64]map[Source]*row
+	first     map[Source]int64
+	minWindow int64 // earlier windows have been removed
+	revision  int
 }
 
 func newLedger() *ledger {
 	return &ledger{windows: make(map[int64]map[Source]*row), first: make(map[Source]int64)}
 }
 
-// merge takes a part of a row.
+// merge adds a part of a row to the ledger.
 func (l *ledger) merge(u *update) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.first[u.Source] = u.First
-	if u.Window < l.floor {
+	if u.Window < l.minWindow {
 		return
 	}
 	rows := l.windows[u.Window]
@@ -74,21 +74,21 @@
 	if r == nil {
 		r = &row{counts: make(Counts)}
 		rows[u.Source] = r
-		l.changes++
+		l.revision++
 	}
 	for org, n := range u.Counts {
 		if n > r.counts[org] {
 			r.counts[org] = n
-			l.changes++
+			l.revision++
 		}
 	}
 	if u.Closed && !r.closed {
 		r.closed, r.total = true, u.Total
-		l.changes++
+		l.revision++
 	}
 }
 
-// sum returns the counts of a window.
+// sum returns the counts of a window, summed over all processes.
 func (l *ledger) sum(window int64) Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,32 +101,32 @@
 	return out
 }
 
-// missing returns a process whose row of the window isn't whole: one of the
-// living, or one that has reported and was not replaced by a later process of its
-// VM.
-func (l *ledger) missing(window int64, living []Source) (Source, bool) {
+// incompleteSource returns a process whose row of the window is incomplete, if
+// there is one. It considers the live processes, and those that have reported and
+// weren't superseded by a later process on their VM.
+func (l *ledger) incompleteSource(window int64, live []Source) (Source, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, s := range living {
+	for _, s := range live {
 		first, known := l.first[s]
 		if known && first > window {
 			continue
 		}
-		if r := l.windows[window][s]; r == nil || !r.whole() {
+		if r := l.windows[window][s]; r == nil || !r.complete() {
 			return s, true
 		}
 	}
 	for s, r := range l.windows[window] {
-		if !r.whole() && !l.replaced(s) {
+		if !r.complete() && !l.superseded(s) {
 			return s, true
 		}
 	}
 	return Source{}, false
 }
 
-// replaced reports whether a later process of the VM is known. Callers hold
-// l.mu.
-func (l *ledger) replaced(s Source) bool {
+// superseded reports whether a later process on the VM is known. The caller must
+// hold l.mu.
+func (l *ledger) superseded(s Source) bool {
 	for other := range l.first {
 		if other.VM == s.VM && other.Incarnation > s.Incarnation {
 			return true
@@ -135,7 +135,7 @@
 	return false
 }
 
-// rows returns all rows from a window on, and a number that changes with them.
+// rows returns all rows from the given window on, and the revision of the ledger.
 func (l *ledger) rows(from int64) ([]update, int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -148,10 +148,10 @@
 			out = append(out, update{Source: s, First: l.first[s], Window: window, Total: r.total, Closed: r.closed, Counts: maps.Clone(r.counts)})
 		}
 	}
-	return out, l.changes
+	return out, l.revision
 }
 
-// oldest returns the first window with a row.
+// oldest returns the first window with a row, if there is one.
 func (l *ledger) oldest() (int64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -161,14 +161,15 @@
 	return slices.Min(slices.Collect(maps.Keys(l.windows))), true
 }
 
-// forget drops the windows before one, and the processes that counted only there.
-func (l *ledger) forget(before int64) {
+// prune removes the windows before the given one, and the processes that have
+// rows only in those.
+func (l *ledger) prune(before int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if before <= l.floor {
+	if before <= l.minWindow {
 		return
 	}
-	l.floor = before
+	l.minWindow = before
 	present := make(map[Source]bool)
 	for window, rows := range l.windows {
 		if window < before {
--- a/process/usage/message.go
+++ b/process/usage/message.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// messageBytes is the most that the counts of one message take, so that it
-	// fits into a datagram.
-	messageBytes = 1100
-	// countBytes is what a count takes besides its organisation's name.
+	// maxMessageBytes limits the encoded counts of a message, so that it fits into
+	// a datagram.
+	maxMessageBytes = 1100
+	// countBytes is the encoded size of a count without its organisation's name.
 	countBytes = 7
 )
 
-// message is an update on the wire.
+// message is the wire format of an update.
 type message struct {
 	_           struct{} `cbor:",toarray"`
 	VM          string
@@ -29,7 +29,7 @@
 	Counts      []uint32
 }
 
-// encode returns the update in one or more messages.
+// encode encodes an update as one or more messages.
 func encode(u *update) ([][]byte, error) {
 	var out [][]byte
 	m := message{VM: u.Source.VM, Incarnation: u.Source.Incarnation, First: u.First, Window: u.Window, Total: u.Total, Closed: u.Closed}
@@ -44,7 +44,7 @@
 		return nil
 	}
 	for _, org := range slices.Sorted(maps.Keys(u.Counts)) {
-		if size+len(org)+countBytes > messageBytes {
+		if size+len(org)+countBytes > maxMessageBytes {
 			if err := flush(); err != nil {
 				return nil, err
 			}
--- a/process/usage/record.go
+++ b/process/usage/record.go
@@ -8,19 +8,19 @@
 
 // Keys of the records in port.TopicUsage.
 const (
-	keyRows  = "rows"  // what was counted in windows that aren't agreed
-	keyFinal = "final" // the newest window whose counts are agreed
+	keyRows  = "rows"  // the counts of windows that aren't final
+	keyFinal = "final" // the newest window whose counts are final
 )
 
-// finalRecord is a window's counts as they are reported. Once written they
-// stand for good: every report of the window states these.
+// finalRecord holds the final counts of a window. After it is written, every
+// report of the window states these counts.
 type finalRecord struct {
 	_      struct{} `cbor:",toarray"`
 	Window int64
 	Counts Counts
 }
 
-// rowsRecord holds rows, with each organisation's name once.
+// rowsRecord holds rows. It contains the name of each organisation only once.
 type rowsRecord struct {
 	_    struct{} `cbor:",toarray"`
 	Orgs []string
--- a/process/usage/reporter.go
+++ b/process/usage/reporter.go
@@ -1,9 +1,9 @@
-// Package usage counts the requests of each organisation and reports them to
-// the platform, once for each window of time. Every daemon counts what its
-// targets began to run and sends the counts to a few collectors, the daemons
-// that may lead. The one that leads saves what it has collected to the store,
-// agrees on a window's counts there, and only then reports them: any
-// later report of the window states the same counts.
+// Package usage counts the requests of each organisation and reports them to the
+// platform, once for each time window. Every daemon counts the requests that its
+// targets started to run, and sends the counts to a few collectors, which are the
+// daemons that may become leader. The leader saves the collected counts to the
+// store. It writes the final counts of a window there before it reports them, so
+// that any later report of the window states the same counts.
 package usage
 
 import (
@@ -24,36 +24,36 @@
 )
 
 const (
-	// pushEvery is the time between two reports to the collectors: what a daemon
-	// that is killed has counted since is lost.
-	pushEvery = 250 * time.Millisecond
-	// collectors is the number of daemons that collect the counts.
+	// pushInterval is the time between two reports to the collectors. A daemon that
+	// is killed loses what it has counted since the last one.
+	pushInterval = 250 * time.Millisecond
+	// collectors is the number of daemons that collect counts.
 	collectors = 3
-	// leadEvery is the time between two looks at what is to be reported.
-	leadEvery = 250 * time.Millisecond
-	// saveEvery is the time between two saves of what was collected.
-	saveEvery = time.Second
-	// waitShare is the part of the time until a report is due in which the
-	// leader waits for the counts of daemons that don't answer.
-	waitShare = 0.7
-	// retryAfter is the pause after a report that failed.
-	retryAfter = 500 * time.Millisecond
-	// callTimeout bounds one report.
+	// leaderInterval is the time between two steps of the leader.
+	leaderInterval = 250 * time.Millisecond
+	// saveInterval is the time between two saves of the collected counts.
+	saveInterval = time.Second
+	// waitFraction is the fraction of Options.ReportDeadline for which the leader
+	// waits for missing counts.
+	waitFraction = 0.7
+	// retryDelay is the pause after a failed step of the leader.
+	retryDelay = 500 * time.Millisecond
+	// callTimeout limits one report to the platform.
 	callTimeout = time.Second
-	// maxBehind is the number of windows that are reported after a time in
-	// which nobody led.
-	maxBehind = 24
+	// maxBacklog limits the windows that are reported after a time without a
+	// leader.
+	maxBacklog = 24
 )
 
-// subject is what a claim to report is for.
+// subject is the subject of the claim that the reporting daemon holds.
 const subject = "/usage"
 
 var stats = expvar.NewMap("usage")
 
-// Clock gives the estimated time of day.
+// Clock returns the estimated time of day.
 type Clock interface{ Now() time.Time }
 
-// Roster is what usage needs of the other daemons.
+// Roster provides the other daemons and sends messages to them.
 type Roster interface {
 	MayLead() bool
 	Leaders(n int) []roster.Member
@@ -61,11 +61,11 @@
 	SendUsage(data []byte, to string)
 }
 
-// Options of a Reporter. All are needed.
+// Options configures a Reporter. All fields are required.
 type Options struct {
 	Self           Source
 	Period         time.Duration // length of a window
-	ReportDeadline time.Duration // after a window's end until its report is due
+	ReportDeadline time.Duration // from a window's end until its report is due
 	Clock          Clock
 	Roster         Roster
 	Store          port.Store
@@ -73,51 +73,51 @@
 	Duties         port.Duties
 }
 
-// Reporter counts, collects and reports. Add and Receive are safe for
-// concurrent use.
+// Reporter counts requests, collects the counts of other daemons and reports
+// them. Add and Receive are safe for concurrent use.
 type Reporter struct {
-	o       Options
+	opts    Options
 	tomb    tomb.Tomb
 	counter *counter
 	ledger  *ledger
 
-	mu     sync.Mutex
-	pushed map[string]bool // collectors of the last report, by address
+	mu             sync.Mutex
+	lastCollectors map[string]bool // collectors that got the last report, by address
 
-	// of the goroutine that leads
-	loaded  bool  // what follows is what the store holds
-	end     int64 // offset after the topic's newest record
-	final   *finalRecord
-	acked   int64 // newest window whose report was answered
-	saved   int   // ledger's changes at the last save
-	savedAt time.Time
-	retryAt time.Time
+	// The fields below are used only by the goroutine of runLeader.
+	loaded        bool  // end and final match the store
+	end           int64 // offset after the topic's newest record
+	final         *finalRecord
+	acked         int64 // newest window whose report was accepted or rejected as invalid
+	savedRevision int   // revision of the ledger at the last save
+	savedAt       time.Time
+	retryAt       time.Time
 }
 
-// New returns a Reporter that doesn't run yet.
+// New returns a Reporter. Start starts it.
 func New(o Options) *Reporter {
-	return &Reporter{o: o, counter: newCounter(o.Self, o.Period, o.Clock.Now()), ledger: newLedger(), acked: -1}
+	return &Reporter{opts: o, counter: newCounter(o.Self, o.Period, o.Clock.Now()), ledger: newLedger(), acked: -1}
 }
 
-// Start begins to report.
+// Start starts the goroutines that send and report counts.
 func (r *Reporter) Start() {
-	r.tomb.Go(r.push)
-	r.tomb.Go(r.lead)
+	r.tomb.Go(r.runPush)
+	r.tomb.Go(r.runLeader)
 }
 
-// Stop ends all.
+// Stop stops the Reporter and waits for its goroutines.
 func (r *Reporter) Stop() error {
 	r.tomb.Kill(nil)
 	return r.tomb.Wait()
 }
 
-// Add counts a request of an organisation that a target began to run just now,
-// or that long ago.
+// Add counts a request of an organisation that a target started to run the given
+// duration ago.
 func (r *Reporter) Add(org string, ago time.Duration) {
-	r.counter.add(org, r.o.Clock.Now().Add(-ago))
+	r.counter.add(org, r.opts.Clock.Now().Add(-ago))
 }
 
-// Receive takes a report of another daemon.
+// Receive merges a report of another daemon.
 func (r *Reporter) Receive(data []byte) error {
 	u, err := decode(data)
 	if err != nil {
@@ -127,16 +127,16 @@
 	return nil
 }
 
-// Flush sends every count to the collectors now, as the last ones: this daemon
-// stops.
+// Flush closes all windows and sends every count to the collectors. It is called
+// when the daemon stops.
 func (r *Reporter) Flush() {
 	r.counter.close()
 	r.send(true)
 }
 
-// push sends this daemon's counts to the collectors.
-func (r *Reporter) push() error {
-	tick := time.NewTicker(pushEvery)
+// runPush sends the counts of this daemon to the collectors periodically.
+func (r *Reporter) runPush() error {
+	tick := time.NewTicker(pushInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -148,25 +148,27 @@
 	}
 }
 
+// send sends the changed counts to the collectors, or every count if all is set
+// or a collector is new.
 func (r *Reporter) send(all bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	now := r.o.Clock.Now()
+	now := r.opts.Clock.Now()
 	to := make(map[string]bool)
-	fresh := all
-	for _, m := range r.o.Roster.Leaders(collectors) {
-		to[m.PeerAddr] = m.VM == r.o.Self.VM
-		fresh = fresh || !r.pushed[m.PeerAddr]
+	full := all
+	for _, m := range r.opts.Roster.Leaders(collectors) {
+		to[m.PeerAddr] = m.VM == r.opts.Self.VM
+		full = full || !r.lastCollectors[m.PeerAddr]
 	}
-	reports := r.counter.report(now, fresh)
-	r.pushed = make(map[string]bool, len(to))
+	reports := r.counter.report(now, full)
+	r.lastCollectors = make(map[string]bool, len(to))
 	for addr, own := range to {
-		r.pushed[addr] = true
+		r.lastCollectors[addr] = true
 		for i := range reports {
 			r.sendTo(addr, own, &reports[i])
 		}
 	}
-	r.ledger.forget(r.counter.window(now) - maxBehind)
+	r.ledger.prune(r.counter.window(now) - maxBacklog)
 }
 
 func (r *Reporter) sendTo(addr string, own bool, u *update) {
@@ -180,14 +182,14 @@
 		return
 	}
 	for _, data := range messages {
-		r.o.Roster.SendUsage(data, addr)
+		r.opts.Roster.SendUsage(data, addr)
 	}
 }
 
-// lead reports while this daemon leads.
-func (r *Reporter) lead() error {
+// runLeader runs the steps of the leader while this daemon may lead.
+func (r *Reporter) runLeader() error {
 	ctx := r.tomb.Context(context.Background())
-	tick := time.NewTicker(leadEvery)
+	tick := time.NewTicker(leaderInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -195,23 +197,24 @@
 			return nil
 		case <-tick.C:
 		}
-		if !r.o.Roster.MayLead() {
+		if !r.opts.Roster.MayLead() {
 			r.loaded = false
 			continue
 		}
-		err := r.step(ctx, r.o.Clock.Now())
+		err := r.step(ctx, r.opts.Clock.Now())
 		if errors.Is(err, claim.ErrHeld) {
-			continue // another daemon reports, or did until now
+			continue // another daemon holds the claim, or its claim hasn't expired
 		}
 		if err != nil {
 			stats.Add("failed", 1)
-			r.retryAt = time.Now().Add(retryAfter)
-			log.WithError(err).Warn("usage: not reported")
+			r.retryAt = time.Now().Add(retryDelay)
+			log.WithError(err).Warn("usage: could not report or save counts; retrying")
 		}
 	}
 }
 
-// step does what is due.
+// step loads the stored state if necessary, reports all windows that are ready
+// and saves the counts of the others.
 func (r *Reporter) step(ctx context.Context, now time.Time) error {
 	if time.Now().Before(r.retryAt) {
 		return nil
@@ -227,33 +230,33 @@
 				return err
 			}
 		}
-		window := r.next(now)
-		if !r.ripe(window, now) {
+		window := r.nextWindow(now)
+		if !r.ready(window, now) {
 			return r.save(ctx, window)
 		}
-		if err := r.agree(ctx, window); err != nil {
+		if err := r.finalize(ctx, window); err != nil {
 			return err
 		}
 	}
 }
 
-var errMoved = errors.New("usage: the topic moved on while it was read")
+var errTopicChanged = errors.New("usage: the topic changed while it was read")
 
-// load reads what earlier leaders left. Records and end belong together only if
-// nothing was written while they were read.
+// load reads the state that earlier leaders stored. Records and end offset are
+// consistent only if nothing was written during the read.
 func (r *Reporter) load(ctx context.Context) error {
-	before, err := r.o.Store.Newest(ctx, port.TopicUsage, "")
+	before, err := r.opts.Store.Newest(ctx, port.TopicUsage, "")
 	if err != nil {
 		return err
 	}
-	page, err := r.o.Store.Newest(ctx, port.TopicUsage, "")
+	page, err := r.opts.Store.Newest(ctx, port.TopicUsage, "")
 	if err != nil {
 		return err
 	}
 	if before.End != page.End {
-		return errMoved
+		return errTopicChanged
 	}
-	if err := r.o.Claims.Sight(ctx, subject); err != nil {
+	if err := r.opts.Claims.Sight(ctx, subject); err != nil {
 		return err
 	}
 	r.end, r.final = page.End, nil
@@ -262,7 +265,7 @@
 		case keyFinal:
 			var f finalRecord
 			if err := cbor.Unmarshal(rec.Value, &f); err != nil {
-				return fmt.Errorf("usage: agreed counts at offset %d: %w", rec.Offset, err)
+				return fmt.Errorf("usage: final counts at offset %d: %w", rec.Offset, err)
 			}
 			r.final = &f
 		case keyRows:
@@ -276,49 +279,50 @@
 		}
 	}
 	r.loaded = true
-	log.WithFields(log.Fields{"end": r.end, "agreed": r.final != nil}).Info("usage: leads")
+	log.WithFields(log.Fields{"end": r.end, "agreed": r.final != nil}).Info("usage: this daemon leads usage reporting")
 	return nil
 }
 
-// next is the first window that isn't agreed.
-func (r *Reporter) next(now time.Time) int64 {
+// nextWindow returns the first window whose counts aren't final, at most
+// maxBacklog windows back after a final one.
+func (r *Reporter) nextWindow(now time.Time) int64 {
 	current := r.counter.window(now)
 	if r.final != nil {
-		return max(r.final.Window+1, current-maxBehind)
+		return max(r.final.Window+1, current-maxBacklog)
 	}
-	if oldest, any := r.ledger.oldest(); any {
+	if oldest, found := r.ledger.oldest(); found {
 		return min(oldest, current)
 	}
 	return current
 }
 
-// ripe reports whether a window's counts can be agreed: all daemons have stated
-// theirs, or were waited for.
-func (r *Reporter) ripe(window int64, now time.Time) bool {
+// ready reports whether a window's counts can become final: all daemons have
+// reported theirs, or the wait for them is over.
+func (r *Reporter) ready(window int64, now time.Time) bool {
 	past := now.Sub(r.counter.end(window))
-	if past < closeAfter {
+	if past < closeDelay {
 		return false
 	}
-	members := r.o.Roster.Members()
-	living := make([]Source, 0, len(members))
+	members := r.opts.Roster.Members()
+	live := make([]Source, 0, len(members))
 	for _, m := range members {
-		living = append(living, Source{VM: m.VM, Incarnation: m.Incarnation})
+		live = append(live, Source{VM: m.VM, Incarnation: m.Incarnation})
 	}
-	missing, any := r.ledger.missing(window, living)
-	if !any {
+	missing, found := r.ledger.incompleteSource(window, live)
+	if !found {
 		return true
 	}
-	if past < time.Duration(waitShare*float64(r.o.ReportDeadline)) {
+	if past < time.Duration(waitFraction*float64(r.opts.ReportDeadline)) {
 		return false
 	}
-	log.WithFields(log.Fields{"window": window, "vm": missing.VM}).Warn("usage: counts of a daemon are missing")
+	log.WithFields(log.Fields{"window": window, "vm": missing.VM}).Warn("usage: the counts of a daemon are missing; continuing without them")
 	stats.Add("incomplete", 1)
 	return true
 }
 
-// agree writes a window's counts, from which on they stand. After an error the
-// record may stand all the same, so the store is read again.
-func (r *Reporter) agree(ctx context.Context, window int64) error {
+// finalize writes a window's final counts. The record may have been written
+// despite an error, so the store is read again after one.
+func (r *Reporter) finalize(ctx context.Context, window int64) error {
 	f := &finalRecord{Window: window, Counts: r.ledger.sum(window)}
 	value, err := cbor.Marshal(f)
 	if err != nil {
@@ -328,18 +332,18 @@
 		return err
 	}
 	r.final = f
-	log.WithFields(log.Fields{"window": window, "requests": f.Counts.total(), "organisations": len(f.Counts)}).Info("usage: counts agreed")
+	log.WithFields(log.Fields{"window": window, "requests": f.Counts.total(), "organisations": len(f.Counts)}).Info("usage: counts are final")
 	return nil
 }
 
-// save writes what was collected from a window on, for the case that all
+// save writes the counts collected from the given window on, in case all
 // collectors are killed.
 func (r *Reporter) save(ctx context.Context, from int64) error {
-	if time.Since(r.savedAt) < saveEvery {
+	if time.Since(r.savedAt) < saveInterval {
 		return nil
 	}
 	rows, changes := r.ledger.rows(from)
-	if changes == r.saved {
+	if changes == r.savedRevision {
 		return nil
 	}
 	value, err := encodeRows(rows)
@@ -349,13 +353,14 @@
 	if err := r.put(ctx, keyRows, value); err != nil {
 		return err
 	}
-	r.saved, r.savedAt = changes, time.Now()
+	r.savedRevision, r.savedAt = changes, time.Now()
 	return nil
 }
 
-// put writes a record if no other daemon has written since.
+// put writes a record if no other daemon has written to the topic since it was
+// read.
 func (r *Reporter) put(ctx context.Context, key string, value []byte) error {
-	offset, err := r.o.Store.PutAt(ctx, port.TopicUsage, key, value, r.end)
+	offset, err := r.opts.Store.PutAt(ctx, port.TopicUsage, key, value, r.end)
 	if err != nil {
 		r.loaded = false
 		return err
@@ -364,21 +369,21 @@
 	return nil
 }
 
-// report sends the agreed counts.
+// report reports the final counts to the platform.
 func (r *Reporter) report(ctx context.Context) error {
-	held, err := r.o.Claims.Get(ctx, subject)
+	held, err := r.opts.Claims.Get(ctx, subject)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	err = r.o.Duties.ReportUsage(ctx, port.DutyCall{Holder: r.o.Self.VM, Fence: held.Fence}, r.final.Window, r.final.Counts)
+	err = r.opts.Duties.ReportUsage(ctx, port.DutyCall{Holder: r.opts.Self.VM, Fence: held.Fence}, r.final.Window, r.final.Counts)
 	switch {
 	case errors.Is(err, port.ErrFenced):
-		r.o.Claims.Drop(subject)
+		r.opts.Claims.Drop(subject)
 		return err
 	case errors.Is(err, port.ErrInvalid):
-		log.WithError(err).WithField("window", r.final.Window).Error("usage: report rejected")
+		log.WithError(err).WithField("window", r.final.Window).Error("usage: the platform rejected the report")
 	case err != nil:
 		return err
 	}
--- a/process/usage/usage_test.go
+++ b/process/usage/usage_test.go
@@ -31,30 +31,30 @@
 	lease  = 3 * time.Second
 )
 
-// fleet is some daemons before a store and a platform in memory.
+// fleet is a set of daemons with an in-memory store and platform.
 type fleet struct {
-	t       *testing.T
-	steady  clock.Runtime
-	store   *storetest.Store
-	duties  *duties
-	mu      sync.Mutex
-	daemons map[string]*daemon
+	t            *testing.T
+	runtimeClock clock.Runtime
+	store        *storetest.Store
+	duties       *duties
+	mu           sync.Mutex
+	daemons      map[string]*daemon
 }
 
-// daemon is one process that counts.
+// daemon is a daemon process with a Reporter. It implements Roster.
 type daemon struct {
 	*Reporter
-	f     *fleet
-	name  string
-	born  uint64
-	alive bool // it takes part in the fleet
-	cut   bool // it doesn't reach the others
+	f           *fleet
+	name        string
+	incarnation uint64
+	alive       bool // the process runs
+	partitioned bool // it can't reach the others
 }
 
 func withFleet(t *testing.T, n int, test func(f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fleet{t: t, steady: clock.NewRuntime(), store: &storetest.Store{}, duties: &duties{}, daemons: make(map[string]*daemon)}
-		// Windows begin with the test.
+		f := &fleet{t: t, runtimeClock: clock.NewRuntime(), store: &storetest.Store{}, duties: &duties{}, daemons: make(map[string]*daemon)}
+		// Start the test at the beginning of a window.
 		time.Sleep(time.Until(time.Now().Truncate(period).Add(period)))
 		for i := range n {
 			f.start(fmt.Sprint("vm-", i))
@@ -66,13 +66,13 @@
 	})
 }
 
-// start starts a daemon, in place of an earlier one of that name.
+// start starts a daemon. It replaces an earlier daemon of that name.
 func (f *fleet) start(name string) *daemon {
-	d := &daemon{f: f, name: name, born: uint64(time.Now().UnixNano()), alive: true}
+	d := &daemon{f: f, name: name, incarnation: uint64(time.Now().UnixNano()), alive: true}
 	d.Reporter = New(Options{
-		Self: Source{VM: name, Incarnation: d.born}, Period: period, ReportDeadline: late,
-		Clock: clock.NewFleet(f.steady, time.Now), Roster: d, Store: f.store, Duties: f.duties,
-		Claims: claim.New(claim.Options{Self: name, Store: f.store, Lease: lease, Clock: f.steady, Seen: claim.NewSightings(f.steady)}),
+		Self: Source{VM: name, Incarnation: d.incarnation}, Period: period, ReportDeadline: late,
+		Clock: clock.NewFleet(f.runtimeClock, time.Now), Roster: d, Store: f.store, Duties: f.duties,
+		Claims: claim.New(claim.Options{Self: name, Store: f.store, Lease: lease, Clock: f.runtimeClock, Seen: claim.NewSightings(f.runtimeClock)}),
 	})
 	f.mu.Lock()
 	f.daemons[name] = d
@@ -81,7 +81,7 @@
 	return d
 }
 
-// kill ends a daemon without a last report.
+// kill stops a daemon without a Flush.
 func (f *fleet) kill(name string) {
 	f.mu.Lock()
 	d := f.daemons[name]
@@ -105,8 +105,8 @@
 	defer d.f.mu.Unlock()
 	var out []roster.Member
 	for _, name := range slices.Sorted(maps.Keys(d.f.daemons)) {
-		if one := d.f.daemons[name]; one.alive && (!one.cut || one == d) && (!d.cut || one == d) {
-			out = append(out, roster.Member{VM: name, PeerAddr: name, Incarnation: one.born})
+		if other := d.f.daemons[name]; other.alive && (!other.partitioned || other == d) && (!d.partitioned || other == d) {
+			out = append(out, roster.Member{VM: name, PeerAddr: name, Incarnation: other.incarnation})
 		}
 	}
 	return out
@@ -115,7 +115,7 @@
 func (d *daemon) SendUsage(data []byte, to string) {
 	d.f.mu.Lock()
 	other := d.f.daemons[to]
-	lost := other == nil || !other.alive || other.cut || d.cut || !d.alive
+	lost := other == nil || !other.alive || other.partitioned || d.partitioned || !d.alive
 	d.f.mu.Unlock()
 	if lost {
 		return
@@ -125,14 +125,14 @@
 	}
 }
 
-// run counts requests of each daemon for some time, 10 a second and daemon, for
-// two organisations in turn. It returns how many.
+// run counts 10 requests a second at each live daemon for the given time, for two
+// organisations in turn. It returns the number of requests.
 func (f *fleet) run(d time.Duration) int {
 	n := 0
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		for _, one := range f.daemons {
-			if one.alive {
-				one.Add(fmt.Sprint("o", n%2), 0)
+		for _, member := range f.daemons {
+			if member.alive {
+				member.Add(fmt.Sprint("o", n%2), 0)
 				n++
 			}
 		}
@@ -140,23 +140,23 @@
 	return n
 }
 
-// duties is the platform that takes reports.
+// duties is an in-memory platform that receives reports.
 type duties struct {
-	mu       sync.Mutex
-	fence    int64
-	reports  map[int64]Counts
-	at       map[int64]time.Time
-	differ   []string // windows that were reported with two counts
-	fail     error
-	calls    int
-	accepted bool // calls that fail are carried out
+	mu            sync.Mutex
+	fence         int64
+	reports       map[int64]Counts
+	at            map[int64]time.Time
+	conflicts     []string // windows that were reported with different counts
+	fail          error
+	calls         int
+	appliesFailed bool // calls that return an error take effect
 }
 
 func (d *duties) ReportUsage(_ context.Context, c port.DutyCall, window int64, counts map[string]uint32) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.calls++
-	if d.fail != nil && !d.accepted {
+	if d.fail != nil && !d.appliesFailed {
 		return d.fail
 	}
 	if c.Fence < d.fence {
@@ -167,7 +167,7 @@
 		d.reports, d.at = make(map[int64]Counts), make(map[int64]time.Time)
 	}
 	if old, known := d.reports[window]; known && !maps.Equal(old, counts) {
-		d.differ = append(d.differ, fmt.Sprint(window, ": ", old, " and ", counts))
+		d.conflicts = append(d.conflicts, fmt.Sprint(window, ": ", old, " and ", counts))
 	} else if !known {
 		d.reports[window], d.at[window] = maps.Clone(counts), time.Now()
 	}
@@ -178,7 +178,7 @@
 	return errors.New("not used")
 }
 
-// total is the number of requests reported.
+// total returns the number of reported requests.
 func (d *duties) total() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -189,14 +189,14 @@
 	return n
 }
 
-// check fails the test if a window was reported twice with other counts, or
-// later than it was due.
+// check fails the test if a window was reported with different counts, or later
+// than it was due.
 func (f *fleet) check() {
 	f.t.Helper()
 	f.duties.mu.Lock()
 	defer f.duties.mu.Unlock()
-	if len(f.duties.differ) > 0 {
-		f.t.Errorf("windows with two counts: %v", f.duties.differ)
+	if len(f.duties.conflicts) > 0 {
+		f.t.Errorf("windows with different counts: %v", f.duties.conflicts)
 	}
 	for window, at := range f.duties.at {
 		if after := at.Sub(time.Unix(0, (window+1)*int64(period))); after > late {
@@ -216,9 +216,9 @@
 	})
 }
 
-// Guards against counts that are lost, or reported twice with other figures,
-// when the daemon that reports is killed at any moment of a window.
-func TestLeaderIsKilled(t *testing.T) {
+// Guards against counts that are lost, or reported again with different values,
+// when the leader is killed at any moment of a window.
+func TestLeaderKilled(t *testing.T) {
 	for after := time.Duration(0); after < period; after += 370 * time.Millisecond {
 		t.Run(after.String(), func(t *testing.T) {
 			withFleet(t, 5, func(f *fleet) {
@@ -227,7 +227,7 @@
 				want += f.run(2*period - after)
 				time.Sleep(late)
 				f.check()
-				// What it counted since its last report is lost.
+				// The killed daemon's counts since its last report are lost.
 				if got := f.duties.total(); got > want || want-got > 3 {
 					t.Errorf("reported %d of %d", got, want)
 				}
@@ -236,8 +236,8 @@
 	}
 }
 
-// Guards against a loss of all counts of a window when all daemons are killed.
-func TestAllAreKilled(t *testing.T) {
+// Guards against the loss of all counts of a window when all daemons are killed.
+func TestAllDaemonsKilled(t *testing.T) {
 	withFleet(t, 5, func(f *fleet) {
 		want := f.run(2*period + 4*time.Second)
 		for name := range f.daemons {
@@ -250,7 +250,7 @@
 		want += f.run(2 * period)
 		time.Sleep(late)
 		f.check()
-		// The last save is a second old at most.
+		// The last save is at most one second old.
 		if got := f.duties.total(); got > want || want-got > 5*10*5/4 {
 			t.Errorf("reported %d of %d", got, want)
 		}
@@ -258,14 +258,14 @@
 }
 
 // Guards against windows that are dropped because the store or the platform was
-// away as they ended.
+// unavailable when they ended.
 func TestOutages(t *testing.T) {
 	for name, set := range map[string]func(f *fleet, on bool){
 		"store":               func(f *fleet, on bool) { f.store.SetAway(on) },
 		"writes not answered": func(f *fleet, on bool) { f.store.LoseAnswers(on) },
-		"platform":            func(f *fleet, on bool) { f.duties.fail = onError(on) },
+		"platform":            func(f *fleet, on bool) { f.duties.fail = errorIf(on) },
 		"platform, carried out": func(f *fleet, on bool) {
-			f.duties.fail, f.duties.accepted = onError(on), true
+			f.duties.fail, f.duties.appliesFailed = errorIf(on), true
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -290,28 +290,28 @@
 	}
 }
 
-func onError(on bool) error {
+func errorIf(on bool) error {
 	if on {
 		return port.ErrUnavailable
 	}
 	return nil
 }
 
-// Guards against two daemons that both believe to lead, of which one is cut
-// off, and report different counts of a window.
+// Guards against different counts of a window, reported by two daemons that both
+// act as leader because one of them is partitioned from the others.
 func TestSplitLeaders(t *testing.T) {
 	for after := time.Duration(0); after < period; after += 630 * time.Millisecond {
 		t.Run(after.String(), func(t *testing.T) {
 			withFleet(t, 5, func(f *fleet) {
 				f.run(period + after)
-				setCut := func(on bool) {
+				setPartitioned := func(on bool) {
 					f.mu.Lock()
 					defer f.mu.Unlock()
-					f.daemons["vm-0"].cut = on
+					f.daemons["vm-0"].partitioned = on
 				}
-				setCut(true)
+				setPartitioned(true)
 				f.run(2 * period)
-				setCut(false)
+				setPartitioned(false)
 				f.run(period)
 				time.Sleep(late)
 				f.check()
@@ -320,8 +320,8 @@
 	}
 }
 
-// Guards against a report that is repeated for ever with a fencing token that
-// the platform has refused.
+// Guards against a report that is repeated forever with a fencing token that the
+// platform has rejected.
 func TestFencedLeaderClaimsAgain(t *testing.T) {
 	withFleet(t, 1, func(f *fleet) {
 		want := f.run(period / 2)
@@ -354,8 +354,8 @@
 		if len(data) > 1400 {
 			t.Errorf("%d bytes", len(data))
 		}
-		if _, missing := l.missing(7, []Source{u.Source}); !missing {
-			t.Error("a part of the counts counts as all")
+		if _, missing := l.incompleteSource(7, []Source{u.Source}); !missing {
+			t.Error("a part of the counts is taken as complete")
 		}
 		got, err := decode(data)
 		if err != nil {
@@ -363,24 +363,24 @@
 		}
 		l.merge(got)
 	}
-	if _, missing := l.missing(7, []Source{u.Source}); missing || !maps.Equal(l.sum(7), u.Counts) {
-		t.Errorf("%d counts", len(l.sum(7)))
+	if _, missing := l.incompleteSource(7, []Source{u.Source}); missing || !maps.Equal(l.sum(7), u.Counts) {
+		t.Errorf("%d organisations with counts", len(l.sum(7)))
 	}
 }
 
 // Guards against a ledger that grows with each restart of a daemon.
-func TestLedgerForgetsProcesses(t *testing.T) {
+func TestLedgerPrunesProcesses(t *testing.T) {
 	l := newLedger()
 	for i := range int64(100) {
 		l.merge(&update{Source: Source{VM: "vm-1", Incarnation: uint64(i)}, First: i, Window: i, Counts: Counts{"o1": 1}})
-		l.forget(i - 10)
+		l.prune(i - 10)
 	}
 	if len(l.first) > 11 || len(l.windows) > 11 {
 		t.Errorf("%d processes, %d windows", len(l.first), len(l.windows))
 	}
 }
 
-func TestRowsAreReadAsWritten(t *testing.T) {
+func TestRowsRoundTrip(t *testing.T) {
 	l := newLedger()
 	for i := range 3 {
 		l.merge(&update{Source: Source{VM: fmt.Sprint(i)}, Window: 4, Counts: Counts{"o1": uint32(i), "o2": 5}, Closed: i == 0, Total: 5})
