--- a/process/logging/async.go
+++ b/process/logging/async.go
@@ -8,16 +8,16 @@
 	"github.com/apex/log/handlers/json"
 )
 
-// DefaultQueueSize is the number of lines that wait for a slow reader: at some 300
-// bytes a line about 1 MB.
+// DefaultQueueSize is the default number of queued lines. At some 300 bytes a line
+// the queue takes about 1 MB.
 const DefaultQueueSize = 4096
 
-// Async is a log.Handler that writes JSON lines without ever making the caller
-// wait. It is safe for concurrent use.
+// Async is a log.Handler that writes JSON lines from a queue and never blocks the
+// caller. It is safe for concurrent use.
 //
-// The guard is against a reader of standard output that is slow or stuck: a
-// full pipe would block whoever logs, and with it requests. Lines that find
-// the queue full are counted, and the next line that is written says how many.
+// Without the queue, a slow or blocked reader of standard output would fill the
+// pipe, and each request that writes a log line would block. Lines that find the
+// queue full are dropped and counted, and a later line reports their number.
 type Async struct {
 	lines chan []byte
 	done  chan struct{}
@@ -27,7 +27,8 @@
 	closed  bool
 }
 
-// NewAsync returns an Async over w with a queue of that many lines.
+// NewAsync returns an Async that writes to w and queues up to the given number of
+// lines.
 func NewAsync(w io.Writer, queue int) *Async {
 	a := &Async{lines: make(chan []byte, queue), done: make(chan struct{})}
 	go a.write(w)
@@ -37,12 +38,12 @@
 func (a *Async) write(w io.Writer) {
 	defer close(a.done)
 	for line := range a.lines {
-		// There is nobody to tell that a line could not be written.
+		// A failed write can't be logged either.
 		_, _ = w.Write(line)
 	}
 }
 
-// HandleLog queues the entry, or counts it.
+// HandleLog queues the entry, or drops and counts it if the queue is full.
 func (a *Async) HandleLog(e *log.Entry) error {
 	line, err := encode(e)
 	if err != nil {
@@ -54,20 +55,21 @@
 		return nil
 	}
 	if a.dropped > 0 && len(a.lines) < cap(a.lines)-1 {
-		a.sayDropped(e)
+		a.reportDropped(e)
 	}
 	select {
 	case a.lines <- line:
-		counts.Add("written", 1)
+		metrics.Add("written", 1)
 	default:
 		a.dropped++
-		counts.Add("queue_full", 1)
+		metrics.Add("queue_full", 1)
 	}
 	return nil
 }
 
-// sayDropped queues a line with the number of lines lost. Callers hold a.mu.
-func (a *Async) sayDropped(e *log.Entry) {
+// reportDropped queues a line with the number of dropped lines. The caller must
+// hold a.mu.
+func (a *Async) reportDropped(e *log.Entry) {
 	line, err := encode(&log.Entry{
 		Level: log.WarnLevel, Timestamp: e.Timestamp, Message: DroppedMessage,
 		Fields: log.Fields{"message": "(queue full)", "count": a.dropped},
@@ -87,7 +89,7 @@
 	return b, nil
 }
 
-// lineBuffer collects one line.
+// lineBuffer is an io.Writer that collects the bytes of one line.
 type lineBuffer []byte
 
 // Write implements io.Writer.
@@ -96,7 +98,7 @@
 	return len(p), nil
 }
 
-// Close writes what is queued and ends.
+// Close writes the queued lines and stops the writer. Later entries are ignored.
 func (a *Async) Close() {
 	a.mu.Lock()
 	if !a.closed {
--- a/process/logging/async_test.go
+++ b/process/logging/async_test.go
@@ -9,22 +9,22 @@
 	"github.com/apex/log"
 )
 
-// stuck is a reader of the log that takes nothing until it is let go.
-type stuck struct {
+// blockedWriter is a log writer that blocks while its mutex is held.
+type blockedWriter struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.buf.Write(p)
 }
 
-// RequestBypass stand still, one after the other: whoever reads the daemon's
-// standard output stopped, the pipe filled up, and each log line waits.
-func TestStuckReaderHoldsNobody(t *testing.T) {
-	s := &stuck{}
+// Guards against requests that block on their log lines, because the reader of
+// the daemon's standard output has stopped and the pipe is full.
+func TestBlockedWriterDoesNotBlockLogging(t *testing.T) {
+	s := &blockedWriter{}
 	s.mu.Lock()
 	a := NewAsync(s, 10)
 	logger := &log.Logger{Handler: a, Level: log.InfoLevel}
@@ -41,8 +41,8 @@
 	logger.Info("after the end")
 }
 
-func TestLostLinesAreSaid(t *testing.T) {
-	s := &stuck{}
+func TestDroppedLinesAreReported(t *testing.T) {
+	s := &blockedWriter{}
 	s.mu.Lock()
 	a := NewAsync(s, 4)
 	logger := &log.Logger{Handler: a, Level: log.InfoLevel}
@@ -56,13 +56,14 @@
 	logger.Info("next")
 	a.Close()
 	if text := s.buf.String(); !strings.Contains(text, DroppedMessage) {
-		t.Errorf("nothing says that lines were lost: %s", text)
+		t.Errorf("no line reports the dropped lines: %s", text)
 	}
 }
 
-// An engineer has a failed request's id, and its lines were left out.
+// Guards against a failed request whose log lines were dropped and can't be found
+// by its id.
 func TestLinesOfFailedRequestsPass(t *testing.T) {
-	k := &kept{}
+	k := &recorder{}
 	r := RequestBypass{Unlimited: k, Limited: NewLimiter(k, Options{Rate: 1, Burst: 1})}
 	logger := &log.Logger{Handler: r, Level: log.InfoLevel}
 	for range 100 {
@@ -71,7 +72,7 @@
 		logger.WithFields(log.Fields{FieldRequest: "r"}).Info("step")
 		logger.Info("else")
 	}
-	if k.lines("bad") != 100 || k.lines("step") != 100 || k.lines("good") != 1 || k.lines("else") != 1 {
-		t.Errorf("bad %d, step %d, good %d, else %d", k.lines("bad"), k.lines("step"), k.lines("good"), k.lines("else"))
+	if k.count("bad") != 100 || k.count("step") != 100 || k.count("good") != 1 || k.count("else") != 1 {
+		t.Errorf("bad %d, step %d, good %d, else %d", k.count("bad"), k.count("step"), k.count("good"), k.count("else"))
 	}
 }
--- a/process/logging/bench_test.go
+++ b/process/logging/bench_test.go
@@ -7,18 +7,18 @@
 	"github.com/apex/log"
 )
 
-// counting counts the bytes of lines.
-type counting struct{ n int64 }
+// countingWriter counts the bytes written to it.
+type countingWriter struct{ n int64 }
 
-func (c *counting) Write(p []byte) (int, error) {
+func (c *countingWriter) Write(p []byte) (int, error) {
 	c.n += int64(len(p))
 	return len(p), nil
 }
 
-// BenchmarkRefusedLine is the line of a request that is refused: under overload
-// most are, and none of their lines is left out.
+// BenchmarkRefusedLine measures the line of a refused request. Under overload most
+// requests are refused, and none of their lines is dropped by the limiter.
 func BenchmarkRefusedLine(b *testing.B) {
-	out := &counting{}
+	out := &countingWriter{}
 	async := NewAsync(io.Writer(out), 4096)
 	logger := &log.Logger{Handler: RequestBypass{Unlimited: async}, Level: log.InfoLevel}
 	fields := log.Fields{
--- a/process/logging/library.go
+++ b/process/logging/library.go
@@ -7,19 +7,19 @@
 	"github.com/apex/log"
 )
 
-// maxLibraryText bounds what one line of a library may take, in bytes. A
-// panic's stack fits for the most part.
+// maxLibraryText limits the text of one line of a library, in bytes. Most of a
+// panic's stack fits.
 const maxLibraryText = 4 << 10
 
-// StdlibWriter is an io.Writer for the standard library's logger: net/http reports
-// broken TLS handshakes and panics there. They come out as lines like all
-// others, level and format included, and within their budget.
+// StdlibWriter is an io.Writer for the standard library's logger, to which
+// net/http reports failed TLS handshakes and panics. It logs each write as one
+// warning, in the format of all other lines and within the handler's limits.
 //
-// It calls the handler itself and drops its error: apex/log reports those by
-// the standard library's logger, which would call Write again.
+// It calls the handler directly and ignores its error, since apex/log reports
+// handler errors to the standard library's logger, which would call Write again.
 type StdlibWriter struct{ Next log.Handler }
 
-// Write logs p as one line.
+// Write logs p as one line, truncated to maxLibraryText.
 func (l StdlibWriter) Write(p []byte) (int, error) {
 	text := strings.TrimSpace(string(p[:min(len(p), maxLibraryText)]))
 	_ = l.Next.HandleLog(&log.Entry{
--- a/process/logging/limit.go
+++ b/process/logging/limit.go
@@ -1,5 +1,6 @@
-// Package logging keeps the log readable and cheap in a storm: of lines that
-// say the same it lets a bounded number through and counts the others.
+// Package logging provides log handlers that limit the cost of logging. They
+// limit the rate of repeated messages, report how many lines they dropped, and
+// write without blocking the caller.
 package logging
 
 import (
@@ -10,44 +11,48 @@
 	"github.com/apex/log"
 )
 
-// counts are the metrics of all limiters of the process.
-var counts = expvar.NewMap("logging")
+// metrics counts the lines of all handlers of the process.
+var metrics = expvar.NewMap("logging")
 
-// DroppedMessage is the message of the lines that say what was left out. Its fields
+// DroppedMessage is the message of the lines that report dropped lines. Its fields
 // are message, level and count.
 const DroppedMessage = "logging: lines left out"
 
-// The defaults of Options.
+// Defaults of Options.
 const (
 	DefaultRate  = 5.0
 	DefaultBurst = 20
 	DefaultKeys  = 256
 )
 
-// reportAfter is the longest time from a line that is left out to the line
-// that says so.
-const reportAfter = time.Second
+// reportDelay is the longest time from a dropped line to the line that reports
+// it.
+const reportDelay = time.Second
 
-// otherMessages stands for the messages beyond Options.Keys.
+// otherMessages is the message under which the messages beyond Options.Keys are
+// counted.
 const otherMessages = "(other messages)"
 
-// Options of a Limiter. Zero values take the defaults.
+// Options configures a Limiter. Zero values select the stated defaults.
 type Options struct {
-	Rate  float64          // lines a second of one level and message; 5
-	Burst int              // lines of one level and message at once; 20
-	Keys  int              // pairs of level and message told apart; 256
-	Now   func() time.Time // time.Now
-	// After calls f once after d, from another goroutine; time.AfterFunc.
+	Rate  float64          // lines per second for each pair of level and message; default 5
+	Burst int              // burst of lines for each pair of level and message; default 20
+	Keys  int              // number of pairs of level and message with their own budget; default 256
+	Now   func() time.Time // default time.Now
+	// After calls f once after d, from another goroutine. The default is
+	// time.AfterFunc.
 	After func(d time.Duration, f func())
 }
 
-// Limiter is a log.Handler before another one. It is safe for concurrent use.
+// Limiter is a log.Handler that limits the lines passed to another handler. It is
+// safe for concurrent use.
 //
-// The guard is against a storm of failures: with a line for each, the disk and
-// the reader get thousands a second and the lines of other parts drown. Every
-// pair of level and message has a budget of its own, so the parts can't take
-// each other's lines. Messages are constants and few; should one be made up of
-// data, the pairs beyond Options.Keys share one budget, so memory is bounded.
+// With a line for each of many failures, thousands of lines a second would load
+// the disk and the reader and hide the lines of other components. Each pair of
+// level and message has its own budget, so that components don't use up each
+// other's lines. Messages are expected to be few constants. The pairs beyond
+// Options.Keys share one budget, which bounds the memory if a message contains
+// variable data.
 type Limiter struct {
 	next log.Handler
 	opts Options
@@ -62,15 +67,15 @@
 	message string
 }
 
-// budget is a token bucket and what it refused.
+// budget is a token bucket with the number of lines it dropped.
 type budget struct {
-	lines   float64 // that may pass now
-	at      time.Time
-	leftOut int // since the last report
-	logger  *log.Logger
+	tokens     float64 // lines that may pass now
+	refilledAt time.Time
+	dropped    int // since the last report
+	logger     *log.Logger
 }
 
-// NewLimiter returns a Limiter that hands what may pass to next.
+// NewLimiter returns a Limiter in front of next.
 func NewLimiter(next log.Handler, o Options) *Limiter {
 	if o.Rate <= 0 {
 		o.Rate = DefaultRate
@@ -90,60 +95,62 @@
 	return &Limiter{next: next, opts: o, budgets: make(map[key]*budget)}
 }
 
-// HandleLog passes the entry on or counts it. Fatal lines always pass: the
-// process ends with them.
+// HandleLog passes the entry on, or drops and counts it. Fatal entries always
+// pass, since the process exits with them.
 func (l *Limiter) HandleLog(e *log.Entry) error {
-	if e.Level < log.FatalLevel && !l.take(e) {
+	if e.Level < log.FatalLevel && !l.allow(e) {
 		return nil
 	}
 	return l.next.HandleLog(e)
 }
 
-func (l *Limiter) take(e *log.Entry) bool {
+// allow reports whether the entry may pass. Otherwise it counts the entry and
+// schedules a report.
+func (l *Limiter) allow(e *log.Entry) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b := l.budget(key{e.Level, e.Message})
 	b.refill(l.opts)
-	if b.lines >= 1 {
-		b.lines--
-		counts.Add("passed", 1)
+	if b.tokens >= 1 {
+		b.tokens--
+		metrics.Add("passed", 1)
 		return true
 	}
-	counts.Add("left_out", 1)
-	b.leftOut++
+	metrics.Add("left_out", 1)
+	b.dropped++
 	b.logger = e.Logger
 	if !l.reporting {
 		l.reporting = true
-		l.opts.After(reportAfter, l.Report)
+		l.opts.After(reportDelay, l.Report)
 	}
 	return false
 }
 
-// budget returns the pair's own budget, or the shared one when there are too
-// many pairs.
+// budget returns the budget of a pair, or the shared budget if there are too many
+// pairs.
 func (l *Limiter) budget(k key) *budget {
 	if b := l.budgets[k]; b != nil {
 		return b
 	}
 	if len(l.budgets) >= l.opts.Keys {
-		l.forget()
+		l.evict()
 	}
 	if len(l.budgets) >= l.opts.Keys {
 		k = key{log.WarnLevel, otherMessages}
 	}
 	b := l.budgets[k]
 	if b == nil {
-		b = &budget{lines: float64(l.opts.Burst), at: l.opts.Now()}
+		b = &budget{tokens: float64(l.opts.Burst), refilledAt: l.opts.Now()}
 		l.budgets[k] = b
 	}
 	return b
 }
 
-// forget drops the budgets that are as good as new.
-func (l *Limiter) forget() {
+// evict removes the budgets that are full and have nothing to report.
+func (l *Limiter) evict() {
 	for k, b := range l.budgets {
 		b.refill(l.opts)
-		if b.leftOut == 0 && b.lines >= float64(l.opts.Burst) {
+		if b.dropped == 0 && b.tokens >= float64(l.opts.Burst) {
 			delete(l.budgets, k)
 		}
 	}
@@ -151,14 +158,14 @@
 
 func (b *budget) refill(o Options) {
 	now := o.Now()
-	if passed := now.Sub(b.at); passed > 0 {
-		b.lines = min(b.lines+passed.Seconds()*o.Rate, float64(o.Burst))
+	if passed := now.Sub(b.refilledAt); passed > 0 {
+		b.tokens = min(b.tokens+passed.Seconds()*o.Rate, float64(o.Burst))
 	}
-	b.at = now
+	b.refilledAt = now
 }
 
-// Report says at once what was left out since the last report, one line for
-// each level and message. Call it before the process ends.
+// Report immediately logs the number of lines dropped since the last report, one
+// line for each pair of level and message. Call it before the process exits.
 func (l *Limiter) Report() {
 	for _, e := range l.reports() {
 		_ = l.next.HandleLog(e)
@@ -171,11 +178,11 @@
 	l.reporting = false
 	var out []*log.Entry
 	for k, b := range l.budgets {
-		if b.leftOut == 0 {
+		if b.dropped == 0 {
 			continue
 		}
 		out = append(out, l.report(k, b))
-		b.leftOut = 0
+		b.dropped = 0
 	}
 	return out
 }
@@ -186,6 +193,6 @@
 		Level:     log.WarnLevel,
 		Timestamp: l.opts.Now(),
 		Message:   DroppedMessage,
-		Fields:    log.Fields{"message": k.message, "level": k.level.String(), "count": b.leftOut},
+		Fields:    log.Fields{"message": k.message, "level": k.level.String(), "count": b.dropped},
 	}
 }
--- a/process/logging/limit_test.go
+++ b/process/logging/limit_test.go
@@ -12,21 +12,21 @@
 	"github.com/apex/log"
 )
 
-// kept is a handler that keeps what it gets.
-type kept struct {
+// recorder is a log.Handler that records its entries.
+type recorder struct {
 	mu      sync.Mutex
 	entries []*log.Entry
 }
 
-func (k *kept) HandleLog(e *log.Entry) error {
+func (k *recorder) HandleLog(e *log.Entry) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.entries = append(k.entries, e)
 	return nil
 }
 
-// lines returns how often message was logged.
-func (k *kept) lines(message string) int {
+// count returns the number of lines with the given message.
+func (k *recorder) count(message string) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	n := 0
@@ -38,8 +38,8 @@
 	return n
 }
 
-// leftOut returns the sum of the counts reported for message.
-func (k *kept) leftOut(message string) int {
+// dropped returns the number of dropped lines that were reported for a message.
+func (k *recorder) dropped(message string) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	n := 0
@@ -53,14 +53,14 @@
 
 func advance(d time.Duration) { <-time.After(d) }
 
-// TestStorm: all engines fail at ten times the load the fleet carries, and
-// 2,000 attempts a second fail for ten seconds. Each would write a line; the
-// one line on the lost lease would drown in 20,000. What passes is a burst and
-// the rate, every other line is counted, and the lost lease stands there.
-func TestStorm(t *testing.T) {
+// Guards against a log line that is hidden among many repeated ones. 2,000
+// attempts fail each second for ten seconds, and one other line reports a lost
+// lease. Of the repeated lines a burst and the rate pass, and all others are
+// counted. The other line must pass.
+func TestRepeatedMessagesAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const seconds, each = 10, 2000
-		out := &kept{}
+		out := &recorder{}
 		l := NewLimiter(out, Options{})
 		logger := &log.Logger{Handler: l, Level: log.InfoLevel}
 		for i := range seconds * each {
@@ -70,29 +70,29 @@
 			}
 			advance(time.Second / each)
 		}
-		advance(reportAfter)
-		passed := out.lines("attempt: failed")
-		t.Logf("%d lines a second in, %.1f out, %d reports", each, float64(passed)/seconds, out.lines(DroppedMessage))
-		if most := DefaultBurst + seconds*int(DefaultRate); passed > most {
-			t.Errorf("%d lines passed, at most %d may", passed, most)
+		advance(reportDelay)
+		passed := out.count("attempt: failed")
+		t.Logf("%d lines a second in, %.1f out, %d reports", each, float64(passed)/seconds, out.count(DroppedMessage))
+		if limit := DefaultBurst + seconds*int(DefaultRate); passed > limit {
+			t.Errorf("%d lines passed, at most %d may", passed, limit)
 		}
-		if n := out.leftOut("attempt: failed"); passed+n != seconds*each {
+		if n := out.dropped("attempt: failed"); passed+n != seconds*each {
 			t.Errorf("%d passed and %d counted, of %d", passed, n, seconds*each)
 		}
-		if n := out.lines(DroppedMessage); n > seconds+1 {
+		if n := out.count(DroppedMessage); n > seconds+1 {
 			t.Errorf("%d reports in %d seconds", n, seconds)
 		}
-		if out.lines("lease: lost or out of date") != 1 {
-			t.Error("the line of another part is lost")
+		if out.count("lease: lost or out of date") != 1 {
+			t.Error("the line of another component is missing")
 		}
 	})
 }
 
-// TestBudgets: what passes in which order.
+// Checks which lines pass, and their order.
 func TestBudgets(t *testing.T) {
 	cases := []struct {
 		name string
-		play func(log.Interface, *Limiter)
+		run  func(log.Interface, *Limiter)
 		want []string
 	}{
 		{"a burst, then the rate", func(lg log.Interface, _ *Limiter) {
@@ -100,7 +100,7 @@
 				lg.Info("a")
 			}
 			advance(time.Second)
-			synctest.Wait() // until the report is out
+			synctest.Wait() // for the report
 			lg.Info("a")
 			lg.Info("a")
 		}, []string{"a", "a", DroppedMessage + " 1", "a"}},
@@ -135,9 +135,9 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				out := &kept{}
+				out := &recorder{}
 				l := NewLimiter(out, Options{Rate: 1, Burst: 2, Keys: 2})
-				tc.play(&log.Logger{Handler: l, Level: log.InfoLevel}, l)
+				tc.run(&log.Logger{Handler: l, Level: log.InfoLevel}, l)
 				var got []string
 				for _, e := range out.entries {
 					s := e.Message
@@ -157,10 +157,10 @@
 	}
 }
 
-// TestLibrary: net/http reports a panic by the standard library's logger; it
-// comes out as one line of ours, cut to a bound.
-func TestLibrary(t *testing.T) {
-	out := &kept{}
+// A panic that net/http reports to the standard library's logger is logged as one
+// line with a limited length.
+func TestStdlibWriter(t *testing.T) {
+	out := &recorder{}
 	stdlog.New(StdlibWriter{Next: out}, "", 0).Print("http: panic serving: " + strings.Repeat("x", maxLibraryText))
 	if len(out.entries) != 1 || out.entries[0].Level != log.WarnLevel {
 		t.Fatalf("got %d lines", len(out.entries))
--- a/process/logging/requests.go
+++ b/process/logging/requests.go
@@ -2,24 +2,24 @@
 
 import "github.com/apex/log"
 
-// FieldRequest is the field that holds a request's id, and FieldFailed the one
-// that marks the last line of a request that was not served.
+// FieldRequest is the name of the field with the request id. FieldFailed is the
+// name of the field that states on the last line of a request whether it failed.
 const (
 	FieldRequest = "request"
 	FieldFailed  = "failed"
 )
 
-// RequestBypass is a log.Handler that lets the lines of requests past the limiter,
-// except the one line of a request that went well.
+// RequestBypass is a log.Handler that passes the lines of requests around the
+// limiter, except the last line of a successful request.
 //
-// The guard is against an engineer who has only a request's id and finds that
-// its lines were left out in a storm, which is when they are asked for.
+// An engineer who looks for a request by its id would otherwise find that its
+// lines were dropped at a time of many failures, when they are needed most.
 type RequestBypass struct {
-	Unlimited log.Handler // takes the lines of requests
-	Limited   *Limiter    // takes all other lines, and those of requests that went well
+	Unlimited log.Handler // receives the lines of requests
+	Limited   *Limiter    // receives all other lines, and the last lines of successful requests
 }
 
-// HandleLog passes the entry on.
+// HandleLog passes the entry to one of the two handlers.
 func (r RequestBypass) HandleLog(e *log.Entry) error {
 	if _, ok := e.Fields[FieldRequest]; !ok {
 		return r.Limited.HandleLog(e)
