--- a/peer/dialer.go
+++ b/peer/dialer.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	maxMessage   = 16 << 20 // bytes; a checkpoint of the control state fits
-	idleConn     = 5 * time.Minute
-	minPing      = 2 * time.Second
-	pingAfter    = 10 * time.Second // silence on a connection with calls
-	pingTimeout  = time.Second
-	maxReconnect = 2 * time.Second
+	maxMessageBytes   = 16 << 20 // large enough for a checkpoint of the control state
+	idleTimeout       = 5 * time.Minute
+	minPingInterval   = 2 * time.Second
+	pingInterval      = 10 * time.Second // silence after which a connection with open calls is pinged
+	pingTimeout       = time.Second
+	maxReconnectDelay = 2 * time.Second
 )
 
-// Dialer keeps one connection to each peer. It is safe for concurrent use.
+// Dialer maintains one gRPC connection per peer. It is safe for concurrent use.
 type Dialer struct {
 	opts []grpc.DialOption
 
@@ -33,9 +33,9 @@
 	conns map[string]*grpc.ClientConn
 }
 
-// DialerOptions change how a Dialer connects. The zero value means plain TCP.
+// DialerOptions configures a Dialer. The zero value selects TCP without TLS.
 type DialerOptions struct {
-	Creds credentials.TransportCredentials
+	Creds credentials.TransportCredentials                         // nil for no TLS
 	Dial  func(ctx context.Context, addr string) (net.Conn, error) // nil for TCP
 }
 
@@ -47,15 +47,16 @@
 	}
 	reconnect := backoff.DefaultConfig
 	reconnect.BaseDelay = 100 * time.Millisecond
-	reconnect.MaxDelay = maxReconnect
+	reconnect.MaxDelay = maxReconnectDelay
 	opts := []grpc.DialOption{
 		grpc.WithTransportCredentials(creds),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessage)),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)),
 		grpc.WithConnectParams(grpc.ConnectParams{Backoff: reconnect, MinConnectTimeout: time.Second}),
-		// A connection that something between the ends forgot stays open and
-		// silent; the ping closes it, and the next call dials a new one.
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: pingAfter, Timeout: pingTimeout}),
-		grpc.WithIdleTimeout(idleConn),
+		// A connection whose state a network device has dropped stays open
+		// without traffic. A failed ping closes it, and the next call dials a
+		// new one.
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: pingInterval, Timeout: pingTimeout}),
+		grpc.WithIdleTimeout(idleTimeout),
 		grpc.WithDisableServiceConfig(),
 		grpc.WithInitialWindowSize(windowSize),
 		grpc.WithInitialConnWindowSize(windowSize),
@@ -68,15 +69,17 @@
 	return &Dialer{opts: opts, conns: make(map[string]*grpc.ClientConn)}
 }
 
-// windowSize of each connection and stream in bytes. A fixed one keeps grpc
-// from measuring the path with pings, which cost more than the heartbeats.
+// windowSize is the flow control window of each connection and stream in bytes. A
+// fixed window disables gRPC's bandwidth estimation, whose pings cost more than
+// the heartbeats.
 const windowSize = 1 << 20
 
-// bufferSize of each connection in bytes; messages are a few hundred bytes,
-// and at 360 peers the default of 32 KiB twice would take 23 MB.
+// bufferSize is the size of the read buffer and of the write buffer of each
+// connection in bytes. Messages take a few hundred bytes. With 360 peers, two
+// buffers of the default 32 KiB per connection would take 23 MB.
 const bufferSize = 4 << 10
 
-// Client returns the protocol's client for the peer at addr (host:port).
+// Client returns a gRPC client for the peer at addr (host:port).
 func (d *Dialer) Client(addr string) (peerpb.PeerClient, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -91,9 +94,9 @@
 	return peerpb.NewPeerClient(c), nil
 }
 
-// Heartbeat sends one heartbeat. When it times out, the connection is
-// replaced: a silent connection would otherwise make a live peer look dead
-// until TCP gives up on it, minutes later.
+// Heartbeat sends one heartbeat. If it fails, the connection is dropped. A stalled
+// connection would otherwise make a live peer look dead until TCP times out
+// minutes later.
 func (d *Dialer) Heartbeat(ctx context.Context, addr string, r *peerpb.HeartbeatRequest) (*peerpb.HeartbeatReply, error) {
 	c, err := d.Client(addr)
 	if err != nil {
@@ -107,7 +110,7 @@
 	return reply, nil
 }
 
-// Drop closes the connection to addr; the next call dials anew.
+// Drop closes the connection to addr. The next call dials a new one.
 func (d *Dialer) Drop(addr string) {
 	d.mu.Lock()
 	c := d.conns[addr]
--- a/peer/server.go
+++ b/peer/server.go
@@ -1,5 +1,5 @@
-// Package peer carries the calls between daemons over grpc. It holds no
-// state of its own: each call goes to the part of the process that answers it.
+// Package peer implements the gRPC client and server for calls between daemons.
+// The server is stateless: it passes each call to the handler of a component.
 package peer
 
 import (
@@ -14,8 +14,8 @@
 	"github.com/pomelospool/pomelospool/peer/peerpb"
 )
 
-// Handlers are the parts that answer peers. A nil one makes its call fail
-// with codes.Unimplemented.
+// Handlers holds the handlers of the calls from peers. A call with a nil handler
+// fails with codes.Unimplemented.
 type Handlers struct {
 	Heartbeat func(context.Context, *peerpb.HeartbeatRequest) (*peerpb.HeartbeatReply, error)
 	Fetch     func(context.Context, *peerpb.FetchRequest) (*peerpb.FetchReply, error)
@@ -24,19 +24,19 @@
 	Burn      func(context.Context, *peerpb.BurnRequest) (*peerpb.BurnReply, error)
 }
 
-// Server answers peers. Make it with NewServer.
+// Server serves the calls from peers. Use NewServer to create one.
 type Server struct {
 	peerpb.UnimplementedPeerServer
-	h    Handlers
-	grpc *grpc.Server
+	handlers Handlers
+	grpc     *grpc.Server
 }
 
-// NewServer returns a server; creds may be nil for plain TCP.
+// NewServer returns a server. If creds is nil, it serves without TLS.
 func NewServer(h Handlers, creds credentials.TransportCredentials) *Server {
 	opts := []grpc.ServerOption{
-		grpc.MaxRecvMsgSize(maxMessage),
-		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: idleConn}),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minPing, PermitWithoutStream: true}),
+		grpc.MaxRecvMsgSize(maxMessageBytes),
+		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: idleTimeout}),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minPingInterval, PermitWithoutStream: true}),
 		grpc.InitialWindowSize(windowSize),
 		grpc.InitialConnWindowSize(windowSize),
 		grpc.ReadBufferSize(bufferSize),
@@ -45,46 +45,47 @@
 	if creds != nil {
 		opts = append(opts, grpc.Creds(creds))
 	}
-	s := &Server{h: h, grpc: grpc.NewServer(opts...)}
+	s := &Server{handlers: h, grpc: grpc.NewServer(opts...)}
 	peerpb.RegisterPeerServer(s.grpc, s)
 	return s
 }
 
-// Serve answers on l until Stop.
+// Serve accepts connections on l until Stop is called.
 func (s *Server) Serve(l net.Listener) error { return s.grpc.Serve(l) }
 
-// Stop closes all connections at once.
+// Stop closes all connections immediately.
 func (s *Server) Stop() { s.grpc.Stop() }
 
 // Heartbeat implements peerpb.PeerServer.
 func (s *Server) Heartbeat(ctx context.Context, r *peerpb.HeartbeatRequest) (*peerpb.HeartbeatReply, error) {
-	return answer(ctx, s.h.Heartbeat, r, s.UnimplementedPeerServer.Heartbeat)
+	return handle(ctx, s.handlers.Heartbeat, r, s.UnimplementedPeerServer.Heartbeat)
 }
 
 // Fetch implements peerpb.PeerServer.
 func (s *Server) Fetch(ctx context.Context, r *peerpb.FetchRequest) (*peerpb.FetchReply, error) {
-	return answer(ctx, s.h.Fetch, r, s.UnimplementedPeerServer.Fetch)
+	return handle(ctx, s.handlers.Fetch, r, s.UnimplementedPeerServer.Fetch)
 }
 
 // Propose implements peerpb.PeerServer.
 func (s *Server) Propose(ctx context.Context, r *peerpb.ProposeRequest) (*peerpb.ProposeReply, error) {
-	return answer(ctx, s.h.Propose, r, s.UnimplementedPeerServer.Propose)
+	return handle(ctx, s.handlers.Propose, r, s.UnimplementedPeerServer.Propose)
 }
 
 // Lookup implements peerpb.PeerServer.
 func (s *Server) Lookup(ctx context.Context, r *peerpb.LookupRequest) (*peerpb.LookupReply, error) {
-	return answer(ctx, s.h.Lookup, r, s.UnimplementedPeerServer.Lookup)
+	return handle(ctx, s.handlers.Lookup, r, s.UnimplementedPeerServer.Lookup)
 }
 
 // Burn implements peerpb.PeerServer.
 func (s *Server) Burn(ctx context.Context, r *peerpb.BurnRequest) (*peerpb.BurnReply, error) {
-	return answer(ctx, s.h.Burn, r, s.UnimplementedPeerServer.Burn)
+	return handle(ctx, s.handlers.Burn, r, s.UnimplementedPeerServer.Burn)
 }
 
-// answer calls h, or missing when there is no handler.
-func answer[Q, P any](ctx context.Context, h func(context.Context, Q) (P, error), r Q, missing func(context.Context, Q) (P, error)) (P, error) {
+// handle calls h, or unimplemented if h is nil. It converts context errors to
+// gRPC statuses.
+func handle[Q, P any](ctx context.Context, h func(context.Context, Q) (P, error), r Q, unimplemented func(context.Context, Q) (P, error)) (P, error) {
 	if h == nil {
-		return missing(ctx, r)
+		return unimplemented(ctx, r)
 	}
 	p, err := h(ctx, r)
 	if err != nil {
