--- a/connection/h1/exchange.go
+++ b/connection/h1/exchange.go
@@ -25,9 +25,10 @@
 	Header http.Header
 	Body   []byte
 	Reuse  Reuse
-	// FirstByteTimeout limits the wait for the response header, and then the
-	// wait for the first bytes of the body. 0 means no limit. An engine sends
-	// the header when it accepts a request, and the first token after prefill.
+	// FirstByteTimeout limits the time from the start of the request, with
+	// connecting, to the response header, and then the wait for the first bytes
+	// of the body. 0 means no limit. An engine sends the header when it accepts
+	// a request, and the first token after prefill.
 	FirstByteTimeout time.Duration
 	// ReadTimeout limits each wait for further bytes of the body. 0 means no
 	// limit.
--- a/process/logging/async_test.go
+++ b/process/logging/async_test.go
@@ -63,8 +63,8 @@
 // Guards against a failed request whose log lines were dropped and can't be found
 // by its id.
 func TestLinesOfFailedRequestsPass(t *testing.T) {
-	k := &recorder{}
-	r := RequestBypass{Unlimited: k, Limited: NewLimiter(k, Options{Rate: 1, Burst: 1})}
+	rec := &recorder{}
+	r := RequestBypass{Unlimited: rec, Limited: NewLimiter(rec, Options{Rate: 1, Burst: 1})}
 	logger := &log.Logger{Handler: r, Level: log.InfoLevel}
 	for range 100 {
 		logger.WithFields(log.Fields{FieldRequest: "r", FieldFailed: true}).Info("bad")
@@ -72,7 +72,7 @@
 		logger.WithFields(log.Fields{FieldRequest: "r"}).Info("step")
 		logger.Info("else")
 	}
-	if k.count("bad") != 100 || k.count("step") != 100 || k.count("good") != 1 || k.count("else") != 1 {
-		t.Errorf("bad %d, step %d, good %d, else %d", k.count("bad"), k.count("step"), k.count("good"), k.count("else"))
+	if rec.count("bad") != 100 || rec.count("step") != 100 || rec.count("good") != 1 || rec.count("else") != 1 {
+		t.Errorf("bad %d, step %d, good %d, else %d", rec.count("bad"), rec.count("step"), rec.count("good"), rec.count("else"))
 	}
 }
--- a/process/logging/limit.go
+++ b/process/logging/limit.go
@@ -59,7 +59,7 @@
 
 	mu        sync.Mutex
 	budgets   map[key]*budget
-	reporting bool // a report is due within reportAfter
+	reporting bool // a report is scheduled
 }
 
 type key struct {
--- a/process/logging/limit_test.go
+++ b/process/logging/limit_test.go
@@ -18,19 +18,19 @@
 	entries []*log.Entry
 }
 
-func (k *recorder) HandleLog(e *log.Entry) error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.entries = append(k.entries, e)
+func (r *recorder) HandleLog(e *log.Entry) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.entries = append(r.entries, e)
 	return nil
 }
 
 // count returns the number of lines with the given message.
-func (k *recorder) count(message string) int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (r *recorder) count(message string) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	n := 0
-	for _, e := range k.entries {
+	for _, e := range r.entries {
 		if e.Message == message {
 			n++
 		}
@@ -39,11 +39,11 @@
 }
 
 // dropped returns the number of dropped lines that were reported for a message.
-func (k *recorder) dropped(message string) int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (r *recorder) dropped(message string) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	n := 0
-	for _, e := range k.entries {
+	for _, e := range r.entries {
 		if e.Message == DroppedMessage && e.Fields["message"] == message {
 			n += e.Fields["count"].(int)
 		}
--- a/process/usage/ledger.go
+++ b/process/usage/ledger.go
@@ -50,7 +50,7 @@
 	windows   map[int64]map[Source]*row
 	first     map[Source]int64
 	minWindow int64 // earlier windows have been removed
-	revision  int
+	revision  int   // incremented with each change
 }
 
 func newLedger() *ledger {
