--- a/process/usage/reporter.go
+++ b/process/usage/reporter.go
@@ -208,7 +208,7 @@
 		if err != nil {
 			stats.Add("failed", 1)
 			r.retryAt = time.Now().Add(retryDelay)
-			log.WithError(err).Warn("usage: could not report or save counts; retrying")
+			log.WithError(err).Warn("usage: reporting failed; retrying")
 		}
 	}
 }
