--- a/request/entry/fixture_test.go
+++ b/request/entry/fixture_test.go
@@ -123,7 +123,7 @@
 // those of plains. change may modify the options and documents.
 func newFixture(t testing.TB, engines, plains []string, change func(*Options, *document.Document)) *fixture {
 	t.Helper()
-	p := pool.New(pool.Options{ProbeEvery: 10 * time.Millisecond, ProbeWait: progressTimeout})
+	p := pool.New(pool.Options{ProbeInterval: 10 * time.Millisecond, ProbeTimeout: progressTimeout})
 	llm := &document.Document{Service: "llm", Kind: document.KindModel, Models: []document.Model{{Name: testModel}}, Targets: targets("e", engines)}
 	app := &document.Document{Service: "app", Kind: document.KindPlain, Targets: targets("p", plains), Once: document.Once{Paths: []string{"/holds"}}}
 	o := Options{View: &view.Holder{}, Pool: p, Router: leastLoaded{}, MinHeaderTimeout: progressTimeout, ReadTimeout: progressTimeout, WriteTimeout: progressTimeout}
--- a/request/entry/logs_test.go
+++ b/request/entry/logs_test.go
@@ -215,7 +215,7 @@
 	limiter.Report()
 	attempts := refusing.count() + breaking.count()
 	logged, dropped := len(l.withMessage("attempt: failed")), 0
-	for _, e := range l.withMessage(logging.LeftOut) {
+	for _, e := range l.withMessage(logging.DroppedMessage) {
 		if e.Fields["message"] == "attempt: failed" {
 			dropped += e.Fields["count"].(int)
 		}
