--- a/operator/burnview/burnview_test.go
+++ b/operator/burnview/burnview_test.go
@@ -28,7 +28,7 @@
 		Objectives: func(string) (document.Objectives, bool) { return goals, true },
 	})
 	for i := range 100 {
-		s := burn.Sample{Service: "lm", Org: "school", First: 300 * time.Millisecond, Total: time.Duration(i+1) * 50 * time.Millisecond}
+		s := burn.Sample{Service: "lm", Org: "school", TimeToFirstToken: 300 * time.Millisecond, Total: time.Duration(i+1) * 50 * time.Millisecond}
 		if i%20 == 0 {
 			s = burn.Sample{Service: "lm", Org: "<b>coach</b>", Code: code.StreamCut, Total: time.Second}
 		}
--- a/operator/ctl/publish.go
+++ b/operator/ctl/publish.go
@@ -89,7 +89,7 @@
 		}
 		base = now.Version
 		if now.YAML == c.wanted(data) {
-			r := publish.Result{Service: service, Base: base, Version: base, Newest: base, Again: true}
+			r := publish.Result{Service: service, Base: base, Version: base, Newest: base, Duplicate: true}
 			return publishReport{Result: r, InForce: true}, nil
 		}
 	}
--- a/process/agreecheck/check_test.go
+++ b/process/agreecheck/check_test.go
@@ -275,7 +275,7 @@
 		b.Base = w.truth.Services[service].Version
 		e.Body, _ = json.Marshal(b)
 	case record.Order:
-		b.After = w.truth.LastDone(b.Engine)
+		b.After = w.truth.LastEndedOrder(b.Engine)
 		e.Body, _ = json.Marshal(b)
 	}
 	e.ID = w.id("again")
--- a/process/agreecheck/invariants_test.go
+++ b/process/agreecheck/invariants_test.go
@@ -73,7 +73,7 @@
 }
 
 // once checks that a decision is carried out under one id.
-func (w *world) once(open *fold.Open) {
+func (w *world) once(open *fold.OpenOrder) {
 	if id, ok := w.decided[open.Reason]; ok && id != open.ID {
 		w.fail("decision %s is carried out as %s and again as %s", open.Reason, id, open.ID)
 	}
--- a/process/agreecheck/work_test.go
+++ b/process/agreecheck/work_test.go
@@ -69,7 +69,7 @@
 	switch d.Action {
 	case reconcile.Log:
 		id := p.w.id("o")
-		p.w.send(id, record.KindOrder, record.Order{Group: k.group, Claim: a.Fence, Engine: engineID(i), Spec: d.Spec, After: s.LastDone(engineID(i)), Reason: "why-" + id})
+		p.w.send(id, record.KindOrder, record.Order{Group: k.group, Claim: a.Fence, Engine: engineID(i), Spec: d.Spec, After: s.LastEndedOrder(engineID(i)), Reason: "why-" + id})
 	case reconcile.Send:
 		k.order, k.ready = port.Order{ID: open.ID, Fence: a.Fence, Spec: open.Spec}, true
 	case reconcile.Reclaim:
--- a/process/burn/burn.go
+++ b/process/burn/burn.go
@@ -13,7 +13,7 @@
 // counted in the report.
 const maxServices = 64
 
-// Options of a Burn.
+// Options of a Tracker.
 type Options struct {
 	Daemon string           // VM id, which names the daemon in reports
 	Now    func() time.Time // time.Now when nil
@@ -22,10 +22,10 @@
 	Objectives func(service string) (document.Objectives, bool)
 }
 
-// Burn measures all services of one daemon. It is safe for concurrent use.
+// Tracker measures all services of one daemon. It is safe for concurrent use.
 // Its memory is bounded: about 0.7 MB a service
 // (BenchmarkService).
-type Burn struct {
+type Tracker struct {
 	opts   Options
 	loaded atomic.Bool // an earlier incarnation's snapshot, or none stands
 
@@ -34,19 +34,19 @@
 	dropped  uint64
 }
 
-var _ Observer = (*Burn)(nil)
+var _ Observer = (*Tracker)(nil)
 
-// New returns a Burn without samples.
-func New(o Options) *Burn {
+// New returns a Tracker without samples.
+func New(o Options) *Tracker {
 	if o.Now == nil {
 		o.Now = time.Now
 	}
-	return &Burn{opts: o, services: make(map[string]*service)}
+	return &Tracker{opts: o, services: make(map[string]*service)}
 }
 
 // Observe takes one finished request. It does no I/O and waits for no more
 // than another sample of the same service, or a report's copy of it.
-func (b *Burn) Observe(s Sample) {
+func (b *Tracker) Observe(s Sample) {
 	objectives, ok := b.opts.Objectives(s.Service)
 	if !ok {
 		return
@@ -58,7 +58,7 @@
 	svc.observe(s, objectives, b.opts.Now())
 }
 
-func (b *Burn) service(name string) *service {
+func (b *Tracker) service(name string) *service {
 	b.mu.RLock()
 	svc := b.services[name]
 	b.mu.RUnlock()
@@ -80,7 +80,7 @@
 }
 
 // names returns the measured services in order.
-func (b *Burn) names() []string {
+func (b *Tracker) names() []string {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	names := make([]string, 0, len(b.services))
@@ -92,7 +92,7 @@
 }
 
 // Report sums up what this daemon measured.
-func (b *Burn) Report() *Report {
+func (b *Tracker) Report() *Report {
 	now := b.opts.Now()
 	r := &Report{Daemons: []string{b.opts.Daemon}, At: now.UTC()}
 	for _, name := range b.names() {
@@ -133,11 +133,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.all.add(now, v, x.Code)
-	if x.First > 0 {
-		s.first.record(now, x.First)
+	if x.TimeToFirstToken > 0 {
+		s.first.record(now, x.TimeToFirstToken)
 	}
-	if x.Between > 0 {
-		s.between.record(now, x.Between)
+	if x.TimePerToken > 0 {
+		s.between.record(now, x.TimePerToken)
 	}
 	if v.counted {
 		s.answer.record(now, x.Total)
--- a/process/burn/burn_test.go
+++ b/process/burn/burn_test.go
@@ -27,7 +27,7 @@
 
 func newClock() *clock { return &clock{time.Date(2026, 5, 4, 8, 0, 10, 0, time.UTC)} }
 
-func (c *clock) burn(daemon string) *Burn {
+func (c *clock) burn(daemon string) *Tracker {
 	return New(Options{
 		Daemon:     daemon,
 		Now:        func() time.Time { return c.now },
@@ -36,7 +36,7 @@
 }
 
 func sample(c code.Code, first, between, total time.Duration) Sample {
-	return Sample{Service: "lm", Org: "school", Code: c, First: first, Between: between, Total: total}
+	return Sample{Service: "lm", Org: "school", Code: c, TimeToFirstToken: first, TimePerToken: between, Total: total}
 }
 
 func fine() Sample { return sample(code.OK, 1, 1, 1) }
@@ -146,7 +146,7 @@
 // The merge over daemons is what one daemon with all samples would report.
 func TestMergeIsExact(t *testing.T) {
 	c := newClock()
-	parts := []*Burn{c.burn("a"), c.burn("b"), c.burn("c")}
+	parts := []*Tracker{c.burn("a"), c.burn("b"), c.burn("c")}
 	whole := c.burn("all")
 	for i, x := range randomSamples(5000) {
 		c.now = c.now.Add(2 * time.Second)
@@ -252,7 +252,7 @@
 	c := newClock()
 	log := logsvc.New(logsvc.Options{})
 	defer log.Close()
-	run := func(n int) *Burn {
+	run := func(n int) *Tracker {
 		b := c.burn("a")
 		for range n {
 			b.Observe(fine())
--- a/process/burn/judge.go
+++ b/process/burn/judge.go
@@ -48,11 +48,11 @@
 	ok := x.Code == code.OK
 	v.grades[NotLost] = gradeOf(ok || x.Code.Info().NotRun)
 	v.grades[WholeAnswer] = gradeOf(ok && x.Total <= o.Answer)
-	if o.FirstToken > 0 && (ok && x.First > 0 || !ok) {
-		v.grades[FirstToken] = gradeOf(x.First > 0 && x.First <= o.FirstToken)
+	if o.FirstToken > 0 && (ok && x.TimeToFirstToken > 0 || !ok) {
+		v.grades[FirstToken] = gradeOf(x.TimeToFirstToken > 0 && x.TimeToFirstToken <= o.FirstToken)
 	}
-	if o.BetweenTokens > 0 && x.Between > 0 {
-		v.grades[BetweenTokens] = gradeOf(x.Between <= o.BetweenTokens)
+	if o.BetweenTokens > 0 && x.TimePerToken > 0 {
+		v.grades[BetweenTokens] = gradeOf(x.TimePerToken <= o.BetweenTokens)
 	}
 	return v
 }
--- a/process/burn/keep.go
+++ b/process/burn/keep.go
@@ -17,7 +17,7 @@
 
 // Load restores the newest snapshot of this daemon in the log, if any. A
 // second call after a successful one does nothing.
-func (b *Burn) Load(ctx context.Context, log port.Log) error {
+func (b *Tracker) Load(ctx context.Context, log port.Log) error {
 	if b.loaded.Load() {
 		return nil
 	}
@@ -33,7 +33,7 @@
 }
 
 // newest returns the body of the newest snapshot, nil for none.
-func (b *Burn) newest(ctx context.Context, log port.Log) ([]byte, error) {
+func (b *Tracker) newest(ctx context.Context, log port.Log) ([]byte, error) {
 	stream := Stream(b.opts.Daemon)
 	earliest, err := log.Earliest(ctx, stream)
 	if err != nil {
@@ -60,7 +60,7 @@
 // Before Load it refuses. The newest snapshot would be this incarnation's own
 // then, a later Load would add its counts a second time, and those of the
 // incarnation before would be gone.
-func (b *Burn) Save(ctx context.Context, log port.Log, writer string) error {
+func (b *Tracker) Save(ctx context.Context, log port.Log, writer string) error {
 	if !b.loaded.Load() {
 		return ErrNotLoaded
 	}
--- a/process/burn/snapshot.go
+++ b/process/burn/snapshot.go
@@ -47,7 +47,7 @@
 // record.KindBurn in Stream. Histograms, minutes and organisations aren't in
 // it: after a restart the two short windows and the times begin anew. When it
 // is over MaxSnapshot, the services with the fewest requests are left out.
-func (b *Burn) Snapshot() ([]byte, error) {
+func (b *Tracker) Snapshot() ([]byte, error) {
 	all := b.save()
 	for keep := len(all); ; {
 		data, err := encodeSnapshot(snapshot{Daemon: b.opts.Daemon, Left: len(all) - keep}, all[:keep])
@@ -59,7 +59,7 @@
 }
 
 // save copies the half-hour counts, the services with most requests first.
-func (b *Burn) save() []saved {
+func (b *Tracker) save() []saved {
 	var all []saved
 	total := make(map[string]uint64)
 	oldest := b.opts.Now().Add(-windowLengths[len(windowLengths)-1])
@@ -94,7 +94,7 @@
 // Restore adds the counts of a snapshot that an earlier incarnation of the
 // same daemon made. Another daemon's is refused: its counts are in its own
 // report, and the merge over all would count them twice.
-func (b *Burn) Restore(data []byte) error {
+func (b *Tracker) Restore(data []byte) error {
 	services, err := b.decodeSnapshot(data)
 	if err != nil {
 		return fmt.Errorf("restore burn: %w", err)
@@ -140,7 +140,7 @@
 	return json.Marshal(s)
 }
 
-func (b *Burn) decodeSnapshot(data []byte) ([]saved, error) {
+func (b *Tracker) decodeSnapshot(data []byte) ([]saved, error) {
 	var s snapshot
 	if err := json.Unmarshal(data, &s); err != nil {
 		return nil, err
--- a/process/burn/types.go
+++ b/process/burn/types.go
@@ -10,13 +10,13 @@
 
 // Sample is one finished request.
 type Sample struct {
-	Service string
-	Org     string
-	Code    code.Code
-	First   time.Duration // until the first token, 0 if none came
-	Between time.Duration // mean time between tokens, 0 if fewer than two
-	Total   time.Duration
-	Tokens  int
+	Service          string
+	Org              string
+	Code             code.Code
+	TimeToFirstToken time.Duration // until the first token, 0 if none came
+	TimePerToken     time.Duration // mean time between tokens, 0 if fewer than two
+	Total            time.Duration
+	Tokens           int
 }
 
 // Observer takes samples. It is safe for concurrent use and never blocks.
--- a/process/daemon/control.go
+++ b/process/daemon/control.go
@@ -202,7 +202,7 @@
 
 // logAge is the time since a finished read of the log's tail began.
 func (d *Daemon) logAge() time.Duration {
-	began, ok := d.follower.LastReadBegan()
+	began, ok := d.follower.LastReadStart()
 	if !ok {
 		return d.s.Control.Isolation
 	}
--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -63,7 +63,7 @@
 	watcher *load.Watcher
 	router  *routing.Policy
 	demands demands
-	burn    *burn.Burn
+	burn    *burn.Tracker
 	once    *once.LogDeduplicator
 	crashes *quarantine.CrashTracker
 	entry   *entry.Entry
@@ -214,15 +214,15 @@
 
 func (d *Daemon) wireAgreement() {
 	d.follower = follow.New(follow.Options{
-		Log:        d.platform.log,
-		Clock:      d.clock,
-		Self:       d.self,
-		Validate:   validate,
-		Peers:      &peerRecords{d: d},
-		Rank:       d.rank,
-		Checkpoint: d.s.Control.Checkpoint,
-		HolderWait: d.s.Control.Lease / holderReads,
-		IdleWait:   min(d.s.Control.Isolation/idleReads, idleWait),
+		Log:               d.platform.log,
+		Clock:             d.clock,
+		Self:              d.self,
+		Validate:          validate,
+		Peers:             &peerRecords{d: d},
+		Rank:              d.rank,
+		CheckpointRecords: d.s.Control.Checkpoint,
+		HolderPollWait:    d.s.Control.Lease / holderReads,
+		IdlePollWait:      min(d.s.Control.Isolation/idleReads, idleWait),
 	})
 	rule := lease.Rule{T: d.s.Control.Lease, Guard: d.s.Control.Drift}.WithDefaults()
 	d.leases = lease.New(lease.Options{
--- a/process/daemon/daemon_test.go
+++ b/process/daemon/daemon_test.go
@@ -91,7 +91,7 @@
 		if s := f.status(0); s.State != "serving" {
 			t.Fatalf("with the log at hand, the daemon is %s, log age %d ms", s.State, s.LogAgeMs)
 		}
-		if at, _ := f.daemons[0].follower.LastReadBegan(); at != began {
+		if at, _ := f.daemons[0].follower.LastReadStart(); at != began {
 			began, reads = at, reads+1
 		}
 		return reads == 5
--- a/process/daemon/stop_test.go
+++ b/process/daemon/stop_test.go
@@ -110,7 +110,7 @@
 		t.Errorf("the stop: %v", err)
 	}
 	eventually(t, "a successor", func() bool { return lease(other).Holder == f.daemons[other].self })
-	if l := lease(other); l.Claim == first.Claim || !l.Clean {
+	if l := lease(other); l.Claim == first.Claim || !l.PreviousReleased {
 		t.Errorf("first %+v, then %+v, taken over without a release", first, l)
 	}
 }
--- a/process/fold/checkpoint.go
+++ b/process/fold/checkpoint.go
@@ -16,7 +16,7 @@
 	if covers >= offset || covers < s.Checkpoint.Covers {
 		return
 	}
-	s.Checkpoint = Mark{At: offset, Covers: covers}
+	s.Checkpoint = CheckpointPosition{At: offset, Covers: covers}
 }
 
 // Trusted reports whether a starting reader may begin with the checkpoint at
--- a/process/fold/fold_test.go
+++ b/process/fold/fold_test.go
@@ -204,7 +204,7 @@
 	late := s.Clone()
 	_ = late.Apply(8, encode(t, entry{"k", record.Checkpoint{Covers: 7}}))
 	_ = late.Apply(9, encode(t, entry{"k2", record.Checkpoint{Covers: 2}}))
-	if late.Checkpoint != (Mark{At: 8, Covers: 7}) || late.Services["s"].Version != 5 {
+	if late.Checkpoint != (CheckpointPosition{At: 8, Covers: 7}) || late.Services["s"].Version != 5 {
 		t.Errorf("a late checkpoint took the state back: %+v", late.Checkpoint)
 	}
 }
--- a/process/fold/leases.go
+++ b/process/fold/leases.go
@@ -11,10 +11,10 @@
 		return
 	}
 	s.Leases[c.Group] = Lease{
-		Claim:  offset,
-		Holder: c.Holder,
-		Addr:   c.Addr,
-		Clean:  current.Released,
+		Claim:            offset,
+		Holder:           c.Holder,
+		Addr:             c.Addr,
+		PreviousReleased: current.Released,
 	}
 }
 
--- a/process/fold/orders.go
+++ b/process/fold/orders.go
@@ -16,10 +16,10 @@
 		return
 	}
 	e := s.Engines[o.Engine]
-	if o.Engine == "" || e.Open != nil || o.After != s.LastDone(o.Engine) {
+	if o.Engine == "" || e.Open != nil || o.After != s.LastEndedOrder(o.Engine) {
 		return
 	}
-	e.Open = &Open{
+	e.Open = &OpenOrder{
 		ID:     id,
 		Group:  o.Group,
 		Claim:  o.Claim,
@@ -48,7 +48,7 @@
 	if l.Claim != d.Claim || l.Released || d.Changed != s.Changed {
 		return
 	}
-	s.Engines[d.Engine] = Engine{Done: &Done{
+	s.Engines[d.Engine] = EngineOrders{Done: &EndedOrder{
 		ID:     d.Order,
 		Offset: offset,
 		Spec:   e.Open.Spec,
--- a/process/fold/state.go
+++ b/process/fold/state.go
@@ -36,14 +36,14 @@
 // State is the fold of all records up to Applied. Values inside the maps are
 // never changed in place, so Clone is cheap and clones stay as they are.
 type State struct {
-	Format     int                `json:"format"`
-	Applied    int64              `json:"applied"`  // offset of the newest record folded
-	Changed    int64              `json:"changed"`  // offset at which a version last came into force
-	Versions   int64              `json:"versions"` // how many versions came into force so far
-	Services   map[string]Service `json:"services,omitempty"`
-	Leases     map[string]Lease   `json:"leases,omitempty"`  // by group
-	Engines    map[string]Engine  `json:"engines,omitempty"` // by Order.Engine
-	Checkpoint Mark               `json:"checkpoint"`        // checkpoint with the highest Covers
+	Format     int                     `json:"format"`
+	Applied    int64                   `json:"applied"`  // offset of the newest record folded
+	Changed    int64                   `json:"changed"`  // offset at which a version last came into force
+	Versions   int64                   `json:"versions"` // how many versions came into force so far
+	Services   map[string]Service      `json:"services,omitempty"`
+	Leases     map[string]Lease        `json:"leases,omitempty"`  // by group
+	Engines    map[string]EngineOrders `json:"engines,omitempty"` // by Order.Engine
+	Checkpoint CheckpointPosition      `json:"checkpoint"`        // checkpoint with the highest Covers
 }
 
 // Service is the agreed state of one service.
@@ -74,21 +74,21 @@
 
 // Lease is the newest valid claim on a group.
 type Lease struct {
-	Claim    int64  `json:"claim"` // offset of the claim: the fencing number
-	Holder   string `json:"holder"`
-	Addr     string `json:"addr,omitempty"`
-	Released bool   `json:"released,omitempty"`
-	Clean    bool   `json:"clean,omitempty"` // the lease before it was released, not taken over
+	Claim            int64  `json:"claim"` // offset of the claim: the fencing number
+	Holder           string `json:"holder"`
+	Addr             string `json:"addr,omitempty"`
+	Released         bool   `json:"released,omitempty"`
+	PreviousReleased bool   `json:"clean,omitempty"` // the lease before it was released, not taken over
 }
 
-// Engine is what was ordered of one engine.
-type Engine struct {
-	Open *Open `json:"open,omitempty"`
-	Done *Done `json:"done,omitempty"` // the newest that ended
+// EngineOrders is what was ordered of one engine.
+type EngineOrders struct {
+	Open *OpenOrder  `json:"open,omitempty"`
+	Done *EndedOrder `json:"done,omitempty"` // the newest that ended
 }
 
-// Open is an order that was logged and has not ended. It is read-only.
-type Open struct {
+// OpenOrder is an order that was logged and has not ended. It is read-only.
+type OpenOrder struct {
 	ID     string          `json:"id"` // of the envelope, and of the order sent
 	Group  string          `json:"group"`
 	Claim  int64           `json:"claim"`
@@ -99,16 +99,16 @@
 	Reason string          `json:"reason,omitempty"`
 }
 
-// Done is an order that ended. It is read-only.
-type Done struct {
+// EndedOrder is an order that ended. It is read-only.
+type EndedOrder struct {
 	ID     string          `json:"id"`
 	Offset int64           `json:"offset"` // of the record that ended it
 	Spec   port.EngineSpec `json:"spec"`
 	Detail string          `json:"detail,omitempty"`
 }
 
-// Mark is the place of a checkpoint in the log.
-type Mark struct {
+// CheckpointPosition is the place of a checkpoint in the log.
+type CheckpointPosition struct {
 	At     int64 `json:"at"`
 	Covers int64 `json:"covers"`
 }
@@ -119,7 +119,7 @@
 		Format:   Format,
 		Services: map[string]Service{},
 		Leases:   map[string]Lease{},
-		Engines:  map[string]Engine{},
+		Engines:  map[string]EngineOrders{},
 	}
 }
 
@@ -148,9 +148,9 @@
 	return s, nil
 }
 
-// LastDone returns the offset of the record that ended the engine's newest
+// LastEndedOrder returns the offset of the record that ended the engine's newest
 // order, 0 when none ended. The next order of the engine names it.
-func (s *State) LastDone(engine string) int64 {
+func (s *State) LastEndedOrder(engine string) int64 {
 	if d := s.Engines[engine].Done; d != nil {
 		return d.Offset
 	}
--- a/process/follow/append.go
+++ b/process/follow/append.go
@@ -144,8 +144,8 @@
 	}
 }
 
-// Envelope makes the envelope of a new decision.
-func Envelope(id string, kind record.Kind, writer string, body any) (record.Envelope, error) {
+// NewEnvelope makes the envelope of a new decision.
+func NewEnvelope(id string, kind record.Kind, writer string, body any) (record.Envelope, error) {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		return record.Envelope{}, fmt.Errorf("encode %s: %w", kind, err)
@@ -156,7 +156,7 @@
 // Write appends a decision and waits until it is folded here. Without an error
 // the record stands, even if ctx ended before it was folded.
 func (f *Follower) Write(ctx context.Context, id string, kind record.Kind, body any) (int64, error) {
-	e, err := Envelope(id, kind, f.o.Self, body)
+	e, err := NewEnvelope(id, kind, f.o.Self, body)
 	if err != nil {
 		return 0, err
 	}
--- a/process/follow/bench_test.go
+++ b/process/follow/bench_test.go
@@ -20,7 +20,7 @@
 	f := New(Options{Log: l, Clock: &clock.Manual{}})
 	f.state, _ = Recover(context.Background(), l)
 	write := func(kind record.Kind, body any) {
-		e, err := Envelope(fmt.Sprint("r", f.state.Applied), kind, "w", body)
+		e, err := NewEnvelope(fmt.Sprint("r", f.state.Applied), kind, "w", body)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -51,7 +51,7 @@
 				l := fill(b, n, every)
 				_, before := l.Counts()
 				for b.Loop() {
-					f := New(Options{Log: l, Clock: &clock.Manual{}, IdleWait: 1})
+					f := New(Options{Log: l, Clock: &clock.Manual{}, IdlePollWait: 1})
 					for !f.fresh {
 						if err := f.step(context.Background()); err != nil {
 							b.Fatal(err)
--- a/process/follow/follow_test.go
+++ b/process/follow/follow_test.go
@@ -61,7 +61,7 @@
 
 func publish(t *testing.T, l port.Log, yaml string, base int64) {
 	t.Helper()
-	e, err := Envelope("doc-"+yaml, record.KindDocument, "operator", record.Document{Service: "s", Base: base, YAML: yaml})
+	e, err := NewEnvelope("doc-"+yaml, record.KindDocument, "operator", record.Document{Service: "s", Base: base, YAML: yaml})
 	if err == nil {
 		_, err = NewAppender(l, func() int64 { return 0 }, 100).Append(context.Background(), e)
 	}
@@ -162,7 +162,7 @@
 func TestPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, cut := &logtest.Log{}, &logtest.Log{}
-		a := start(t, l, Options{Self: "a", Checkpoint: 10})
+		a := start(t, l, Options{Self: "a", CheckpointRecords: 10})
 		old := start(t, l, Options{Self: "old", Rank: func() int { return 9 }})
 		cut.Down(true)
 		publish(t, l, "v1", 0)
@@ -180,7 +180,7 @@
 		if version(b) != version(a) || version(b) == 1 {
 			t.Errorf("version %d in force at the daemon cut off, %d elsewhere", version(b), version(a))
 		}
-		if _, ok := b.LastReadBegan(); ok {
+		if _, ok := b.LastReadStart(); ok {
 			t.Error("a peer's word counted as a read of the log")
 		}
 		data, _ := old.State().Encode()
@@ -199,7 +199,7 @@
 func TestRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &logtest.Log{}
-		a := start(t, l, Options{Self: "a", Checkpoint: 50})
+		a := start(t, l, Options{Self: "a", CheckpointRecords: 50})
 		publish(t, l, "v1", 0)
 		advance(time.Second)
 		for i := range 1000 {
@@ -240,13 +240,13 @@
 		f := start(t, l, Options{Self: "a"})
 		publish(t, l.Log, "v1", 0)
 		advance(10 * time.Second)
-		began, ok := f.LastReadBegan()
+		began, ok := f.LastReadStart()
 		if !ok || version(f) != 1 {
 			t.Fatalf("not started: %d", version(f))
 		}
 		l.newest.Store(1)
 		advance(time.Minute)
-		if late, _ := f.LastReadBegan(); late > began+6*time.Second {
+		if late, _ := f.LastReadStart(); late > began+6*time.Second {
 			t.Errorf("a read of the lagging copy counted: %v after %v", late, began)
 		}
 	})
--- a/process/follow/follower.go
+++ b/process/follow/follower.go
@@ -48,21 +48,21 @@
 	Peers    Peers      // may be nil
 	Rank     func() int // place among the live daemons, 0 first; nil means 0
 
-	HolderWait time.Duration // long poll while holding a lease; 750ms, below lease.Rule.T / 2
-	IdleWait   time.Duration // long poll otherwise; 3s
-	Stagger    time.Duration // between verdicts or checkpoints of two ranks; 1s
-	Checkpoint int           // records between checkpoints; 500
-	MaxAge     time.Duration // between checkpoints of a quiet log; 10m
-	Appends    float64       // appends a second of this process; 5
+	HolderPollWait    time.Duration // long poll while holding a lease; 750ms, below lease.Rule.T / 2
+	IdlePollWait      time.Duration // long poll otherwise; 3s
+	Stagger           time.Duration // between verdicts or checkpoints of two ranks; 1s
+	CheckpointRecords int           // records between checkpoints; 500
+	MaxCheckpointAge  time.Duration // between checkpoints of a quiet log; 10m
+	AppendRate        float64       // appends a second of this process; 5
 }
 
 func (o Options) withDefaults() Options {
-	def(&o.HolderWait, 750*time.Millisecond)
-	def(&o.IdleWait, 3*time.Second)
+	def(&o.HolderPollWait, 750*time.Millisecond)
+	def(&o.IdlePollWait, 3*time.Second)
 	def(&o.Stagger, time.Second)
-	def(&o.Checkpoint, 500)
-	def(&o.MaxAge, 10*time.Minute)
-	def(&o.Appends, 5)
+	def(&o.CheckpointRecords, 500)
+	def(&o.MaxCheckpointAge, 10*time.Minute)
+	def(&o.AppendRate, 5)
 	if o.Rank == nil {
 		o.Rank = func() int { return 0 }
 	}
@@ -109,7 +109,7 @@
 		changed: make(chan struct{}),
 	}
 	f.tail.Store(&lease.Tail{State: fold.New()})
-	f.appender = NewAppender(o.Log, f.Applied, f.o.Appends)
+	f.appender = NewAppender(o.Log, f.Applied, f.o.AppendRate)
 	return f
 }
 
@@ -136,9 +136,9 @@
 // Applied returns the offset of the newest record that was folded.
 func (f *Follower) Applied() int64 { return f.State().Applied }
 
-// LastReadBegan returns when the last finished read of the tail began, and
+// LastReadStart returns when the last finished read of the tail began, and
 // false before the first.
-func (f *Follower) LastReadBegan() (time.Duration, bool) {
+func (f *Follower) LastReadStart() (time.Duration, bool) {
 	t := f.tail.Load()
 	return t.Began, t.Fresh
 }
@@ -233,10 +233,10 @@
 func (f *Follower) wait() time.Duration {
 	for _, l := range f.state.Leases {
 		if l.Holder == f.o.Self && !l.Released {
-			return f.o.HolderWait
+			return f.o.HolderPollWait
 		}
 	}
-	return f.o.IdleWait
+	return f.o.IdlePollWait
 }
 
 // publish hands the state to the readers.
--- a/process/follow/offer.go
+++ b/process/follow/offer.go
@@ -25,7 +25,7 @@
 type offers struct {
 	heads      map[string]head
 	checkpoint time.Duration // since when a checkpoint is due, 0 if none is
-	mark       fold.Mark
+	mark       fold.CheckpointPosition
 	markSeen   time.Duration
 	earliest   int64         // lowest offset that the log kept at the last look
 	nextLook   time.Duration // when to look again
@@ -73,7 +73,7 @@
 	for _, v := range o.verdictsDue(s, now, wait) {
 		f.offerVerdict(ctx, s, v)
 	}
-	if o.checkpointDue(s, now, wait, f.o.Checkpoint, f.o.MaxAge) {
+	if o.checkpointDue(s, now, wait, f.o.CheckpointRecords, f.o.MaxCheckpointAge) {
 		f.offerCheckpoint(ctx, s)
 	}
 }
--- a/process/lease/lease_test.go
+++ b/process/lease/lease_test.go
@@ -42,8 +42,8 @@
 		{"read too old", mine, 10 * s, 20 * s, 23 * s, false},
 		{"read just young enough", mine, 10 * s, 20 * s, 23*s - 1, true},
 		{"resumed after an hour", mine, 10 * s, 20 * s, time.Hour, false},
-		{"after a release, bytes may be on the way", fold.Lease{Claim: 7, Holder: "me", Clean: true}, 10 * s, 10 * s, 11*s - 1, false},
-		{"after a release", fold.Lease{Claim: 7, Holder: "me", Clean: true}, 10 * s, 10 * s, 11 * s, true},
+		{"after a release, bytes may be on the way", fold.Lease{Claim: 7, Holder: "me", PreviousReleased: true}, 10 * s, 10 * s, 11*s - 1, false},
+		{"after a release", fold.Lease{Claim: 7, Holder: "me", PreviousReleased: true}, 10 * s, 10 * s, 11 * s, true},
 		{"another's", fold.Lease{Claim: 7, Holder: "you"}, 10 * s, 20 * s, 21 * s, false},
 		{"released", fold.Lease{Claim: 7, Holder: "me", Released: true}, 10 * s, 20 * s, 21 * s, false},
 	} {
--- a/process/lease/rule.go
+++ b/process/lease/rule.go
@@ -66,7 +66,7 @@
 // after that; Guard covers its drift and its bytes on the way. After a release
 // nothing is left but the bytes on the way.
 func (r Rule) From(l fold.Lease, stood time.Duration) time.Duration {
-	if l.Clean {
+	if l.PreviousReleased {
 		return stood + r.Guard
 	}
 	return stood + r.T + r.Guard
--- a/process/reconcile/decide.go
+++ b/process/reconcile/decide.go
@@ -55,7 +55,7 @@
 	Applied int64           // offset of the state that the rest was taken from
 	Want    port.EngineSpec // what the engine should be
 	Wanted  bool            // false: leave it alone
-	Open    *fold.Open      // its open order, or nil
+	Open    *fold.OpenOrder // its open order, or nil
 	Seen    port.EngineState
 	Known   bool // Seen was read under this lease, after the last action
 	Memory  Memory
@@ -147,7 +147,7 @@
 // The guard is against an engine that refuses or loses each order at once: it
 // would get orders, and the log records, as fast as both answer. Each failure
 // in a row for the same spec doubles the wait.
-func (m *Memory) End(open *fold.Open, why string, now time.Duration) {
+func (m *Memory) End(open *fold.OpenOrder, why string, now time.Duration) {
 	again := m.Order == open.ID && m.Ending
 	m.Order, m.Ending = open.ID, true
 	switch {
@@ -171,7 +171,7 @@
 }
 
 // ForOrder drops what was remembered of another order, but for Quiet.
-func (m *Memory) ForOrder(open *fold.Open) {
+func (m *Memory) ForOrder(open *fold.OpenOrder) {
 	if open != nil && open.ID == m.Order {
 		return
 	}
--- a/process/reconcile/decide_test.go
+++ b/process/reconcile/decide_test.go
@@ -15,7 +15,7 @@
 var (
 	oldSpec = port.EngineSpec{Role: port.RoleMixed, Model: "m", Version: "1"}
 	newSpec = port.EngineSpec{Role: port.RoleMixed, Model: "m", Version: "2"}
-	open    = &fold.Open{ID: "o", Offset: 8, Spec: newSpec, Load: true}
+	open    = &fold.OpenOrder{ID: "o", Offset: 8, Spec: newSpec, Load: true}
 )
 
 // An engine gets a change twice, a change that is over, or two at once, if one
@@ -23,7 +23,7 @@
 func TestDecide(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		open   *fold.Open
+		open   *fold.OpenOrder
 		change func(*Input)
 		want   Action
 	}{
--- a/process/reconcile/engine.go
+++ b/process/reconcile/engine.go
@@ -116,7 +116,7 @@
 }
 
 // act carries a decision out.
-func (r *Reconciler) act(ctx context.Context, e *engine, d Decision, open *fold.Open, s *fold.State) {
+func (r *Reconciler) act(ctx context.Context, e *engine, d Decision, open *fold.OpenOrder, s *fold.State) {
 	switch d.Action {
 	case Wait:
 	case Log:
@@ -145,7 +145,7 @@
 		Engine: e.id,
 		Addr:   e.id,
 		Spec:   d.Spec,
-		After:  s.LastDone(e.id),
+		After:  s.LastEndedOrder(e.id),
 		Load:   d.Load,
 		Reason: d.Why,
 	})
@@ -153,7 +153,7 @@
 
 // send sends the open order under this process's own fencing number. The lease
 // is checked here and once more by the connection before each write.
-func (r *Reconciler) send(ctx context.Context, e *engine, open *fold.Open) {
+func (r *Reconciler) send(ctx context.Context, e *engine, open *fold.OpenOrder) {
 	if err := e.check(); err != nil {
 		log.WithError(err).Warn("reconcile: order not sent")
 		return
--- a/process/reconcile/harness_test.go
+++ b/process/reconcile/harness_test.go
@@ -269,7 +269,7 @@
 func (f *fleet) append(id string, kind record.Kind, body any) {
 	f.t.Helper()
 	a := follow.NewAppender(f.log, func() int64 { return 0 }, 1000)
-	e, err := follow.Envelope(id, kind, "operator", body)
+	e, err := follow.NewEnvelope(id, kind, "operator", body)
 	if err == nil {
 		_, err = a.Append(context.Background(), e)
 	}
--- a/process/reconcile/loads.go
+++ b/process/reconcile/loads.go
@@ -38,7 +38,7 @@
 
 // Ahead returns how many open loads stand before the open order, or all of
 // them when open is nil.
-func (l *Loads) Ahead(now time.Duration, s *fold.State, open *fold.Open) int {
+func (l *Loads) Ahead(now time.Duration, s *fold.State, open *fold.OpenOrder) int {
 	n := 0
 	for _, e := range s.Engines {
 		o := e.Open
--- a/process/reconcile/term_test.go
+++ b/process/reconcile/term_test.go
@@ -52,7 +52,7 @@
 func TestTerm(t *testing.T) {
 	s := &stub{fence: 5, state: fold.New()}
 	s.state.Changed = 10
-	s.state.Engines["gone"] = fold.Engine{Open: &fold.Open{ID: "o", Group: "s/z/0"}}
+	s.state.Engines["gone"] = fold.EngineOrders{Open: &fold.OpenOrder{ID: "o", Group: "s/z/0"}}
 	doc := &document.Document{Service: "s", Kind: document.KindModel, Targets: []document.Target{{Addr: "e0", Zone: "z"}}}
 	snap := view.NewSnapshot(9, []*view.Service{{Doc: doc}}, nil)
 	now := &clock.Manual{}
--- a/process/roles/planner.go
+++ b/process/roles/planner.go
@@ -242,7 +242,7 @@
 func (p *Planner) planInProgress(svc *route.Service, list []Engine) bool {
 	decoders, _ := splitByRole(usableEngines(list))
 	at, ordered := p.lastPlanned[svc.Name]
-	return ordered && len(decoders) >= minDecoders && p.o.Clock.Now()-at < svc.Engine.SwitchTime+settleTime
+	return ordered && len(decoders) >= minDecoders && p.o.Clock.Now()-at < svc.Engine.RoleChangeTime+settleTime
 }
 
 // logPlan logs a plan and the demand behind it.
@@ -341,7 +341,7 @@
 func (p *Planner) recordResult(svc *route.Service, r orderResult, held claim.Claim) bool {
 	fields := log.Fields{"service": svc.Name, "target": r.Target, "role": r.Role, "fence": held.Fence, "why": r.Reason}
 	now := p.o.Clock.Now()
-	pending := change{role: r.Role, until: now + svc.Engine.SwitchTime + switchGrace}
+	pending := change{role: r.Role, until: now + svc.Engine.RoleChangeTime + switchGrace}
 	obeying := false
 	switch {
 	case r.err == nil:
--- a/process/roles/roles_test.go
+++ b/process/roles/roles_test.go
@@ -225,7 +225,7 @@
 			now := time.Duration(0)
 			tracker := engines.New(time.Now, func(engines.Work) {})
 			p := New(Options{Self: "a", Clock: fakeClock(func() time.Duration { return now }), Engines: tracker, Health: health.New(time.Now, nil)})
-			svc := &route.Service{Name: "s", Engine: &route.Engine{SwitchTime: 3 * time.Second}}
+			svc := &route.Service{Name: "s", Engine: &route.Engine{RoleChangeTime: 3 * time.Second}}
 			var entries []port.TargetEntry
 			for _, e := range newFleet(4, 4) {
 				entries = append(entries, e.Entry)
@@ -240,7 +240,7 @@
 			if again := Plan(p.engines(entryPointers(entries)), nil); len(again) != 0 {
 				t.Errorf("other engines are ordered in their place: %+v", again)
 			}
-			now += svc.Engine.SwitchTime + switchGrace
+			now += svc.Engine.RoleChangeTime + switchGrace
 			if again := Plan(p.engines(entryPointers(entries)), nil); len(again) != 2 {
 				t.Errorf("engines that never obeyed aren't ordered again: %+v", again)
 			}
@@ -283,7 +283,7 @@
 		Engines: engines.New(time.Now, func(engines.Work) {}), Health: health.New(time.Now, nil),
 		Control: deadEngines{dead: func(id string) bool { return id < "e006" }},
 	})
-	svc := &route.Service{Name: "s", Engine: &route.Engine{SwitchTime: 3 * time.Second}}
+	svc := &route.Service{Name: "s", Engine: &route.Engine{RoleChangeTime: 3 * time.Second}}
 	for round := 1; ; round++ {
 		list := p.engines(entryPointers(entries))
 		moves := Plan(list, constantDemand(1, 400))
@@ -308,7 +308,7 @@
 func TestUnansweredDecodeOrderIsReplaced(t *testing.T) {
 	now := time.Duration(0)
 	p := New(Options{Self: "a", Clock: fakeClock(func() time.Duration { return now }), Engines: engines.New(time.Now, func(engines.Work) {}), Health: health.New(time.Now, nil)})
-	svc := &route.Service{Name: "s", Engine: &route.Engine{SwitchTime: 3 * time.Second}}
+	svc := &route.Service{Name: "s", Engine: &route.Engine{RoleChangeTime: 3 * time.Second}}
 	var entries []port.TargetEntry
 	for _, e := range newFleet(8, 1) {
 		entries = append(entries, e.Entry)
--- a/process/scale/scaler.go
+++ b/process/scale/scaler.go
@@ -287,7 +287,7 @@
 	if errors.Is(err, claim.ErrHeld) || errors.Is(err, port.ErrConflict) {
 		return false
 	}
-	st.lastOrdered, st.notBefore, st.repeatNotBefore = wanted, now+minOrderInterval, now+svc.Scaling.Boot+bootMargin
+	st.lastOrdered, st.notBefore, st.repeatNotBefore = wanted, now+minOrderInterval, now+svc.Scaling.BootTime+bootMargin
 	fields := log.Fields{"service": k.service, "zone": k.zone, "spot": k.spot, "present": present, "wanted": wanted}
 	if err != nil {
 		stats.Add("failed", 1)
--- a/process/scale/scaler_test.go
+++ b/process/scale/scaler_test.go
@@ -185,7 +185,7 @@
 func (p *fakePlatform) startScaler(t *testing.T, name string, steady clock.Clock, on bool) *fakeRoster {
 	holder := inforce.New(func(port.KeyedRecord) (*route.Config, bool, error) {
 		sc := newScaling()
-		sc.Boot = boot
+		sc.BootTime = boot
 		services := []*route.Service{{Name: "llm", Engine: &route.Engine{Slots: 64}, Scaling: sc}, {Name: "app"}}
 		return route.New(1, nil, services, route.Limits{}, nil), true, nil
 	})
--- a/request/dispatch/engine.go
+++ b/request/dispatch/engine.go
@@ -231,7 +231,7 @@
 	case full > 0:
 		return 0, x.overloaded(cands, minWait, "%d of %d decoding engines are full", full, len(cands))
 	}
-	return 0, code.New(code.NoTarget, "none of %d decoding engines takes requests", len(cands)).After(x.call.Service.Engine.SwitchTime)
+	return 0, code.New(code.NoTarget, "none of %d decoding engines takes requests", len(cands)).After(x.call.Service.Engine.RoleChangeTime)
 }
 
 // mostUrgent reports whether no call of the service has a higher priority.
--- a/request/dispatch/rig_test.go
+++ b/request/dispatch/rig_test.go
@@ -108,7 +108,7 @@
 	svc := &route.Service{Name: "app"}
 	prompt := ""
 	if kind == route.Stream {
-		svc = &route.Service{Name: "llm", Engine: &route.Engine{Slots: 4, KVTokens: 100_000, KVTokenBytes: 1, LinkBytes: 1e9}}
+		svc = &route.Service{Name: "llm", Engine: &route.Engine{Slots: 4, KVTokens: 100_000, KVTokenBytes: 1, LinkBytesPerSecond: 1e9}}
 		prompt = "aa:1000,bb:460"
 	}
 	header := standin.CallerHeaders("req-1", 3*time.Second, prompt)
--- a/request/entry/observe.go
+++ b/request/entry/observe.go
@@ -30,8 +30,8 @@
 
 // token notes the first token.
 func (o *observation) token() {
-	o.s.First = time.Since(o.begun)
-	firstToken.Add(int64(o.s.First))
+	o.s.TimeToFirstToken = time.Since(o.begun)
+	firstToken.Add(int64(o.s.TimeToFirstToken))
 	firsts.Add(1)
 }
 
@@ -45,8 +45,8 @@
 	o.s.Code = code.Of(err)
 	o.s.Total = time.Since(o.begun)
 	o.s.Tokens = tokens
-	if tokens > 1 && o.s.First > 0 {
-		o.s.Between = (o.s.Total - o.s.First) / time.Duration(tokens-1)
+	if tokens > 1 && o.s.TimeToFirstToken > 0 {
+		o.s.TimePerToken = (o.s.Total - o.s.TimeToFirstToken) / time.Duration(tokens-1)
 	}
 	o.to.Observe(o.s)
 }
--- a/request/ingress/ingress.go
+++ b/request/ingress/ingress.go
@@ -149,7 +149,7 @@
 		return nil, code.New(code.UnknownRoute, "version %d", cfg.Version)
 	}
 	org := cfg.Organisation(ask.Key)
-	if org == nil && cfg.Keyed() && !r.Public {
+	if org == nil && cfg.RequiresKeys() && !r.Public {
 		return nil, x.unknownKey(cfg)
 	}
 	svc := cfg.Services[r.Service(route.Seed(ask.ID))]
@@ -169,7 +169,7 @@
 		Method:  x.req.Method,
 		URI:     uri,
 		Host:    x.req.Host,
-		Header:  x.o.Wire.Forward(x.req.Header, cfg.Keyed()),
+		Header:  x.o.Wire.Forward(x.req.Header, cfg.RequiresKeys()),
 		Body:    body,
 
 		Priority: r.Priority,
--- a/request/ingress/ingress_test.go
+++ b/request/ingress/ingress_test.go
@@ -65,10 +65,10 @@
 // keyedConfig has one more route, which is public.
 func keyedConfig(version int64, keys *route.Keys) *route.Config {
 	routes := []*route.Route{
-		{Name: "plain", Host: "a.example", Prefix: "/p/", Kind: route.Unsafe, Attempts: 1, Timeout: time.Minute, Split: []route.Share{{Service: "app", Weight: 1}}},
-		{Name: "stream", Host: "a.example", Prefix: "/s/", Kind: route.Stream, Priority: 3, Attempts: 1, Timeout: time.Minute, Split: []route.Share{{Service: "llm", Weight: 1}}},
-		{Name: "public", Host: "a.example", Prefix: "/public/", Kind: route.Unsafe, Attempts: 1, Timeout: time.Minute, Public: true, Split: []route.Share{{Service: "app", Weight: 1}}},
-		{Name: "absent", Host: "a.example", Prefix: "/absent/", Attempts: 1, Split: []route.Share{{Service: "nothing", Weight: 1}}},
+		{Name: "plain", Host: "a.example", Prefix: "/p/", Kind: route.Unsafe, Attempts: 1, Timeout: time.Minute, Split: []route.WeightedService{{Service: "app", Weight: 1}}},
+		{Name: "stream", Host: "a.example", Prefix: "/s/", Kind: route.Stream, Priority: 3, Attempts: 1, Timeout: time.Minute, Split: []route.WeightedService{{Service: "llm", Weight: 1}}},
+		{Name: "public", Host: "a.example", Prefix: "/public/", Kind: route.Unsafe, Attempts: 1, Timeout: time.Minute, Public: true, Split: []route.WeightedService{{Service: "app", Weight: 1}}},
+		{Name: "absent", Host: "a.example", Prefix: "/absent/", Attempts: 1, Split: []route.WeightedService{{Service: "nothing", Weight: 1}}},
 	}
 	services := []*route.Service{{Name: "app"}, {Name: "llm", Engine: &route.Engine{Slots: 4, KVTokens: 1000}}}
 	return route.New(version, routes, services, route.Limits{BodyBytes: 1000}, keys)
--- a/request/placement/decode.go
+++ b/request/placement/decode.go
@@ -64,10 +64,10 @@
 // TransferTime returns the time to transfer the KV cache of that many
 // tokens.
 func TransferTime(e *route.Engine, tokens int, sameZone bool) time.Duration {
-	if e.LinkBytes <= 0 {
+	if e.LinkBytesPerSecond <= 0 {
 		return 0
 	}
-	s := float64(tokens) * float64(e.KVTokenBytes) / e.LinkBytes
+	s := float64(tokens) * float64(e.KVTokenBytes) / e.LinkBytesPerSecond
 	if !sameZone {
 		s *= crossZoneFactor
 	}
--- a/request/placement/home_test.go
+++ b/request/placement/home_test.go
@@ -26,7 +26,7 @@
 // sees other loads.
 func TestEqualNewPromptsGoToOneHome(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
-	e := &route.Engine{KVTokenBytes: 163_840, LinkBytes: 212e9}
+	e := &route.Engine{KVTokenBytes: 163_840, LinkBytesPerSecond: 212e9}
 	for seed := range uint64(20) {
 		p := Prompt{Tokens: 17_000, SharedTokens: 13_300, Seed: seed * 0x9e3779b97f4a7c15}
 		engineCounts := make(map[string]int)
@@ -62,7 +62,7 @@
 // Cached parts are fetched from the engine that holds them, whatever the
 // home is.
 func TestKnownPartsAreFetchedFromTheirHolder(t *testing.T) {
-	e := &route.Engine{KVTokenBytes: 163_840, LinkBytes: 212e9}
+	e := &route.Engine{KVTokenBytes: 163_840, LinkBytesPerSecond: 212e9}
 	p := Prompt{Tokens: 17_000, SharedTokens: 13_300, Seed: 7}
 	cands := randomEngines(rand.New(rand.NewPCG(1, 1)), 50)
 	for i := range cands {
@@ -77,7 +77,7 @@
 // Guards against a new connection for nearly each request, which is billed.
 // Among equally good engines the one with an idle connection is chosen.
 func TestIdleConnectionsArePreferred(t *testing.T) {
-	e := &route.Engine{KVTokenBytes: 163_840, LinkBytes: 212e9}
+	e := &route.Engine{KVTokenBytes: 163_840, LinkBytesPerSecond: 212e9}
 	for seed := range uint64(50) {
 		cands := randomEngines(rand.New(rand.NewPCG(seed, 1)), 20)
 		for i := range cands {
--- a/request/placement/placement_test.go
+++ b/request/placement/placement_test.go
@@ -54,7 +54,7 @@
 // Guards against an idle engine that computes a long prompt again while the
 // engine that holds it is busy. A fetch takes a twentieth of the time.
 func TestPrefillFetchesCachedTokens(t *testing.T) {
-	e := &route.Engine{KVTokenBytes: 163_840, LinkBytes: 212e9}
+	e := &route.Engine{KVTokenBytes: 163_840, LinkBytesPerSecond: 212e9}
 	p := Prompt{Tokens: 17_000}
 	keeps := newCandidate("keeps", "a", engines.Load{Cached: 13_000, Ready: 13_000, Wait: 200 * time.Millisecond})
 	idle := newCandidate("idle", "b", engines.Load{})
@@ -100,7 +100,7 @@
 }
 
 func TestDecode(t *testing.T) {
-	e := &route.Engine{KVTokenBytes: 163_840, LinkBytes: 212e9}
+	e := &route.Engine{KVTokenBytes: 163_840, LinkBytesPerSecond: 212e9}
 	p := Prompt{Tokens: 17_000}
 	streams := func(n int) engines.Load { return engines.Load{Streams: n} }
 	cases := []struct {
--- a/version/document/types.go
+++ b/version/document/types.go
@@ -43,15 +43,15 @@
 
 // Target is a model engine or a plain server.
 type Target struct {
-	Name    string    `yaml:"name"`
-	Addr    string    `yaml:"addr"`                   // host:port
-	Zone    string    `yaml:"zone"`                   // availability zone
-	Model   string    `yaml:"model,omitempty"`        // the only model, when there is one
-	Adapter string    `yaml:"adapter,omitempty"`      // none
-	Role    port.Role `yaml:"role,omitempty"`         // where it starts, the planner may change it; mixed
-	Pinned  bool      `yaml:"pinned,omitempty"`       // the planner leaves its role alone
-	Fenced  bool      `yaml:"checks_fence,omitempty"` // refuses old fencing numbers
-	Drain   bool      `yaml:"drain,omitempty"`        // gets no new work
+	Name        string    `yaml:"name"`
+	Addr        string    `yaml:"addr"`                   // host:port
+	Zone        string    `yaml:"zone"`                   // availability zone
+	Model       string    `yaml:"model,omitempty"`        // the only model, when there is one
+	Adapter     string    `yaml:"adapter,omitempty"`      // none
+	Role        port.Role `yaml:"role,omitempty"`         // where it starts, the planner may change it; mixed
+	Pinned      bool      `yaml:"pinned,omitempty"`       // the planner leaves its role alone
+	ChecksFence bool      `yaml:"checks_fence,omitempty"` // refuses old fencing numbers
+	Drain       bool      `yaml:"drain,omitempty"`        // gets no new work
 }
 
 // Objectives are the service levels that the burn report measures.
--- a/version/publish/publish.go
+++ b/version/publish/publish.go
@@ -25,12 +25,12 @@
 
 // Result is what became of a published document.
 type Result struct {
-	Service string `json:"service"`
-	Base    int64  `json:"base"`
-	Version int64  `json:"version"`          // offset of the document's record, 0 if it isn't known to stand
-	Newest  int64  `json:"newest"`           // version of the service in force when the outcome stood
-	Again   bool   `json:"again,omitempty"`  // an earlier publication of the same file on this base counted
-	Winner  int64  `json:"winner,omitempty"` // version in force in place of the base, with code.BaseConflict
+	Service   string `json:"service"`
+	Base      int64  `json:"base"`
+	Version   int64  `json:"version"`          // offset of the document's record, 0 if it isn't known to stand
+	Newest    int64  `json:"newest"`           // version of the service in force when the outcome stood
+	Duplicate bool   `json:"again,omitempty"`  // an earlier publication of the same file on this base counted
+	Winner    int64  `json:"winner,omitempty"` // version in force in place of the base, with code.BaseConflict
 }
 
 // InForce is the version of a service that is in force.
--- a/version/publish/publish_test.go
+++ b/version/publish/publish_test.go
@@ -138,7 +138,7 @@
 			l.onAppend = func(l *fakeLog, at int64) { l.document("theirs", 1); l.accept(at); l.accept(at + 1) }
 		}, 1, code.OK, Result{Version: 3, Newest: 3}, 1},
 		{"base overtaken before", func(l *fakeLog) { l.document("theirs", 1); l.accept(3) }, 1, code.BaseConflict, Result{Newest: 3, Winner: 3}, 0},
-		{"same file again", func(l *fakeLog) { l.document(mine, 1); l.accept(3) }, 1, code.OK, Result{Version: 3, Newest: 3, Again: true}, 0},
+		{"same file again", func(l *fakeLog) { l.document(mine, 1); l.accept(3) }, 1, code.OK, Result{Version: 3, Newest: 3, Duplicate: true}, 0},
 		// Only the first verdict counts: a late second one on theirs changes
 		// nothing, so that ours is the next in the queue.
 		{"theirs refused, then accepted", func(l *fakeLog) {
--- a/version/publish/run.go
+++ b/version/publish/run.go
@@ -143,7 +143,7 @@
 }
 
 func (r *run) found(version int64) {
-	r.result.Again = r.result.Again || r.result.Version == 0 && !r.tried
+	r.result.Duplicate = r.result.Duplicate || r.result.Version == 0 && !r.tried
 	r.result.Version = version
 }
 
--- a/version/route/organisation.go
+++ b/version/route/organisation.go
@@ -28,8 +28,8 @@
 // Len is the number of keys.
 func (k *Keys) Len() int { return len(k.byDigest) }
 
-// Keyed reports whether callers of routes that aren't public need a key.
-func (c *Config) Keyed() bool { return c.keys != nil }
+// RequiresKeys reports whether callers of routes that aren't public need a key.
+func (c *Config) RequiresKeys() bool { return c.keys != nil }
 
 // KeyCount is the number of API keys.
 func (c *Config) KeyCount() int {
--- a/version/route/route.go
+++ b/version/route/route.go
@@ -27,23 +27,23 @@
 
 // Route is one rule of the configuration.
 type Route struct {
-	Name      string
-	Host      string
-	Prefix    string // begins the path; begins and ends with a slash
-	Kind      Kind
-	Resumable bool          // a stream may go on elsewhere after an event's id
-	Timeout   time.Duration // longest wait for the whole answer
-	Objective time.Duration // full credit up to here; streams: for the first event
-	MaxGap    time.Duration // longest pause between events that is on time
-	Priority  int           // 0 is the most urgent
-	Attempts  int           // targets that may run one request, 1 or more
-	Prompted  bool          // requests state their token counts and prompt parts
-	Public    bool          // callers need no key
-	Split     []Share       // one or more
+	Name          string
+	Host          string
+	Prefix        string // begins the path; begins and ends with a slash
+	Kind          Kind
+	Resumable     bool              // a stream may go on elsewhere after an event's id
+	Timeout       time.Duration     // longest wait for the whole answer
+	Objective     time.Duration     // full credit up to here; streams: for the first event
+	MaxEventGap   time.Duration     // longest pause between events that is on time
+	Priority      int               // 0 is the most urgent
+	Attempts      int               // targets that may run one request, 1 or more
+	HasPromptInfo bool              // requests state their token counts and prompt parts
+	Public        bool              // callers need no key
+	Split         []WeightedService // one or more
 }
 
-// Share is a service's part of a route's requests.
-type Share struct {
+// WeightedService is a service's part of a route's requests.
+type WeightedService struct {
 	Service string
 	Weight  int
 }
@@ -88,7 +88,7 @@
 // Scaling says how many targets of a service may be ordered, and at what price.
 type Scaling struct {
 	Min, Max int           // in each availability zone, of both kinds together
-	Boot     time.Duration // from an order until a new target serves
+	BootTime time.Duration // from an order until a new target serves
 	// SpotPrice is what a reclaimable target costs as a share of the price of
 	// another one; 0: there are none.
 	SpotPrice float64
@@ -97,12 +97,12 @@
 
 // Engine is what the configuration says of a service's model engines.
 type Engine struct {
-	Slots        int           // requests that one engine runs at a time
-	KVTokens     int           // tokens that its memory holds
-	KVTokenBytes int           // bytes of KV cache of one token
-	LinkBytes    float64       // bytes a second between two engines
-	HandleHold   time.Duration // how long an engine keeps a KV cache for its reader
-	SwitchTime   time.Duration // how long a change of role takes an engine away
+	Slots              int           // requests that one engine runs at a time
+	KVTokens           int           // tokens that its memory holds
+	KVTokenBytes       int           // bytes of KV cache of one token
+	LinkBytesPerSecond float64       // bytes a second between two engines
+	KVHoldTime         time.Duration // how long an engine keeps a KV cache for its reader
+	RoleChangeTime     time.Duration // how long a change of role takes an engine away
 }
 
 // Limits bound what callers send.
--- a/version/route/route_test.go
+++ b/version/route/route_test.go
@@ -35,7 +35,7 @@
 }
 
 func TestServiceByWeight(t *testing.T) {
-	r := &Route{Split: []Share{{"a", 90}, {"b", 10}, {"none", 0}}}
+	r := &Route{Split: []WeightedService{{"a", 90}, {"b", 10}, {"none", 0}}}
 	got := map[string]int{}
 	for seed := range uint64(1000) {
 		got[r.Service(seed)]++
@@ -43,7 +43,7 @@
 	if got["a"] != 900 || got["b"] != 100 || got["none"] != 0 {
 		t.Errorf("shares %v", got)
 	}
-	if s := (&Route{Split: []Share{{"only", 0}}}).Service(3); s != "only" {
+	if s := (&Route{Split: []WeightedService{{"only", 0}}}).Service(3); s != "only" {
 		t.Errorf("a split without weights gave %q", s)
 	}
 }
