--- a/process/fold/apply.go
+++ b/process/fold/apply.go
@@ -6,17 +6,16 @@
 	"github.com/pomelospool/pomelospool/process/record"
 )
 
-// Apply folds the record at offset into the state. A record that was folded
-// before has no effect; ErrGap means that others are missing before it. What
-// can't be decoded and what is of an unknown kind is passed over, the same at
-// every daemon.
+// Apply folds the record at offset into the state. A record that was already
+// folded has no effect. ErrGap means that earlier records are missing. Every
+// daemon alike ignores records of an unknown kind or that can't be decoded.
 //
-// The guard is against an append whose answer was lost and that stands twice.
-// Most records name what they were decided on, so a copy at any distance finds
-// that changed and is void: a claim its predecessor, an order the one that
-// ended before it, a verdict, a release and the end of an order what they end.
-// Only a document that was refused leaves its base as it was; its id is kept
-// with the outcome, see known.
+// An append whose response was lost may be in the log twice. Most records name
+// the state that they depend on, so a duplicate finds it changed and is void: a
+// claim names the preceding claim, an order names the record that ended the
+// order before it, and a verdict, a release and the end of an order name what
+// they end. Only a refused document leaves its base unchanged. Its id is
+// therefore kept with the outcome, see hasDocument.
 func (s *State) Apply(offset int64, data []byte) error {
 	if offset <= s.Applied {
 		return nil
@@ -36,24 +35,25 @@
 func (s *State) apply(offset int64, e record.Envelope) {
 	switch e.Kind {
 	case record.KindDocument:
-		with(e, func(d record.Document) { s.document(offset, e.ID, d) })
+		decodeBody(e, func(d record.Document) { s.document(offset, e.ID, d) })
 	case record.KindVerdict:
-		with(e, func(v record.Verdict) { s.verdict(offset, v) })
+		decodeBody(e, func(v record.Verdict) { s.verdict(offset, v) })
 	case record.KindClaim:
-		with(e, func(c record.Claim) { s.claim(offset, c) })
+		decodeBody(e, func(c record.Claim) { s.claim(offset, c) })
 	case record.KindRelease:
-		with(e, func(r record.Release) { s.release(r) })
+		decodeBody(e, func(r record.Release) { s.release(r) })
 	case record.KindOrder:
-		with(e, func(o record.Order) { s.order(offset, e.ID, o) })
+		decodeBody(e, func(o record.Order) { s.order(offset, e.ID, o) })
 	case record.KindOrderDone:
-		with(e, func(d record.OrderDone) { s.orderDone(offset, d) })
+		decodeBody(e, func(d record.OrderDone) { s.orderDone(offset, d) })
 	case record.KindCheckpoint:
-		with(e, func(c coversOnly) { s.checkpoint(offset, c.Covers) })
+		decodeBody(e, func(c checkpointCovers) { s.checkpoint(offset, c.Covers) })
 	}
 }
 
-// with decodes the body of e and passes it on, or does nothing.
-func with[T any](e record.Envelope, f func(T)) {
+// decodeBody decodes the body of e and passes it to f. It ignores a body that
+// can't be decoded.
+func decodeBody[T any](e record.Envelope, f func(T)) {
 	var body T
 	if json.Unmarshal(e.Body, &body) == nil {
 		f(body)
--- a/process/fold/bench_test.go
+++ b/process/fold/bench_test.go
@@ -10,8 +10,9 @@
 	"github.com/pomelospool/pomelospool/process/record"
 )
 
-// sized returns a state with n services of 4 KB, n leases or n open orders.
-func sized(tb testing.TB, what string, n int) *State {
+// stateOfSize returns a state with n services of 4 KB, n leases or n open
+// orders.
+func stateOfSize(tb testing.TB, what string, n int) *State {
 	s := New()
 	next := func(e entry) { _ = s.Apply(s.Applied+1, encode(tb, e)) }
 	for i := range n {
@@ -33,13 +34,13 @@
 	return s
 }
 
-// BenchmarkState gives the encoded size, and the time of a clone, at three
-// sizes; the slopes go into docs/CAPACITY.md.
+// BenchmarkState measures the encoded size and the time of a clone at three
+// sizes. docs/CAPACITY.md uses the cost per item.
 func BenchmarkState(b *testing.B) {
 	for _, what := range []string{"service", "lease", "order"} {
 		for _, n := range []int{10, 100, 1000} {
 			b.Run(fmt.Sprintf("%s/%d", what, n), func(b *testing.B) {
-				s := sized(b, what, n)
+				s := stateOfSize(b, what, n)
 				data, err := s.Encode()
 				if err != nil {
 					b.Fatal(err)
@@ -53,8 +54,8 @@
 	}
 }
 
-// BenchmarkApply gives the time to fold one record of each kind into a state
-// of the target size: 50 services, 100 leases, 710 engines.
+// BenchmarkApply measures the time to fold one record of each kind into a state
+// of the target size: 50 services, 100 leases and 710 engines.
 func BenchmarkApply(b *testing.B) {
 	for _, e := range []entry{
 		{"d", record.Document{Service: "service1", YAML: strings.Repeat("x", 4096)}},
@@ -67,8 +68,8 @@
 		var env record.Envelope
 		_ = json.Unmarshal(data, &env)
 		b.Run(string(env.Kind), func(b *testing.B) {
-			s := sized(b, "order", 710)
-			s.Services = sized(b, "service", 50).Services
+			s := stateOfSize(b, "order", 710)
+			s.Services = stateOfSize(b, "service", 50).Services
 			for b.Loop() {
 				_ = s.Apply(s.Applied+1, data)
 			}
--- a/process/fold/checkpoint.go
+++ b/process/fold/checkpoint.go
@@ -2,16 +2,18 @@
 
 import "github.com/pomelospool/pomelospool/process/record"
 
-// coversOnly decodes a checkpoint without copying its state.
-type coversOnly struct {
+// checkpointCovers decodes only the covered offset of a checkpoint, without
+// copying its state.
+type checkpointCovers struct {
 	Covers int64 `json:"covers"`
 }
 
-// checkpoint notes the place of the checkpoint that covers most.
+// checkpoint records the position of the checkpoint with the highest covered
+// offset.
 //
-// The guard is against a process that was paused while it wrote a checkpoint:
-// its old state arrives late. Folding never loads a state, so nothing goes
-// back, and the mark only moves up.
+// A process that was paused while writing may append a checkpoint with an old
+// state. Folding never loads a state and the recorded position only moves
+// forward, so the old checkpoint can't move anything back.
 func (s *State) checkpoint(offset, covers int64) {
 	if covers >= offset || covers < s.Checkpoint.Covers {
 		return
@@ -19,13 +21,13 @@
 	s.Checkpoint = CheckpointPosition{At: offset, Covers: covers}
 }
 
-// Trusted reports whether a starting reader may begin with the checkpoint at
-// offset at, when earliest is the lowest offset still kept.
+// Trusted reports whether a new reader may start from the checkpoint at offset
+// at, where earliest is the lowest retained offset.
 //
-// The guard is against a late checkpoint of a stale process: a reader that
-// starts from it with the records after Covers gone would miss what they
-// decided, and go back. A checkpoint whose Covers+1 is still kept gives the
-// same state as the whole log, whoever wrote it and whenever.
+// A stale process may append a checkpoint late. If the records after Covers
+// have expired, a reader that starts from it would miss their decisions and
+// move back. While the record at Covers+1 is retained, the checkpoint gives the
+// same state as the whole log, whichever process wrote it and when.
 func Trusted(c record.Checkpoint, at, earliest int64) bool {
 	return c.Covers >= 0 && c.Covers < at && c.Covers+1 >= earliest
 }
--- a/process/fold/documents.go
+++ b/process/fold/documents.go
@@ -9,17 +9,17 @@
 )
 
 // document queues a document whose base is the version in force. Any other
-// has lost already, and its publisher is told who won.
+// document gets a BaseConflict outcome that names the version in force.
 func (s *State) document(offset int64, id string, d record.Document) {
 	svc := s.Services[d.Service]
-	if d.Service == "" || svc.known(id) {
+	if d.Service == "" || svc.hasDocument(id) {
 		return
 	}
 	switch {
 	case d.Base != svc.Version:
-		svc.note(Outcome{ID: id, Version: offset, Code: code.BaseConflict, Winner: svc.Version})
+		svc.addOutcome(Outcome{ID: id, Version: offset, Code: code.BaseConflict, Winner: svc.Version})
 	case len(svc.Pending) >= MaxPending:
-		svc.note(Outcome{ID: id, Version: offset, Code: code.BaseConflict, Winner: svc.Version, Detail: "too many documents on this base"})
+		svc.addOutcome(Outcome{ID: id, Version: offset, Code: code.BaseConflict, Winner: svc.Version, Detail: "too many documents on this base"})
 	default:
 		c := Candidate{ID: id, Version: offset, YAML: d.YAML, Remove: d.Remove}
 		svc.Pending = append(slices.Clip(svc.Pending), c)
@@ -27,15 +27,15 @@
 	s.Services[d.Service] = svc
 }
 
-// known reports whether the id is that of a document which waits or has its
+// hasDocument reports whether a document with the id is pending or has an
 // outcome.
 //
-// The guard is against a refused document that stands twice, which would be
-// judged again, perhaps by a binary with other rules. The memory is bounded by
-// MaxPending and MaxOutcomes: a copy has an effect only while its base is in
-// force, so it would need more than MaxOutcomes other documents on the same
-// base to come between the two.
-func (svc *Service) known(id string) bool {
+// Without this check, a duplicate of a refused document would be validated
+// again, perhaps by a binary with other rules. MaxPending and MaxOutcomes bound
+// the number of ids kept. That is enough: a duplicate has an effect only while
+// its base is in force, so more than MaxOutcomes other documents on the same
+// base would have to come between the two.
+func (svc *Service) hasDocument(id string) bool {
 	for _, c := range svc.Pending {
 		if c.ID == id {
 			return true
@@ -49,11 +49,11 @@
 	return false
 }
 
-// verdict ends the wait of the document at the head of the queue.
+// verdict applies a verdict to the first document in the queue.
 //
-// The guard is against an upgrade to a binary with stricter rules, which would
-// refuse on replay what was accepted: the verdict is a record, the first one
-// counts, and folding never validates.
+// The verdict is a record, the first one counts, and folding never validates.
+// Otherwise a binary with stricter rules would refuse, on replay, a document
+// that was accepted before the upgrade.
 func (s *State) verdict(offset int64, v record.Verdict) {
 	svc, ok := s.Services[v.Service]
 	if !ok || len(svc.Pending) == 0 || svc.Pending[0].Version != v.Version {
@@ -65,18 +65,19 @@
 		s.accept(offset, v.Service, svc, head)
 		return
 	}
-	svc.note(Outcome{ID: head.ID, Version: head.Version, Code: refusal(v.Code), Winner: svc.Version, Detail: v.Detail})
+	svc.addOutcome(Outcome{ID: head.ID, Version: head.Version, Code: refusalCode(v.Code), Winner: svc.Version, Detail: v.Detail})
 	s.Services[v.Service] = svc
 }
 
-// accept puts the document in force; the others on its base lose.
+// accept puts the document in force. All other pending documents have the same
+// base and get a BaseConflict.
 func (s *State) accept(offset int64, name string, svc Service, head Candidate) {
 	svc.Version = head.Version
 	svc.YAML = head.YAML
 	svc.Removed = head.Remove
-	svc.note(Outcome{ID: head.ID, Version: head.Version, Winner: head.Version})
+	svc.addOutcome(Outcome{ID: head.ID, Version: head.Version, Winner: head.Version})
 	for _, c := range svc.Pending {
-		svc.note(Outcome{ID: c.ID, Version: c.Version, Code: code.BaseConflict, Winner: head.Version})
+		svc.addOutcome(Outcome{ID: c.ID, Version: c.Version, Code: code.BaseConflict, Winner: head.Version})
 	}
 	svc.Pending = nil
 	s.Changed = offset
@@ -90,16 +91,17 @@
 	}
 }
 
-// refusal gives a code to a refusal that came without one.
-func refusal(c code.Code) code.Code {
+// refusalCode returns the code of a refusal, or Internal if the verdict has
+// none.
+func refusalCode(c code.Code) code.Code {
 	if c == code.OK {
 		return code.Internal
 	}
 	return c
 }
 
-// note keeps an outcome and drops the oldest beyond MaxOutcomes.
-func (svc *Service) note(o Outcome) {
+// addOutcome appends an outcome and drops the oldest beyond MaxOutcomes.
+func (svc *Service) addOutcome(o Outcome) {
 	kept := svc.Outcomes
 	if len(kept) >= MaxOutcomes {
 		kept = kept[len(kept)-MaxOutcomes+1:]
@@ -107,9 +109,9 @@
 	svc.Outcomes = append(slices.Clip(kept), o)
 }
 
-// dropService forgets the leases and orders of a removed service. The service
-// itself stays as a mark with its version, so that a late copy of its first
-// document, with base 0, can't bring it back.
+// dropService deletes the leases and open orders of a removed service. The
+// service itself stays as a tombstone with its version, so that a late
+// duplicate of its first document, with base 0, can't restore it.
 func (s *State) dropService(name string) {
 	for group := range s.Leases {
 		if ServiceOf(group) == name {
@@ -124,7 +126,7 @@
 	s.dropOldestRemoved()
 }
 
-// dropOldestRemoved keeps at most MaxRemoved marks of removed services.
+// dropOldestRemoved keeps at most MaxRemoved tombstones of removed services.
 func (s *State) dropOldestRemoved() {
 	oldest, n := "", 0
 	for name, svc := range s.Services {
@@ -141,8 +143,8 @@
 	}
 }
 
-// ServiceOf returns the service that a group belongs to. Group names have the
-// form service/zone/number.
+// ServiceOf returns the service of a group. Group names have the form
+// service/zone/number.
 func ServiceOf(group string) string {
 	service, _, _ := strings.Cut(group, "/")
 	return service
--- a/process/fold/fold_test.go
+++ b/process/fold/fold_test.go
@@ -10,7 +10,7 @@
 	"github.com/pomelospool/pomelospool/process/record"
 )
 
-// entry is one record of a test log.
+// entry is one record of a test log: the envelope id and the body.
 type entry struct {
 	id   string
 	body any
@@ -35,7 +35,7 @@
 	return data
 }
 
-// foldAll numbers the entries from 1 on.
+// foldAll folds the entries at offsets from 1 on.
 func foldAll(t testing.TB, entries ...entry) *State {
 	t.Helper()
 	s := New()
@@ -55,9 +55,9 @@
 	return entry{fmt.Sprint("v", version, c), record.Verdict{Service: "s", Version: version, Accept: c == code.OK, Code: c}}
 }
 
-// Two operators publish on the same version, answers are lost, copies arrive
-// late and daemons give several verdicts. Each operator must see one outcome
-// with the winner's version, and what is in force must not go back.
+// Two operators publish on the same base, records are duplicated or arrive
+// late, and daemons write several verdicts. Each operator must see one outcome
+// with the winner's version, and the version in force must not move back.
 func TestDocuments(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -107,12 +107,13 @@
 	return entry{id, record.Order{Group: "s/z/0", Claim: claim, Engine: "e", After: after, Spec: port.EngineSpec{Version: id}}}
 }
 
-func ended(order string, claim, changed int64) entry {
+func orderDone(order string, claim, changed int64) entry {
 	return entry{"d" + order, record.OrderDone{Group: "s/z/0", Claim: claim, Changed: changed, Engine: "e", Order: order}}
 }
 
-// Processes that lost a group, or whose records stand twice, go on writing.
-// What they write must be void, or an engine would get orders in conflict.
+// Processes that lost the lease on a group keep writing, and records are
+// duplicated. Such records must be void, or an engine would get conflicting
+// orders.
 func TestLeasesAndOrders(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -130,12 +131,12 @@
 		{"order after the release", []entry{claim(0, "a"), {"r", record.Release{Group: "s/z/0", Claim: 1}}, order("o", 1, 0)}, "a", true, ""},
 		{"second order while one is open", []entry{claim(0, "a"), order("o", 1, 0), order("p", 1, 0)}, "a", false, "o"},
 		{"successor's order while one is open", []entry{claim(0, "a"), order("o", 1, 0), claim(1, "b"), order("p", 3, 0)}, "b", false, "o"},
-		{"next order", []entry{claim(0, "a"), order("o", 1, 0), ended("o", 1, 0), order("p", 1, 3)}, "a", false, "p"},
-		{"copy of an order that ended", []entry{claim(0, "a"), order("o", 1, 0), ended("o", 1, 0), order("o", 1, 0)}, "a", false, ""},
-		{"end by an old holder", []entry{claim(0, "a"), order("o", 1, 0), claim(1, "b"), ended("o", 1, 0)}, "b", false, "o"},
-		{"end by the successor", []entry{claim(0, "a"), order("o", 1, 0), claim(1, "b"), ended("o", 3, 0)}, "b", false, ""},
-		{"end by an old document", []entry{claim(0, "a"), order("o", 1, 0), doc("d", 0), verdict(3, code.OK), ended("o", 1, 0)}, "a", false, "o"},
-		{"end of another order", []entry{claim(0, "a"), order("o", 1, 0), ended("x", 1, 0)}, "a", false, "o"},
+		{"next order", []entry{claim(0, "a"), order("o", 1, 0), orderDone("o", 1, 0), order("p", 1, 3)}, "a", false, "p"},
+		{"copy of an order that ended", []entry{claim(0, "a"), order("o", 1, 0), orderDone("o", 1, 0), order("o", 1, 0)}, "a", false, ""},
+		{"end by an old holder", []entry{claim(0, "a"), order("o", 1, 0), claim(1, "b"), orderDone("o", 1, 0)}, "b", false, "o"},
+		{"end by the successor", []entry{claim(0, "a"), order("o", 1, 0), claim(1, "b"), orderDone("o", 3, 0)}, "b", false, ""},
+		{"end by an old document", []entry{claim(0, "a"), order("o", 1, 0), doc("d", 0), verdict(3, code.OK), orderDone("o", 1, 0)}, "a", false, "o"},
+		{"end of another order", []entry{claim(0, "a"), order("o", 1, 0), orderDone("x", 1, 0)}, "a", false, "o"},
 		{"service removed", []entry{doc("a", 0), verdict(1, code.OK), claim(0, "a"), order("o", 3, 0),
 			{"r", record.Document{Service: "s", Base: 1, Remove: true}}, verdict(5, code.OK)}, "", false, ""},
 	} {
@@ -156,8 +157,8 @@
 	}
 }
 
-// A daemon restarts from a checkpoint that a paused process wrote late. It
-// must come to the same state as the others, or leave the checkpoint alone.
+// A daemon restarts from a checkpoint that a paused process wrote late. It must
+// reach the same state as the other daemons, or not use the checkpoint.
 func TestCheckpoint(t *testing.T) {
 	log := []entry{doc("a", 0), verdict(1, code.OK), claim(0, "a"), order("o", 3, 0), doc("b", 1), verdict(5, code.OK), {"junk", 7}}
 	whole := foldAll(t, log...)
@@ -181,7 +182,7 @@
 		t.Errorf("from the checkpoint %s\nfrom the whole log %s", b, a)
 	}
 	if c, _ := part.Encode(); string(c) != string(data) {
-		t.Error("folding on changed a state that was handed out")
+		t.Error("folding more records changed a state that was returned before")
 	}
 	if err := s.Apply(9, nil); err != ErrGap {
 		t.Errorf("a gap gave %v", err)
@@ -205,13 +206,13 @@
 	_ = late.Apply(8, encode(t, entry{"k", record.Checkpoint{Covers: 7}}))
 	_ = late.Apply(9, encode(t, entry{"k2", record.Checkpoint{Covers: 2}}))
 	if late.Checkpoint != (CheckpointPosition{At: 8, Covers: 7}) || late.Services["s"].Version != 5 {
-		t.Errorf("a late checkpoint took the state back: %+v", late.Checkpoint)
+		t.Errorf("a late checkpoint moved the state back: %+v", late.Checkpoint)
 	}
 }
 
-// Engines and services come and go for years, and publishers repeat
-// themselves. The state must stay within its bounds.
-func TestBounds(t *testing.T) {
+// Over years, many engines and services are added and removed, and publishers
+// repeat documents. The state must stay within its bounds.
+func TestStateIsBounded(t *testing.T) {
 	s := New()
 	next := func(e entry) { _ = s.Apply(s.Applied+1, encode(t, e)) }
 	for i := range 3 * MaxOutcomes {
@@ -222,7 +223,7 @@
 	}
 	svc := s.Services["s"]
 	if len(svc.Outcomes) != MaxOutcomes || len(svc.Pending) != MaxPending {
-		t.Errorf("%d outcomes and %d waiting documents kept", len(svc.Outcomes), len(svc.Pending))
+		t.Errorf("%d outcomes and %d pending documents kept", len(svc.Outcomes), len(svc.Pending))
 	}
 	next(claim(0, "a"))
 	lease := s.Applied
@@ -232,6 +233,6 @@
 		next(entry{"d", record.OrderDone{Group: "s/z/0", Claim: lease, Engine: id, Order: id}})
 	}
 	if _, ok := s.Engines["e4"]; ok || len(s.Engines) != MaxEngines {
-		t.Errorf("%d engines remembered, the oldest still there: %v", len(s.Engines), ok)
+		t.Errorf("%d engines kept, the oldest still there: %v", len(s.Engines), ok)
 	}
 }
--- a/process/fold/orders.go
+++ b/process/fold/orders.go
@@ -2,14 +2,14 @@
 
 import "github.com/pomelospool/pomelospool/process/record"
 
-// order opens an order, if it was decided under the current claim of its
-// group, no other order of the engine is open, and none ended since it was
-// decided.
+// order opens an order if it was decided under the current claim of its group,
+// the engine has no open order, and none has ended since the decision.
 //
-// The guard is against conflicting orders: an order of a process that lost the
-// group is void although it stands in the log, and an engine has at most one
-// open order whoever decided it, so a successor must end that one first. A
-// copy that arrives after its order ended names an older end and is void.
+// These conditions prevent conflicting orders. An order of a process that lost
+// the group is void although it is in the log. An engine has at most one open
+// order, whichever process decided it, so a successor must end that order
+// first. A duplicate that arrives after its order ended names an earlier end
+// and is void.
 func (s *State) order(offset int64, id string, o record.Order) {
 	lease, ok := s.Leases[o.Group]
 	if !ok || lease.Claim != o.Claim || lease.Released {
@@ -32,13 +32,13 @@
 	s.Engines[o.Engine] = e
 }
 
-// orderDone ends the open order that it names, if the writer still holds its
-// group and no version came into force since it decided.
+// orderDone ends the open order that the record names, if the writer still
+// holds its group and no version has come into force since the decision.
 //
-// The guard is against a process that saw the order carried out, was paused,
-// and says so after a successor or a new document. The engine may have crashed
-// meanwhile and know nothing of the order, of which a copy may be on its way:
-// it would take effect after the next one.
+// A process may see an order completed, be paused, and record the end after a
+// successor or a new document has taken over. Meanwhile the engine may have
+// crashed and lost the order, while a duplicate of it is still in flight. That
+// duplicate would take effect after the next order.
 func (s *State) orderDone(offset int64, d record.OrderDone) {
 	e := s.Engines[d.Engine]
 	if e.Open == nil || e.Open.ID != d.Order {
@@ -57,8 +57,8 @@
 	s.dropOldestEngine()
 }
 
-// dropOldestEngine keeps at most MaxEngines engines. What goes is only the
-// memory of an order that ended longest ago.
+// dropOldestEngine keeps at most MaxEngines engines. It drops the engine whose
+// order ended longest ago and that has no open order.
 func (s *State) dropOldestEngine() {
 	if len(s.Engines) <= MaxEngines {
 		return
--- a/process/follow/append.go
+++ b/process/follow/append.go
@@ -18,79 +18,80 @@
 
 // Bounds of the Appender.
 const (
-	appendTimeout = 2 * time.Second        // one try
-	backoffFirst  = 200 * time.Millisecond // mean wait before the second try is half of it
-	backoffMost   = 10 * time.Second
-	lookMax       = 256 // records a read while looking for an id
+	appendAttemptTimeout = 2 * time.Second        // timeout of one attempt
+	initialBackoff       = 200 * time.Millisecond // bound of the first random delay; the mean is half of it
+	maxBackoff           = 10 * time.Second
+	findBatch            = 256 // records per read when searching for an id
 )
 
-// counts are the metrics of the control stream in this process.
-var counts = expvar.NewMap("control")
+// metrics holds the metrics of the control stream in this process.
+var metrics = expvar.NewMap("control")
 
-// Appender writes control records that must count once.
+// Appender appends control records, each of which must take effect once.
 type Appender struct {
-	log   port.Log
-	mark  func() int64 // an offset after which a new record must stand
-	limit *rate.Limiter
+	log     port.Log
+	applied func() int64 // offset up to which this process has read; new records come after it
+	limit   *rate.Limiter
 }
 
-// NewAppender returns an Appender. mark gives the offset up to which this
-// process knows the log; perSecond bounds its appends over any longer time.
-func NewAppender(log port.Log, mark func() int64, perSecond float64) *Appender {
+// NewAppender returns an Appender. applied returns the offset up to which this
+// process has read the log. perSecond limits the average rate of appends.
+func NewAppender(log port.Log, applied func() int64, perSecond float64) *Appender {
 	burst := max(1, int(perSecond))
-	return &Appender{log: log, mark: mark, limit: rate.NewLimiter(rate.Limit(perSecond), burst)}
+	return &Appender{log: log, applied: applied, limit: rate.NewLimiter(rate.Limit(perSecond), burst)}
 }
 
-// Append writes the record and returns its offset. It tries until ctx ends;
+// Append writes the record and returns its offset. It retries until ctx ends;
 // then the outcome is unknown and the error has code.LogUnavailable.
 //
-// The guard is against a lost answer: the append took effect, the writer
-// doesn't know, and the record stands twice. Before it appends again it reads
-// the log from where it stood before the first try and looks for the id. A
-// copy that is still on its way at that time is ignored by the fold. Waits are
-// random up to a growing bound, so that daemons which all wait for the log to
-// return don't append all at once.
+// An append can take effect although its response is lost, and a plain retry
+// would write the record twice. Before each retry, Append therefore searches
+// the log for the id, from the offset known before the first attempt. The fold
+// ignores a duplicate that is still in flight during the search. Delays are
+// random up to a growing bound, so that daemons don't all append at once when
+// the log recovers.
 func (a *Appender) Append(ctx context.Context, e record.Envelope) (int64, error) {
 	data, err := json.Marshal(e)
 	if err != nil {
 		return 0, fmt.Errorf("append %s: %w", e.Kind, err)
 	}
-	from := a.mark() + 1
-	backoff := backoffFirst
-	offset, err := a.try(ctx, e.Kind, data)
+	from := a.applied() + 1
+	backoff := initialBackoff
+	offset, err := a.appendOnce(ctx, e.Kind, data)
 	for err != nil {
-		if pause(ctx, backoff) != nil {
+		if sleepRandom(ctx, backoff) != nil {
 			return 0, code.Wrap(code.LogUnavailable, err, "append %s", e.Kind)
 		}
-		backoff = min(2*backoff, backoffMost)
-		offset, err = a.again(ctx, from, e, data)
+		backoff = min(2*backoff, maxBackoff)
+		offset, err = a.retry(ctx, from, e, data)
 	}
 	return offset, nil
 }
 
-// again looks for the record and appends it if it doesn't stand.
-func (a *Appender) again(ctx context.Context, from int64, e record.Envelope, data []byte) (int64, error) {
+// retry appends the record unless the log already holds it.
+func (a *Appender) retry(ctx context.Context, from int64, e record.Envelope, data []byte) (int64, error) {
 	offset, err := a.find(ctx, from, e.ID)
 	if err != nil || offset > 0 {
 		return offset, err
 	}
-	counts.Add("append_retries", 1)
-	return a.try(ctx, e.Kind, data)
+	metrics.Add("append_retries", 1)
+	return a.appendOnce(ctx, e.Kind, data)
 }
 
-// try appends once.
-func (a *Appender) try(ctx context.Context, kind record.Kind, data []byte) (int64, error) {
+// appendOnce makes one attempt to append, within the rate limit.
+func (a *Appender) appendOnce(ctx context.Context, kind record.Kind, data []byte) (int64, error) {
 	if err := a.limit.Wait(ctx); err != nil {
-		return 0, fmt.Errorf("append budget: %w", err)
+		return 0, fmt.Errorf("append rate limit: %w", err)
 	}
-	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
+	ctx, cancel := context.WithTimeout(ctx, appendAttemptTimeout)
 	defer cancel()
-	counts.Add("appends", 1)
-	counts.Add("appends_"+string(kind), 1)
+	metrics.Add("appends", 1)
+	metrics.Add("appends_"+string(kind), 1)
 	return a.log.Append(ctx, record.Control, data)
 }
 
-// find returns the offset of the record with the id, 0 if it doesn't stand.
+// find returns the offset of the record with the id, or 0 if the log doesn't
+// hold it.
 func (a *Appender) find(ctx context.Context, from int64, id string) (int64, error) {
 	for {
 		recs, newest, err := a.read(ctx, from)
@@ -116,12 +117,12 @@
 }
 
 func (a *Appender) read(ctx context.Context, from int64) ([]port.Record, int64, error) {
-	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
+	ctx, cancel := context.WithTimeout(ctx, appendAttemptTimeout)
 	defer cancel()
-	return a.log.Read(ctx, record.Control, from, lookMax, 0)
+	return a.log.Read(ctx, record.Control, from, findBatch, 0)
 }
 
-// idOf returns the id of an envelope, empty for anything else.
+// idOf returns the id of an encoded envelope, or "" for any other data.
 func idOf(data []byte) string {
 	var e struct {
 		ID string `json:"id"`
@@ -132,8 +133,8 @@
 	return e.ID
 }
 
-// pause waits for a random part of d, or until ctx ends.
-func pause(ctx context.Context, d time.Duration) error {
+// sleepRandom waits for a random time below d, or until ctx ends.
+func sleepRandom(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(rand.N(d))
 	defer t.Stop()
 	select {
@@ -144,7 +145,7 @@
 	}
 }
 
-// NewEnvelope makes the envelope of a new decision.
+// NewEnvelope returns a control record's envelope with an encoded body.
 func NewEnvelope(id string, kind record.Kind, writer string, body any) (record.Envelope, error) {
 	raw, err := json.Marshal(body)
 	if err != nil {
@@ -153,8 +154,9 @@
 	return record.Envelope{ID: id, Kind: kind, Writer: writer, Body: raw}, nil
 }
 
-// Write appends a decision and waits until it is folded here. Without an error
-// the record stands, even if ctx ended before it was folded.
+// Write appends a record and waits until this process has folded it. A nil
+// error means that the log holds the record, even if ctx ended before the
+// record was folded.
 func (f *Follower) Write(ctx context.Context, id string, kind record.Kind, body any) (int64, error) {
 	e, err := NewEnvelope(id, kind, f.o.Self, body)
 	if err != nil {
--- a/process/follow/bench_test.go
+++ b/process/follow/bench_test.go
@@ -13,9 +13,10 @@
 	"github.com/pomelospool/pomelospool/process/record"
 )
 
-// fill writes n records as a year of work would: documents of 4 KB with their
-// verdicts over 50 services, and checkpoints every so often.
-func fill(b *testing.B, n, every int) *logtest.Log {
+// fillLog writes n records like those of a year of operation: documents of
+// 4 KB with their verdicts for 50 services, and a checkpoint after each every
+// records.
+func fillLog(b *testing.B, n, every int) *logtest.Log {
 	l := &logtest.Log{}
 	f := New(Options{Log: l, Clock: &clock.Manual{}})
 	f.state, _ = Recover(context.Background(), l)
@@ -43,16 +44,16 @@
 	return l
 }
 
-// BenchmarkRecovery gives the time from nothing to the tail.
+// BenchmarkRecovery measures the time from an empty state to the tail.
 func BenchmarkRecovery(b *testing.B) {
 	for _, every := range []int{0, 500} {
 		for _, n := range []int{1000, 10000, 100000} {
 			b.Run(fmt.Sprintf("checkpoint=%d/records=%d", every, n), func(b *testing.B) {
-				l := fill(b, n, every)
+				l := fillLog(b, n, every)
 				_, before := l.Counts()
 				for b.Loop() {
 					f := New(Options{Log: l, Clock: &clock.Manual{}, IdlePollWait: 1})
-					for !f.fresh {
+					for !f.tailRead {
 						if err := f.step(context.Background()); err != nil {
 							b.Fatal(err)
 						}
--- a/process/follow/follow_test.go
+++ b/process/follow/follow_test.go
@@ -17,26 +17,27 @@
 	"github.com/pomelospool/pomelospool/process/record"
 )
 
-// peer serves what another follower has.
+// peer implements Peers with the records of another Follower.
 type peer struct{ f *Follower }
 
 func (p peer) Fetch(_ context.Context, from int64) (Batch, error) { return p.f.Serve(from, 512) }
 
-// behind is a log whose answers come from a copy that stands still.
-type behind struct {
+// laggingLog is a log whose reads come from a replica that has stopped
+// following, once staleNewest is set.
+type laggingLog struct {
 	*logtest.Log
-	newest atomic.Int64
+	staleNewest atomic.Int64
 }
 
-func (b *behind) Read(ctx context.Context, s string, from int64, n int, wait time.Duration) ([]port.Record, int64, error) {
+func (b *laggingLog) Read(ctx context.Context, s string, from int64, n int, wait time.Duration) ([]port.Record, int64, error) {
 	recs, newest, err := b.Log.Read(ctx, s, from, n, wait)
-	if n := b.newest.Load(); n > 0 && err == nil {
+	if n := b.staleNewest.Load(); n > 0 && err == nil {
 		return nil, n, nil
 	}
 	return recs, newest, err
 }
 
-func accept(yaml string) (code.Code, string) {
+func acceptAll(yaml string) (code.Code, string) {
 	if yaml == "crash" {
 		panic("checks crashed")
 	}
@@ -47,7 +48,7 @@
 	t.Helper()
 	o.Log, o.Clock = l, clock.NewRuntime()
 	if o.Validate == nil {
-		o.Validate = accept
+		o.Validate = acceptAll
 	}
 	f := New(o)
 	f.Start()
@@ -82,9 +83,9 @@
 
 func version(f *Follower) int64 { return f.State().Services["s"].Version }
 
-// An operator publishes to three daemons, one of which has stricter rules, and
-// one file crashes the checks. Each file gets one verdict, and a daemon that
-// starts later with stricter rules keeps what was accepted.
+// Documents are published to daemons with different rules, and one document
+// crashes the checks. Each document gets exactly one verdict. A daemon that
+// starts later with stricter rules keeps the accepted document.
 func TestVerdicts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &logtest.Log{}
@@ -107,9 +108,10 @@
 	})
 }
 
-// The log is away for minutes, or only its answers are. On its return each
-// daemon's records stand once, and the daemons don't rush it.
-func TestOutage(t *testing.T) {
+// The log is unavailable for minutes, or only its responses are lost. When it
+// recovers, it must hold each daemon's record once, and the daemons must not
+// all append at the same time.
+func TestLogOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &logtest.Log{}
 		var fs []*Follower
@@ -130,20 +132,20 @@
 			t.Error("the outage was not noticed")
 		}
 		l.Down(false)
-		rush := 0
+		peak := 0
 		for range 60 {
 			before, _ := l.Counts()
 			advance(500 * time.Millisecond)
 			after, _ := l.Counts()
-			rush = max(rush, after-before)
+			peak = max(peak, after-before)
 		}
 		for range fs {
 			if err := <-done; err != nil {
 				t.Error(err)
 			}
 		}
-		if rush > len(fs)/2 {
-			t.Errorf("%d of %d daemons appended in the same half second", rush, len(fs))
+		if peak > len(fs)/2 {
+			t.Errorf("%d of %d daemons appended in the same half second", peak, len(fs))
 		}
 		l.LoseAnswers(3)
 		if _, err := fs[0].Write(context.Background(), "lost", record.KindBurn, 0); err != nil {
@@ -156,10 +158,10 @@
 	})
 }
 
-// A daemon is cut off from the log but not from its peers, and one peer is
-// behind. It must follow what is in force, never go back, and not take a
-// peer's word for the right to act.
-func TestPeers(t *testing.T) {
+// A daemon can't reach the log but reaches its peers, one of which lags. It
+// must follow the version in force, never move back, and not renew a lease
+// from a peer's records.
+func TestFollowingThroughPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, cut := &logtest.Log{}, &logtest.Log{}
 		a := start(t, l, Options{Self: "a", CheckpointRecords: 10})
@@ -181,21 +183,22 @@
 			t.Errorf("version %d in force at the daemon cut off, %d elsewhere", version(b), version(a))
 		}
 		if _, ok := b.LastReadStart(); ok {
-			t.Error("a peer's word counted as a read of the log")
+			t.Error("a peer's response counted as a read of the log")
 		}
 		data, _ := old.State().Encode()
 		err := b.Stop()
 		if err == nil {
-			err = b.takeBatch(Batch{Checkpoint: data, Covers: old.Applied(), Applied: old.Applied()}, b.Applied()+1)
+			err = b.applyBatch(Batch{Checkpoint: data, Covers: old.Applied(), Applied: old.Applied()}, b.Applied()+1)
 		}
 		if err != nil || version(b) != version(a) || b.state.Applied != a.Applied() {
-			t.Errorf("a peer that is behind took offset %d back to %d: %v", a.Applied(), b.state.Applied, err)
+			t.Errorf("a lagging peer moved the offset from %d back to %d: %v", a.Applied(), b.state.Applied, err)
 		}
 	})
 }
 
-// Records expire while a daemon is paused or all daemons are replaced. Both go
-// on from a checkpoint with what is in force; without one they say so.
+// Records expire while a daemon is paused or all daemons are replaced.
+// Recovery must continue from a checkpoint with the version in force, and fail
+// with RecordsExpired if there is none.
 func TestRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &logtest.Log{}
@@ -219,24 +222,24 @@
 		if _, err := Recover(context.Background(), l); code.Of(err) != code.RecordsExpired {
 			t.Errorf("start without any record: %v", err)
 		}
-		// A follower that lags behind the retention starts anew.
+		// A follower whose next records have expired recovers from a peer.
 		f := New(Options{Log: l, Clock: clock.NewRuntime(), Peers: peer{a}})
 		f.state, _ = Recover(context.Background(), &logtest.Log{})
 		if err := f.step(t.Context()); !errors.Is(err, port.ErrExpired) {
 			t.Errorf("reading expired records: %v", err)
 		}
-		f.failed(t.Context(), port.ErrExpired)
+		f.handleReadError(t.Context(), port.ErrExpired)
 		if version(f) != 1 || f.Applied() != a.Applied() {
 			t.Errorf("version %d at offset %d after a start from a peer", version(f), f.Applied())
 		}
 	})
 }
 
-// A copy of the log that lags behind answers the reads. They must not renew a
-// lease, as a later claim may stand where the copy doesn't reach.
+// A lagging replica of the log serves the reads. They must not renew a lease,
+// because the log may hold a later claim that the replica doesn't have yet.
 func TestLaggingLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := &behind{Log: &logtest.Log{}}
+		l := &laggingLog{Log: &logtest.Log{}}
 		f := start(t, l, Options{Self: "a"})
 		publish(t, l.Log, "v1", 0)
 		advance(10 * time.Second)
@@ -244,16 +247,16 @@
 		if !ok || version(f) != 1 {
 			t.Fatalf("not started: %d", version(f))
 		}
-		l.newest.Store(1)
+		l.staleNewest.Store(1)
 		advance(time.Minute)
 		if late, _ := f.LastReadStart(); late > began+6*time.Second {
-			t.Errorf("a read of the lagging copy counted: %v after %v", late, began)
+			t.Errorf("a read of the lagging replica counted: %v after %v", late, began)
 		}
 	})
 }
 
-// The newest checkpoint lies in the older half of what the log keeps. Another
-// must be written although few records came, or it expires.
+// If the newest checkpoint lies in the older half of the retained log, another
+// one must be written even after few records, before it expires.
 func TestCheckpointDue(t *testing.T) {
 	for _, c := range []struct {
 		name              string
@@ -269,15 +272,15 @@
 	} {
 		s, _ := Recover(context.Background(), &logtest.Log{})
 		s.Applied, s.Checkpoint.At, s.Checkpoint.Covers = 100, c.at, c.covers
-		o := &offers{mark: s.Checkpoint, earliest: c.early}
+		o := &dueWrites{lastCheckpoint: s.Checkpoint, earliest: c.early}
 		if got := o.checkpointDue(s, c.age, 0, 50, 10*time.Minute); got != c.want {
 			t.Errorf("%s: due %v", c.name, got)
 		}
 		if c.want && o.checkpointDue(s, c.age, time.Second, 50, 10*time.Minute) {
-			t.Errorf("%s: a later rank doesn't wait", c.name)
+			t.Errorf("%s: a daemon with a higher rank does not wait", c.name)
 		}
 	}
 }
 
-// advance lets the virtual clock of the synctest bubble run on.
+// advance moves the virtual clock of the synctest bubble forward by d.
 func advance(d time.Duration) { <-time.After(d) }
--- a/process/follow/follower.go
+++ b/process/follow/follower.go
@@ -1,5 +1,5 @@
-// Package follow reads the control stream, keeps the folded state of it, and
-// does what every daemon does for it in turn: verdicts and checkpoints.
+// Package follow reads the control stream and maintains its folded state. It
+// also writes the verdicts and checkpoints that any daemon may contribute.
 package follow
 
 import (
@@ -20,23 +20,23 @@
 	"github.com/pomelospool/pomelospool/process/record"
 )
 
-// Batch is what a peer gives to one that can't reach the log.
+// Batch is a peer's response to a daemon that can't reach the log.
 type Batch struct {
-	Records    []port.Record // from the offset that was asked for, or after Covers
-	Applied    int64         // of the peer
-	Checkpoint []byte        // encoded fold.State, when the records asked for are gone
-	Covers     int64         // offset that Checkpoint covers
+	Records    []port.Record // from the requested offset, or after Covers
+	Applied    int64         // newest offset that the peer has folded
+	Checkpoint []byte        // encoded fold.State, if the peer no longer has the requested records
+	Covers     int64         // offset up to which Checkpoint holds the log
 }
 
-// Peers reaches other daemons.
+// Peers fetches records from other daemons.
 type Peers interface {
-	// Fetch asks a live peer, a different one each time, for records from
-	// offset from on.
+	// Fetch requests the records from offset from on. Each call asks a
+	// different live peer.
 	Fetch(ctx context.Context, from int64) (Batch, error)
 }
 
-// Validate judges a document by the rules of this binary. Any code but
-// code.OK refuses it.
+// Validate checks a document by the rules of this binary. Any code other than
+// code.OK refuses the document.
 type Validate func(yaml string) (code.Code, string)
 
 // Options of a Follower. Log, Clock, Self and Validate must be set.
@@ -44,64 +44,64 @@
 	Log      port.Log
 	Clock    clock.Clock
 	Self     string     // incarnation of this process
-	Validate Validate   // judges documents
-	Peers    Peers      // may be nil
-	Rank     func() int // place among the live daemons, 0 first; nil means 0
-
-	HolderPollWait    time.Duration // long poll while holding a lease; 750ms, below lease.Rule.T / 2
-	IdlePollWait      time.Duration // long poll otherwise; 3s
-	Stagger           time.Duration // between verdicts or checkpoints of two ranks; 1s
-	CheckpointRecords int           // records between checkpoints; 500
-	MaxCheckpointAge  time.Duration // between checkpoints of a quiet log; 10m
-	AppendRate        float64       // appends a second of this process; 5
+	Validate Validate   // checks documents before a verdict
+	Peers    Peers      // optional source of records while the log is unavailable
+	Rank     func() int // position among the live daemons, from 0; nil means 0
+
+	HolderPollWait    time.Duration // long poll while holding a lease, below lease.Rule.T / 2; default 750ms
+	IdlePollWait      time.Duration // long poll otherwise; default 3s
+	Stagger           time.Duration // delay per rank of verdicts and checkpoints; default 1s
+	CheckpointRecords int           // records between checkpoints; default 500
+	MaxCheckpointAge  time.Duration // between checkpoints of an idle log; default 10m
+	AppendRate        float64       // appends per second of this process; default 5
 }
 
 func (o Options) withDefaults() Options {
-	def(&o.HolderPollWait, 750*time.Millisecond)
-	def(&o.IdlePollWait, 3*time.Second)
-	def(&o.Stagger, time.Second)
-	def(&o.CheckpointRecords, 500)
-	def(&o.MaxCheckpointAge, 10*time.Minute)
-	def(&o.AppendRate, 5)
+	setDefault(&o.HolderPollWait, 750*time.Millisecond)
+	setDefault(&o.IdlePollWait, 3*time.Second)
+	setDefault(&o.Stagger, time.Second)
+	setDefault(&o.CheckpointRecords, 500)
+	setDefault(&o.MaxCheckpointAge, 10*time.Minute)
+	setDefault(&o.AppendRate, 5)
 	if o.Rank == nil {
 		o.Rank = func() int { return 0 }
 	}
 	return o
 }
 
-func def[T int | float64 | time.Duration](v *T, d T) {
+func setDefault[T int | float64 | time.Duration](v *T, d T) {
 	if *v <= 0 {
 		*v = d
 	}
 }
 
 const (
-	readMax     = 512             // records a read
-	readTimeout = 2 * time.Second // on top of the wait of a long poll
-	retryMost   = 2 * time.Second // longest wait between reads of a log that fails
+	readBatch     = 512             // records per read
+	readTimeout   = 2 * time.Second // added to the wait of a long poll
+	maxRetryDelay = 2 * time.Second // maximum delay after a failed read
 )
 
-// Follower holds the state of the control stream. Its methods are safe for
-// concurrent use.
+// Follower reads the control stream and holds its state. The exported methods
+// are safe for concurrent use.
 type Follower struct {
 	o        Options
 	appender *Appender
 	t        tomb.Tomb
 	tail     atomic.Pointer[lease.Tail]
-	down     atomic.Bool
+	logDown  atomic.Bool
 	ready    chan struct{}
 	recent   recent
 
 	mu      sync.Mutex
 	changed chan struct{}
 
-	// owned by the reading goroutine
-	state *fold.State
-	began time.Duration
-	fresh bool
+	// Used only by the goroutine of readLoop.
+	state     *fold.State
+	readStart time.Duration
+	tailRead  bool
 }
 
-// New returns a Follower that doesn't run yet.
+// New returns a Follower. Start runs it.
 func New(o Options) *Follower {
 	f := &Follower{
 		o:       o.withDefaults(),
@@ -113,21 +113,22 @@
 	return f
 }
 
-// Start begins to read.
+// Start starts the goroutines that read the log and write due records.
 func (f *Follower) Start() {
 	f.t.Go(func() error {
-		f.t.Go(f.offerLoop)
+		f.t.Go(f.writeLoop)
 		return f.readLoop()
 	})
 }
 
-// Stop ends the goroutines and waits for them.
+// Stop stops the goroutines and waits until they have ended.
 func (f *Follower) Stop() error {
 	f.t.Kill(nil)
 	return f.t.Wait()
 }
 
-// Tail returns the state with the time of the read that gave it.
+// Tail returns the state together with the start time of the read that
+// produced it.
 func (f *Follower) Tail() lease.Tail { return *f.tail.Load() }
 
 // State returns the newest state. It is read-only.
@@ -144,35 +145,36 @@
 }
 
 // LogDown reports whether the last read of the log failed.
-func (f *Follower) LogDown() bool { return f.down.Load() }
+func (f *Follower) LogDown() bool { return f.logDown.Load() }
 
-// Ready is closed once the state has been read to the tail for the first time,
-// from the log or from a peer.
+// Ready returns a channel that is closed once the state has reached the tail
+// for the first time, through the log or a peer.
 func (f *Follower) Ready() <-chan struct{} { return f.ready }
 
 // Appender returns the appender for control records of this process.
 func (f *Follower) Appender() *Appender { return f.appender }
 
 // Changed returns a channel that is closed at the next change of the state.
-// Take the channel before the state, so that no change is missed.
+// Callers get the channel before they read the state, so that they miss no
+// change.
 func (f *Follower) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.changed
 }
 
-// readLoop is the only goroutine that folds.
+// readLoop reads until the Follower stops. Only its goroutine folds records.
 func (f *Follower) readLoop() error {
 	ctx := f.t.Context(context.Background())
 	for f.t.Alive() {
 		if err := f.step(ctx); err != nil {
-			f.failed(ctx, err)
+			f.handleReadError(ctx, err)
 		}
 	}
 	return nil
 }
 
-// step starts up or does one read of the tail.
+// step recovers the state if there is none, and reads the tail once.
 func (f *Follower) step(ctx context.Context) error {
 	if f.state == nil {
 		s, err := recoverState(ctx, f.o.Log)
@@ -184,40 +186,40 @@
 	return f.readTail(ctx)
 }
 
-// readTail reads once and folds. Only a read that reached the newest record
-// counts as a read of the tail.
+// readTail reads once and folds the records. Only a read that reaches the
+// newest record counts as a read of the tail.
 //
-// A read whose newest offset is below what was folded already comes from a
-// copy of the log that lags; it proves nothing about later claims, so it
+// If the newest offset is below the folded one, the response comes from a
+// lagging replica of the log. Such a read can't rule out later claims, so it
 // doesn't renew a lease.
 func (f *Follower) readTail(ctx context.Context) error {
-	wait := f.wait()
+	wait := f.pollWait()
 	ctx, cancel := context.WithTimeout(ctx, wait+readTimeout)
 	defer cancel()
 	began := f.o.Clock.Now()
-	recs, newest, err := f.o.Log.Read(ctx, record.Control, f.state.Applied+1, readMax, wait)
-	counts.Add("reads", 1)
+	recs, newest, err := f.o.Log.Read(ctx, record.Control, f.state.Applied+1, readBatch, wait)
+	metrics.Add("reads", 1)
 	if err != nil {
 		return err
 	}
-	f.up()
+	f.markLogUp()
 	if newest < max(f.state.Applied, f.Applied()) {
-		return errLags
+		return errLogLags
 	}
 	if err := f.apply(recs); err != nil {
 		return err
 	}
 	if f.state.Applied >= newest {
-		f.began, f.fresh = began, true
+		f.readStart, f.tailRead = began, true
 		f.publish()
 	}
 	return nil
 }
 
-// errLags means that the log shows less than it showed before.
-var errLags = errors.New("follow: the log shows an older newest offset than before")
+// errLogLags means that the log returned a lower newest offset than before.
+var errLogLags = errors.New("follow: newest offset of the log went back; a replica may lag")
 
-// apply folds records that follow the state.
+// apply folds the records that come after the state, and caches them for peers.
 func (f *Follower) apply(recs []port.Record) error {
 	for _, r := range recs {
 		if err := f.state.Apply(r.Offset, r.Data); err != nil {
@@ -228,9 +230,10 @@
 	return nil
 }
 
-// wait returns how long the next long poll may last. A holder's lease lives on
-// the begin of its reads, so it begins one often; others spare the log.
-func (f *Follower) wait() time.Duration {
+// pollWait returns the maximum duration of the next long poll. A lease counts
+// from the start of its holder's last read, so a holder polls at short
+// intervals. Other daemons poll longer to reduce the load on the log.
+func (f *Follower) pollWait() time.Duration {
 	for _, l := range f.state.Leases {
 		if l.Holder == f.o.Self && !l.Released {
 			return f.o.HolderPollWait
@@ -239,19 +242,20 @@
 	return f.o.IdlePollWait
 }
 
-// publish hands the state to the readers.
+// publish makes the state visible to readers.
 func (f *Follower) publish() {
 	old := f.tail.Load()
 	s := old.State
 	if s.Applied != f.state.Applied || !old.Fresh {
 		s = f.state.Clone()
 	}
-	f.tail.Store(&lease.Tail{State: s, Began: f.began, Fresh: f.fresh})
-	f.announce(s.Applied != old.State.Applied)
+	f.tail.Store(&lease.Tail{State: s, Began: f.readStart, Fresh: f.tailRead})
+	f.notify(s.Applied != old.State.Applied)
 }
 
-// announce marks the follower ready and wakes those who wait for a change.
-func (f *Follower) announce(changed bool) {
+// notify closes the ready channel on the first call. If the state changed, it
+// also wakes the goroutines that wait on Changed.
+func (f *Follower) notify(changed bool) {
 	select {
 	case <-f.ready:
 	default:
@@ -266,26 +270,26 @@
 	f.changed = make(chan struct{})
 }
 
-// failed handles a read that failed: it starts anew when records are missing,
-// asks a peer, and waits.
-func (f *Follower) failed(ctx context.Context, err error) {
+// handleReadError handles a failed read. It discards the state if records are
+// missing, fetches from a peer, and waits.
+func (f *Follower) handleReadError(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	if errors.Is(err, port.ErrExpired) || errors.Is(err, fold.ErrGap) {
-		log.WithError(err).Warn("follow: records gone, start anew")
+		log.WithError(err).Warn("follow: records are missing from the log; recovering the state again")
 		f.state = nil
-	} else if !f.down.Swap(true) {
-		log.WithError(err).Warn("follow: log unreachable, ask peers")
+	} else if !f.logDown.Swap(true) {
+		log.WithError(err).Warn("follow: log unreachable; fetching records from peers")
 	}
-	counts.Add("read_failures", 1)
-	f.fromPeer(ctx)
-	_ = pause(ctx, retryMost)
+	metrics.Add("read_failures", 1)
+	f.fetchFromPeer(ctx)
+	_ = sleepRandom(ctx, maxRetryDelay)
 }
 
-// up notes that the log answers.
-func (f *Follower) up() {
-	if f.down.Swap(false) {
+// markLogUp records a successful read of the log.
+func (f *Follower) markLogUp() {
+	if f.logDown.Swap(false) {
 		log.Info("follow: log reachable again")
 	}
 }
--- a/process/follow/recover.go
+++ b/process/follow/recover.go
@@ -13,24 +13,24 @@
 	"github.com/pomelospool/pomelospool/process/record"
 )
 
-// recoverChunk is how many records the first step back looks at.
-const recoverChunk = 1024
+// firstScanRange is the number of records in the first range that Recover scans.
+const firstScanRange = 1024
 
-// Recover returns the state from which a starting reader goes on: that of a
-// trusted checkpoint, or the empty one while the log still has its first
-// record. It looks for a checkpoint from the tail backwards, so its cost
-// depends on the distance of the newest checkpoint and not on the length of
-// the log. The error has code.RecordsExpired when neither exists.
+// Recover returns the state from which a new reader continues: that of a
+// trusted checkpoint, or the empty state if the log still holds its first
+// record. It searches backwards from the tail, so the cost depends on the
+// distance to the newest checkpoint and not on the length of the log. The
+// error has code.RecordsExpired if there is neither.
 func Recover(ctx context.Context, l port.Log) (*fold.State, error) {
 	return recoverState(ctx, l)
 }
 
 func recoverState(ctx context.Context, l port.Log) (*fold.State, error) {
-	earliest, newest, err := extent(ctx, l)
+	earliest, newest, err := offsetRange(ctx, l)
 	if err != nil {
 		return nil, err
 	}
-	chunk := int64(recoverChunk)
+	chunk := int64(firstScanRange)
 	for to := newest; to >= earliest; chunk *= 2 {
 		from := max(earliest, to-chunk+1)
 		s, err := newestCheckpoint(ctx, l, from, to, earliest)
@@ -45,8 +45,8 @@
 	return fold.New(), nil
 }
 
-// extent returns the earliest and the newest offset of the control stream.
-func extent(ctx context.Context, l port.Log) (earliest, newest int64, err error) {
+// offsetRange returns the earliest and the newest offset of the control stream.
+func offsetRange(ctx context.Context, l port.Log) (earliest, newest int64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	earliest, err = l.Earliest(ctx, record.Control)
@@ -61,11 +61,11 @@
 }
 
 // newestCheckpoint returns the state of the trusted checkpoint in [from, to]
-// that covers most, or nil.
+// with the highest covered offset, or nil.
 func newestCheckpoint(ctx context.Context, l port.Log, from, to, earliest int64) (*fold.State, error) {
 	var best *fold.State
 	for from <= to {
-		recs, err := readSome(ctx, l, from, to)
+		recs, err := readRange(ctx, l, from, to)
 		if err != nil {
 			return nil, err
 		}
@@ -73,26 +73,26 @@
 			return best, nil
 		}
 		for _, r := range recs {
-			best = better(best, r, earliest)
+			best = newerCheckpoint(best, r, earliest)
 		}
 		from = recs[len(recs)-1].Offset + 1
 	}
 	return best, nil
 }
 
-func readSome(ctx context.Context, l port.Log, from, to int64) ([]port.Record, error) {
+func readRange(ctx context.Context, l port.Log, from, to int64) ([]port.Record, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	recs, _, err := l.Read(ctx, record.Control, from, int(min(readMax, to-from+1)), 0)
+	recs, _, err := l.Read(ctx, record.Control, from, int(min(readBatch, to-from+1)), 0)
 	if err != nil {
 		return nil, fmt.Errorf("recover: %w", err)
 	}
 	return recs, nil
 }
 
-// better returns the state of r if it is a trusted checkpoint that covers more
-// than best. One that can't be read is passed over.
-func better(best *fold.State, r port.Record, earliest int64) *fold.State {
+// newerCheckpoint returns the state of r if r is a trusted checkpoint that
+// covers more than best, and best otherwise. It skips unreadable checkpoints.
+func newerCheckpoint(best *fold.State, r port.Record, earliest int64) *fold.State {
 	var e record.Envelope
 	if json.Unmarshal(r.Data, &e) != nil || e.Kind != record.KindCheckpoint {
 		return best
@@ -106,16 +106,16 @@
 	}
 	s, err := fold.Load(c)
 	if err != nil {
-		log.WithError(err).WithField("offset", r.Offset).Warn("follow: checkpoint passed over")
+		log.WithError(err).WithField("offset", r.Offset).Warn("follow: skipping unreadable checkpoint")
 		return best
 	}
 	return s
 }
 
-// fromPeer goes on with a peer's records while the log can't be read. It never
-// renews the lease: a peer may lag, so its word doesn't show that no later
-// claim stands.
-func (f *Follower) fromPeer(ctx context.Context) {
+// fetchFromPeer applies a peer's records while the log can't be read. It never
+// renews the lease: a peer may lag, so its response can't rule out a later
+// claim.
+func (f *Follower) fetchFromPeer(ctx context.Context) {
 	if f.o.Peers == nil {
 		return
 	}
@@ -127,20 +127,19 @@
 	defer cancel()
 	b, err := f.o.Peers.Fetch(ctx, from)
 	if err != nil {
-		log.WithError(err).Debug("follow: no peer answered")
+		log.WithError(err).Debug("follow: cannot fetch records from a peer")
 		return
 	}
-	counts.Add("peer_fetches", 1)
-	if err := f.takeBatch(b, from); err != nil {
-		log.WithError(err).Warn("follow: peer's records passed over")
+	metrics.Add("peer_fetches", 1)
+	if err := f.applyBatch(b, from); err != nil {
+		log.WithError(err).Warn("follow: cannot apply a peer's records")
 	}
 }
 
-// takeBatch folds what a peer gave.
-//
-// The guard is against a peer that is behind: its checkpoint is taken only if
-// it covers more than what this process has folded, so nothing goes back.
-func (f *Follower) takeBatch(b Batch, from int64) error {
+// applyBatch folds a peer's batch. It uses the checkpoint only if that covers
+// more than this process has folded, so that a lagging peer can't move the
+// state back.
+func (f *Follower) applyBatch(b Batch, from int64) error {
 	if f.state == nil && from == 1 && len(b.Checkpoint) == 0 {
 		f.state = fold.New()
 	}
--- a/process/follow/serve.go
+++ b/process/follow/serve.go
@@ -6,21 +6,22 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// Bounds of the records kept for peers.
+// Bounds of the records cached for peers.
 const (
-	recentMax   = 1024
-	recentBytes = 4 << 20
+	maxRecentRecords = 1024
+	maxRecentBytes   = 4 << 20
 )
 
-// recent keeps the newest records for peers that can't reach the log.
+// recent caches the newest records for peers that can't reach the log.
 type recent struct {
 	mu    sync.Mutex
 	recs  []port.Record
 	bytes int
 }
 
-// add appends r and drops the oldest beyond the bounds. A record that doesn't
-// follow the last one, after a start from a checkpoint, replaces them all.
+// add appends r and evicts the oldest records beyond the bounds. After a
+// recovery from a checkpoint, r may not directly follow the last record; it
+// then replaces all cached records.
 func (k *recent) add(r port.Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -35,14 +36,14 @@
 	}
 	k.recs = append(k.recs, r)
 	k.bytes += len(r.Data)
-	for len(k.recs) > recentMax || (k.bytes > recentBytes && len(k.recs) > 1) {
+	for len(k.recs) > maxRecentRecords || (k.bytes > maxRecentBytes && len(k.recs) > 1) {
 		k.bytes -= len(k.recs[0].Data)
 		k.recs = k.recs[1:]
 	}
 }
 
-// from returns up to n records from offset on up to offset last, and false
-// when records from there on are not kept.
+// from returns up to n records with offsets from offset to last. It returns
+// false if the record at offset is not cached.
 func (k *recent) from(offset, last int64, n int) ([]port.Record, bool) {
 	if offset > last {
 		return nil, true
@@ -57,9 +58,9 @@
 	return append([]port.Record(nil), k.recs[i:max(i, j)]...), true
 }
 
-// Serve answers a peer that asks for records from offset from on: records, or
-// a checkpoint when they aren't kept any more. Nothing is served before the
-// state is whole.
+// Serve handles a peer's request for records from offset from on. It returns
+// up to max records, or a checkpoint if the records are no longer cached. It
+// returns an error until the state has reached the tail for the first time.
 func (f *Follower) Serve(from int64, max int) (Batch, error) {
 	select {
 	case <-f.ready:
