--- a/version/document/accepted_test.go
+++ b/version/document/accepted_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// A team's document is in force. The daemons are upgraded to a binary whose
-// rules the document breaks. Without care the upgraded daemons drop the
-// service, and its callers get "unknown service" after a planned change.
-func TestAcceptedDocumentOutlivesStricterRules(t *testing.T) {
+// The daemons are upgraded to a binary whose stricter rules refuse a document
+// in force. If Accepted applied those rules, the upgraded daemons would drop
+// the service and its callers would get "unknown service".
+func TestAcceptedIgnoresStricterRules(t *testing.T) {
 	data, err := os.ReadFile("../../examples/jadranski-feed.yaml")
 	if err != nil {
 		t.Fatal(err)
@@ -24,9 +24,9 @@
 	}
 	want, _ := Parse("doc", data)
 	if d.Service != want.Service || len(d.Targets) != len(want.Targets) || d.Limits != want.Limits {
-		t.Errorf("read back as %+v, want %+v", d, want)
+		t.Errorf("got %+v, want %+v", d, want)
 	}
 	if _, err := Accepted([]byte("{")); err == nil {
-		t.Error("no YAML at all was read")
+		t.Error("invalid YAML was accepted")
 	}
 }
--- a/version/document/check.go
+++ b/version/document/check.go
@@ -13,30 +13,30 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// Bounds of values.
+// Bounds of the values in a document.
 const (
-	maxTargets     = 1024
-	maxModels      = 64
-	maxTokens      = 4 << 20
-	maxBody        = 64 << 20
-	maxStreams     = 65536
-	maxQueue       = 65536
-	maxAttempts    = 10
-	maxBudget      = 1.0
-	minTarget      = 0.5
-	maxTarget      = 0.99999
-	minWindow      = time.Hour
-	maxWindow      = 90 * 24 * time.Hour
-	minDuration    = time.Millisecond
-	maxDeadline    = 24 * time.Hour
-	minOnceWindow  = time.Second
-	maxOnceWindow  = 24 * time.Hour
-	maxWeight      = 1000.0
-	minWeight      = 0.001
-	maxChangeTime  = time.Hour
-	maxPathBytes   = 512
-	maxOncePaths   = 256
-	maxFairWeights = 4096
+	maxTargets         = 1024
+	maxModels          = 64
+	maxTokens          = 4 << 20
+	maxBody            = 64 << 20
+	maxStreams         = 65536
+	maxQueue           = 65536
+	maxAttempts        = 10
+	maxBudget          = 1.0
+	minObjectiveTarget = 0.5
+	maxObjectiveTarget = 0.99999
+	minWindow          = time.Hour
+	maxWindow          = 90 * 24 * time.Hour
+	minDuration        = time.Millisecond
+	maxDeadline        = 24 * time.Hour
+	minOnceWindow      = time.Second
+	maxOnceWindow      = 24 * time.Hour
+	maxWeight          = 1000.0
+	minWeight          = 0.001
+	maxChangeTime      = time.Hour
+	maxPathBytes       = 512
+	maxOncePaths       = 256
+	maxFairWeights     = 4096
 )
 
 // modelKeys are the keys that only a model service may have.
@@ -48,7 +48,7 @@
 // modelTargetKeys are the keys that only a model engine may have.
 var modelTargetKeys = []string{"model", "adapter", "role", "pinned", "checks_fence"}
 
-// check reports everything wrong with a decoded document.
+// check reports every problem of a decoded document.
 func check(f *yamlcheck.File, d *Document) {
 	f.Required("service", "kind", "owner", "targets", "objectives")
 	if f.Has("service") {
@@ -194,11 +194,11 @@
 	checkMinimum(f, "roles.min_decode", "decode", decode, r.MinDecode)
 }
 
-// checkMinimum reports a document whose first roles break its own minimum.
-func checkMinimum(f *yamlcheck.File, path, phase string, have, least int) {
-	if have < least {
+// checkMinimum reports a document whose initial roles break its own minimum.
+func checkMinimum(f *yamlcheck.File, path, phase string, have, minimum int) {
+	if have < minimum {
 		f.Report(path, code.DocInconsistent,
-			fmt.Sprintf("%d engines must %s, but the roles under targets give %d", least, phase, have),
+			fmt.Sprintf("%d engines must %s, but the roles under targets give %d", minimum, phase, have),
 			"lower it or change a target's role")
 	}
 }
@@ -212,7 +212,7 @@
 	if f.Has("objectives.answer") {
 		f.Duration("objectives.answer", o.Answer, minDuration, maxDeadline)
 	}
-	yamlcheck.Range(f, "objectives.target", o.Target, minTarget, maxTarget)
+	yamlcheck.Range(f, "objectives.target", o.Target, minObjectiveTarget, maxObjectiveTarget)
 	f.Duration("objectives.window", o.Window, minWindow, maxWindow)
 	for path, v := range map[string]time.Duration{"objectives.first_token": o.FirstToken, "objectives.between_tokens": o.BetweenTokens} {
 		if !f.Has(path) {
--- a/version/document/parse.go
+++ b/version/document/parse.go
@@ -10,7 +10,7 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// MaxBytes is the size of the largest document: it travels in one log record.
+// MaxBytes is the maximum size of a document, which must fit in one log record.
 const MaxBytes = 256 << 10
 
 // Defaults of optional keys.
@@ -31,12 +31,12 @@
 	defaultMinDwell         = time.Minute
 )
 
-// Problem is one fault of a document, with its place and its code.
+// Problem is one error in a document, with its position and code.
 type Problem = yamlcheck.Problem
 
-// Parse reads and checks a document. It returns either a whole document with
-// all defaults filled in, or nil and every problem found, never both. file
-// names the document in the problems.
+// Parse decodes and checks a document. It returns either a complete document
+// with all defaults filled in, or nil and every problem found. file is the
+// name of the document in the problems.
 func Parse(file string, data []byte) (*Document, []*Problem) {
 	d := withDefaults()
 	f := yamlcheck.Decode(file, data, MaxBytes, d)
@@ -63,7 +63,7 @@
 	}
 }
 
-// Marshal writes a document so that Parse gives the same one again.
+// Marshal encodes a document so that Parse returns an equal one.
 func Marshal(d *Document) ([]byte, error) {
 	data, err := yaml.Marshal(d)
 	if err != nil {
@@ -72,7 +72,8 @@
 	return data, nil
 }
 
-// fillDefaults fills in what the file leaves out and what depends on other keys.
+// fillDefaults sets the keys missing from the file whose defaults depend on
+// other keys.
 func fillDefaults(f *yamlcheck.File, d *Document) {
 	if !f.Has("limits.max_deadline") {
 		d.Limits.MaxDeadline = min(defaultDeadlineFactor*d.Objectives.Answer, maxDeadline)
@@ -90,25 +91,25 @@
 	for _, m := range d.Models {
 		largest = max(largest, m.MaxTokens)
 	}
-	fill(f, "limits.prompt_tokens", &d.Limits.PromptTokens, largest)
-	fill(f, "limits.output_tokens", &d.Limits.OutputTokens, largest)
-	fill(f, "roles.goodput_weight", &d.Roles.GoodputWeight, defaultGoodputWeight)
-	fill(f, "roles.min_prefill", &d.Roles.MinPrefill, defaultMinEngines)
-	fill(f, "roles.min_decode", &d.Roles.MinDecode, defaultMinEngines)
-	fill(f, "roles.max_changing", &d.Roles.MaxChanging, defaultMaxChanging)
-	fill(f, "roles.change_time", &d.Roles.ChangeTime, defaultChangeTime)
-	fill(f, "roles.min_dwell", &d.Roles.MinDwell, defaultMinDwell)
+	setDefault(f, "limits.prompt_tokens", &d.Limits.PromptTokens, largest)
+	setDefault(f, "limits.output_tokens", &d.Limits.OutputTokens, largest)
+	setDefault(f, "roles.goodput_weight", &d.Roles.GoodputWeight, defaultGoodputWeight)
+	setDefault(f, "roles.min_prefill", &d.Roles.MinPrefill, defaultMinEngines)
+	setDefault(f, "roles.min_decode", &d.Roles.MinDecode, defaultMinEngines)
+	setDefault(f, "roles.max_changing", &d.Roles.MaxChanging, defaultMaxChanging)
+	setDefault(f, "roles.change_time", &d.Roles.ChangeTime, defaultChangeTime)
+	setDefault(f, "roles.min_dwell", &d.Roles.MinDwell, defaultMinDwell)
 	for i := range d.Targets {
 		path := fmt.Sprintf("targets[%d]", i)
-		fill(f, path+".role", &d.Targets[i].Role, port.RoleMixed)
+		setDefault(f, path+".role", &d.Targets[i].Role, port.RoleMixed)
 		if len(d.Models) == 1 {
-			fill(f, path+".model", &d.Targets[i].Model, d.Models[0].Name)
+			setDefault(f, path+".model", &d.Targets[i].Model, d.Models[0].Name)
 		}
 	}
 }
 
-// fill sets v to the default unless the file has the key.
-func fill[T any](f *yamlcheck.File, path string, v *T, value T) {
+// setDefault sets v to value unless the file has the key.
+func setDefault[T any](f *yamlcheck.File, path string, v *T, value T) {
 	if !f.Has(path) {
 		*v = value
 	}
--- a/version/document/parse_test.go
+++ b/version/document/parse_test.go
@@ -11,7 +11,8 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// Each bad sample gives exactly the lines of its golden file, and no document.
+// Each bad sample must give exactly the lines of its golden file and no
+// document.
 func TestBadSamplesGiveExactMessages(t *testing.T) {
 	files, err := filepath.Glob("testdata/bad/*.yaml")
 	if err != nil || len(files) == 0 {
@@ -71,8 +72,8 @@
 	}
 }
 
-// FuzzParse: no input panics, each gives either a document or problems, and a
-// document comes back the same from Marshal and Parse.
+// FuzzParse checks that no input panics, that each gives either a document or
+// problems, and that a document is unchanged after Marshal and Parse.
 func FuzzParse(f *testing.F) {
 	seeds, _ := filepath.Glob("testdata/bad/*.yaml")
 	examples, _ := filepath.Glob("../../examples/*.yaml")
--- a/version/document/types.go
+++ b/version/document/types.go
@@ -1,5 +1,5 @@
-// Package document holds the service document: the one YAML file with which
-// an owning team describes its service, and the checks that it must pass.
+// Package document defines the service document, the YAML file in which the
+// owning team describes its service. It decodes and checks such documents.
 package document
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// Kind tells model services from plain ones.
+// Kind is the kind of a service: model or plain.
 type Kind string
 
 // The kinds of service.
@@ -17,8 +17,8 @@
 	KindPlain Kind = "plain"
 )
 
-// Document describes one service. Durations are written as "1.6s". Every key
-// that a comment gives a default for may be left out.
+// Document describes one service. Durations are written as "1.6s". A key is
+// optional if the comment on its field names a default.
 type Document struct {
 	Service    string     `yaml:"service"`
 	Kind       Kind       `yaml:"kind"`
@@ -33,7 +33,7 @@
 	Fair       Fair       `yaml:"fair,omitempty"`
 }
 
-// Model is a model that the service serves.
+// Model is one model of the service.
 type Model struct {
 	Name      string   `yaml:"name"`
 	Version   string   `yaml:"version"`
@@ -46,56 +46,57 @@
 	Name        string    `yaml:"name"`
 	Addr        string    `yaml:"addr"`                   // host:port
 	Zone        string    `yaml:"zone"`                   // availability zone
-	Model       string    `yaml:"model,omitempty"`        // the only model, when there is one
-	Adapter     string    `yaml:"adapter,omitempty"`      // none
-	Role        port.Role `yaml:"role,omitempty"`         // where it starts, the planner may change it; mixed
-	Pinned      bool      `yaml:"pinned,omitempty"`       // the planner leaves its role alone
-	ChecksFence bool      `yaml:"checks_fence,omitempty"` // refuses old fencing numbers
-	Drain       bool      `yaml:"drain,omitempty"`        // gets no new work
+	Model       string    `yaml:"model,omitempty"`        // default: the service's model, if it has only one
+	Adapter     string    `yaml:"adapter,omitempty"`      // default: none
+	Role        port.Role `yaml:"role,omitempty"`         // initial role, which the planner may change; default mixed
+	Pinned      bool      `yaml:"pinned,omitempty"`       // the planner must not change the role
+	ChecksFence bool      `yaml:"checks_fence,omitempty"` // the target refuses old fencing numbers
+	Drain       bool      `yaml:"drain,omitempty"`        // the target gets no new work
 }
 
 // Objectives are the service levels that the burn report measures.
 type Objectives struct {
 	FirstToken    time.Duration `yaml:"first_token,omitempty"`    // models only; not measured by default
 	BetweenTokens time.Duration `yaml:"between_tokens,omitempty"` // models only; not measured by default
-	Answer        time.Duration `yaml:"answer"`                   // whole answer, and the default deadline
-	Target        float64       `yaml:"target"`                   // share of requests that must meet them; 0.95
-	Window        time.Duration `yaml:"window"`                   // over which the budget is counted; 720h
+	Answer        time.Duration `yaml:"answer"`                   // for the complete answer; also the default deadline
+	Target        float64       `yaml:"target"`                   // share of requests that must meet them; default 0.95
+	Window        time.Duration `yaml:"window"`                   // period of the error budget; default 720h
 }
 
 // Limits bound what one request or caller may use.
 type Limits struct {
-	BodyBytes        int64         `yaml:"body_bytes"`              // 1048576
-	PromptTokens     int           `yaml:"prompt_tokens,omitempty"` // models only; the largest max_tokens
-	OutputTokens     int           `yaml:"output_tokens,omitempty"` // models only; the largest max_tokens
-	StreamsPerCaller int           `yaml:"streams_per_caller"`      // 64
-	QueuePerTarget   int           `yaml:"queue_per_target"`        // requests in flight at one target; 64
-	MaxDeadline      time.Duration `yaml:"max_deadline"`            // 4 times objectives.answer
+	BodyBytes        int64         `yaml:"body_bytes"`              // default 1048576
+	PromptTokens     int           `yaml:"prompt_tokens,omitempty"` // models only; default: the largest max_tokens
+	OutputTokens     int           `yaml:"output_tokens,omitempty"` // models only; default: the largest max_tokens
+	StreamsPerCaller int           `yaml:"streams_per_caller"`      // default 64
+	QueuePerTarget   int           `yaml:"queue_per_target"`        // requests in flight at one target; default 64
+	MaxDeadline      time.Duration `yaml:"max_deadline"`            // default: 4 times objectives.answer
 }
 
-// Retry bounds repeated attempts.
+// Retry limits the attempts of a request.
 type Retry struct {
-	Attempts int     `yaml:"attempts"` // in all, the first included; 3
-	Budget   float64 `yaml:"budget"`   // retries a request, on average; 0.1
+	Attempts int     `yaml:"attempts"` // including the first; default 3
+	Budget   float64 `yaml:"budget"`   // average number of retries per request; default 0.1
 }
 
-// Once describes calls that may not be repeated.
+// Once configures requests that must run at most once.
 type Once struct {
-	Paths  []string      `yaml:"paths,omitempty"`  // path prefixes of non-idempotent calls; none
-	Window time.Duration `yaml:"window,omitempty"` // how long a key is remembered; 1h when there are paths
+	Paths  []string      `yaml:"paths,omitempty"`  // path prefixes of non-idempotent requests; default: none
+	Window time.Duration `yaml:"window,omitempty"` // how long a key is kept; default 1h if there are paths
 }
 
-// Roles guides the role planner; models only.
+// Roles configures the role planner; models only.
 type Roles struct {
-	GoodputWeight float64       `yaml:"goodput_weight"` // 1: goodput only, 0: as few changes as can be; 0.5
-	MinPrefill    int           `yaml:"min_prefill"`    // engines able to prefill, never fewer; 1
-	MinDecode     int           `yaml:"min_decode"`     // engines able to decode, never fewer; 1
-	MaxChanging   int           `yaml:"max_changing"`   // engines changing at once; 1
-	ChangeTime    time.Duration `yaml:"change_time"`    // expected seconds away, until measured; 10s
-	MinDwell      time.Duration `yaml:"min_dwell"`      // between changes of one engine; 1m
+	GoodputWeight float64       `yaml:"goodput_weight"` // from 0, fewest role changes, to 1, goodput only; default 0.5
+	MinPrefill    int           `yaml:"min_prefill"`    // minimum number of engines that can prefill; default 1
+	MinDecode     int           `yaml:"min_decode"`     // minimum number of engines that can decode; default 1
+	MaxChanging   int           `yaml:"max_changing"`   // maximum number of engines that change role at a time; default 1
+	ChangeTime    time.Duration `yaml:"change_time"`    // expected duration of a role change, until measured; default 10s
+	MinDwell      time.Duration `yaml:"min_dwell"`      // minimum time between role changes of one engine; default 1m
 }
 
-// Fair gives organisations weights; one that isn't named has weight 1.
+// Fair sets the weights of organisations for fair sharing. An organisation that
+// is not listed has weight 1.
 type Fair struct {
 	Weights map[string]float64 `yaml:"weights,omitempty"`
 }
--- a/version/document/validate.go
+++ b/version/document/validate.go
@@ -5,8 +5,8 @@
 	"github.com/pomelospool/pomelospool/internal/yamlcheck"
 )
 
-// Validate judges a document as a daemon does before its verdict: code.OK, or
-// the code of the first problem with all problems, one a line.
+// Validate checks a document as a daemon does before its verdict. It returns
+// code.OK, or the code of the first problem and all problems, one per line.
 func Validate(yaml string) (code.Code, string) {
 	_, problems := Parse("document", []byte(yaml))
 	if err := yamlcheck.AsError(problems); err != nil {
--- a/version/inforce/inforce.go
+++ b/version/inforce/inforce.go
@@ -1,5 +1,5 @@
-// Package inforce holds the configuration that this process goes by. Its
-// versions only rise for as long as the process lives.
+// Package inforce holds the routing configuration in force in this process.
+// The version never decreases during the lifetime of the process.
 package inforce
 
 import (
@@ -11,35 +11,35 @@
 	"github.com/pomelospool/pomelospool/version/route"
 )
 
-// Holder is the topic.Sink of the configuration's topic. Any goroutine may
-// load the configuration.
+// Holder is the topic.Sink of the configuration topic. Load is safe for
+// concurrent use.
 type Holder struct {
 	decode func(r port.KeyedRecord) (c *route.Config, present bool, err error)
 	p      atomic.Pointer[route.Config]
 }
 
-// New returns a Holder without a configuration.
+// New returns a Holder without a configuration. decode decodes a record and
+// reports whether it holds a configuration.
 func New(decode func(r port.KeyedRecord) (*route.Config, bool, error)) *Holder {
 	return &Holder{decode: decode}
 }
 
-// Load returns the configuration in force, or nil before the first one.
+// Load returns the configuration in force, or nil before the first.
 func (h *Holder) Load() *route.Config { return h.p.Load() }
 
-// Reset takes the topic's newest records.
+// Reset applies the topic's newest records.
 func (h *Holder) Reset(records []port.KeyedRecord, _ int64) { h.Apply(records) }
 
-// Apply takes records in order.
-//
-// The guard is against a step back: an answer of the store that is behind, or
-// records read twice, must not bring an older version into force after
-// requests have seen the effect of a newer one.
+// Apply applies records in order. It ignores versions that are not newer than
+// the one in force: a lagging response of the store, or records that are read
+// twice, must not restore an older version after requests have used a newer
+// one.
 func (h *Holder) Apply(records []port.KeyedRecord) {
 	for _, r := range records {
 		c, present, err := h.decode(r)
 		if err != nil {
-			// The version in force stays; operators see the line.
-			log.WithError(err).WithField("offset", r.Offset).Error("config: record can't be read")
+			// The version in force stays; the log line alerts operators.
+			log.WithError(err).WithField("offset", r.Offset).Error("config: cannot decode record")
 			continue
 		}
 		old := h.p.Load()
@@ -51,8 +51,9 @@
 	}
 }
 
-// StoreLost is told of an outage of the store; the configuration stays in force.
+// StoreLost implements topic.Sink. The configuration stays in force during an
+// outage of the store.
 func (h *Holder) StoreLost(error) {}
 
-// StoreRecovered is told of the end of an outage.
+// StoreRecovered implements topic.Sink.
 func (h *Holder) StoreRecovered() {}
--- a/version/inforce/inforce_test.go
+++ b/version/inforce/inforce_test.go
@@ -16,7 +16,7 @@
 	m.Run()
 }
 
-// decode reads a version from a record's value.
+// decode returns a configuration whose version is the record's value.
 func decode(r port.KeyedRecord) (*route.Config, bool, error) {
 	if r.Key != "config" {
 		return nil, false, nil
@@ -36,10 +36,10 @@
 	return out
 }
 
-// A caller is answered by the new version and then by the old one again.
-// The store forgot its log, the daemon listed the topic, and the answer was
-// some seconds behind; or records were read twice.
-func TestVersionsOnlyRise(t *testing.T) {
+// A daemon must not return to an older version after a newer one has served
+// requests. The store may return an older version if it has lost its log, the
+// daemon lists the topic and the response lags, or if records are read twice.
+func TestVersionNeverDecreases(t *testing.T) {
 	h := New(decode)
 	if h.Load() != nil {
 		t.Fatal("a configuration before the first record")
@@ -52,7 +52,7 @@
 	}
 }
 
-// An operator's record can't be read; callers must go on as before.
+// A configuration record can't be decoded. The version in force must stay.
 func TestUnreadableRecordChangesNothing(t *testing.T) {
 	h := New(decode)
 	h.Apply(records("3", "nonsense"))
--- a/version/publish/publish_test.go
+++ b/version/publish/publish_test.go
@@ -19,48 +19,49 @@
 
 var errLost = errors.New("answer lost")
 
-// fakeLog is a log in memory with faults, on the bubble's clock.
+// fakeLog is a log in memory that injects faults, on the clock of the synctest
+// bubble.
 type fakeLog struct {
 	records   []port.Record
 	earliest  int64
 	appends   int
-	failAfter int                        // appends that take effect but whose answer is lost
+	failAfter int                        // appends that take effect but whose response is lost
 	failWith  int                        // appends that fail without effect
 	failReads int                        // reads that fail
 	down      bool                       // reads fail
-	onAppend  func(l *fakeLog, at int64) // plays the daemons
+	onAppend  func(l *fakeLog, at int64) // simulates the daemons
 }
 
-func (l *fakeLog) add(kind record.Kind, id string, body any) int64 {
+func (l *fakeLog) appendRecord(kind record.Kind, id string, body any) int64 {
 	b, _ := json.Marshal(body)
 	data, _ := json.Marshal(record.Envelope{ID: id, Kind: kind, Writer: "other", Body: b})
-	return l.put(data)
+	return l.appendData(data)
 }
 
-func (l *fakeLog) put(data []byte) int64 {
+func (l *fakeLog) appendData(data []byte) int64 {
 	at := int64(len(l.records) + 1)
 	l.records = append(l.records, port.Record{Offset: at, Data: data})
 	return at
 }
 
-func (l *fakeLog) accept(version int64) { l.judge(version, true, 0) }
+func (l *fakeLog) accept(version int64) { l.verdict(version, true, 0) }
 
-func (l *fakeLog) judge(version int64, ok bool, c code.Code) {
-	l.add(record.KindVerdict, "v", record.Verdict{Service: service, Version: version, Accept: ok, Code: c, Detail: "see line 3"})
+func (l *fakeLog) verdict(version int64, ok bool, c code.Code) {
+	l.appendRecord(record.KindVerdict, "v", record.Verdict{Service: service, Version: version, Accept: ok, Code: c, Detail: "see line 3"})
 }
 
 func (l *fakeLog) document(id string, base int64) int64 {
-	return l.add(record.KindDocument, id, record.Document{Service: service, Base: base, YAML: "x"})
+	return l.appendRecord(record.KindDocument, id, record.Document{Service: service, Base: base, YAML: "x"})
 }
 
-// checkpoint writes the state up to here, and drops the records before.
+// checkpoint appends a checkpoint of the state and drops the records before it.
 func (l *fakeLog) checkpoint() {
 	s := fold.New()
 	for _, r := range l.records {
 		_ = s.Apply(r.Offset, r.Data)
 	}
 	data, _ := s.Encode()
-	l.earliest = l.add(record.KindCheckpoint, "c", record.Checkpoint{Covers: s.Applied, State: data})
+	l.earliest = l.appendRecord(record.KindCheckpoint, "c", record.Checkpoint{Covers: s.Applied, State: data})
 }
 
 func (l *fakeLog) Append(_ context.Context, _ string, data []byte) (int64, error) {
@@ -69,7 +70,7 @@
 		l.failWith--
 		return 0, port.ErrUnavailable
 	}
-	at := l.put(data)
+	at := l.appendData(data)
 	if l.onAppend != nil {
 		l.onAppend(l, at)
 	}
@@ -109,11 +110,11 @@
 	return l.earliest, nil
 }
 
-func acceptIt(l *fakeLog, at int64) { l.accept(at) }
+func acceptDocument(l *fakeLog, at int64) { l.accept(at) }
 
-// An operator publishes while others do, the log loses answers or is away, and
-// records expire. Each publication must end in its true outcome with the
-// winner's version, and stand in the log once.
+// Several operators publish at the same time, the log loses responses or is
+// unavailable, and records expire. Each publication must return its actual
+// outcome with the winner's version, and append only as often as needed.
 func TestOutcomes(t *testing.T) {
 	mine := ID(record.Document{Service: service, Base: 1, YAML: "y"})
 	tests := []struct {
@@ -124,12 +125,12 @@
 		want    Result // without Service and Base
 		appends int
 	}{
-		{"accepted", func(l *fakeLog) { l.onAppend = acceptIt }, 1, code.OK, Result{Version: 3, Newest: 3}, 1},
+		{"accepted", func(l *fakeLog) { l.onAppend = acceptDocument }, 1, code.OK, Result{Version: 3, Newest: 3}, 1},
 		{"refused", func(l *fakeLog) {
-			l.onAppend = func(l *fakeLog, at int64) { l.judge(at, false, code.DocOutOfRange) }
+			l.onAppend = func(l *fakeLog, at int64) { l.verdict(at, false, code.DocOutOfRange) }
 		}, 1, code.DocOutOfRange, Result{Version: 3, Newest: 1}, 1},
-		// Two operators publish on version 1. The other's document stands
-		// before ours, so it wins, and ours gets no verdict of its own.
+		// Two operators publish on version 1. The other document comes first
+		// in the log, so it wins, and ours gets no verdict of its own.
 		{"lost the race", func(l *fakeLog) {
 			l.document("theirs", 1)
 			l.onAppend = func(l *fakeLog, at int64) { l.accept(at - 1) }
@@ -139,31 +140,31 @@
 		}, 1, code.OK, Result{Version: 3, Newest: 3}, 1},
 		{"base overtaken before", func(l *fakeLog) { l.document("theirs", 1); l.accept(3) }, 1, code.BaseConflict, Result{Newest: 3, Winner: 3}, 0},
 		{"same file again", func(l *fakeLog) { l.document(mine, 1); l.accept(3) }, 1, code.OK, Result{Version: 3, Newest: 3, Duplicate: true}, 0},
-		// Only the first verdict counts: a late second one on theirs changes
-		// nothing, so that ours is the next in the queue.
+		// Only the first verdict counts. A late second verdict on the other
+		// document has no effect, so ours is the next in the queue.
 		{"theirs refused, then accepted", func(l *fakeLog) {
 			l.document("theirs", 1)
-			l.judge(3, false, code.DocMissing)
+			l.verdict(3, false, code.DocMissing)
 			l.accept(3)
-			l.onAppend = acceptIt
+			l.onAppend = acceptDocument
 		}, 1, code.OK, Result{Version: 6, Newest: 6}, 1},
-		// The append took effect but its answer got lost. A second append
-		// would be harmless but is not needed: the document is found.
-		{"answer lost", func(l *fakeLog) { l.failAfter = 1; l.onAppend = acceptIt }, 1, code.OK, Result{Version: 3, Newest: 3}, 1},
-		{"append failed twice", func(l *fakeLog) { l.failWith = 2; l.onAppend = acceptIt }, 1, code.OK, Result{Version: 3, Newest: 3}, 3},
+		// The append took effect but its response was lost. The document is
+		// found in the log, so a second append is not needed.
+		{"answer lost", func(l *fakeLog) { l.failAfter = 1; l.onAppend = acceptDocument }, 1, code.OK, Result{Version: 3, Newest: 3}, 1},
+		{"append failed twice", func(l *fakeLog) { l.failWith = 2; l.onAppend = acceptDocument }, 1, code.OK, Result{Version: 3, Newest: 3}, 3},
 		{"no verdict in time", func(*fakeLog) {}, 1, code.PublishUnknown, Result{Version: 3, Newest: 1}, 1},
 		{"append fails for good", func(l *fakeLog) { l.failWith = 1 << 20 }, 1, code.PublishUnknown, Result{Newest: 1}, 19},
 		{"log down", func(l *fakeLog) { l.down = true }, 1, code.LogUnavailable, Result{}, 0},
 		{"base is no document", func(l *fakeLog) {}, 2, code.BaseConflict, Result{Newest: 1, Winner: 1}, 0},
 		{"base is not yet written", func(l *fakeLog) {}, 70, code.BaseConflict, Result{Newest: 1, Winner: 1}, 0},
-		{"base was refused", func(l *fakeLog) { l.document("r", 1); l.judge(3, false, code.DocMissing) }, 3, code.BaseConflict, Result{Newest: 1, Winner: 1}, 0},
+		{"base was refused", func(l *fakeLog) { l.document("r", 1); l.verdict(3, false, code.DocMissing) }, 3, code.BaseConflict, Result{Newest: 1, Winner: 1}, 0},
 		{"service exists already", func(*fakeLog) {}, 0, code.BaseConflict, Result{Newest: 1, Winner: 1}, 0},
-		// The records since the base are gone, and with them the winner. The
-		// checkpoint still knows it.
+		// The records since the base have expired, including the winner's.
+		// The checkpoint still holds the winner's version.
 		{"winner expired", func(l *fakeLog) { l.document("theirs", 1); l.accept(3); l.checkpoint() }, 1, code.BaseConflict, Result{Newest: 3, Winner: 3}, 0},
-		{"base expired, still in force", func(l *fakeLog) { l.checkpoint(); l.onAppend = acceptIt }, 1, code.OK, Result{Version: 4, Newest: 4}, 1},
-		// A slow publisher: the log drops its document and the verdict before
-		// it reads them. The outcome stands in the checkpoint.
+		{"base expired, still in force", func(l *fakeLog) { l.checkpoint(); l.onAppend = acceptDocument }, 1, code.OK, Result{Version: 4, Newest: 4}, 1},
+		// A slow publisher: its document and the verdict expire before it
+		// reads them. The checkpoint holds the outcome.
 		{"outcome expired", func(l *fakeLog) { l.onAppend = func(l *fakeLog, at int64) { l.accept(at); l.checkpoint() } }, 1, code.OK, Result{Version: 3, Newest: 3}, 1},
 		{"no checkpoint is left", func(l *fakeLog) { l.earliest = 2 }, 1, code.RecordsExpired, Result{}, 0},
 	}
@@ -196,8 +197,8 @@
 	}
 }
 
-// The log is down for three reads when an operator asks for the version.
-func TestCurrentWaitsOutAnOutage(t *testing.T) {
+// Current must retry while the log fails; here the first three reads fail.
+func TestCurrentRetriesDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &fakeLog{earliest: 1, failReads: 3}
 		l.document("first", 0)
--- a/version/publish/run.go
+++ b/version/publish/run.go
@@ -13,16 +13,16 @@
 	"github.com/pomelospool/pomelospool/process/record"
 )
 
-// tail folds the control stream up to its tail.
-type tail struct {
-	log     port.Log
-	state   *fold.State // nil before the first read
-	reached bool        // the last read came to the tail
+// tailReader reads the control stream to its tail and folds it.
+type tailReader struct {
+	log    port.Log
+	state  *fold.State // nil before the first read
+	atTail bool        // the last read reached the tail
 }
 
-// read does one read, and waits for records up to wait if there are none.
-func (t *tail) read(ctx context.Context, wait time.Duration) error {
-	t.reached = false
+// read reads once. If there are no new records, it waits for them up to wait.
+func (t *tailReader) read(ctx context.Context, wait time.Duration) error {
+	t.atTail = false
 	if t.state == nil {
 		s, err := follow.Recover(ctx, t.log)
 		if err != nil {
@@ -30,9 +30,9 @@
 		}
 		t.state = s
 	}
-	records, newest, err := t.log.Read(ctx, record.Control, t.state.Applied+1, readMax, wait)
+	records, newest, err := t.log.Read(ctx, record.Control, t.state.Applied+1, readBatch, wait)
 	if errors.Is(err, port.ErrExpired) {
-		t.state = nil // begin again from a newer checkpoint
+		t.state = nil // recover again from a newer checkpoint
 		return nil
 	}
 	if err != nil {
@@ -43,67 +43,68 @@
 			return err
 		}
 	}
-	t.reached = t.state.Applied >= newest
+	t.atTail = t.state.Applied >= newest
 	return nil
 }
 
-// run is one publication.
-type run struct {
-	tail
-	id       string
-	doc      record.Document
-	data     []byte
-	result   Result
-	tried    bool  // an append began, so the document may stand
-	appended int64 // offset that an append returned
+// publication is one call of Publish or Remove.
+type publication struct {
+	tailReader
+	id          string
+	doc         record.Document
+	data        []byte
+	result      Result
+	appendTried bool  // an append began, so the log may hold the document
+	appended    int64 // offset returned by an append
 }
 
-// loop reads the control stream, appends the document once the tail is reached
-// without it, and ends when the outcome stands.
+// loop reads the control stream, appends the document if the stream doesn't
+// hold it, and returns when the outcome is known.
 //
-// An append can fail after it took effect. The loop then reads on to the tail
-// before it appends again, so the document is found if it stands; should it
-// land later all the same, both copies carry one id and count once.
-func (r *run) loop(ctx context.Context) error {
-	backoff := firstPause
+// An append can fail although it took effect. The loop therefore reads to the
+// tail before it appends again, to find the document if the log holds it. If
+// the first append takes effect even later, both records have the same id and
+// count once.
+func (r *publication) loop(ctx context.Context) error {
+	backoff := initialBackoff
 	for {
 		decided, err := r.step(ctx)
 		switch {
 		case decided:
 			return err
 		case err == nil:
-			backoff = firstPause
+			backoff = initialBackoff
 			continue
 		case code.Of(err) == code.RecordsExpired:
 			return err
 		}
 		if pause.For(ctx, backoff) != nil {
-			return r.timeout(err)
+			return r.timeoutError(err)
 		}
-		backoff = min(2*backoff, longestWait)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// step does one read, and one append if the document isn't found up to the
-// tail. It reports whether the outcome stands, with its error.
-func (r *run) step(ctx context.Context) (bool, error) {
+// step reads once, and appends the document if it wasn't found up to the tail.
+// It reports whether the outcome is known, with the error to return for it.
+func (r *publication) step(ctx context.Context) (bool, error) {
 	if err := ctx.Err(); err != nil {
 		return false, err
 	}
 	poll := time.Duration(0)
-	if r.stands() {
-		poll = readWait
+	if r.hasRecord() {
+		poll = pollWait
 	}
 	if err := r.read(ctx, poll); err != nil {
 		return false, err
 	}
-	if decided, err := r.look(); decided || !r.reached || r.stands() {
+	if decided, err := r.checkOutcome(); decided || !r.atTail || r.hasRecord() {
 		return decided, err
 	}
 	if svc := r.state.Services[r.doc.Service]; svc.Version != r.doc.Base {
-		return true, r.conflict(svc.Version)
+		return true, r.conflictError(svc.Version)
 	}
-	r.tried = true
+	r.appendTried = true
 	offset, err := r.log.Append(ctx, record.Control, r.data)
 	if err != nil {
 		return false, err
@@ -112,11 +113,12 @@
 	return false, nil
 }
 
-func (r *run) stands() bool { return r.result.Version > 0 || r.appended > 0 }
+// hasRecord reports whether the log is known to hold the document.
+func (r *publication) hasRecord() bool { return r.result.Version > 0 || r.appended > 0 }
 
-// look finds the document in the folded state. It reports whether its outcome
-// stands, with its error.
-func (r *run) look() (bool, error) {
+// checkOutcome looks up the document in the folded state. It reports whether
+// the outcome is known, with the error to return for it.
+func (r *publication) checkOutcome() (bool, error) {
 	if r.state == nil {
 		return false, nil
 	}
@@ -124,30 +126,33 @@
 	r.result.Newest = svc.Version
 	for _, c := range svc.Pending {
 		if c.ID == r.id {
-			r.found(c.Version)
+			r.recordVersion(c.Version)
 		}
 	}
 	o, ok := r.state.Outcome(r.doc.Service, r.id)
 	if !ok {
 		return false, nil
 	}
-	r.found(o.Version)
+	r.recordVersion(o.Version)
 	switch o.Code {
 	case code.OK:
 		return true, nil
 	case code.BaseConflict:
-		return true, r.conflict(o.Winner)
+		return true, r.conflictError(o.Winner)
 	default:
 		return true, code.New(o.Code, "%s", o.Detail)
 	}
 }
 
-func (r *run) found(version int64) {
-	r.result.Duplicate = r.result.Duplicate || r.result.Version == 0 && !r.tried
+// recordVersion stores the document's offset in the result. The document is a
+// duplicate if its record was found before this publication tried to append.
+func (r *publication) recordVersion(version int64) {
+	r.result.Duplicate = r.result.Duplicate || r.result.Version == 0 && !r.appendTried
 	r.result.Version = version
 }
 
-func (r *run) conflict(winner int64) error {
+// conflictError stores the winner in the result and returns the error for it.
+func (r *publication) conflictError(winner int64) error {
 	r.result.Winner = winner
 	if winner == 0 {
 		return code.New(code.BaseConflict, "no version of %s is in force, so the base is 0", r.doc.Service)
@@ -155,9 +160,11 @@
 	return code.New(code.BaseConflict, "version %d of %s is in force in place of base %d", winner, r.doc.Service, r.doc.Base)
 }
 
-func (r *run) timeout(err error) error {
-	if r.tried || r.result.Version > 0 {
+// timeoutError returns the error for a publication that ended without an
+// outcome; err is the last error of the log.
+func (r *publication) timeoutError(err error) error {
+	if r.appendTried || r.result.Version > 0 {
 		return code.Wrap(code.PublishUnknown, err, "document of %s on base %d", r.doc.Service, r.doc.Base)
 	}
-	return unavailable(err)
+	return withUnavailableCode(err)
 }
--- a/version/route/organisation_test.go
+++ b/version/route/organisation_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// A look-up takes the same time with a hundred keys and with a million.
+// BenchmarkOrganisation compares look-ups among a hundred to a million keys. The
+// time must not depend on the number of keys.
 func BenchmarkOrganisation(b *testing.B) {
 	for _, n := range []int{100, 10_000, 1_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/version/route/route.go
+++ b/version/route/route.go
@@ -1,6 +1,6 @@
-// Package route holds one version of the operators' routing configuration:
-// which service takes a request, by host and path, and on what terms. A Config
-// is immutable; a request reads one Config from its begin to its end.
+// Package route holds one version of the operators' routing configuration. It
+// defines which service serves a request, by host and path, and with which
+// limits. A Config is immutable, and a request uses one Config throughout.
 package route
 
 import (
@@ -12,48 +12,49 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kind says how often a request may run.
+// Kind specifies how often a request may run.
 type Kind int
 
-// The kinds.
+// The kinds of request.
 const (
-	Safe   Kind = iota // idempotent: may run again after any failure
-	Unsafe             // may run at most once
-	Stream             // answered by events; at most once unless resumable
+	Safe   Kind = iota // idempotent: may be retried after any failure
+	Unsafe             // not idempotent: may run at most once
+	Stream             // answered by an event stream; at most once unless resumable
 )
 
-// String names the kind for logs.
+// String returns the name of the kind for logs.
 func (k Kind) String() string { return [...]string{"safe", "unsafe", "stream"}[k] }
 
 // Route is one rule of the configuration.
 type Route struct {
 	Name          string
 	Host          string
-	Prefix        string // begins the path; begins and ends with a slash
+	Prefix        string // path prefix; begins and ends with a slash
 	Kind          Kind
-	Resumable     bool              // a stream may go on elsewhere after an event's id
-	Timeout       time.Duration     // longest wait for the whole answer
-	Objective     time.Duration     // full credit up to here; streams: for the first event
-	MaxEventGap   time.Duration     // longest pause between events that is on time
+	Resumable     bool              // a stream can continue at another target after the last event id
+	Timeout       time.Duration     // maximum time until the complete answer
+	Objective     time.Duration     // full credit for an answer, or a stream's first event, within this time
+	MaxEventGap   time.Duration     // longest pause between events that counts as on time
 	Priority      int               // 0 is the most urgent
-	Attempts      int               // targets that may run one request, 1 or more
-	HasPromptInfo bool              // requests state their token counts and prompt parts
-	Public        bool              // callers need no key
-	Split         []WeightedService // one or more
+	Attempts      int               // maximum number of targets that may run one request, at least 1
+	HasPromptInfo bool              // requests carry their token counts and prompt parts
+	Public        bool              // callers need no API key
+	Split         []WeightedService // at least one
 }
 
-// WeightedService is a service's part of a route's requests.
+// WeightedService is a service with its weight among a route's services.
 type WeightedService struct {
 	Service string
 	Weight  int
 }
 
-// Idempotent reports whether a request may run again after it may have run.
+// Idempotent reports whether a request may be retried although it may already
+// have run.
 func (r *Route) Idempotent() bool {
 	return r.Kind == Safe || r.Kind == Stream && r.Resumable
 }
 
-// Service picks a service by weight; the same seed picks the same one.
+// Service selects a service by weight. The same seed gives the same service.
 func (r *Route) Service(seed uint64) string {
 	total := 0
 	for _, s := range r.Split {
@@ -72,45 +73,45 @@
 	return r.Split[len(r.Split)-1].Service
 }
 
-// Seed hashes a request's id for Service.
+// Seed returns the seed for Route.Service from a request's id.
 func Seed(id string) uint64 { return xxhash.Sum64String(id) }
 
-// Service is what the configuration says of a service.
+// Service is the configuration of a service.
 type Service struct {
 	Name       string
 	HealthPath string
-	MaxConns   int     // connections that one target takes from all callers
+	MaxConns   int     // maximum connections to one target, from all callers
 	Engine     *Engine // nil for a plain service
-	// Scaling is set where the number of the service's targets may be ordered.
+	// Scaling is set if the service's targets are scaled automatically.
 	Scaling *Scaling
 }
 
-// Scaling says how many targets of a service may be ordered, and at what price.
+// Scaling holds the bounds and prices for ordering targets of a service.
 type Scaling struct {
-	Min, Max int           // in each availability zone, of both kinds together
-	BootTime time.Duration // from an order until a new target serves
-	// SpotPrice is what a reclaimable target costs as a share of the price of
-	// another one; 0: there are none.
+	Min, Max int           // per availability zone, reclaimable targets included
+	BootTime time.Duration // time from an order until the new target serves requests
+	// SpotPrice is the price of a reclaimable target as a share of the price
+	// of a regular one. 0 means that there are no reclaimable targets.
 	SpotPrice float64
-	ZonePrice map[string]float64 // of a second of a target, by availability zone
+	ZonePrice map[string]float64 // price per target and second, by availability zone
 }
 
-// Engine is what the configuration says of a service's model engines.
+// Engine is the configuration of a service's model engines.
 type Engine struct {
-	Slots              int           // requests that one engine runs at a time
-	KVTokens           int           // tokens that its memory holds
-	KVTokenBytes       int           // bytes of KV cache of one token
-	LinkBytesPerSecond float64       // bytes a second between two engines
-	KVHoldTime         time.Duration // how long an engine keeps a KV cache for its reader
-	RoleChangeTime     time.Duration // how long a change of role takes an engine away
+	Slots              int           // requests that one engine runs concurrently
+	KVTokens           int           // KV cache capacity of one engine in tokens
+	KVTokenBytes       int           // size of one token in the KV cache
+	LinkBytesPerSecond float64       // bandwidth between two engines
+	KVHoldTime         time.Duration // time for which an engine keeps a KV cache for the engine that reads it
+	RoleChangeTime     time.Duration // time for which an engine is unavailable during a role change
 }
 
-// Limits bound what callers send.
+// Limits bounds the requests and connections of callers.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
 	HeaderTimeout time.Duration
-	IdleTimeout   time.Duration // of a kept connection
+	IdleTimeout   time.Duration // idle timeout of a persistent connection
 }
 
 // Config is one version of the configuration. It is read-only.
@@ -124,7 +125,8 @@
 	routes int
 }
 
-// New returns a Config over routes. Without keys every route is public.
+// New returns a Config with the routes and services. If keys is nil, every
+// route is public.
 func New(version int64, routes []*Route, services []*Service, limits Limits, keys *Keys) *Config {
 	c := &Config{
 		Version:  version,
@@ -147,11 +149,11 @@
 	return c
 }
 
-// Routes is the number of routes.
+// Routes returns the number of routes.
 func (c *Config) Routes() int { return c.routes }
 
-// Match returns the route of the host with the longest prefix that begins the
-// path, or nil. The host may carry a port.
+// Match returns the host's route with the longest prefix of path, or nil. The
+// host may include a port.
 func (c *Config) Match(host, path string) *Route {
 	for _, r := range c.byHost[hostname(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
--- a/version/view/view.go
+++ b/version/view/view.go
@@ -1,6 +1,6 @@
-// Package view is what the request path sees of process-wide state: an
-// immutable snapshot behind an atomic pointer. The control goroutine stores a
-// new snapshot; requests load it and never wait for control.
+// Package view provides the process-wide state to the request path as an
+// immutable snapshot behind an atomic pointer. The control goroutine stores new
+// snapshots; requests load them without blocking.
 package view
 
 import (
@@ -10,23 +10,24 @@
 	"github.com/pomelospool/pomelospool/version/document"
 )
 
-// Service is one service with the version in force.
+// Service is a service with its document in force.
 type Service struct {
 	Doc     *document.Document
 	Version int64 // offset of the document's record
 }
 
-// Snapshot is all that is in force at one control offset. It is read-only.
+// Snapshot is the state in force at one offset of the control stream. It is
+// read-only.
 type Snapshot struct {
-	Applied  int64               // control offset that the snapshot covers
+	Applied  int64               // offset of the control stream up to which the snapshot holds
 	Services map[string]*Service // by service name
 	Models   map[string]*Service // by model name, model services only
-	Leaving  map[string]bool     // target addresses that get no new work
+	Leaving  map[string]bool     // addresses of targets that get no new work
 
 	TargetHosts map[string]bool // hosts on which targets run
 }
 
-// NewSnapshot indexes the services by name and by model.
+// NewSnapshot returns a snapshot that indexes the services by name and model.
 func NewSnapshot(applied int64, services []*Service, leaving map[string]bool) *Snapshot {
 	s := &Snapshot{
 		Applied:  applied,
@@ -50,7 +51,8 @@
 	return s
 }
 
-// Holder hands the newest snapshot to many readers. The zero value holds none.
+// Holder provides the newest snapshot to concurrent readers. The zero value is
+// empty.
 type Holder struct{ p atomic.Pointer[Snapshot] }
 
 // Load returns the newest snapshot, or nil before the first Store.
@@ -59,8 +61,9 @@
 // Store replaces the snapshot. Only the control goroutine calls it.
 func (h *Holder) Store(s *Snapshot) { h.p.Store(s) }
 
-// Gate reports whether the process may take a new request now. It returns an
-// error with code.Isolated, code.Draining or code.NoConfiguration, or nil.
+// Gate decides whether the process accepts new requests.
 type Gate interface {
+	// Admit returns nil if the process accepts a new request now, and otherwise
+	// an error with code.Isolated, code.Draining or code.NoConfiguration.
 	Admit() error
 }
