--- a/process/fold/state.go
+++ b/process/fold/state.go
@@ -21,7 +21,7 @@
 const (
 	MaxPending  = 16   // documents per service that wait for a verdict
 	MaxOutcomes = 32   // outcomes per service, kept for publishers and to detect duplicates
-	MaxEngines  = 4096 // engines; those without an open order are dropped beyond this
+	MaxEngines  = 4096 // engines; beyond this, the oldest without an open order is dropped
 	MaxRemoved  = 1024 // tombstones of removed services
 )
 
