--- a/process/burn/histogram.go
+++ b/process/burn/histogram.go
@@ -48,16 +48,16 @@
 // rotate begins a new half if now is past the newer one.
 func (r *recorder) rotate(now time.Time) { r.rotateTo(now.UnixNano() / int64(halfLength)) }
 
-func (r *recorder) rotateTo(span int64) {
-	if span <= r.half {
+func (r *recorder) rotateTo(half int64) {
+	if half <= r.half {
 		return
 	}
 	r.previous, r.newer = r.newer, r.previous
 	r.newer.Reset()
-	if span > r.half+1 {
+	if half > r.half+1 {
 		r.previous.Reset()
 	}
-	r.half = span
+	r.half = half
 }
 
 // merge adds the values of another recorder that are recent enough.
--- a/process/burn/snapshot.go
+++ b/process/burn/snapshot.go
@@ -26,9 +26,9 @@
 
 // snapshot is the body of a record.KindBurn.
 type snapshot struct {
-	Daemon string `json:"daemon"`
-	Left   int    `json:"left_out,omitempty"` // services left out because of MaxSnapshot
-	Data   []byte `json:"data"`               // gzip of the JSON of []saved
+	Daemon  string `json:"daemon"`
+	LeftOut int    `json:"left_out,omitempty"` // services left out because of MaxSnapshot
+	Data    []byte `json:"data"`               // gzip of the JSON of []savedService
 }
 
 // savedService holds the half-hour counts of one service.
@@ -50,7 +50,7 @@
 func (t *Tracker) Snapshot() ([]byte, error) {
 	all := t.save()
 	for keep := len(all); ; {
-		data, err := encodeSnapshot(snapshot{Daemon: t.opts.Daemon, Left: len(all) - keep}, all[:keep])
+		data, err := encodeSnapshot(snapshot{Daemon: t.opts.Daemon, LeftOut: len(all) - keep}, all[:keep])
 		if err != nil || len(data) <= MaxSnapshot || keep == 0 {
 			return data, err
 		}
--- a/process/follow/follow_test.go
+++ b/process/follow/follow_test.go
@@ -153,7 +153,7 @@
 		}
 		advance(30 * time.Second)
 		if n := count(l, record.KindBurn); n != len(fs)+1 {
-			t.Errorf("%d records of %d decisions stand", n, len(fs)+1)
+			t.Errorf("%d records in the log for %d writes", n, len(fs)+1)
 		}
 	})
 }
--- a/process/follow/offer.go
+++ b/process/follow/offer.go
@@ -46,12 +46,12 @@
 	case <-f.t.Dying():
 		return nil
 	}
-	o := &dueWrites{pending: map[string]pendingDocument{}, lastCheckpointSeen: f.o.Clock.Now()}
+	d := &dueWrites{pending: map[string]pendingDocument{}, lastCheckpointSeen: f.o.Clock.Now()}
 	tick := time.NewTicker(writeInterval)
 	defer tick.Stop()
 	for {
 		changed := f.Changed()
-		f.writeDue(ctx, o)
+		f.writeDue(ctx, d)
 		select {
 		case <-changed:
 		case <-tick.C:
@@ -63,49 +63,49 @@
 
 // writeDue writes the verdicts and checkpoints that are due. It writes nothing
 // while the log is down, so that no backlog builds up for its recovery.
-func (f *Follower) writeDue(ctx context.Context, o *dueWrites) {
+func (f *Follower) writeDue(ctx context.Context, d *dueWrites) {
 	if f.LogDown() {
 		return
 	}
 	s, now := f.State(), f.o.Clock.Now()
-	f.updateEarliest(ctx, o, now)
+	f.updateEarliest(ctx, d, now)
 	wait := time.Duration(f.o.Rank()) * f.o.Stagger
-	for _, v := range o.verdictsDue(s, now, wait) {
+	for _, v := range d.verdictsDue(s, now, wait) {
 		f.writeVerdict(ctx, s, v)
 	}
-	if o.checkpointDue(s, now, wait, f.o.CheckpointRecords, f.o.MaxCheckpointAge) {
+	if d.checkpointDue(s, now, wait, f.o.CheckpointRecords, f.o.MaxCheckpointAge) {
 		f.writeCheckpoint(ctx, s)
 	}
 }
 
 // updateEarliest queries the log's earliest offset once per earliestInterval.
-func (f *Follower) updateEarliest(ctx context.Context, o *dueWrites, now time.Duration) {
-	if now < o.nextEarliestRead {
+func (f *Follower) updateEarliest(ctx context.Context, d *dueWrites, now time.Duration) {
+	if now < d.nextEarliestRead {
 		return
 	}
-	o.nextEarliestRead = now + earliestInterval
+	d.nextEarliestRead = now + earliestInterval
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	if e, err := f.o.Log.Earliest(ctx, record.Control); err == nil {
-		o.earliest = e
+		d.earliest = e
 	}
 }
 
 // verdictsDue returns the services whose first pending document has waited for
 // at least wait.
-func (o *dueWrites) verdictsDue(s *fold.State, now, wait time.Duration) []string {
+func (d *dueWrites) verdictsDue(s *fold.State, now, wait time.Duration) []string {
 	var due []string
 	for name, svc := range s.Services {
 		if len(svc.Pending) == 0 {
-			delete(o.pending, name)
+			delete(d.pending, name)
 			continue
 		}
-		h, ok := o.pending[name]
-		if !ok || h.version != svc.Pending[0].Version {
-			h = pendingDocument{version: svc.Pending[0].Version, since: now}
-			o.pending[name] = h
+		p, ok := d.pending[name]
+		if !ok || p.version != svc.Pending[0].Version {
+			p = pendingDocument{version: svc.Pending[0].Version, since: now}
+			d.pending[name] = p
 		}
-		if now >= h.since+wait {
+		if now >= p.since+wait {
 			due = append(due, name)
 		}
 	}
@@ -119,20 +119,20 @@
 // If nothing were written for the whole retention time, the log would drop its
 // last record and the configuration in force would be lost. Checkpoints are
 // therefore repeated well before that, even without any change.
-func (o *dueWrites) checkpointDue(s *fold.State, now, wait time.Duration, every int, maxAge time.Duration) bool {
-	if s.Checkpoint != o.lastCheckpoint {
-		o.lastCheckpoint, o.lastCheckpointSeen, o.checkpointDueSince = s.Checkpoint, now, 0
+func (d *dueWrites) checkpointDue(s *fold.State, now, wait time.Duration, every int, maxAge time.Duration) bool {
+	if s.Checkpoint != d.lastCheckpoint {
+		d.lastCheckpoint, d.lastCheckpointSeen, d.checkpointDueSince = s.Checkpoint, now, 0
 	}
 	manyRecords := s.Applied-s.Checkpoint.Covers >= int64(every)
-	tooOld := s.Applied > 0 && now >= o.lastCheckpointSeen+maxAge
-	olderHalf := o.earliest > 1 && s.Checkpoint.At < o.earliest+(s.Applied-o.earliest)/2
+	tooOld := s.Applied > 0 && now >= d.lastCheckpointSeen+maxAge
+	olderHalf := d.earliest > 1 && s.Checkpoint.At < d.earliest+(s.Applied-d.earliest)/2
 	if !manyRecords && !tooOld && !olderHalf {
 		return false
 	}
-	if o.checkpointDueSince == 0 {
-		o.checkpointDueSince = now
+	if d.checkpointDueSince == 0 {
+		d.checkpointDueSince = now
 	}
-	return now >= o.checkpointDueSince+wait
+	return now >= d.checkpointDueSince+wait
 }
 
 // writeVerdict validates the first document in the service's queue and appends
--- a/process/follow/serve.go
+++ b/process/follow/serve.go
@@ -22,40 +22,40 @@
 // add appends r and evicts the oldest records beyond the bounds. After a
 // recovery from a checkpoint, r may not directly follow the last record; it
 // then replaces all cached records.
-func (k *recent) add(r port.Record) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if n := len(k.recs); n > 0 {
-		last := k.recs[n-1].Offset
+func (c *recent) add(r port.Record) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if n := len(c.recs); n > 0 {
+		last := c.recs[n-1].Offset
 		if r.Offset <= last {
 			return
 		}
 		if r.Offset > last+1 {
-			k.recs, k.bytes = nil, 0
+			c.recs, c.bytes = nil, 0
 		}
 	}
-	k.recs = append(k.recs, r)
-	k.bytes += len(r.Data)
-	for len(k.recs) > maxRecentRecords || (k.bytes > maxRecentBytes && len(k.recs) > 1) {
-		k.bytes -= len(k.recs[0].Data)
-		k.recs = k.recs[1:]
+	c.recs = append(c.recs, r)
+	c.bytes += len(r.Data)
+	for len(c.recs) > maxRecentRecords || (c.bytes > maxRecentBytes && len(c.recs) > 1) {
+		c.bytes -= len(c.recs[0].Data)
+		c.recs = c.recs[1:]
 	}
 }
 
 // from returns up to n records with offsets from offset to last. It returns
 // false if the record at offset is not cached.
-func (k *recent) from(offset, last int64, n int) ([]port.Record, bool) {
+func (c *recent) from(offset, last int64, n int) ([]port.Record, bool) {
 	if offset > last {
 		return nil, true
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if len(k.recs) == 0 || offset < k.recs[0].Offset {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.recs) == 0 || offset < c.recs[0].Offset {
 		return nil, false
 	}
-	i := min(int(offset-k.recs[0].Offset), len(k.recs))
-	j := min(i+n, int(last-k.recs[0].Offset)+1, len(k.recs))
-	return append([]port.Record(nil), k.recs[i:max(i, j)]...), true
+	i := min(int(offset-c.recs[0].Offset), len(c.recs))
+	j := min(i+n, int(last-c.recs[0].Offset)+1, len(c.recs))
+	return append([]port.Record(nil), c.recs[i:max(i, j)]...), true
 }
 
 // Serve handles a peer's request for records from offset from on. It returns
--- a/version/publish/run.go
+++ b/version/publish/run.go
@@ -50,12 +50,12 @@
 // publication is one call of Publish or Remove.
 type publication struct {
 	tailReader
-	id          string
-	doc         record.Document
-	data        []byte
-	result      Result
-	appendTried bool  // an append began, so the log may hold the document
-	appended    int64 // offset returned by an append
+	id           string
+	doc          record.Document
+	data         []byte
+	result       Result
+	appendTried  bool  // an append began, so the log may hold the document
+	appendOffset int64 // offset returned by an append
 }
 
 // loop reads the control stream, appends the document if the stream doesn't
@@ -109,12 +109,12 @@
 	if err != nil {
 		return false, err
 	}
-	r.appended = offset
+	r.appendOffset = offset
 	return false, nil
 }
 
 // hasRecord reports whether the log is known to hold the document.
-func (r *publication) hasRecord() bool { return r.result.Version > 0 || r.appended > 0 }
+func (r *publication) hasRecord() bool { return r.result.Version > 0 || r.appendOffset > 0 }
 
 // checkOutcome looks up the document in the folded state. It reports whether
 // the outcome is known, with the error to return for it.
