--- a/process/agreecheck/check_test.go
+++ b/process/agreecheck/check_test.go
@@ -281,7 +281,7 @@
 		b.Base = w.reference.Services[service].Version
 		e.Body, _ = json.Marshal(b)
 	case record.Order:
-		b.After = w.reference.LastDone(b.Engine)
+		b.After = w.reference.LastEndedOrder(b.Engine)
 		e.Body, _ = json.Marshal(b)
 	}
 	e.ID = w.id("again")
--- a/process/agreecheck/invariants_test.go
+++ b/process/agreecheck/invariants_test.go
@@ -75,7 +75,7 @@
 }
 
 // checkOrderID checks that a decision is carried out under a single id.
-func (w *world) checkOrderID(open *fold.Open) {
+func (w *world) checkOrderID(open *fold.OpenOrder) {
 	if id, ok := w.executed[open.Reason]; ok && id != open.ID {
 		w.fail("decision %s is carried out as %s and again as %s", open.Reason, id, open.ID)
 	}
--- a/process/daemon/control.go
+++ b/process/daemon/control.go
@@ -207,7 +207,7 @@
 // logAge returns the time since the start of the last completed read of the
 // log's tail.
 func (d *Daemon) logAge() time.Duration {
-	began, ok := d.follower.LastReadBegan()
+	began, ok := d.follower.LastReadStart()
 	if !ok {
 		return d.s.Control.Isolation
 	}
--- a/process/follow/serve.go
+++ b/process/follow/serve.go
@@ -6,60 +6,61 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// Bounds of the records kept for peers.
+// Bounds of the records cached for peers.
 const (
-	recentMax   = 1024
-	recentBytes = 4 << 20
+	maxRecentRecords = 1024
+	maxRecentBytes   = 4 << 20
 )
 
-// recent keeps the newest records for peers that can't reach the log.
+// recent caches the newest records for peers that can't reach the log.
 type recent struct {
 	mu    sync.Mutex
 	recs  []port.Record
 	bytes int
 }
 
-// add appends r and drops the oldest beyond the bounds. A record that doesn't
-// follow the last one, after a start from a checkpoint, replaces them all.
-func (k *recent) add(r port.Record) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if n := len(k.recs); n > 0 {
-		last := k.recs[n-1].Offset
+// add appends r and evicts the oldest records beyond the bounds. After a
+// recovery from a checkpoint, r may not directly follow the last record; it
+// then replaces all cached records.
+func (c *recent) add(r port.Record) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if n := len(c.recs); n > 0 {
+		last := c.recs[n-1].Offset
 		if r.Offset <= last {
 			return
 		}
 		if r.Offset > last+1 {
-			k.recs, k.bytes = nil, 0
+			c.recs, c.bytes = nil, 0
 		}
 	}
-	k.recs = append(k.recs, r)
-	k.bytes += len(r.Data)
-	for len(k.recs) > recentMax || (k.bytes > recentBytes && len(k.recs) > 1) {
-		k.bytes -= len(k.recs[0].Data)
-		k.recs = k.recs[1:]
+	c.recs = append(c.recs, r)
+	c.bytes += len(r.Data)
+	for len(c.recs) > maxRecentRecords || (c.bytes > maxRecentBytes && len(c.recs) > 1) {
+		c.bytes -= len(c.recs[0].Data)
+		c.recs = c.recs[1:]
 	}
 }
 
-// from returns up to n records from offset on up to offset last, and false
-// when records from there on are not kept.
-func (k *recent) from(offset, last int64, n int) ([]port.Record, bool) {
+// from returns up to n records with offsets from offset to last. It returns
+// false if the record at offset is not cached.
+func (c *recent) from(offset, last int64, n int) ([]port.Record, bool) {
 	if offset > last {
 		return nil, true
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if len(k.recs) == 0 || offset < k.recs[0].Offset {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.recs) == 0 || offset < c.recs[0].Offset {
 		return nil, false
 	}
-	i := min(int(offset-k.recs[0].Offset), len(k.recs))
-	j := min(i+n, int(last-k.recs[0].Offset)+1, len(k.recs))
-	return append([]port.Record(nil), k.recs[i:max(i, j)]...), true
+	i := min(int(offset-c.recs[0].Offset), len(c.recs))
+	j := min(i+n, int(last-c.recs[0].Offset)+1, len(c.recs))
+	return append([]port.Record(nil), c.recs[i:max(i, j)]...), true
 }
 
-// Serve answers a peer that asks for records from offset from on: records, or
-// a checkpoint when they aren't kept any more. Nothing is served before the
-// state is whole.
+// Serve handles a peer's request for records from offset from on. It returns
+// up to max records, or a checkpoint if the records are no longer cached. It
+// returns an error until the state has reached the tail for the first time.
 func (f *Follower) Serve(from int64, max int) (Batch, error) {
 	select {
 	case <-f.ready:
--- a/process/lease/rule.go
+++ b/process/lease/rule.go
@@ -67,7 +67,7 @@
 // within Duration of the append. Guard covers its clock drift and its data in
 // flight. After a clean release only data in flight remains.
 func (r Rule) ValidFrom(l fold.Lease, observedAt time.Duration) time.Duration {
-	if l.Clean {
+	if l.PreviousReleased {
 		return observedAt + r.Guard
 	}
 	return observedAt + r.Duration + r.Guard
--- a/process/reconcile/decide.go
+++ b/process/reconcile/decide.go
@@ -57,7 +57,7 @@
 	Applied       int64           // offset of the log state that the input is based on
 	Desired       port.EngineSpec // desired spec of the engine
 	HasDesired    bool            // false: the engine gets no new orders
-	Open          *fold.Open      // the engine's open order, or nil
+	Open          *fold.OpenOrder // the engine's open order, or nil
 	Observed      port.EngineState
 	ObservedKnown bool // Observed was read under this lease, after the last action
 	Progress      Progress
@@ -151,7 +151,7 @@
 // Without a delay, an engine that rejects or loses each order immediately would
 // receive orders, and the log records, as fast as both respond. Each consecutive
 // failure for the same spec doubles the delay.
-func (p *Progress) RecordEnd(open *fold.Open, reason string, now time.Duration) {
+func (p *Progress) RecordEnd(open *fold.OpenOrder, reason string, now time.Duration) {
 	again := p.OrderID == open.ID && p.EndAppended
 	p.OrderID, p.EndAppended = open.ID, true
 	switch {
@@ -177,7 +177,7 @@
 // ResetFor clears the fields about an order other than open. It keeps
 // InFlightUntil, as copies of the previous order may still arrive, and the
 // failures, which span orders.
-func (p *Progress) ResetFor(open *fold.Open) {
+func (p *Progress) ResetFor(open *fold.OpenOrder) {
 	if open != nil && open.ID == p.OrderID {
 		return
 	}
--- a/process/reconcile/decide_test.go
+++ b/process/reconcile/decide_test.go
@@ -15,7 +15,7 @@
 var (
 	oldSpec = port.EngineSpec{Role: port.RoleMixed, Model: "m", Version: "1"}
 	newSpec = port.EngineSpec{Role: port.RoleMixed, Model: "m", Version: "2"}
-	open    = &fold.Open{ID: "o", Offset: 8, Spec: newSpec, Load: true}
+	open    = &fold.OpenOrder{ID: "o", Offset: 8, Spec: newSpec, Load: true}
 )
 
 // Guards against an engine that gets a change twice, a change that has ended, or
@@ -23,7 +23,7 @@
 func TestDecide(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		open   *fold.Open
+		open   *fold.OpenOrder
 		change func(*Input)
 		want   Action
 	}{
--- a/process/reconcile/engine.go
+++ b/process/reconcile/engine.go
@@ -117,7 +117,7 @@
 }
 
 // execute executes a decision.
-func (r *Reconciler) execute(ctx context.Context, e *engine, d Decision, open *fold.Open, s *fold.State) {
+func (r *Reconciler) execute(ctx context.Context, e *engine, d Decision, open *fold.OpenOrder, s *fold.State) {
 	switch d.Action {
 	case Wait:
 	case AppendOrder:
@@ -146,7 +146,7 @@
 		Engine: e.id,
 		Addr:   e.id,
 		Spec:   d.Spec,
-		After:  s.LastDone(e.id),
+		After:  s.LastEndedOrder(e.id),
 		Load:   d.Load,
 		Reason: d.Reason,
 	})
@@ -154,7 +154,7 @@
 
 // sendOrder sends the open order with this process's own fencing number. The lease
 // is checked here, and again by the connection before each write.
-func (r *Reconciler) sendOrder(ctx context.Context, e *engine, open *fold.Open) {
+func (r *Reconciler) sendOrder(ctx context.Context, e *engine, open *fold.OpenOrder) {
 	if err := e.check(); err != nil {
 		log.WithError(err).Warn("reconcile: order not sent")
 		return
--- a/request/entry/observe.go
+++ b/request/entry/observe.go
@@ -30,8 +30,8 @@
 
 // firstToken records the time to the first token.
 func (o *observation) firstToken() {
-	o.sample.First = time.Since(o.started)
-	firstTokenSum.Add(int64(o.sample.First))
+	o.sample.TimeToFirstToken = time.Since(o.started)
+	firstTokenSum.Add(int64(o.sample.TimeToFirstToken))
 	firstTokenCount.Add(1)
 }
 
@@ -45,8 +45,8 @@
 	o.sample.Code = code.Of(err)
 	o.sample.Total = time.Since(o.started)
 	o.sample.Tokens = tokens
-	if tokens > 1 && o.sample.First > 0 {
-		o.sample.Between = (o.sample.Total - o.sample.First) / time.Duration(tokens-1)
+	if tokens > 1 && o.sample.TimeToFirstToken > 0 {
+		o.sample.TimePerToken = (o.sample.Total - o.sample.TimeToFirstToken) / time.Duration(tokens-1)
 	}
 	o.observer.Observe(o.sample)
 }
