--- a/port/contract/engine_test.go
+++ b/port/contract/engine_test.go
@@ -121,7 +121,7 @@
 			t.Fatal("took the cache of another version")
 		}
 	}},
-	{name: "cache events with gaps", opts: engine.Options{EventGap: 2}, run: func(t *testing.T, e engineEnv) {
+	{name: "cache events with gaps", opts: engine.Options{DropEventEvery: 2}, run: func(t *testing.T, e engineEnv) {
 		for i := range uint64(4) {
 			wantErr(t, e.ImportKV(t.Context(), exported(t, start, []uint64{i})), nil)
 		}
@@ -175,7 +175,7 @@
 				env := engineEnv{weights: make(chan struct{})}
 				o := c.opts
 				o.Name, o.Spec = "e1", start
-				o.Load = func(ctx context.Context, _, _ string) error {
+				o.LoadWeights = func(ctx context.Context, _, _ string) error {
 					select {
 					case <-env.weights:
 						return nil
--- a/request/entry/entry_test.go
+++ b/request/entry/entry_test.go
@@ -10,7 +10,7 @@
 
 func startEngine(t testing.TB) *engine.Engine {
 	t.Helper()
-	e := engine.New(engine.Options{Spec: port.EngineSpec{Model: testModel}, StepBase: 1, StepPer: 1})
+	e := engine.New(engine.Options{Spec: port.EngineSpec{Model: testModel}, StepBase: 1, StepPerSequence: 1})
 	if err := e.Run("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
--- a/standin/common.go
+++ b/standin/common.go
@@ -9,9 +9,9 @@
 // crossWait bounds how long an answer waits for another one to cross with.
 const crossWait = 2 * time.Second
 
-// Take uses up one of n, or none of an endless (negative) n, and tells
+// ConsumeFault uses up one of n, or none of an endless (negative) n, and tells
 // whether there was one.
-func Take(n *int) bool {
+func ConsumeFault(n *int) bool {
 	if *n > 0 {
 		*n--
 		return true
@@ -19,9 +19,9 @@
 	return *n < 0
 }
 
-// Crossing swaps the answers of two requests that run at the same time. The
+// Swapper swaps the answers of two requests that run at the same time. The
 // zero value is ready.
-type Crossing[T any] struct {
+type Swapper[T any] struct {
 	mu      sync.Mutex
 	waiting *meeting[T]
 }
@@ -33,7 +33,7 @@
 
 // Swap waits for another call of Swap and returns the other's value, or its
 // own when none comes in time.
-func (c *Crossing[T]) Swap(ctx context.Context, own T) T {
+func (c *Swapper[T]) Swap(ctx context.Context, own T) T {
 	c.mu.Lock()
 	if m := c.waiting; m != nil {
 		c.waiting = nil
@@ -47,7 +47,7 @@
 	return c.wait(ctx, m)
 }
 
-func (c *Crossing[T]) wait(ctx context.Context, m *meeting[T]) T {
+func (c *Swapper[T]) wait(ctx context.Context, m *meeting[T]) T {
 	t := time.NewTimer(crossWait)
 	defer t.Stop()
 	select {
--- a/standin/engine/batch.go
+++ b/standin/engine/batch.go
@@ -79,7 +79,7 @@
 }
 
 func newBatch(o Options) *batch {
-	c := newCache(o.CacheBlocks, events{engine: o.Name, gap: o.EventGap, lag: o.EventLag})
+	c := newCache(o.CacheBlocks, events{engine: o.Name, gap: o.DropEventEvery, lag: o.EventLag})
 	return &batch{opts: o, role: o.Spec.Role, cache: c, slow: 1}
 }
 
@@ -151,7 +151,7 @@
 }
 
 func (b *batch) stepTime(n int) time.Duration {
-	return b.opts.StepBase + time.Duration(n)*b.opts.StepPer
+	return b.opts.StepBase + time.Duration(n)*b.opts.StepPerSequence
 }
 
 // admit starts waiting sequences while there is room, in their order.
--- a/standin/engine/batch_test.go
+++ b/standin/engine/batch_test.go
@@ -83,7 +83,7 @@
 }
 
 func TestStepsCostPrefillAndDecode(t *testing.T) {
-	o := Options{PrefillRate: 1000, StepBase: 10 * time.Millisecond, StepPer: time.Millisecond}.withDefaults()
+	o := Options{PrefillRate: 1000, StepBase: 10 * time.Millisecond, StepPerSequence: time.Millisecond}.withDefaults()
 	b := newBatch(o)
 	a := testSeq("a", 100, 5)
 	b.add(a)
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -29,7 +29,7 @@
 	cmds  chan func()
 	rec   recorder
 	fault faults
-	cross standin.Crossing[identity]
+	cross standin.Swapper[identity]
 
 	// Owned by the loop.
 	batch    *batch
--- a/standin/engine/fault.go
+++ b/standin/engine/fault.go
@@ -31,13 +31,13 @@
 func (f *faults) plan(prompt string) plan {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if standin.Take(&f.refuse) {
+	if standin.ConsumeFault(&f.refuse) {
 		return plan{refuse: true}
 	}
 	if f.crashOn != "" && strings.Contains(prompt, f.crashOn) {
 		return plan{crash: true, at: f.crashAt}
 	}
-	p := plan{cross: standin.Take(&f.cross), cut: standin.Take(&f.cut)}
+	p := plan{cross: standin.ConsumeFault(&f.cross), cut: standin.ConsumeFault(&f.cut)}
 	p.at, p.reset = f.cutAt, f.reset
 	return p
 }
@@ -46,7 +46,7 @@
 func (f *faults) loseOrder() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return standin.Take(&f.lose)
+	return standin.ConsumeFault(&f.lose)
 }
 
 // Apply switches a fault. "crash" and "silent" strike at once; "crash_on"
@@ -61,7 +61,7 @@
 		e.opts.Exit()
 		return nil
 	case "silent":
-		e.Silence(ctx)
+		e.Stall(ctx)
 		return nil
 	case "slow":
 		return e.do(ctx, func() { e.batch.slow = max(f.Value, 0.001) })
--- a/standin/engine/order.go
+++ b/standin/engine/order.go
@@ -96,14 +96,14 @@
 func (e *Engine) change(from, to port.EngineSpec) error {
 	ctx := e.t.Context(context.Background())
 	weights := from.Model != to.Model || from.Version != to.Version
-	if weights && e.opts.Load != nil {
-		for e.opts.Load(ctx, to.Model, to.Version) != nil {
+	if weights && e.opts.LoadWeights != nil {
+		for e.opts.LoadWeights(ctx, to.Model, to.Version) != nil {
 			if !e.pause(loadRetry) {
 				return nil
 			}
 		}
 	}
-	if !e.pause(e.opts.RoleChange) {
+	if !e.pause(e.opts.RoleChangeTime) {
 		return nil
 	}
 	e.do(ctx, func() { e.finishChange(to, weights) })
--- a/standin/host.go
+++ b/standin/host.go
@@ -64,11 +64,11 @@
 	}
 }
 
-// Silence makes every open connection silent for good, but for the one of the
+// Stall makes every open connection silent for good, but for the one of the
 // request in ctx. It returns how many.
-func (h *Host) Silence(ctx context.Context) int {
+func (h *Host) Stall(ctx context.Context) int {
 	if s := h.server(); s != nil {
-		return s.Silence(ctx)
+		return s.Stall(ctx)
 	}
 	return 0
 }
--- a/standin/logsvc/log.go
+++ b/standin/logsvc/log.go
@@ -128,13 +128,13 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if standin.Take(&l.late) {
+	if standin.ConsumeFault(&l.late) {
 		l.counters.Late++
 		time.AfterFunc(l.lateBy, func() { l.set(func() { l.append(name, data) }) })
 		return 0, unavailable(errLost)
 	}
 	offset := l.append(name, data)
-	if standin.Take(&l.lose) {
+	if standin.ConsumeFault(&l.lose) {
 		l.counters.Lost++
 		return 0, unavailable(errLost)
 	}
--- a/standin/plain/plain.go
+++ b/standin/plain/plain.go
@@ -57,7 +57,7 @@
 	lateBy  time.Duration
 	cross   int // answers to cross
 
-	crossing standin.Crossing[answer]
+	crossing standin.Swapper[answer]
 }
 
 // New returns a service.
@@ -137,7 +137,7 @@
 func (s *Service) begin(r *http.Request, body string) plan {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if standin.Take(&s.refuse) {
+	if standin.ConsumeFault(&s.refuse) {
 		return plan{refuse: true}
 	}
 	s.rec.Runs++
@@ -151,8 +151,8 @@
 		s.rec.Crashes++
 		return plan{crash: true}
 	}
-	p := plan{delay: s.latency, lose: standin.Take(&s.lose), cut: standin.Take(&s.cut), cross: standin.Take(&s.cross)}
-	if standin.Take(&s.late) {
+	p := plan{delay: s.latency, lose: standin.ConsumeFault(&s.lose), cut: standin.ConsumeFault(&s.cut), cross: standin.ConsumeFault(&s.cross)}
+	if standin.ConsumeFault(&s.late) {
 		p.delay += s.lateBy
 	}
 	return p
@@ -196,7 +196,7 @@
 		s.opts.Exit()
 		return nil
 	case "silent":
-		s.Silence(ctx)
+		s.Stall(ctx)
 		return nil
 	}
 	s.mu.Lock()
--- a/standin/server.go
+++ b/standin/server.go
@@ -66,10 +66,10 @@
 	s.http.Close()
 }
 
-// Silence makes every open connection but the one of the request in ctx dead
+// Stall makes every open connection but the one of the request in ctx dead
 // for good: it stays open, nothing more is read from or sent on it. New
 // connections work.
-func (s *Server) Silence(ctx context.Context) int {
+func (s *Server) Stall(ctx context.Context) int {
 	own, _ := ctx.Value(connKey{}).(*conn)
 	n := 0
 	for _, c := range s.open() {
--- a/standin/server_test.go
+++ b/standin/server_test.go
@@ -54,7 +54,7 @@
 	s, runs := counting(t)
 	old := dial(t, s)
 	ask(t, old)
-	if n := s.Silence(context.Background()); n != 1 {
+	if n := s.Stall(context.Background()); n != 1 {
 		t.Fatalf("%d connections made silent", n)
 	}
 	io.WriteString(old, request)
@@ -85,7 +85,7 @@
 }
 
 func TestCrossingAlone(t *testing.T) {
-	var c Crossing[string]
+	var c Swapper[string]
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if got := c.Swap(ctx, "own"); got != "own" {
