--- a/standin/common.go
+++ b/standin/common.go
@@ -6,64 +6,65 @@
 	"time"
 )
 
-// crossWait bounds how long an answer waits for another one to cross with.
-const crossWait = 2 * time.Second
+// swapTimeout bounds how long an answer waits for a second one to be swapped with.
+const swapTimeout = 2 * time.Second
 
-// ConsumeFault uses up one of n, or none of an endless (negative) n, and tells
-// whether there was one.
-func ConsumeFault(n *int) bool {
-	if *n > 0 {
-		*n--
+// ConsumeFault reports whether a fault applies once more, and decrements its
+// remaining count if that is positive. A negative count never runs out.
+func ConsumeFault(remaining *int) bool {
+	if *remaining > 0 {
+		*remaining--
 		return true
 	}
-	return *n < 0
+	return *remaining < 0
 }
 
 // Swapper swaps the answers of two requests that run at the same time. The
-// zero value is ready.
+// zero value is ready for use.
 type Swapper[T any] struct {
 	mu      sync.Mutex
-	waiting *meeting[T]
+	pending *pendingSwap[T]
 }
 
-type meeting[T any] struct {
+// pendingSwap is the first value of a pair, which waits for the second one.
+type pendingSwap[T any] struct {
 	first  T
 	second chan T
 }
 
-// Swap waits for another call of Swap and returns the other's value, or its
-// own when none comes in time.
-func (c *Swapper[T]) Swap(ctx context.Context, own T) T {
-	c.mu.Lock()
-	if m := c.waiting; m != nil {
-		c.waiting = nil
-		c.mu.Unlock()
-		m.second <- own
-		return m.first
+// Swap waits for another call of Swap and returns the value of that call. It
+// returns own if no other call arrives before swapTimeout or the end of ctx.
+func (s *Swapper[T]) Swap(ctx context.Context, own T) T {
+	s.mu.Lock()
+	if p := s.pending; p != nil {
+		s.pending = nil
+		s.mu.Unlock()
+		p.second <- own
+		return p.first
 	}
-	m := &meeting[T]{first: own, second: make(chan T, 1)}
-	c.waiting = m
-	c.mu.Unlock()
-	return c.wait(ctx, m)
+	p := &pendingSwap[T]{first: own, second: make(chan T, 1)}
+	s.pending = p
+	s.mu.Unlock()
+	return s.wait(ctx, p)
 }
 
-func (c *Swapper[T]) wait(ctx context.Context, m *meeting[T]) T {
-	t := time.NewTimer(crossWait)
+func (s *Swapper[T]) wait(ctx context.Context, p *pendingSwap[T]) T {
+	t := time.NewTimer(swapTimeout)
 	defer t.Stop()
 	select {
-	case other := <-m.second:
+	case other := <-p.second:
 		return other
 	case <-t.C:
 	case <-ctx.Done():
 	}
-	c.mu.Lock()
-	alone := c.waiting == m
-	if alone {
-		c.waiting = nil
+	s.mu.Lock()
+	unpaired := s.pending == p
+	if unpaired {
+		s.pending = nil
 	}
-	c.mu.Unlock()
-	if alone {
-		return m.first
+	s.mu.Unlock()
+	if unpaired {
+		return p.first
 	}
-	return <-m.second
+	return <-p.second
 }
--- a/standin/engine/batch.go
+++ b/standin/engine/batch.go
@@ -9,16 +9,16 @@
 	"github.com/pomelospool/pomelospool/request/prefix"
 )
 
-// The reasons for which a sequence ends.
+// Reasons for the end of a sequence.
 const (
-	endLength    = "length"
-	endCancelled = "cancelled"
-	endCut       = "cut" // by a change or the end of the engine
+	finishLength    = "length"
+	finishCancelled = "cancelled"
+	finishCut       = "cut" // by a change or the engine's stop
 )
 
-// chunk is how many prompt tokens one step takes, by role: a decode engine
-// keeps its steps short.
-var chunk = map[port.Role]int{
+// prefillChunk is the limit of prompt tokens that one step prefills, by role. A
+// decode engine has a low limit to keep its steps short.
+var prefillChunk = map[port.Role]int{
 	port.RolePrefill: 4096,
 	port.RoleMixed:   1024,
 	port.RoleDecode:  256,
@@ -26,32 +26,33 @@
 
 // seq is one request in the batch.
 type seq struct {
-	id       string
-	blocks   []uint64
-	prompt   int // tokens
-	priority int
-	from     int // answer tokens that the caller has already
-	max      int // answer tokens in all
-	left     int // tokens still to prefill
-	cached   int // tokens found in the prefix cache
-	made     int // answer tokens so far, counted from 0
-	out      progress
-}
-
-func (s *seq) reserve() int { return s.prompt + s.max }
-
-// progress tells a handler how far its sequence is. Tokens are a function of
-// the prompt, so their number is enough.
+	id           string
+	blocks       []uint64
+	promptTokens int
+	priority     int
+	resumeAt     int // answer tokens that the caller already has
+	maxTokens    int // answer tokens in total
+	prefillLeft  int // tokens to prefill
+	cached       int // tokens found in the prefix cache
+	generated    int // answer tokens so far, including resumeAt
+	progress     progress
+}
+
+// kvTokens returns the KV capacity that the sequence reserves while it runs.
+func (s *seq) kvTokens() int { return s.promptTokens + s.maxTokens }
+
+// progress passes the progress of a sequence from the batch to its handler. The
+// tokens are a function of the prompt, so their number is enough.
 type progress struct {
-	mu   sync.Mutex
-	made int
-	end  string
-	wake chan struct{}
+	mu        sync.Mutex
+	generated int
+	reason    string
+	wake      chan struct{}
 }
 
-func (p *progress) set(made int, end string) {
+func (p *progress) set(generated int, reason string) {
 	p.mu.Lock()
-	p.made, p.end = made, end
+	p.generated, p.reason = generated, reason
 	p.mu.Unlock()
 	select {
 	case p.wake <- struct{}{}:
@@ -59,36 +60,36 @@
 	}
 }
 
-func (p *progress) get() (made int, end string) {
+func (p *progress) get() (generated int, reason string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.made, p.end
+	return p.generated, p.reason
 }
 
-// batch is the continuous batching model. It belongs to one goroutine.
+// batch models continuous batching. It isn't safe for concurrent use.
 type batch struct {
-	opts    Options
-	role    port.Role
-	cache   *cache
-	slow    float64 // factor on the time of a step
-	waiting []*seq  // the next one first
-	running []*seq
-	kv      int           // tokens reserved by running
-	credit  time.Duration // time not used by steps yet
-	tokens  int           // answer tokens made in all
+	opts       Options
+	role       port.Role
+	cache      *cache
+	slowdown   float64 // factor by which the time of a step is multiplied
+	waiting    []*seq  // in the order in which they start
+	running    []*seq
+	kvReserved int           // KV tokens that the running sequences reserve
+	credit     time.Duration // time available for further steps; negative after a step that overran
+	generated  int           // answer tokens generated in total
 }
 
 func newBatch(o Options) *batch {
-	c := newCache(o.CacheBlocks, events{engine: o.Name, gap: o.DropEventEvery, lag: o.EventLag})
-	return &batch{opts: o, role: o.Spec.Role, cache: c, slow: 1}
+	c := newCache(o.CacheBlocks, eventLog{engine: o.Name, dropEvery: o.DropEventEvery, lag: o.EventLag})
+	return &batch{opts: o, role: o.Spec.Role, cache: c, slowdown: 1}
 }
 
 func (b *batch) active() bool { return len(b.waiting)+len(b.running) > 0 }
 
-// add queues a sequence behind those of its priority.
+// add queues a sequence behind those of the same or a higher priority.
 func (b *batch) add(s *seq) {
-	s.left = s.prompt + s.from
-	s.made = s.from
+	s.prefillLeft = s.promptTokens + s.resumeAt
+	s.generated = s.resumeAt
 	i := len(b.waiting)
 	for i > 0 && b.waiting[i-1].priority < s.priority {
 		i--
@@ -96,11 +97,11 @@
 	b.waiting = slices.Insert(b.waiting, i, s)
 }
 
-// end takes a sequence out; it reports whether it was there.
-func (b *batch) end(s *seq, reason string) bool {
+// remove removes a sequence from the batch and reports whether it was in it.
+func (b *batch) remove(s *seq, reason string) bool {
 	if i := slices.Index(b.waiting, s); i >= 0 {
 		b.waiting = slices.Delete(b.waiting, i, i+1)
-		s.out.set(s.made, reason)
+		s.progress.set(s.generated, reason)
 		return true
 	}
 	i := slices.Index(b.running, s)
@@ -108,8 +109,8 @@
 		return false
 	}
 	b.running = slices.Delete(b.running, i, i+1)
-	b.kv -= s.reserve()
-	s.out.set(s.made, reason)
+	b.kvReserved -= s.kvTokens()
+	s.progress.set(s.generated, reason)
 	return true
 }
 
@@ -122,20 +123,21 @@
 	return nil
 }
 
-// advance runs as many steps as fit into d.
+// advance runs the steps of the time d. A step may overrun; its excess time is
+// subtracted from the next call's.
 func (b *batch) advance(now time.Time, d time.Duration) {
 	b.credit += d
 	for b.credit > 0 && b.active() {
 		cost := b.step(now)
-		b.credit -= time.Duration(float64(cost) * b.slow)
+		b.credit -= time.Duration(float64(cost) * b.slowdown)
 	}
 	if !b.active() {
 		b.credit = 0
 	}
 }
 
-// step prefills one chunk and makes one token of each prefilled sequence. It
-// returns the time that this takes.
+// step prefills one chunk and generates one token of each sequence that was
+// prefilled by an earlier step. It returns the time that the step takes.
 func (b *batch) step(now time.Time) time.Duration {
 	b.admit()
 	decoding := b.decodable()
@@ -154,42 +156,45 @@
 	return b.opts.StepBase + time.Duration(n)*b.opts.StepPerSequence
 }
 
-// admit starts waiting sequences while there is room, in their order.
+// admit starts waiting sequences in their order while the batch and the KV cache
+// have room. A sequence that doesn't fit holds back those behind it.
 func (b *batch) admit() {
 	for len(b.waiting) > 0 && len(b.running) < b.opts.MaxBatch {
 		s := b.waiting[0]
-		if len(b.running) > 0 && b.kv+s.reserve() > b.opts.KVCapacity {
+		if len(b.running) > 0 && b.kvReserved+s.kvTokens() > b.opts.KVCapacity {
 			return
 		}
 		b.waiting = b.waiting[1:]
 		b.running = append(b.running, s)
-		b.kv += s.reserve()
-		s.cached = min(b.cache.hit(s.blocks)*prefix.TokensPerBlock, s.prompt)
-		s.left = max(s.left-s.cached, 1)
+		b.kvReserved += s.kvTokens()
+		s.cached = min(b.cache.matchPrefix(s.blocks)*prefix.TokensPerBlock, s.promptTokens)
+		s.prefillLeft = max(s.prefillLeft-s.cached, 1)
 	}
 }
 
+// decodable returns the running sequences whose prefill is complete.
 func (b *batch) decodable() []*seq {
 	var list []*seq
 	for _, s := range b.running {
-		if s.left == 0 {
+		if s.prefillLeft == 0 {
 			list = append(list, s)
 		}
 	}
 	return list
 }
 
+// prefill prefills one chunk and returns the number of its tokens.
 func (b *batch) prefill(now time.Time) int {
-	budget := chunk[b.role]
+	budget := prefillChunk[b.role]
 	used := 0
 	for _, s := range b.running {
-		if s.left == 0 || used >= budget {
+		if s.prefillLeft == 0 || used >= budget {
 			continue
 		}
-		n := min(s.left, budget-used)
-		s.left -= n
+		n := min(s.prefillLeft, budget-used)
+		s.prefillLeft -= n
 		used += n
-		if s.left == 0 {
+		if s.prefillLeft == 0 {
 			b.cache.insert(now, s.blocks)
 		}
 	}
@@ -197,33 +202,33 @@
 }
 
 func (b *batch) decode(s *seq) {
-	if s.made < s.max {
-		s.made++
-		b.tokens++
+	if s.generated < s.maxTokens {
+		s.generated++
+		b.generated++
 	}
-	if s.made >= s.max {
-		b.end(s, endLength)
+	if s.generated >= s.maxTokens {
+		b.remove(s, finishLength)
 		return
 	}
-	s.out.set(s.made, "")
+	s.progress.set(s.generated, "")
 }
 
-// load measures the batch.
+// load returns the load of the batch.
 func (b *batch) load() port.Load {
 	l := port.Load{
 		Running:     len(b.running),
 		Waiting:     len(b.waiting),
 		KVCapacity:  b.opts.KVCapacity,
-		PrefillRate: b.opts.PrefillRate / b.slow,
+		PrefillRate: b.opts.PrefillRate / b.slowdown,
 	}
 	for _, s := range slices.Concat(b.running, b.waiting) {
-		l.QueuedPrefill += s.left
-		l.DecodeRemaining += s.max - s.made
+		l.QueuedPrefill += s.prefillLeft
+		l.DecodeRemaining += s.maxTokens - s.generated
 	}
 	for _, s := range b.running {
-		l.KVUsed += s.prompt + s.made - s.left
+		l.KVUsed += s.promptTokens + s.generated - s.prefillLeft
 	}
 	n := max(len(b.running), 1)
-	l.DecodeRate = float64(n) / (b.stepTime(n).Seconds() * b.slow)
+	l.DecodeRate = float64(n) / (b.stepTime(n).Seconds() * b.slowdown)
 	return l
 }
--- a/standin/engine/batch_test.go
+++ b/standin/engine/batch_test.go
@@ -11,17 +11,17 @@
 var epoch = time.Unix(1e9, 0)
 
 func testSeq(id string, prompt, max int) *seq {
-	return &seq{id: id, prompt: prompt, max: max, out: progress{wake: make(chan struct{}, 1)}}
+	return &seq{id: id, promptTokens: prompt, maxTokens: max, progress: progress{wake: make(chan struct{}, 1)}}
 }
 
-// runAll advances the batch until it is empty and returns the ids in the
-// order of their ends.
+// runAll runs steps until the batch is empty. It returns the ids of the sequences
+// in the order in which they ended.
 func runAll(b *batch, seqs ...*seq) []string {
 	var ended []string
 	for b.active() {
 		b.step(epoch)
 		for _, s := range seqs {
-			if _, end := s.out.get(); end == endLength && !slices.Contains(ended, s.id) {
+			if _, reason := s.progress.get(); reason == finishLength && !slices.Contains(ended, s.id) {
 				ended = append(ended, s.id)
 			}
 		}
@@ -75,14 +75,14 @@
 			if got := runAll(b, c.seqs...); !slices.Equal(got, c.want) {
 				t.Fatalf("ended in order %v, want %v", got, c.want)
 			}
-			if b.kv != 0 {
-				t.Fatalf("%d tokens of KV still reserved", b.kv)
+			if b.kvReserved != 0 {
+				t.Fatalf("%d tokens of KV still reserved", b.kvReserved)
 			}
 		})
 	}
 }
 
-func TestStepsCostPrefillAndDecode(t *testing.T) {
+func TestStepTime(t *testing.T) {
 	o := Options{PrefillRate: 1000, StepBase: 10 * time.Millisecond, StepPerSequence: time.Millisecond}.withDefaults()
 	b := newBatch(o)
 	a := testSeq("a", 100, 5)
@@ -92,8 +92,8 @@
 	}
 	b.add(testSeq("b", 2000, 5))
 	mixed := 1024*time.Millisecond + 11*time.Millisecond
-	if got := b.step(epoch); got != mixed || a.made != 1 {
-		t.Fatalf("step with one chunk and one token took %v, made %d", got, a.made)
+	if got := b.step(epoch); got != mixed || a.generated != 1 {
+		t.Fatalf("step with one chunk and one token took %v, generated %d", got, a.generated)
 	}
 	b.role = port.RoleDecode
 	if got := b.step(epoch); got != 256*time.Millisecond+11*time.Millisecond {
@@ -104,17 +104,17 @@
 	}
 }
 
-func TestResumeGoesOnAfterTheTokens(t *testing.T) {
+func TestResumeSkipsDeliveredTokens(t *testing.T) {
 	b := newBatch(Options{}.withDefaults())
 	s := testSeq("a", 64, 10)
-	s.from = 7
+	s.resumeAt = 7
 	b.add(s)
-	if s.left != 71 {
-		t.Fatalf("prefills %d tokens, want prompt and answer so far", s.left)
+	if s.prefillLeft != 71 {
+		t.Fatalf("prefills %d tokens, want prompt and answer so far", s.prefillLeft)
 	}
 	runAll(b, s)
-	if b.tokens != 3 || s.made != 10 {
-		t.Fatalf("made %d tokens up to %d", b.tokens, s.made)
+	if b.generated != 3 || s.generated != 10 {
+		t.Fatalf("generated %d tokens up to %d", b.generated, s.generated)
 	}
 }
 
@@ -133,7 +133,7 @@
 	}{
 		{[]uint64{1, 2}, 0},
 		{[]uint64{1, 2, 3}, 128},
-		{[]uint64{9}, 0}, // drops 1, the least recently used
+		{[]uint64{9}, 0}, // evicts block 1, the least recently used
 		{[]uint64{1, 2, 3}, 0},
 	}
 	for i, s := range steps {
@@ -147,17 +147,17 @@
 	}
 }
 
-func TestLoadReportsLag(t *testing.T) {
+func TestLoadReportLag(t *testing.T) {
 	e := New(Options{LoadLag: time.Second})
-	e.Close() // the test owns the state now
+	e.Close() // ends the loop, so that the test may access the state
 	e.samples = nil
 	e.sample(epoch)
 	e.batch.add(testSeq("a", 64, 1))
 	e.sample(epoch.Add(500 * time.Millisecond))
-	if l := e.lagged(epoch.Add(1400 * time.Millisecond)); l.Waiting != 0 {
+	if l := e.reportedLoad(epoch.Add(1400 * time.Millisecond)); l.Waiting != 0 {
 		t.Fatalf("%d waiting before the lag was over", l.Waiting)
 	}
-	l := e.lagged(epoch.Add(5 * time.Second))
+	l := e.reportedLoad(epoch.Add(5 * time.Second))
 	if l.Waiting != 1 || !l.At.Equal(epoch.Add(4*time.Second)) {
 		t.Fatalf("report %+v of %v", l, l.At)
 	}
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -15,7 +15,7 @@
 
 const (
 	tick       = 2 * time.Millisecond
-	maxAdvance = 100 * time.Millisecond // longer gaps of the tick are lost time
+	maxAdvance = 100 * time.Millisecond // time beyond this between two ticks is ignored
 	maxSamples = 4096
 )
 
@@ -24,25 +24,25 @@
 // Engine is the model engine. It implements port.Engine in process.
 type Engine struct {
 	standin.Host
-	t     tomb.Tomb
-	opts  Options
-	cmds  chan func()
-	rec   recorder
-	fault faults
-	cross standin.Swapper[identity]
+	t       tomb.Tomb
+	opts    Options
+	cmds    chan func()
+	rec     recorder
+	faults  faults
+	swapper standin.Swapper[identity]
 
 	// Owned by the loop.
-	batch    *batch
-	state    port.EngineState
-	accepted map[string]bool // ids of orders
-	changing bool            // the change itself has begun
-	samples  []port.Load     // the oldest first
-	last     time.Time       // of the newest advance
+	batch         *batch
+	state         port.EngineState
+	accepted      map[string]bool // ids of accepted orders
+	changeStarted bool            // the change is being carried out
+	samples       []port.Load     // oldest first
+	lastAdvance   time.Time       // time of the latest advance
 }
 
 var _ port.Engine = (*Engine)(nil)
 
-// New starts an engine, which works in process until Run serves it too.
+// New starts an engine. It can be used in process; Run also serves it over HTTP.
 func New(o Options) *Engine {
 	o = o.withDefaults()
 	e := &Engine{opts: o, cmds: make(chan func()), batch: newBatch(o)}
@@ -56,7 +56,7 @@
 	e.rec.rec = Record{Engine: o.Name, Incarnation: e.state.Incarnation}
 	e.rec.rec.Requests = make(map[string]RequestRecord)
 	if e.opts.Exit == nil {
-		e.opts.Exit = e.die
+		e.opts.Exit = e.crashInProcess
 	}
 	e.sample(time.Now())
 	e.t.Go(e.loop)
@@ -66,7 +66,7 @@
 // Run serves the engine over HTTP on addr.
 func (e *Engine) Run(addr string) error { return e.Start(e.Handler(), addr) }
 
-// Close stops the engine and its server. The record stays.
+// Close stops the engine and its server. The record remains available.
 func (e *Engine) Close() error {
 	e.t.Kill(nil)
 	err := e.Stop()
@@ -74,26 +74,27 @@
 	return err
 }
 
-// Record returns what the engine saw so far.
+// Record returns a copy of the engine's record.
 func (e *Engine) Record() Record { return e.rec.get() }
 
-// die is a crash in process: no answer, connections reset.
-func (e *Engine) die() {
+// crashInProcess simulates a crash without ending the process: the engine stops
+// without answers, and its connections are reset.
+func (e *Engine) crashInProcess() {
 	e.t.Kill(nil)
 	e.Crash()
 }
 
-// loop owns the batch and the state.
+// loop is the goroutine that owns the batch and the state.
 func (e *Engine) loop() error {
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
 	for {
-		var due <-chan time.Time
+		var tickC <-chan time.Time
 		if e.batch.active() {
-			due = ticker.C
+			tickC = ticker.C
 		}
 		select {
-		case <-due:
+		case <-tickC:
 			e.advance(time.Now())
 		case f := <-e.cmds:
 			f()
@@ -106,12 +107,12 @@
 }
 
 func (e *Engine) advance(now time.Time) {
-	e.batch.advance(now, min(now.Sub(e.last), maxAdvance))
-	e.last = now
+	e.batch.advance(now, min(now.Sub(e.lastAdvance), maxAdvance))
+	e.lastAdvance = now
 	e.sample(now)
 }
 
-// do runs f in the loop.
+// do runs f in the loop and waits for it.
 func (e *Engine) do(ctx context.Context, f func()) error {
 	done := make(chan struct{})
 	cmd := func() {
@@ -133,7 +134,7 @@
 	return fmt.Errorf("engine: %w: %w", port.ErrUnavailable, err)
 }
 
-// sample keeps a load report until its lag is over.
+// sample records the current load, to be reported after the lag.
 func (e *Engine) sample(now time.Time) {
 	l := e.batch.load()
 	l.Engine, l.Incarnation, l.At = e.opts.Name, e.state.Incarnation, now
@@ -141,52 +142,54 @@
 	if len(e.samples) > maxSamples {
 		e.samples = e.samples[1:]
 	}
-	e.lagged(now)
+	e.reportedLoad(now)
 }
 
-// lagged drops the samples older than the one that shows now, and returns it.
-func (e *Engine) lagged(now time.Time) port.Load {
+// reportedLoad returns the newest sample whose lag has passed, and drops all older
+// ones.
+func (e *Engine) reportedLoad(now time.Time) port.Load {
 	due := now.Add(-e.opts.LoadLag)
 	for len(e.samples) > 1 && !e.samples[1].At.After(due) {
 		e.samples = e.samples[1:]
 	}
 	l := e.samples[0]
 	if l.At.Before(due) {
-		l.At = due // nothing changed since
+		l.At = due // the load hasn't changed since the sample
 	}
 	return l
 }
 
-// State returns the engine's word about itself.
+// State returns the engine's current state.
 func (e *Engine) State(ctx context.Context) (s port.EngineState, err error) {
 	err = e.do(ctx, func() { s = e.state })
 	return s, err
 }
 
-// Load returns the load as it was before the lag.
+// Load returns the load as of LoadLag ago.
 func (e *Engine) Load(ctx context.Context) (l port.Load, err error) {
-	err = e.do(ctx, func() { l = e.lagged(time.Now()) })
+	err = e.do(ctx, func() { l = e.reportedLoad(time.Now()) })
 	return l, err
 }
 
-// CacheEvents returns the events after a sequence number, late and with gaps.
+// CacheEvents returns the events after a sequence number. They are delayed by
+// EventLag, and some are missing with DropEventEvery.
 func (e *Engine) CacheEvents(ctx context.Context, after int64) (list []port.CacheEvent, err error) {
 	err = e.do(ctx, func() { list = e.batch.cache.events.after(time.Now(), after) })
 	return list, err
 }
 
-// submit adds a sequence to the batch, or returns why it is refused.
+// submit adds a sequence to the batch, or returns the reason for refusing it.
 func (e *Engine) submit(ctx context.Context, s *seq) (refused error) {
 	err := e.do(ctx, func() {
-		if refused = e.refusal(s); refused != nil {
+		if refused = e.checkAdmission(s); refused != nil {
 			return
 		}
 		now := time.Now()
 		if !e.batch.active() {
-			e.last = now
+			e.lastAdvance = now
 		}
 		e.batch.add(s)
-		e.rec.request(s.id, func(q *RequestRecord) { q.Starts++ })
+		e.rec.updateRequest(s.id, func(q *RequestRecord) { q.Starts++ })
 		e.sample(now)
 	})
 	if err != nil {
@@ -195,18 +198,19 @@
 	return refused
 }
 
-// The reasons to refuse a request unrun.
+// Reasons to refuse a sequence.
 var (
 	errChanging = errors.New("changing")
 	errFull     = errors.New("queue full")
 	errTooLong  = errors.New("prompt and answer exceed the KV capacity")
 )
 
-func (e *Engine) refusal(s *seq) error {
+// checkAdmission returns the reason to refuse s, or nil.
+func (e *Engine) checkAdmission(s *seq) error {
 	switch {
 	case e.state.Changing || e.state.Leaving:
 		return errChanging
-	case s.reserve() > e.opts.KVCapacity:
+	case s.kvTokens() > e.opts.KVCapacity:
 		return errTooLong
 	case e.opts.MaxWaiting > 0 && len(e.batch.waiting) >= e.opts.MaxWaiting:
 		return errFull
@@ -214,18 +218,19 @@
 	return nil
 }
 
-// cancel ends a sequence if it still runs.
+// cancel removes a sequence if it still runs or waits.
 func (e *Engine) cancel(s *seq) {
 	e.do(context.Background(), func() {
-		e.batch.end(s, endCancelled)
+		e.batch.remove(s, finishCancelled)
 		e.sample(time.Now())
 	})
 }
 
+// cutAll ends all running and waiting sequences with finishCut.
 func (e *Engine) cutAll() {
 	for _, list := range [][]*seq{e.batch.running, e.batch.waiting} {
 		for _, s := range append([]*seq(nil), list...) {
-			e.batch.end(s, endCut)
+			e.batch.remove(s, finishCut)
 		}
 	}
 }
--- a/standin/engine/fault.go
+++ b/standin/engine/fault.go
@@ -9,52 +9,58 @@
 	"github.com/pomelospool/pomelospool/standin"
 )
 
-// faults are those that strike requests.
+// faults holds the injected faults that apply to requests and orders.
 type faults struct {
-	mu      sync.Mutex
-	crashOn string
-	crashAt int // tokens of the marked request before the crash
-	refuse  int
-	cross   int
-	cut     int
-	cutAt   int  // tokens before the cut
-	reset   bool // the cut resets the connection
-	lose    int  // answers to orders to lose after they took effect
+	mu             sync.Mutex
+	crashMarker    string
+	crashAfter     int // tokens of the answer sent before the crash
+	refuseCount    int
+	crossCount     int
+	cutCount       int
+	cutAfter       int  // tokens of the answer sent before the cut
+	cutResets      bool // a cut resets the connection
+	loseOrderCount int  // orders that take effect but whose answer is lost
 }
 
-// plan says which faults strike one request.
-type plan struct {
+// faultPlan holds the faults that apply to one request.
+type faultPlan struct {
 	refuse, cross, cut, reset, crash bool
-	at                               int // tokens before a cut or crash
+	after                            int // tokens sent before a cut or crash
 }
 
-func (f *faults) plan(prompt string) plan {
+// next returns the faults for the next request, and uses up their counts.
+func (f *faults) next(prompt string) faultPlan {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if standin.ConsumeFault(&f.refuse) {
-		return plan{refuse: true}
+	if standin.ConsumeFault(&f.refuseCount) {
+		return faultPlan{refuse: true}
 	}
-	if f.crashOn != "" && strings.Contains(prompt, f.crashOn) {
-		return plan{crash: true, at: f.crashAt}
+	if f.crashMarker != "" && strings.Contains(prompt, f.crashMarker) {
+		return faultPlan{crash: true, after: f.crashAfter}
 	}
-	p := plan{cross: standin.ConsumeFault(&f.cross), cut: standin.ConsumeFault(&f.cut)}
-	p.at, p.reset = f.cutAt, f.reset
+	p := faultPlan{cross: standin.ConsumeFault(&f.crossCount), cut: standin.ConsumeFault(&f.cutCount)}
+	p.after, p.reset = f.cutAfter, f.cutResets
 	return p
 }
 
-// loseOrder reports whether the answer to an order is to be lost.
+// loseOrder reports whether the answer to the next order is lost.
 func (f *faults) loseOrder() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return standin.ConsumeFault(&f.lose)
+	return standin.ConsumeFault(&f.loseOrderCount)
 }
 
-// Apply switches a fault. "crash" and "silent" strike at once; "crash_on"
-// (text, after) strikes requests with a marker in the prompt; "refuse",
-// "cross" and "cut" (after; text "reset" for a hard end) strike the next
-// count requests; "lose" (count) loses the answers to orders that took
-// effect; "slow" (value) is a factor on the time of each step;
-// "leaving" (count 0 or 1) sets the engine's own word that it leaves.
+// Apply sets a fault by its kind:
+//   - "crash" crashes the engine, and "silent" stalls its connections, at once.
+//   - "crash_on" (text, after) crashes the engine on a request whose prompt
+//     contains text.
+//   - "refuse" (count) refuses the next requests.
+//   - "cross" (count) swaps the answers of the next requests.
+//   - "cut" (count, after, text) truncates the next answers; the text "reset"
+//     resets their connection instead of ending them normally.
+//   - "lose" (count) loses the answers to the next orders that take effect.
+//   - "slow" (value) multiplies the time of each step.
+//   - "leaving" (count 0 or 1) sets whether the engine reports that it is leaving.
 func (e *Engine) Apply(ctx context.Context, f standin.Fault) error {
 	switch f.Kind {
 	case "crash":
@@ -64,11 +70,11 @@
 		e.Stall(ctx)
 		return nil
 	case "slow":
-		return e.do(ctx, func() { e.batch.slow = max(f.Value, 0.001) })
+		return e.do(ctx, func() { e.batch.slowdown = max(f.Value, 0.001) })
 	case "leaving":
 		return e.do(ctx, func() { e.state.Leaving = f.Count != 0 })
 	}
-	return e.fault.set(f)
+	return e.faults.set(f)
 }
 
 func (f *faults) set(c standin.Fault) error {
@@ -76,15 +82,15 @@
 	defer f.mu.Unlock()
 	switch c.Kind {
 	case "crash_on":
-		f.crashOn, f.crashAt = c.Text, c.After
+		f.crashMarker, f.crashAfter = c.Text, c.After
 	case "refuse":
-		f.refuse = c.Count
+		f.refuseCount = c.Count
 	case "cross":
-		f.cross = c.Count
+		f.crossCount = c.Count
 	case "cut":
-		f.cut, f.cutAt, f.reset = c.Count, c.After, c.Text == "reset"
+		f.cutCount, f.cutAfter, f.cutResets = c.Count, c.After, c.Text == "reset"
 	case "lose":
-		f.lose = c.Count
+		f.loseOrderCount = c.Count
 	default:
 		return fmt.Errorf("%w: %q", standin.ErrUnknownFault, c.Kind)
 	}
--- a/standin/engine/http.go
+++ b/standin/engine/http.go
@@ -14,16 +14,17 @@
 	"github.com/pomelospool/pomelospool/standin"
 )
 
-// maxKV bounds the bytes of an imported KV cache.
-const maxKV = 64 << 20
+// maxKVBytes bounds the size of an imported KV cache.
+const maxKVBytes = 64 << 20
 
-// The refusals of an order on the wire.
+// Error texts of a refused order.
 const (
 	refusedFenced = "fenced"
 	refusedBusy   = "busy"
 )
 
-// Handler serves requests, the control side and the test's own calls.
+// Handler serves completion requests, the control API and the stand-in's own
+// endpoints under /_standin/.
 func (e *Engine) Handler() http.Handler {
 	r := bunrouter.New()
 	r.POST("/v1/chat/completions", func(w http.ResponseWriter, req bunrouter.Request) error {
@@ -55,7 +56,7 @@
 	return r
 }
 
-// answer sends v or the error in the form of the wire.
+// answer writes v, or err with the matching status.
 func answer(w http.ResponseWriter, v any, err error) error {
 	switch {
 	case err == nil:
@@ -77,7 +78,7 @@
 	ID string `json:"id"`
 }
 
-// Cancelled is the answer to a cancel.
+// Cancelled is the answer to POST /v1/cancel.
 type Cancelled struct {
 	Found bool `json:"found"`
 }
@@ -91,11 +92,12 @@
 	return answer(w, Cancelled{found}, err)
 }
 
-// CancelID ends the request with an id and reports whether it ran here.
+// CancelID cancels the request with the given id and reports whether it was
+// running or waiting.
 func (e *Engine) CancelID(ctx context.Context, id string) (found bool, err error) {
 	err = e.do(ctx, func() {
 		if s := e.batch.find(id); s != nil {
-			found = e.batch.end(s, endCancelled)
+			found = e.batch.remove(s, finishCancelled)
 		}
 	})
 	return found, err
@@ -113,7 +115,7 @@
 	if err == nil {
 		err = e.Order(req.Context(), o)
 	}
-	if errors.Is(err, errLost) {
+	if errors.Is(err, errAnswerLost) {
 		e.Abort(req.Request)
 	}
 	return answer(w, struct{}{}, err)
@@ -136,7 +138,7 @@
 }
 
 func (e *Engine) serveImport(w http.ResponseWriter, req bunrouter.Request) error {
-	kv, err := io.ReadAll(http.MaxBytesReader(w, req.Body, maxKV))
+	kv, err := io.ReadAll(http.MaxBytesReader(w, req.Body, maxKVBytes))
 	if err == nil {
 		err = e.ImportKV(req.Context(), kv)
 	}
--- a/standin/engine/options.go
+++ b/standin/engine/options.go
@@ -1,6 +1,7 @@
-// Package engine is the stand-in for a model engine: continuous batching with
-// a prefix cache, priorities, orders and faults on command. One goroutine owns
-// the batch and advances it by a tick; handlers carry the traffic.
+// Package engine is the stand-in for a model engine. It models continuous
+// batching with a prefix cache and priorities, carries out orders and injects
+// faults on command. One goroutine owns the batch and advances it at each tick;
+// the HTTP handlers send the tokens.
 package engine
 
 import (
@@ -10,7 +11,7 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// The values that stand for a zero in Options.
+// Defaults of the zero values in Options.
 const (
 	DefaultPrefillRate     = 20000 // tokens/s
 	DefaultStepBase        = 4 * time.Millisecond
@@ -20,29 +21,30 @@
 	DefaultCacheBlocks     = 1024
 )
 
-// LoadFunc loads the weights of a model version and returns when they came.
+// LoadFunc loads the weights of a model version and returns once they are
+// loaded.
 type LoadFunc func(ctx context.Context, model, version string) error
 
-// Options are the settings of an Engine. Zero values stand for the defaults
-// above, or for none.
+// Options are the settings of an Engine. A zero value selects the default above,
+// if there is one.
 type Options struct {
 	Name            string
-	Spec            port.EngineSpec // at the start
-	PrefillRate     float64         // prompt tokens a second
-	StepBase        time.Duration   // of one decode step of the whole batch
-	StepPerSequence time.Duration   // added to a step for each sequence in it
-	MaxBatch        int             // sequences that run at once
-	MaxWaiting      int             // sequences that wait; 0 is without limit
-	KVCapacity      int             // tokens of running sequences
-	CacheBlocks     int             // blocks of the prefix cache
-	RoleChangeTime  time.Duration   // that a change takes, besides the weights
-	LoadWeights     LoadFunc        // loads weights; nil takes no time
-	CutOnChange     bool            // a change cuts what runs instead of waiting for it
-	LoadLag         time.Duration   // of the load reports
-	EventLag        time.Duration   // of the cache events
-	DropEventEvery  int             // every so many-th cache event is lost; 0 is none
-	ChecksFence     bool            // refuses an order with an old fencing number
-	Exit            func()          // ends the process at a crash; by default only the server
+	Spec            port.EngineSpec // initial spec
+	PrefillRate     float64         // prompt tokens per second
+	StepBase        time.Duration   // fixed part of the time of a decode step
+	StepPerSequence time.Duration   // time added to a step for each sequence in it
+	MaxBatch        int             // sequences that run at the same time
+	MaxWaiting      int             // sequences that may wait; 0 is without limit
+	KVCapacity      int             // tokens reserved by all running sequences
+	CacheBlocks     int             // blocks in the prefix cache
+	RoleChangeTime  time.Duration   // time that a change takes, without loading weights
+	LoadWeights     LoadFunc        // loads weights; if nil, loading takes no time
+	CutOnChange     bool            // a change cuts requests instead of waiting for them
+	LoadLag         time.Duration   // delay of the load reports
+	EventLag        time.Duration   // delay of the cache events
+	DropEventEvery  int             // every n-th cache event is dropped; 0 drops none
+	ChecksFence     bool            // refuse orders with an old fencing number
+	Exit            func()          // called on a crash; by default, it stops the engine and its server
 }
 
 func (o Options) withDefaults() Options {
--- a/standin/engine/order.go
+++ b/standin/engine/order.go
@@ -11,24 +11,25 @@
 	"github.com/pomelospool/pomelospool/request/prefix"
 )
 
-// loadRetry is the pause after weights that didn't come.
+// loadRetry is the pause after a failed load of weights.
 const loadRetry = 100 * time.Millisecond
 
-// Order accepts or refuses a change. The same id again has no second effect.
+// Order accepts or refuses an order to change the engine's spec. An order with
+// the id of an accepted one has no further effect.
 func (e *Engine) Order(ctx context.Context, o port.Order) (refused error) {
-	err := e.do(ctx, func() { refused = e.order(o) })
+	err := e.do(ctx, func() { refused = e.handleOrder(o) })
 	if err != nil {
 		return err
 	}
-	if refused == nil && e.fault.loseOrder() {
-		return unavailable(errLost)
+	if refused == nil && e.faults.loseOrder() {
+		return unavailable(errAnswerLost)
 	}
 	return refused
 }
 
-var errLost = errors.New("answer lost")
+var errAnswerLost = errors.New("answer lost")
 
-func (e *Engine) order(o port.Order) error {
+func (e *Engine) handleOrder(o port.Order) error {
 	repeated := e.accepted[o.ID]
 	if e.state.Changing && !repeated {
 		e.rec.update(func(r *Record) { r.Overlapping++ })
@@ -37,28 +38,28 @@
 	e.state.LastFence = max(e.state.LastFence, o.Fence)
 	switch {
 	case repeated:
-		e.note(o, OrderRepeated)
+		e.recordOrder(o, OrderRepeated)
 		return nil
 	case stale && e.opts.ChecksFence:
-		e.note(o, OrderFenced)
+		e.recordOrder(o, OrderFenced)
 		return fmt.Errorf("engine: %w", port.ErrFenced)
 	case e.state.Changing:
-		e.note(o, OrderBusy)
+		e.recordOrder(o, OrderBusy)
 		return fmt.Errorf("engine: %w", port.ErrBusy)
 	}
 	if stale {
 		e.rec.update(func(r *Record) { r.Stale++ })
 	}
-	e.note(o, OrderAccepted)
-	e.accept(o)
+	e.recordOrder(o, OrderAccepted)
+	e.acceptOrder(o)
 	return nil
 }
 
-func (e *Engine) accept(o port.Order) {
+func (e *Engine) acceptOrder(o port.Order) {
 	e.accepted[o.ID] = true
 	e.state.LastOrder = o.ID
 	if o.Spec == e.state.Spec {
-		e.carriedOut(o.ID)
+		e.markDone(o.ID)
 		return
 	}
 	e.state.Changing, e.state.Target = true, o.Spec
@@ -67,12 +68,12 @@
 	}
 }
 
-func (e *Engine) note(o port.Order, outcome string) {
+func (e *Engine) recordOrder(o port.Order, outcome string) {
 	rec := OrderRecord{ID: o.ID, Fence: o.Fence, Spec: o.Spec, At: time.Now(), Outcome: outcome}
 	e.rec.update(func(r *Record) { r.Orders = append(r.Orders, rec) })
 }
 
-func (e *Engine) carriedOut(id string) {
+func (e *Engine) markDone(id string) {
 	e.rec.update(func(r *Record) {
 		for i := range r.Orders {
 			if r.Orders[i].ID == id && r.Orders[i].Outcome == OrderAccepted {
@@ -82,17 +83,18 @@
 	})
 }
 
-// beginChange starts the change once nothing runs any more.
+// beginChange starts an accepted change once no request runs or waits.
 func (e *Engine) beginChange() {
-	if !e.state.Changing || e.changing || e.batch.active() {
+	if !e.state.Changing || e.changeStarted || e.batch.active() {
 		return
 	}
-	e.changing = true
+	e.changeStarted = true
 	from, to := e.state.Spec, e.state.Target
 	e.t.Go(func() error { return e.change(from, to) })
 }
 
-// change takes its time outside the loop, then puts the new spec into force.
+// change loads weights if necessary and waits outside the loop for the time of
+// a change, then applies the new spec.
 func (e *Engine) change(from, to port.EngineSpec) error {
 	ctx := e.t.Context(context.Background())
 	weights := from.Model != to.Model || from.Version != to.Version
@@ -113,15 +115,15 @@
 func (e *Engine) finishChange(to port.EngineSpec, weights bool) {
 	e.state.Spec, e.batch.role = to, to.Role
 	e.state.Changing, e.state.Target = false, port.EngineSpec{}
-	e.changing = false
+	e.changeStarted = false
 	if weights {
 		e.batch.cache.reset(time.Now())
 	}
 	e.rec.update(func(r *Record) { r.RoleChanges++ })
-	e.carriedOut(e.state.LastOrder)
+	e.markDone(e.state.LastOrder)
 }
 
-// pause waits and reports whether the engine still lives.
+// pause waits for d. It returns false if the engine stops first.
 func (e *Engine) pause(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -133,7 +135,7 @@
 	}
 }
 
-// kvCache is the form in which KV cache travels.
+// kvCache is the exported form of KV cache.
 type kvCache struct {
 	Model   string   `json:"model"`
 	Version string   `json:"version"`
@@ -141,11 +143,12 @@
 	Tokens  int      `json:"tokens"`
 }
 
-// ExportKV returns the leading blocks that the engine holds, maybe none.
+// ExportKV returns the leading blocks that are in the prefix cache, possibly
+// none.
 func (e *Engine) ExportKV(ctx context.Context, blocks []uint64) ([]byte, error) {
 	var kv kvCache
 	err := e.do(ctx, func() {
-		n := e.batch.cache.hit(blocks)
+		n := e.batch.cache.matchPrefix(blocks)
 		kv = kvCache{Model: e.state.Spec.Model, Version: e.state.Spec.Version}
 		kv.Blocks, kv.Tokens = blocks[:n], n*prefix.TokensPerBlock
 	})
@@ -155,7 +158,8 @@
 	return json.Marshal(kv)
 }
 
-// ImportKV takes over blocks that another engine of the same model exported.
+// ImportKV adds blocks that another engine exported to the prefix cache. Both
+// must serve the same version of the same model.
 func (e *Engine) ImportKV(ctx context.Context, data []byte) (refused error) {
 	var kv kvCache
 	if err := json.Unmarshal(data, &kv); err != nil {
--- a/standin/engine/record.go
+++ b/standin/engine/record.go
@@ -7,56 +7,57 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// RequestRecord is what the engine saw of one request id.
+// RequestRecord counts the runs of one request id.
 type RequestRecord struct {
 	Starts    int `json:"starts"`
 	Finishes  int `json:"finishes"`
 	Cancelled int `json:"cancelled"` // by the caller or /v1/cancel
-	Cut       int `json:"cut"`       // by a change or the end of the engine
-	Tokens    int `json:"tokens"`    // made over all starts
+	Cut       int `json:"cut"`       // by a change or the engine's stop
+	Tokens    int `json:"tokens"`    // generated in all runs
 }
 
-// The outcomes of an order.
+// Outcomes of an order.
 const (
 	OrderAccepted = "accepted"
-	OrderRepeated = "repeated" // its id was accepted before; no second effect
+	OrderRepeated = "repeated" // an order with this id was accepted before; no further effect
 	OrderFenced   = "fenced"
 	OrderBusy     = "busy"
 )
 
-// OrderRecord is one order as it came.
+// OrderRecord is a received order and its outcome.
 type OrderRecord struct {
 	ID      string          `json:"id"`
 	Fence   int64           `json:"fence"`
 	Spec    port.EngineSpec `json:"spec"`
 	At      time.Time       `json:"at"`
 	Outcome string          `json:"outcome"`
-	Done    bool            `json:"done"` // carried out
+	Done    bool            `json:"done"` // the change is complete
 }
 
-// Record is what the engine saw since its start.
+// Record counts the engine's requests and lists its orders since the start.
 type Record struct {
 	Engine      string                   `json:"engine"`
 	Incarnation string                   `json:"incarnation"`
 	Requests    map[string]RequestRecord `json:"requests"`
 	Tokens      int                      `json:"tokens"`
-	Refused     int                      `json:"refused"` // requests that didn't run
+	Refused     int                      `json:"refused"` // requests refused without a run
 	Orders      []OrderRecord            `json:"orders"`
-	RoleChanges int                      `json:"role_changes"` // changes carried out
-	// Overlapping counts orders that came while another one was running.
+	RoleChanges int                      `json:"role_changes"` // completed changes of the spec
+	// Overlapping counts orders received while another one was being carried
+	// out.
 	Overlapping int `json:"overlapping"`
-	// Stale counts orders that took effect under a fencing number lower than
-	// the highest one seen.
+	// Stale counts orders that took effect although their fencing number was
+	// lower than the highest one received.
 	Stale int `json:"stale"`
 }
 
-// recorder collects the record. It is safe for concurrent use.
+// recorder updates a Record. It is safe for concurrent use.
 type recorder struct {
 	mu  sync.Mutex
 	rec Record
 }
 
-func (r *recorder) request(id string, f func(*RequestRecord)) {
+func (r *recorder) updateRequest(id string, f func(*RequestRecord)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	q := r.rec.Requests[id]
@@ -64,20 +65,20 @@
 	r.rec.Requests[id] = q
 }
 
-// finished notes the end of one start; made is the number of its tokens.
-func (r *recorder) finished(id, reason string, made int) {
-	r.request(id, func(q *RequestRecord) {
-		q.Tokens += made
+// recordEnd records the end of one run and the number of tokens it generated.
+func (r *recorder) recordEnd(id, reason string, generated int) {
+	r.updateRequest(id, func(q *RequestRecord) {
+		q.Tokens += generated
 		switch reason {
-		case endLength:
+		case finishLength:
 			q.Finishes++
-		case endCancelled:
+		case finishCancelled:
 			q.Cancelled++
 		default:
 			q.Cut++
 		}
 	})
-	r.update(func(rec *Record) { rec.Tokens += made })
+	r.update(func(rec *Record) { rec.Tokens += generated })
 }
 
 func (r *recorder) update(f func(*Record)) {
--- a/standin/engine/serve.go
+++ b/standin/engine/serve.go
@@ -16,41 +16,42 @@
 )
 
 const (
-	maxBody          = 16 << 20
+	maxBodyBytes     = 16 << 20
 	defaultMaxTokens = 16
 )
 
-// The headers of requests and answers.
+// Headers of requests and answers.
 const (
 	HeaderRequestID = "X-Request-Id"
 	HeaderNotRun    = "X-Not-Run"
 )
 
-// call is one completion request under way.
+// call is one completion request in progress.
 type call struct {
-	e    *Engine
-	w    http.ResponseWriter
-	r    *http.Request
-	seq  *seq
-	form form
-	plan plan
+	e      *Engine
+	w      http.ResponseWriter
+	r      *http.Request
+	seq    *seq
+	enc    encoder
+	faults faultPlan
 }
 
 func (e *Engine) complete(w http.ResponseWriter, r *http.Request, chat bool) {
-	w.Header().Set(HeaderRequestID, r.Header.Get(HeaderRequestID)) // refusals too
+	w.Header().Set(HeaderRequestID, r.Header.Get(HeaderRequestID)) // also for refusals
 	var req Request
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&req); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&req); err != nil {
 		e.refuse(w, http.StatusBadRequest, err)
 		return
 	}
-	// The server notices that a caller left only once the body is read whole.
+	// net/http detects a closed connection only once the body has been read
+	// completely.
 	io.Copy(io.Discard, r.Body)
 	prompt := req.Prompt
 	if chat {
 		prompt = prefix.Prompt(req.Messages)
 	}
-	c := &call{e: e, w: w, r: r, seq: newSeq(r, req, prompt), plan: e.fault.plan(prompt)}
-	c.form = form{chat: chat, model: req.Model, identity: identity{c.seq.id, token.Hash(prompt)}}
+	c := &call{e: e, w: w, r: r, seq: newSeq(r, req, prompt), faults: e.faults.next(prompt)}
+	c.enc = encoder{chat: chat, model: req.Model, identity: identity{c.seq.id, token.Hash(prompt)}}
 	if status, err := c.start(req); err != nil {
 		e.refuse(w, status, err)
 		return
@@ -60,34 +61,36 @@
 
 func newSeq(r *http.Request, req Request, prompt string) *seq {
 	s := &seq{
-		id:       r.Header.Get(HeaderRequestID),
-		blocks:   prefix.Blocks(prompt),
-		prompt:   max(prefix.EstimateTokens(prompt), 1),
-		priority: req.Priority,
-		max:      req.MaxTokens,
+		id:           r.Header.Get(HeaderRequestID),
+		blocks:       prefix.Blocks(prompt),
+		promptTokens: max(prefix.EstimateTokens(prompt), 1),
+		priority:     req.Priority,
+		maxTokens:    req.MaxTokens,
 	}
 	if s.id == "" {
 		s.id = uuid.NewString()
 	}
-	if s.max <= 0 {
-		s.max = defaultMaxTokens
+	if s.maxTokens <= 0 {
+		s.maxTokens = defaultMaxTokens
 	}
 	if req.Resume != nil {
-		s.from = min(max(req.Resume.Tokens, 0), s.max)
+		s.resumeAt = min(max(req.Resume.Tokens, 0), s.maxTokens)
 	}
-	s.out.wake = make(chan struct{}, 1)
-	s.out.made = s.from
+	s.progress.wake = make(chan struct{}, 1)
+	s.progress.generated = s.resumeAt
 	return s
 }
 
-// The reasons to refuse a request for what it asks.
+// Reasons to refuse a request before it is submitted.
 var (
 	errRefused = errors.New("refused")
 	errModel   = errors.New("model not served here")
 )
 
+// start submits the sequence. If that fails, it returns the error and the HTTP
+// status for it.
 func (c *call) start(req Request) (int, error) {
-	if c.plan.refuse {
+	if c.faults.refuse {
 		return http.StatusServiceUnavailable, errRefused
 	}
 	st, err := c.e.State(c.r.Context())
@@ -107,20 +110,21 @@
 	return http.StatusServiceUnavailable, err
 }
 
+// refuse answers a request that didn't run.
 func (e *Engine) refuse(w http.ResponseWriter, status int, err error) {
 	e.rec.update(func(r *Record) { r.Refused++ })
 	w.Header().Set(HeaderNotRun, "true")
 	standin.Error(w, status, err.Error())
 }
 
-// answer sends what the sequence makes, and takes the sequence out of the
-// batch when the caller is gone before its end.
+// answer sends the tokens of the sequence. It removes the sequence from the
+// batch if the caller disconnects before the end.
 func (c *call) answer(stream bool) {
 	defer c.finish()
-	if c.plan.cross {
-		c.form.identity = c.e.cross.Swap(c.r.Context(), c.form.identity)
+	if c.faults.cross {
+		c.enc.identity = c.e.swapper.Swap(c.r.Context(), c.enc.identity)
 	}
-	c.w.Header().Set(HeaderRequestID, c.form.id)
+	c.w.Header().Set(HeaderRequestID, c.enc.id)
 	c.reportLoad()
 	if stream {
 		c.stream()
@@ -129,7 +133,7 @@
 	c.unstreamed()
 }
 
-// reportLoad puts the load of this moment on the answer.
+// reportLoad sets the header with the current load, without the load lag.
 func (c *call) reportLoad() {
 	var l port.Load
 	if err := c.e.do(c.r.Context(), func() { l = c.e.samples[len(c.e.samples)-1] }); err == nil {
@@ -139,19 +143,20 @@
 
 func (c *call) finish() {
 	c.e.cancel(c.seq)
-	made, end := c.seq.out.get()
-	if end == "" {
-		end = endCut
+	generated, reason := c.seq.progress.get()
+	if reason == "" {
+		reason = finishCut
 	}
-	c.e.rec.finished(c.seq.id, end, made-c.seq.from)
+	c.e.rec.recordEnd(c.seq.id, reason, generated-c.seq.resumeAt)
 }
 
-// next waits for progress. It returns false when the caller is gone.
-func (c *call) next() (made int, end string, ok bool) {
+// next waits for progress. It returns false if the sequence was cut or the
+// caller has disconnected.
+func (c *call) next() (generated int, reason string, ok bool) {
 	select {
-	case <-c.seq.out.wake:
-		made, end = c.seq.out.get()
-		return made, end, end != endCut
+	case <-c.seq.progress.wake:
+		generated, reason = c.seq.progress.get()
+		return generated, reason, reason != finishCut
 	case <-c.r.Context().Done():
 		return 0, "", false
 	}
@@ -161,19 +166,19 @@
 	c.w.Header().Set("Content-Type", "text/event-stream")
 	flusher := http.NewResponseController(c.w)
 	flusher.Flush()
-	for sent := c.seq.from; ; {
-		made, end, ok := c.next()
+	for sent := c.seq.resumeAt; ; {
+		generated, reason, ok := c.next()
 		if !ok {
 			c.e.Abort(c.r)
 		}
-		for ; sent < made; sent++ {
-			if c.strike(sent) {
+		for ; sent < generated; sent++ {
+			if c.injectFault(sent) {
 				return
 			}
-			c.event(sent, token.At(c.form.hash, sent), endOf(sent, made, end))
+			c.writeEvent(sent, token.At(c.enc.hash, sent), finishReasonAt(sent, generated, reason))
 		}
-		if end != "" {
-			c.close(made, end)
+		if reason != "" {
+			c.endStream(generated, reason)
 			return
 		}
 		if flusher.Flush() != nil {
@@ -182,62 +187,64 @@
 	}
 }
 
-// endOf gives the last token of an answer the reason of its end.
-func endOf(i, made int, end string) string {
-	if i == made-1 && end == endLength {
-		return end
+// finishReasonAt returns the finish reason for the event of token i. Only the
+// last token of a full-length answer has one.
+func finishReasonAt(i, generated int, reason string) string {
+	if i == generated-1 && reason == finishLength {
+		return reason
 	}
 	return ""
 }
 
-// close ends a stream. An answer whose last token didn't carry the reason
-// gets an event without text for it.
-func (c *call) close(made int, end string) {
-	if end != endLength || made == c.seq.from {
-		c.event(made, "", end)
+// endStream ends a stream. If the event of the last token didn't carry the
+// finish reason, an event without text is sent for it.
+func (c *call) endStream(generated int, reason string) {
+	if reason != finishLength || generated == c.seq.resumeAt {
+		c.writeEvent(generated, "", reason)
 	}
 	fmt.Fprint(c.w, "data: [DONE]\n\n")
 }
 
-func (c *call) event(i int, text, end string) {
-	fmt.Fprintf(c.w, "data: %s\n\n", c.form.chunk(i, text, end))
+func (c *call) writeEvent(i int, text, reason string) {
+	fmt.Fprintf(c.w, "data: %s\n\n", c.enc.chunk(i, text, reason))
 }
 
-// strike lets the planned crash or cut happen before token i is sent. A cut
-// without reset ends the answer in good form, but without [DONE].
-func (c *call) strike(i int) bool {
-	if i-c.seq.from < c.plan.at {
+// injectFault applies the planned crash or cut, if it is due before token i. It
+// returns true if the caller must end the answer. A cut without reset ends the
+// HTTP answer normally, but without [DONE].
+func (c *call) injectFault(i int) bool {
+	if i-c.seq.resumeAt < c.faults.after {
 		return false
 	}
-	if c.plan.crash {
+	if c.faults.crash {
 		c.e.opts.Exit()
 		panic(http.ErrAbortHandler)
 	}
-	if c.plan.cut && c.plan.reset {
+	if c.faults.cut && c.faults.reset {
 		c.e.Abort(c.r)
 	}
-	return c.plan.cut
+	return c.faults.cut
 }
 
 func (c *call) unstreamed() {
 	for {
-		made, end, ok := c.next()
+		generated, reason, ok := c.next()
 		if !ok {
 			c.e.Abort(c.r)
 		}
-		if made > c.seq.from && c.strike(made-1) {
-			c.cutWhole(made)
+		if generated > c.seq.resumeAt && c.injectFault(generated-1) {
+			c.sendTruncated(generated)
 		}
-		if end != "" {
-			standin.JSON(c.w, http.StatusOK, c.form.whole(c.seq, made, end))
+		if reason != "" {
+			standin.JSON(c.w, http.StatusOK, c.enc.complete(c.seq, generated, reason))
 			return
 		}
 	}
 }
 
-// cutWhole sends the first half of an answer and then resets the connection.
-func (c *call) cutWhole(made int) {
-	data, _ := json.Marshal(c.form.whole(c.seq, made, endLength))
+// sendTruncated sends the first half of an answer and resets the connection.
+func (c *call) sendTruncated(generated int) {
+	data, _ := json.Marshal(c.enc.complete(c.seq, generated, finishLength))
 	c.w.Header().Set("Content-Length", fmt.Sprint(len(data)))
 	c.w.Write(data[:len(data)/2])
 	http.NewResponseController(c.w).Flush()
--- a/standin/engine/serve_test.go
+++ b/standin/engine/serve_test.go
@@ -16,15 +16,15 @@
 	"github.com/pomelospool/pomelospool/standin/token"
 )
 
-// got is what a caller of a stream has at its end.
-type got struct {
-	status int
-	id     string // of the chunks
-	text   string
-	first  int // token_index of the first chunk
-	end    string
-	done   bool // [DONE] came
-	err    error
+// streamResult is what the caller of a streamed answer has received at its end.
+type streamResult struct {
+	status       int
+	id           string // id in the last chunk
+	text         string
+	firstIndex   int // token_index of the first chunk
+	finishReason string
+	done         bool // [DONE] was received
+	err          error
 }
 
 func start(t *testing.T, o Options) *Engine {
@@ -37,7 +37,7 @@
 	return e
 }
 
-// open sends a request over a connection of its own.
+// open sends a request over a new connection.
 func open(ctx context.Context, e *Engine, id string, req Request) (*http.Response, error) {
 	body, err := json.Marshal(req)
 	if err != nil {
@@ -52,20 +52,21 @@
 	return client.Do(r)
 }
 
-// stream reads a streamed answer to its end, whichever it is.
-func stream(ctx context.Context, e *Engine, id string, req Request) got {
+// readStream sends a request and reads the streamed answer to its end or to an
+// error.
+func readStream(ctx context.Context, e *Engine, id string, req Request) streamResult {
 	req.Stream = true
 	resp, err := open(ctx, e, id, req)
 	if err != nil {
-		return got{err: err}
+		return streamResult{err: err}
 	}
 	defer resp.Body.Close()
-	g := got{status: resp.StatusCode, first: -1}
+	g := streamResult{status: resp.StatusCode, firstIndex: -1}
 	scan := bufio.NewScanner(resp.Body)
 	for scan.Scan() {
 		data, ok := strings.CutPrefix(scan.Text(), "data: ")
 		if ok {
-			g.event(data)
+			g.addEvent(data)
 		}
 	}
 	if g.err == nil {
@@ -74,7 +75,7 @@
 	return g
 }
 
-func (g *got) event(data string) {
+func (g *streamResult) addEvent(data string) {
 	if data == "[DONE]" {
 		g.done = true
 		return
@@ -83,19 +84,20 @@
 	if g.err = json.Unmarshal([]byte(data), &c); g.err != nil {
 		return
 	}
-	if g.first < 0 {
-		g.first = *c.TokenIndex
+	if g.firstIndex < 0 {
+		g.firstIndex = *c.TokenIndex
 	}
 	g.id = c.ID
 	g.text += *c.Choices[0].Text
 	if end := c.Choices[0].FinishReason; end != nil {
-		g.end = *end
+		g.finishReason = *end
 	}
 }
 
-// whole reports whether g is the answer to prompt from token from up to max.
-func (g got) whole(prompt string, from, max int) bool {
-	return g.err == nil && g.done && g.end == endLength && g.text == token.Text(token.Hash(prompt), from, max)
+// isComplete reports whether g is the complete answer to prompt, with the tokens
+// from index from up to max.
+func (g streamResult) isComplete(prompt string, from, max int) bool {
+	return g.err == nil && g.done && g.finishReason == finishLength && g.text == token.Text(token.Hash(prompt), from, max)
 }
 
 func fault(t *testing.T, e *Engine, f standin.Fault) {
@@ -105,18 +107,18 @@
 	}
 }
 
-func TestStreams(t *testing.T) {
+func TestStreamedAnswer(t *testing.T) {
 	e := start(t, Options{})
-	g := stream(t.Context(), e, "r1", Request{Prompt: "p", MaxTokens: 20})
-	if !g.whole("p", 0, 20) || g.id != "r1" || g.first != 0 {
+	g := readStream(t.Context(), e, "r1", Request{Prompt: "p", MaxTokens: 20})
+	if !g.isComplete("p", 0, 20) || g.id != "r1" || g.firstIndex != 0 {
 		t.Fatalf("got %+v", g)
 	}
-	g = stream(t.Context(), e, "r2", Request{Prompt: "p", MaxTokens: 20, Resume: &Resume{Tokens: 15}})
-	if !g.whole("p", 15, 20) || g.first != 15 {
+	g = readStream(t.Context(), e, "r2", Request{Prompt: "p", MaxTokens: 20, Resume: &Resume{Tokens: 15}})
+	if !g.isComplete("p", 15, 20) || g.firstIndex != 15 {
 		t.Fatalf("resumed: %+v", g)
 	}
-	g = stream(t.Context(), e, "r3", Request{Prompt: "p", MaxTokens: 5, Resume: &Resume{Tokens: 5}})
-	if !g.whole("p", 5, 5) {
+	g = readStream(t.Context(), e, "r3", Request{Prompt: "p", MaxTokens: 5, Resume: &Resume{Tokens: 5}})
+	if !g.isComplete("p", 5, 5) {
 		t.Fatalf("resumed at the end: %+v", g)
 	}
 	if r := e.Record(); r.Tokens != 25 || r.Requests["r2"] != (RequestRecord{Starts: 1, Finishes: 1, Tokens: 5}) {
@@ -124,7 +126,7 @@
 	}
 }
 
-func TestWholeAnswer(t *testing.T) {
+func TestUnstreamedAnswer(t *testing.T) {
 	e := start(t, Options{})
 	resp, err := open(t.Context(), e, "r1", Request{Prompt: "12345", MaxTokens: 4})
 	if err != nil {
@@ -143,7 +145,7 @@
 	}
 }
 
-func TestRefusalsDontRun(t *testing.T) {
+func TestRefusedRequestsDoNotRun(t *testing.T) {
 	cases := []struct {
 		name   string
 		fault  standin.Fault
@@ -176,33 +178,33 @@
 	}
 }
 
-func TestFaultsOfAnswers(t *testing.T) {
+func TestAnswerFaults(t *testing.T) {
 	cases := []struct {
 		name  string
 		fault standin.Fault
-		check func(got) bool
+		check func(streamResult) bool
 	}{
-		{"cut in good form, but without [DONE]", standin.Fault{Kind: "cut", Count: 1, After: 3}, func(g got) bool {
-			return g.err == nil && !g.done && g.end == "" && g.text == token.Text(token.Hash("p"), 0, 3)
+		{"cut in good form, but without [DONE]", standin.Fault{Kind: "cut", Count: 1, After: 3}, func(g streamResult) bool {
+			return g.err == nil && !g.done && g.finishReason == "" && g.text == token.Text(token.Hash("p"), 0, 3)
 		}},
-		{"cut with a reset", standin.Fault{Kind: "cut", Count: 1, After: 3, Text: "reset"}, func(g got) bool {
+		{"cut with a reset", standin.Fault{Kind: "cut", Count: 1, After: 3, Text: "reset"}, func(g streamResult) bool {
 			return g.err != nil && !g.done
 		}},
-		{"crash on a marker", standin.Fault{Kind: "crash_on", Text: "p", After: 2}, func(g got) bool {
+		{"crash on a marker", standin.Fault{Kind: "crash_on", Text: "p", After: 2}, func(g streamResult) bool {
 			return g.err != nil && !g.done
 		}},
-		{"no fault for another content", standin.Fault{Kind: "crash_on", Text: "q"}, func(g got) bool {
-			return g.whole("p", 0, 10)
+		{"no fault for another content", standin.Fault{Kind: "crash_on", Text: "q"}, func(g streamResult) bool {
+			return g.isComplete("p", 0, 10)
 		}},
-		{"slow", standin.Fault{Kind: "slow", Value: 2}, func(g got) bool {
-			return g.whole("p", 0, 10)
+		{"slow", standin.Fault{Kind: "slow", Value: 2}, func(g streamResult) bool {
+			return g.isComplete("p", 0, 10)
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			e := start(t, Options{})
 			fault(t, e, c.fault)
-			g := stream(t.Context(), e, "r", Request{Prompt: "p", MaxTokens: 10})
+			g := readStream(t.Context(), e, "r", Request{Prompt: "p", MaxTokens: 10})
 			if !c.check(g) {
 				t.Fatalf("got %+v", g)
 			}
@@ -213,18 +215,18 @@
 func TestCrossedAnswers(t *testing.T) {
 	e := start(t, Options{})
 	fault(t, e, standin.Fault{Kind: "cross", Count: 2})
-	other := make(chan got, 1)
-	go func() { other <- stream(t.Context(), e, "b", Request{Prompt: "pb", MaxTokens: 8}) }()
-	a := stream(t.Context(), e, "a", Request{Prompt: "pa", MaxTokens: 8})
+	other := make(chan streamResult, 1)
+	go func() { other <- readStream(t.Context(), e, "b", Request{Prompt: "pb", MaxTokens: 8}) }()
+	a := readStream(t.Context(), e, "a", Request{Prompt: "pa", MaxTokens: 8})
 	b := <-other
-	if a.id != "b" || b.id != "a" || !a.whole("pb", 0, 8) || !b.whole("pa", 0, 8) {
+	if a.id != "b" || b.id != "a" || !a.isComplete("pb", 0, 8) || !b.isComplete("pa", 0, 8) {
 		t.Fatalf("a got %+v, b got %+v", a, b)
 	}
 }
 
-// begun starts a stream that never ends by itself and returns once its first
-// token came.
-func begun(t *testing.T, ctx context.Context, e *Engine) (*http.Response, *bufio.Reader) {
+// startLongStream starts a stream that doesn't end during the test, and returns
+// once its first token has arrived.
+func startLongStream(t *testing.T, ctx context.Context, e *Engine) (*http.Response, *bufio.Reader) {
 	t.Helper()
 	resp, err := open(ctx, e, "long", Request{Prompt: "p", MaxTokens: 100000, Stream: true})
 	if err != nil {
@@ -237,8 +239,8 @@
 	return resp, r
 }
 
-// await polls until the engine has some work, or none.
-func await(t *testing.T, e *Engine, busy bool) {
+// waitForWork polls until the engine has work (busy) or has none.
+func waitForWork(t *testing.T, e *Engine, busy bool) {
 	t.Helper()
 	for {
 		l, err := e.Load(t.Context())
@@ -254,15 +256,15 @@
 func TestClosedConnectionCancels(t *testing.T) {
 	e := start(t, Options{})
 	ctx, cancel := context.WithCancel(t.Context())
-	resp, _ := begun(t, ctx, e)
+	resp, _ := startLongStream(t, ctx, e)
 	defer resp.Body.Close()
 	cancel()
-	await(t, e, false)
+	waitForWork(t, e, false)
 }
 
 func TestCancelByID(t *testing.T) {
 	e := start(t, Options{})
-	resp, r := begun(t, t.Context(), e)
+	resp, r := startLongStream(t, t.Context(), e)
 	defer resp.Body.Close()
 	found, err := e.CancelID(t.Context(), "long")
 	if err != nil || !found {
@@ -272,44 +274,44 @@
 	if err != nil || !bytes.Contains(rest, []byte(`"finish_reason":"cancelled"`)) {
 		t.Fatalf("%v, rest %s", err, rest[max(len(rest)-200, 0):])
 	}
-	await(t, e, false)
+	waitForWork(t, e, false)
 }
 
-// A user sees an answer stop in the middle for good: something between the
-// two ends lost track of the connection, and no FIN ever comes.
-func TestSilentConnections(t *testing.T) {
+// A stalled connection must deliver no more of its answer and no FIN, as when a
+// device on the path has lost the connection's state. New connections are served.
+func TestStalledConnection(t *testing.T) {
 	e := start(t, Options{})
-	resp, r := begun(t, t.Context(), e)
+	resp, r := startLongStream(t, t.Context(), e)
 	defer resp.Body.Close()
 	fault(t, e, standin.Fault{Kind: "silent"})
-	var made int
-	e.do(t.Context(), func() { made = e.batch.find("long").made })
-	if g := stream(t.Context(), e, "new", Request{Prompt: "p", MaxTokens: 50}); !g.whole("p", 0, 50) {
-		t.Fatalf("a new connection got %+v", g)
+	var generated int
+	e.do(t.Context(), func() { generated = e.batch.find("long").generated })
+	if g := readStream(t.Context(), e, "new", Request{Prompt: "p", MaxTokens: 50}); !g.isComplete("p", 0, 50) {
+		t.Fatalf("the new connection got %+v", g)
 	}
 	e.Close()
 	rest, err := io.ReadAll(r)
-	if got := 1 + bytes.Count(rest, []byte("data: ")); err == nil || got > made {
-		t.Fatalf("the silent one got %d tokens, %d were made before; %v", got, made, err)
+	if got := 1 + bytes.Count(rest, []byte("data: ")); err == nil || got > generated {
+		t.Fatalf("the stalled connection got %d tokens, %d were generated before it stalled; %v", got, generated, err)
 	}
 }
 
-// A caller's stream runs when its engine gets an order. An engine that waits
-// must end the stream whole; one that is set to cut must cut it, or the tests
-// that rely on the cut prove nothing.
-func TestChangeWaitsForWhatRuns(t *testing.T) {
+// An engine that receives an order during a stream must complete the stream
+// before the change. With CutOnChange it must cut the stream; otherwise, tests
+// that rely on the cut would pass without one.
+func TestChangeWaitsForRunningRequests(t *testing.T) {
 	for _, cut := range []bool{false, true} {
 		t.Run(fmt.Sprintf("cut %v", cut), func(t *testing.T) {
 			e := start(t, Options{CutOnChange: cut})
-			done := make(chan got, 1)
-			go func() { done <- stream(t.Context(), e, "r", Request{Prompt: "p", MaxTokens: 200}) }()
-			await(t, e, true)
+			done := make(chan streamResult, 1)
+			go func() { done <- readStream(t.Context(), e, "r", Request{Prompt: "p", MaxTokens: 200}) }()
+			waitForWork(t, e, true)
 			err := e.Order(t.Context(), port.Order{ID: "o", Spec: port.EngineSpec{Role: port.RoleDecode}})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if g := <-done; g.whole("p", 0, 200) == cut {
-				t.Fatalf("answer whole: %v, error %v", !cut, g.err)
+			if g := <-done; g.isComplete("p", 0, 200) == cut {
+				t.Fatalf("answer complete: %v, error %v", !cut, g.err)
 			}
 			if q := e.Record().Requests["r"]; (q.Finishes == 0) != cut {
 				t.Fatalf("record %+v", q)
--- a/standin/host.go
+++ b/standin/host.go
@@ -8,11 +8,11 @@
 	"sync"
 )
 
-// maxFaultBytes bounds the body of a fault command.
+// maxFaultBytes bounds the body of a fault request.
 const maxFaultBytes = 1 << 16
 
-// Host is the server that each stand-in embeds. Run starts it; before Run,
-// the stand-in works in process only.
+// Host is the HTTP server that each stand-in embeds. Until Start is called, the
+// stand-in can be used in process only.
 type Host struct {
 	mu  sync.Mutex
 	srv *Server
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// Addr returns host and port, empty before Run.
+// Addr returns the listener's host and port, or "" before Start.
 func (h *Host) Addr() string {
 	if s := h.server(); s != nil {
 		return s.Addr()
@@ -41,7 +41,7 @@
 	return ""
 }
 
-// URL returns the base URL, empty before Run.
+// URL returns the base URL, or "" before Start.
 func (h *Host) URL() string {
 	if a := h.Addr(); a != "" {
 		return "http://" + a
@@ -49,7 +49,7 @@
 	return ""
 }
 
-// Stop ends the server.
+// Stop closes the server.
 func (h *Host) Stop() error {
 	if s := h.server(); s != nil {
 		return s.Close()
@@ -57,15 +57,16 @@
 	return nil
 }
 
-// Crash resets all connections and stops listening, without a word.
+// Crash resets all connections and stops listening, as if the process had
+// crashed.
 func (h *Host) Crash() {
 	if s := h.server(); s != nil {
 		s.Crash()
 	}
 }
 
-// Stall makes every open connection silent for good, but for the one of the
-// request in ctx. It returns how many.
+// Stall permanently stalls every open connection except the one of the request
+// in ctx. It returns the number of stalled connections.
 func (h *Host) Stall(ctx context.Context) int {
 	if s := h.server(); s != nil {
 		return s.Stall(ctx)
@@ -73,8 +74,8 @@
 	return 0
 }
 
-// Abort loses the answer to a request: its connection is reset. It doesn't
-// return.
+// Abort resets the connection of a request, so that the client doesn't get the
+// answer. It panics with http.ErrAbortHandler and so never returns.
 func (h *Host) Abort(r *http.Request) {
 	if s := h.server(); s != nil {
 		s.Reset(r.Context())
@@ -88,21 +89,23 @@
 	return h.srv
 }
 
-// Fault is a fault on command, the body of POST /_standin/fault. Which kinds
-// there are is up to the stand-in; the other fields are for some kinds only.
+// Fault is the body of POST /_standin/fault, which injects a fault. Each stand-in
+// defines its own kinds of fault, and each kind uses only some of the other
+// fields.
 type Fault struct {
 	Kind  string  `json:"kind"`
-	Text  string  `json:"text,omitempty"`  // marker in the content
+	Text  string  `json:"text,omitempty"`  // marker in the request's content
 	MS    int64   `json:"ms,omitempty"`    // milliseconds
-	Count int     `json:"count,omitempty"` // how many times; negative is for good
-	Value float64 `json:"value,omitempty"` // a factor or a rate
-	After int     `json:"after,omitempty"` // tokens or bytes before it strikes
+	Count int     `json:"count,omitempty"` // how many times the fault applies; negative is without limit
+	Value float64 `json:"value,omitempty"` // factor or rate
+	After int     `json:"after,omitempty"` // tokens sent before the fault applies
 }
 
-// ErrUnknownFault is the answer to a fault that a stand-in doesn't know.
+// ErrUnknownFault is returned for a kind of fault that a stand-in doesn't
+// support.
 var ErrUnknownFault = errors.New("unknown fault")
 
-// FaultHandler decodes a fault command and hands it to apply.
+// FaultHandler returns a handler that decodes a fault and passes it to apply.
 func FaultHandler(apply func(context.Context, Fault) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var f Fault
@@ -118,19 +121,19 @@
 	}
 }
 
-// JSON answers with v.
+// JSON writes v as the JSON body of an answer with the given status.
 func JSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	json.NewEncoder(w).Encode(v)
 }
 
-// ErrorBody is the body of an error answer.
+// ErrorBody is the JSON body of an error answer.
 type ErrorBody struct {
 	Error string `json:"error"`
 }
 
-// Error answers with an ErrorBody.
+// Error writes an ErrorBody with the given status and text.
 func Error(w http.ResponseWriter, status int, text string) {
 	JSON(w, status, ErrorBody{Error: text})
 }
--- a/standin/logsvc/fault.go
+++ b/standin/logsvc/fault.go
@@ -12,16 +12,17 @@
 )
 
 var (
-	errOutage = errors.New("log outage")
-	errLost   = errors.New("answer lost")
+	errOutage     = errors.New("log outage")
+	errAnswerLost = errors.New("answer lost")
 )
 
 func unavailable(err error) error {
 	return fmt.Errorf("log: %w: %w", port.ErrUnavailable, err)
 }
 
-// enter lets a call in after the latency, or fails it by the outage.
-func (l *Log) enter(ctx context.Context, read bool) error {
+// admit waits for the latency, and for the end of a Hang outage. It returns an
+// error if another outage makes the call fail.
+func (l *Log) admit(ctx context.Context, read bool) error {
 	l.mu.Lock()
 	latency := l.latency
 	l.mu.Unlock()
@@ -48,8 +49,12 @@
 	}
 }
 
-// Apply switches a fault: "latency" (ms), "refuse", "hang", "no_reads", "up",
-// "lose" (count), "delay" (count, ms), "rate" (value).
+// Apply sets a fault by its kind:
+//   - "latency" (ms) sets the latency.
+//   - "refuse", "hang" and "no_reads" start an outage, and "up" ends it.
+//   - "lose" (count) loses the answers to the next appends.
+//   - "delay" (count, ms) delays the next appends.
+//   - "rate" (value) limits the appends per second.
 func (l *Log) Apply(_ context.Context, f standin.Fault) error {
 	d := time.Duration(f.MS) * time.Millisecond
 	switch f.Kind {
--- a/standin/logsvc/http.go
+++ b/standin/logsvc/http.go
@@ -13,7 +13,7 @@
 	"github.com/pomelospool/pomelospool/standin"
 )
 
-// Bounds of a call over HTTP.
+// Limits of an HTTP request.
 const (
 	maxRecordBytes = 8 << 20
 	maxWait        = time.Minute
@@ -31,7 +31,8 @@
 	Earliest int64         `json:"earliest"`
 }
 
-// Handler serves the log. A read with max=0 answers newest and earliest only.
+// Handler serves the log. A read with max=0 returns only the newest and the
+// earliest offset.
 func (l *Log) Handler() http.Handler {
 	r := bunrouter.New()
 	r.POST("/streams/:stream/records", l.serveAppend)
@@ -51,7 +52,7 @@
 		return nil
 	}
 	offset, err := l.Append(req.Context(), req.Param("stream"), data)
-	if errors.Is(err, errLost) {
+	if errors.Is(err, errAnswerLost) {
 		l.Abort(req.Request)
 	}
 	if err != nil {
@@ -70,7 +71,7 @@
 	ms, _ := strconv.ParseInt(q.Get("wait_ms"), 10, 64)
 	wait := min(time.Duration(ms)*time.Millisecond, maxWait)
 	if limit <= 0 {
-		return l.serveEnds(w, req)
+		return l.serveBounds(w, req)
 	}
 	records, newest, err := l.Read(req.Context(), name, from, limit, wait)
 	page := Page{Records: records, Newest: newest, Earliest: l.earliest(name)}
@@ -85,7 +86,8 @@
 	return nil
 }
 
-func (l *Log) serveEnds(w http.ResponseWriter, req bunrouter.Request) error {
+// serveBounds answers with the newest and the earliest offset of a stream.
+func (l *Log) serveBounds(w http.ResponseWriter, req bunrouter.Request) error {
 	earliest, err := l.Earliest(req.Context(), req.Param("stream"))
 	if err != nil {
 		standin.Error(w, http.StatusServiceUnavailable, err.Error())
--- a/standin/logsvc/log.go
+++ b/standin/logsvc/log.go
@@ -1,6 +1,6 @@
-// Package logsvc is the stand-in for the log service: an append-only log in
-// memory with offsets, limited retention and faults that can be switched
-// while it runs. It implements port.Log in process and over HTTP.
+// Package logsvc is the stand-in for the log service: an in-memory append-only
+// log with offsets, limited retention and faults that can be set at run time. It
+// implements port.Log in process and serves it over HTTP.
 package logsvc
 
 import (
@@ -15,51 +15,51 @@
 	"github.com/pomelospool/pomelospool/standin"
 )
 
-// Options are the settings of a Log. The zero value keeps everything.
+// Options are the settings of a Log. The zero value retains all records.
 type Options struct {
-	MaxRecords int              // kept in each stream; 0 is without limit
-	MaxAge     time.Duration    // how long a record is kept; 0 is for good
-	Latency    time.Duration    // before each answer
-	Rate       float64          // appends a second; 0 is without limit
-	Now        func() time.Time // clock of the records and of MaxAge
+	MaxRecords int              // retained in each stream; 0 is without limit
+	MaxAge     time.Duration    // retention time of a record; 0 is without limit
+	Latency    time.Duration    // delay of each call
+	Rate       float64          // appends per second; 0 is without limit
+	Now        func() time.Time // clock for the times of records and for MaxAge
 }
 
-// Outage says how the log fails.
+// Outage is the way in which the log fails.
 type Outage int
 
-// The outages.
+// Values of Outage.
 const (
-	Up      Outage = iota
-	Refuse         // every call fails at once
-	Hang           // every call waits until the outage ends
-	NoReads        // reads fail at once, appends work
+	Up      Outage = iota // no outage
+	Refuse                // every call fails immediately
+	Hang                  // every call waits until the outage ends
+	NoReads               // reads fail immediately, appends work
 )
 
-// Counters counts what was asked of the log.
+// Counters counts the calls of the log.
 type Counters struct {
-	Appends int `json:"appends"` // that took effect
-	Reads   int `json:"reads"`   // that were answered
-	Refused int `json:"refused"` // by an outage
-	Lost    int `json:"lost"`    // appends whose answer was lost
-	Late    int `json:"late"`    // appends that took effect after their failure
-	Bytes   int `json:"bytes"`   // of all records appended
+	Appends int `json:"appends"` // appends that took effect
+	Reads   int `json:"reads"`   // reads of a stream, also repeated ones of a waiting call
+	Refused int `json:"refused"` // calls that an outage made fail
+	Lost    int `json:"lost"`    // appends that took effect but whose answer was lost
+	Late    int `json:"late"`    // appends that failed and take effect later
+	Bytes   int `json:"bytes"`   // size of all appended records
 }
 
-// Log is the log service. It is safe for concurrent use.
+// Log is the stand-in log service. It is safe for concurrent use.
 type Log struct {
 	standin.Host
-	opts Options
-	lim  *rate.Limiter
+	opts    Options
+	limiter *rate.Limiter
 
-	mu       sync.Mutex
-	streams  map[string]*stream
-	changed  chan struct{} // closed and replaced at every change
-	outage   Outage
-	latency  time.Duration
-	lose     int // answers still to lose; negative is all
-	late     int // appends still to delay
-	lateBy   time.Duration
-	counters Counters
+	mu          sync.Mutex
+	streams     map[string]*stream
+	changed     chan struct{} // closed and replaced at every change
+	outage      Outage
+	latency     time.Duration
+	loseCount   int // appends whose answer will be lost; negative is all
+	delayCount  int // appends to delay; negative is all
+	appendDelay time.Duration
+	counters    Counters
 }
 
 type stream struct {
@@ -69,12 +69,12 @@
 
 func (s *stream) newest() int64 { return s.first + int64(len(s.records)) - 1 }
 
-// New returns an empty log. Nothing has to be closed unless Run is called.
+// New returns an empty log. It needs no Close unless Run is called.
 func New(o Options) *Log {
 	if o.Now == nil {
 		o.Now = time.Now
 	}
-	l := &Log{opts: o, latency: o.Latency, lim: rate.NewLimiter(rate.Inf, 1)}
+	l := &Log{opts: o, latency: o.Latency, limiter: rate.NewLimiter(rate.Inf, 1)}
 	l.streams = make(map[string]*stream)
 	l.changed = make(chan struct{})
 	l.SetRate(o.Rate)
@@ -84,73 +84,76 @@
 // Run serves the log over HTTP on addr.
 func (l *Log) Run(addr string) error { return l.Start(l.Handler(), addr) }
 
-// Close ends the server; the records stay.
+// Close stops the server. The records remain available in process.
 func (l *Log) Close() error { return l.Stop() }
 
-// SetLatency sets the time before each answer.
-func (l *Log) SetLatency(d time.Duration) { l.set(func() { l.latency = d }) }
+// SetLatency sets the delay of each call.
+func (l *Log) SetLatency(d time.Duration) { l.update(func() { l.latency = d }) }
 
-// SetOutage starts or ends an outage. Calls that hang go on when it ends.
-func (l *Log) SetOutage(o Outage) { l.set(func() { l.outage = o }) }
+// SetOutage starts an outage, or ends it with Up. Calls that hang continue when
+// the Hang outage ends.
+func (l *Log) SetOutage(o Outage) { l.update(func() { l.outage = o }) }
 
-// LoseAnswers makes the next n appends take effect but fail, all with n < 0.
-func (l *Log) LoseAnswers(n int) { l.set(func() { l.lose = n }) }
+// LoseAnswers makes the next n appends return an error although they take
+// effect. A negative n applies to all appends.
+func (l *Log) LoseAnswers(n int) { l.update(func() { l.loseCount = n }) }
 
-// DelayAppends makes the next n appends fail at once and take effect after d,
-// as when a request sits in a queue while its caller gives up.
+// DelayAppends makes the next n appends fail immediately and take effect after d,
+// as when a request is still queued after its caller has timed out.
 func (l *Log) DelayAppends(n int, d time.Duration) {
-	l.set(func() { l.late, l.lateBy = n, d })
+	l.update(func() { l.delayCount, l.appendDelay = n, d })
 }
 
-// SetRate limits the appends a second; 0 is without limit.
+// SetRate limits the appends per second; 0 is without limit.
 func (l *Log) SetRate(perSecond float64) {
 	if perSecond <= 0 {
-		l.lim.SetLimit(rate.Inf)
+		l.limiter.SetLimit(rate.Inf)
 		return
 	}
-	l.lim.SetLimit(rate.Limit(perSecond))
+	l.limiter.SetLimit(rate.Limit(perSecond))
 }
 
-// Counters returns what was counted so far.
+// Counters returns the current counters.
 func (l *Log) Counters() Counters {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.counters
 }
 
-// Append adds data to a stream and returns its offset.
+// Append appends a record to a stream and returns its offset.
 func (l *Log) Append(ctx context.Context, name string, data []byte) (int64, error) {
-	if err := l.enter(ctx, false); err != nil {
+	if err := l.admit(ctx, false); err != nil {
 		return 0, err
 	}
-	if err := l.lim.Wait(ctx); err != nil {
+	if err := l.limiter.Wait(ctx); err != nil {
 		return 0, unavailable(err)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if standin.ConsumeFault(&l.late) {
+	if standin.ConsumeFault(&l.delayCount) {
 		l.counters.Late++
-		time.AfterFunc(l.lateBy, func() { l.set(func() { l.append(name, data) }) })
-		return 0, unavailable(errLost)
+		time.AfterFunc(l.appendDelay, func() { l.update(func() { l.append(name, data) }) })
+		return 0, unavailable(errAnswerLost)
 	}
 	offset := l.append(name, data)
-	if standin.ConsumeFault(&l.lose) {
+	if standin.ConsumeFault(&l.loseCount) {
 		l.counters.Lost++
-		return 0, unavailable(errLost)
+		return 0, unavailable(errAnswerLost)
 	}
 	return offset, nil
 }
 
-// Read returns records from an offset on; an offset under 1 stands for 1.
+// Read returns up to limit records from an offset on, and the newest offset. It
+// waits up to wait for a first record. An offset below 1 stands for 1.
 func (l *Log) Read(ctx context.Context, name string, from int64, limit int, wait time.Duration) ([]port.Record, int64, error) {
-	if err := l.enter(ctx, true); err != nil {
+	if err := l.admit(ctx, true); err != nil {
 		return nil, 0, err
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	from = max(from, 1)
 	for {
-		records, newest, changed, err := l.look(name, from, limit)
+		records, newest, changed, err := l.readOnce(name, from, limit)
 		if err != nil || len(records) > 0 || wait <= 0 || limit <= 0 {
 			return records, newest, err
 		}
@@ -164,9 +167,9 @@
 	}
 }
 
-// Earliest returns the lowest offset still kept.
+// Earliest returns the lowest retained offset.
 func (l *Log) Earliest(ctx context.Context, name string) (int64, error) {
-	if err := l.enter(ctx, true); err != nil {
+	if err := l.admit(ctx, true); err != nil {
 		return 0, err
 	}
 	l.mu.Lock()
@@ -174,8 +177,9 @@
 	return l.stream(name).first, nil
 }
 
-// look reads once and returns the channel that tells of the next change.
-func (l *Log) look(name string, from int64, limit int) ([]port.Record, int64, chan struct{}, error) {
+// readOnce reads without waiting. It also returns a channel that is closed at the
+// next change.
+func (l *Log) readOnce(name string, from int64, limit int) ([]port.Record, int64, chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counters.Reads++
@@ -192,7 +196,8 @@
 	return records, s.newest(), l.changed, nil
 }
 
-// stream returns the stream after dropping what is past its age.
+// stream returns a stream after dropping its expired records. For an unknown name
+// it returns an empty stream.
 func (l *Log) stream(name string) *stream {
 	s := l.streams[name]
 	if s == nil {
@@ -230,23 +235,24 @@
 	s.first += int64(n)
 }
 
-// Expire drops all records of a stream before an offset.
+// Expire drops the records of a stream before an offset.
 func (l *Log) Expire(name string, before int64) {
-	l.set(func() {
+	l.update(func() {
 		if s := l.streams[name]; s != nil && before > s.first {
 			s.drop(int(min(before-s.first, int64(len(s.records)))))
 		}
 	})
 }
 
-func (l *Log) set(f func()) {
+// update runs f with mu held and notifies the waiting calls.
+func (l *Log) update(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f()
 	l.notify()
 }
 
-// notify wakes everyone who waits for a change. The caller holds mu.
+// notify wakes the calls that wait for a change. The caller must hold mu.
 func (l *Log) notify() {
 	close(l.changed)
 	l.changed = make(chan struct{})
--- a/standin/logsvc/log_test.go
+++ b/standin/logsvc/log_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestAppendsASecond(t *testing.T) {
+func TestAppendRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := New(Options{Rate: 10})
 		begin := time.Now()
@@ -21,7 +21,7 @@
 	})
 }
 
-func TestHangGoesOnAfterTheOutage(t *testing.T) {
+func TestHungCallContinuesAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := New(Options{Latency: time.Second})
 		l.SetOutage(Hang)
--- a/standin/plain/plain.go
+++ b/standin/plain/plain.go
@@ -1,5 +1,6 @@
-// Package plain is the stand-in for a plain service beside the model engines:
-// it echoes, and counts how often each idempotency key and request ran.
+// Package plain is the stand-in for a plain service, a target that doesn't serve
+// a language model. It echoes requests and counts the runs of each idempotency
+// key and each request id.
 package plain
 
 import (
@@ -15,9 +16,9 @@
 	"github.com/pomelospool/pomelospool/standin"
 )
 
-const maxBody = 8 << 20
+const maxBodyBytes = 8 << 20
 
-// The headers that the service reads and repeats.
+// Headers that the service reads or sets.
 const (
 	HeaderRequestID = "X-Request-Id"
 	HeaderKey       = "Idempotency-Key"
@@ -28,11 +29,11 @@
 // Options are the settings of a Service.
 type Options struct {
 	Name    string
-	Latency time.Duration // before each answer
-	Exit    func()        // ends the process at a crash; by default the server only
+	Latency time.Duration // delay of each answer
+	Exit    func()        // called on a crash; by default, it resets all connections and stops listening
 }
 
-// Record is what the service saw.
+// Record counts the requests that the service has run.
 type Record struct {
 	Name     string         `json:"name"`
 	Runs     int            `json:"runs"`
@@ -41,23 +42,23 @@
 	Crashes  int            `json:"crashes"`
 }
 
-// Service is the plain service. It is safe for concurrent use.
+// Service is the stand-in plain service. It is safe for concurrent use.
 type Service struct {
 	standin.Host
 	opts Options
 
-	mu      sync.Mutex
-	rec     Record
-	latency time.Duration
-	crashOn string
-	lose    int // answers to lose after the run
-	cut     int // answers to cut
-	refuse  int // requests to refuse unrun
-	late    int // answers to hold back
-	lateBy  time.Duration
-	cross   int // answers to cross
-
-	crossing standin.Swapper[answer]
+	mu          sync.Mutex
+	rec         Record
+	latency     time.Duration
+	crashMarker string
+	loseCount   int // answers to lose
+	cutCount    int // answers to truncate
+	refuseCount int // requests to refuse
+	delayCount  int // answers to delay
+	answerDelay time.Duration
+	crossCount  int // answers to swap
+
+	swapper standin.Swapper[answer]
 }
 
 // New returns a service.
@@ -70,13 +71,13 @@
 	return s
 }
 
-// Run serves on addr.
+// Run serves the service over HTTP on addr.
 func (s *Service) Run(addr string) error { return s.Start(s.Handler(), addr) }
 
-// Close ends the server; the record stays.
+// Close stops the server. The record remains available.
 func (s *Service) Close() error { return s.Stop() }
 
-// Record returns what the service saw so far.
+// Record returns a copy of the service's record.
 func (s *Service) Record() Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,7 +87,7 @@
 	return r
 }
 
-// Handler serves any path, and /_standin/ for the test's own use.
+// Handler serves any path, and the stand-in's own endpoints under /_standin/.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /_standin/fault", standin.FaultHandler(s.Apply))
@@ -97,15 +98,15 @@
 	return mux
 }
 
-// plan says which faults strike one request.
-type plan struct {
+// faultPlan holds the faults that apply to one request.
+type faultPlan struct {
 	refuse, lose, cut, cross, crash bool
 	delay                           time.Duration
 }
 
 func (s *Service) serve(w http.ResponseWriter, r *http.Request) {
-	w.Header().Set(HeaderRequestID, r.Header.Get(HeaderRequestID)) // refusals too
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	w.Header().Set(HeaderRequestID, r.Header.Get(HeaderRequestID)) // also for refusals
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		standin.Error(w, http.StatusBadRequest, err.Error())
 		return
@@ -128,17 +129,18 @@
 	}
 	a := answer{id: r.Header.Get(HeaderRequestID), body: s.echo(r, body)}
 	if p.cross {
-		a = s.crossing.Swap(r.Context(), a)
+		a = s.swapper.Swap(r.Context(), a)
 	}
-	s.write(w, r, a, p.cut)
+	s.writeAnswer(w, r, a, p.cut)
 }
 
-// begin counts the run, before anything can go wrong with its answer.
-func (s *Service) begin(r *http.Request, body string) plan {
+// begin counts the run, before a fault can affect its answer, and returns the
+// faults of the request. A refused request isn't counted.
+func (s *Service) begin(r *http.Request, body string) faultPlan {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if standin.ConsumeFault(&s.refuse) {
-		return plan{refuse: true}
+	if standin.ConsumeFault(&s.refuseCount) {
+		return faultPlan{refuse: true}
 	}
 	s.rec.Runs++
 	if key := r.Header.Get(HeaderKey); key != "" {
@@ -147,18 +149,19 @@
 	if id := r.Header.Get(HeaderRequestID); id != "" {
 		s.rec.Requests[id]++
 	}
-	if s.crashOn != "" && strings.Contains(body, s.crashOn) {
+	if s.crashMarker != "" && strings.Contains(body, s.crashMarker) {
 		s.rec.Crashes++
-		return plan{crash: true}
+		return faultPlan{crash: true}
 	}
-	p := plan{delay: s.latency, lose: standin.ConsumeFault(&s.lose), cut: standin.ConsumeFault(&s.cut), cross: standin.ConsumeFault(&s.cross)}
-	if standin.ConsumeFault(&s.late) {
-		p.delay += s.lateBy
+	p := faultPlan{delay: s.latency, lose: standin.ConsumeFault(&s.loseCount), cut: standin.ConsumeFault(&s.cutCount), cross: standin.ConsumeFault(&s.crossCount)}
+	if standin.ConsumeFault(&s.delayCount) {
+		p.delay += s.answerDelay
 	}
 	return p
 }
 
-// echo repeats the body, or tells of the request when there is none.
+// echo returns the request's body, or a description of the request if the body
+// is empty.
 func (s *Service) echo(r *http.Request, body []byte) []byte {
 	if len(body) > 0 {
 		return body
@@ -166,7 +169,7 @@
 	return fmt.Appendf(nil, "%s %s from %s\n", r.Method, r.URL.RequestURI(), s.opts.Name)
 }
 
-func (s *Service) write(w http.ResponseWriter, r *http.Request, a answer, cut bool) {
+func (s *Service) writeAnswer(w http.ResponseWriter, r *http.Request, a answer, cut bool) {
 	h := w.Header()
 	h.Set(HeaderRequestID, a.id)
 	h.Set(HeaderService, s.opts.Name)
@@ -182,14 +185,19 @@
 	w.Write(a.body)
 }
 
-// answer is what may go to the wrong request.
+// answer is the part of an answer that the "cross" fault swaps.
 type answer struct {
 	id   string
 	body []byte
 }
 
-// Apply switches a fault: "latency" (ms), "crash", "crash_on" (text),
-// "silent", "lose", "cut", "cross", "refuse" (count each), "late" (count, ms).
+// Apply sets a fault by its kind:
+//   - "crash" crashes the service, and "silent" stalls its connections, at once.
+//   - "crash_on" (text) crashes it on a request whose body contains text.
+//   - "latency" (ms) sets the latency.
+//   - "refuse" (count) refuses the next requests.
+//   - "lose", "cut" and "cross" (count) lose, truncate or swap the next answers.
+//   - "late" (count, ms) delays the next answers.
 func (s *Service) Apply(ctx context.Context, f standin.Fault) error {
 	switch f.Kind {
 	case "crash":
@@ -201,26 +209,26 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.set(f)
+	return s.setFault(f)
 }
 
-func (s *Service) set(f standin.Fault) error {
+func (s *Service) setFault(f standin.Fault) error {
 	d := time.Duration(f.MS) * time.Millisecond
 	switch f.Kind {
 	case "latency":
 		s.latency = d
 	case "crash_on":
-		s.crashOn = f.Text
+		s.crashMarker = f.Text
 	case "lose":
-		s.lose = f.Count
+		s.loseCount = f.Count
 	case "cut":
-		s.cut = f.Count
+		s.cutCount = f.Count
 	case "cross":
-		s.cross = f.Count
+		s.crossCount = f.Count
 	case "refuse":
-		s.refuse = f.Count
+		s.refuseCount = f.Count
 	case "late":
-		s.late, s.lateBy = f.Count, d
+		s.delayCount, s.answerDelay = f.Count, d
 	default:
 		return fmt.Errorf("%w: %q", standin.ErrUnknownFault, f.Kind)
 	}
--- a/standin/plain/plain_test.go
+++ b/standin/plain/plain_test.go
@@ -19,7 +19,7 @@
 	return s
 }
 
-// result is what a caller has of one request.
+// result is what the caller of one request has received.
 type result struct {
 	status int
 	id     string
@@ -45,21 +45,21 @@
 }
 
 func TestFaults(t *testing.T) {
-	whole := func(r result) bool { return r == result{200, "a", "body", nil} }
+	complete := func(r result) bool { return r == result{200, "a", "body", nil} }
 	cases := []struct {
 		name  string
 		fault standin.Fault
 		check func(result) bool
 		runs  int
 	}{
-		{"none", standin.Fault{Kind: "latency"}, whole, 1},
+		{"none", standin.Fault{Kind: "latency"}, complete, 1},
 		{"refused unrun", standin.Fault{Kind: "refuse", Count: 1}, func(r result) bool { return r.status == 503 && r.id == "a" }, 0},
 		{"answer lost after the run", standin.Fault{Kind: "lose", Count: 1}, func(r result) bool { return r.err != nil }, 1},
 		{"answer cut", standin.Fault{Kind: "cut", Count: -1}, func(r result) bool { return r.err != nil && r.body == "bo" }, 1},
-		{"late answer", standin.Fault{Kind: "late", Count: 1, MS: 1}, whole, 1},
+		{"late answer", standin.Fault{Kind: "late", Count: 1, MS: 1}, complete, 1},
 		{"crash on a content", standin.Fault{Kind: "crash_on", Text: "bod"}, func(r result) bool { return r.err != nil }, 1},
-		{"other content", standin.Fault{Kind: "crash_on", Text: "x"}, whole, 1},
-		{"silent before", standin.Fault{Kind: "silent"}, whole, 1},
+		{"other content", standin.Fault{Kind: "crash_on", Text: "x"}, complete, 1},
+		{"silent before", standin.Fault{Kind: "silent"}, complete, 1},
 		{"crashed before", standin.Fault{Kind: "crash"}, func(r result) bool { return r.err != nil }, 0},
 	}
 	for _, c := range cases {
--- a/standin/server.go
+++ b/standin/server.go
@@ -1,6 +1,7 @@
-// Package standin holds what the small stand-ins for the outside systems have
-// in common: a server whose connections can be cut or made silent, and faults
-// on command. The stand-ins are fakes at an interface, not a simulator.
+// Package standin provides the common parts of the test stand-ins for external
+// systems: an HTTP server whose connections can be reset or stalled, and fault
+// injection on command. The stand-ins are fakes of an interface, not
+// simulators of the systems behind it.
 package standin
 
 import (
@@ -15,10 +16,10 @@
 	"gopkg.in/tomb.v2"
 )
 
-// headerTimeout bounds how long a connection may take to send its header.
+// headerTimeout bounds how long a client may take to send a request header.
 const headerTimeout = 10 * time.Second
 
-// Server serves a handler and knows its open connections.
+// Server serves a handler over HTTP and tracks its open connections.
 type Server struct {
 	t    tomb.Tomb
 	http *http.Server
@@ -28,8 +29,8 @@
 	conns map[*conn]bool
 }
 
-// Serve listens on addr ("127.0.0.1:0" for any port) and serves h until Close
-// or Crash.
+// Serve listens on addr and serves h until Close or Crash. Port 0 selects a
+// free port.
 func Serve(h http.Handler, addr string) (*Server, error) {
 	lis, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -41,40 +42,40 @@
 	return s, nil
 }
 
-// Addr returns host and port of the listener.
+// Addr returns the listener's host and port.
 func (s *Server) Addr() string { return s.lis.Addr().String() }
 
-// Close stops the server and ends its connections.
+// Close stops the server and closes its connections.
 func (s *Server) Close() error {
 	s.t.Kill(nil)
 	err := s.http.Close()
-	for _, c := range s.open() {
+	for _, c := range s.openConns() {
 		c.Close()
 	}
 	s.t.Wait()
 	return err
 }
 
-// Crash resets every connection and stops listening, as the kernel does for
-// a process that died. It doesn't wait for the handlers.
+// Crash resets every connection and stops listening, as the kernel does after a
+// process has crashed. It doesn't wait for the handlers.
 func (s *Server) Crash() {
 	s.t.Kill(nil)
 	s.lis.Close()
-	for _, c := range s.open() {
+	for _, c := range s.openConns() {
 		c.reset()
 	}
 	s.http.Close()
 }
 
-// Stall makes every open connection but the one of the request in ctx dead
-// for good: it stays open, nothing more is read from or sent on it. New
-// connections work.
+// Stall permanently stalls every open connection except the one of the request
+// in ctx, and returns their number. A stalled connection stays open but
+// delivers and sends no more data. New connections work normally.
 func (s *Server) Stall(ctx context.Context) int {
 	own, _ := ctx.Value(connKey{}).(*conn)
 	n := 0
-	for _, c := range s.open() {
+	for _, c := range s.openConns() {
 		if c != own {
-			c.silence()
+			c.stall()
 			n++
 		}
 	}
@@ -82,7 +83,7 @@
 }
 
 // Reset ends the connection of the request in ctx with a TCP reset, so that
-// its answer is lost.
+// the client doesn't get the answer.
 func (s *Server) Reset(ctx context.Context) {
 	if c, ok := ctx.Value(connKey{}).(*conn); ok {
 		c.reset()
@@ -90,14 +91,14 @@
 }
 
 func (s *Server) serve() error {
-	err := s.http.Serve(tracker{s.lis, s})
+	err := s.http.Serve(trackingListener{s.lis, s})
 	if errors.Is(err, http.ErrServerClosed) || !s.t.Alive() {
 		return nil
 	}
 	return err
 }
 
-func (s *Server) open() []*conn {
+func (s *Server) openConns() []*conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := make([]*conn, 0, len(s.conns))
@@ -107,19 +108,19 @@
 	return list
 }
 
-// tracker hands out connections that the server knows.
-type tracker struct {
+// trackingListener registers each accepted connection with the server.
+type trackingListener struct {
 	net.Listener
 	s *Server
 }
 
-// Accept wraps the next connection.
-func (t tracker) Accept() (net.Conn, error) {
+// Accept returns the next connection, wrapped as a conn.
+func (t trackingListener) Accept() (net.Conn, error) {
 	raw, err := t.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: raw, s: t.s, quiet: make(chan struct{})}
+	c := &conn{Conn: raw, s: t.s, stalled: make(chan struct{})}
 	t.s.mu.Lock()
 	t.s.conns[c] = true
 	t.s.mu.Unlock()
@@ -132,20 +133,20 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// conn is a connection that can be made silent.
+// conn is a connection that can be stalled.
 type conn struct {
 	net.Conn
-	s     *Server
-	once  sync.Once
-	quiet chan struct{}
+	s       *Server
+	once    sync.Once
+	stalled chan struct{}
 }
 
-// Read gives nothing once the connection is silent: what comes is dropped,
-// and that the other side closed is not seen either.
+// Read drops all data once the connection is stalled. It then reports the
+// client's close only when the server stops.
 func (c *conn) Read(b []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(b)
-		if !c.silent() || errors.Is(err, os.ErrDeadlineExceeded) {
+		if !c.isStalled() || errors.Is(err, os.ErrDeadlineExceeded) {
 			return n, err
 		}
 		if err != nil {
@@ -155,35 +156,35 @@
 	}
 }
 
-// Write drops what it is given once the connection is silent.
+// Write drops its data and reports success once the connection is stalled.
 func (c *conn) Write(b []byte) (int, error) {
-	if c.silent() {
+	if c.isStalled() {
 		return len(b), nil
 	}
 	return c.Conn.Write(b)
 }
 
-// Close ends the connection, but leaves a silent one open until the server
-// ends: the other side must not see a FIN from it.
+// Close closes the connection. A stalled one stays open until the server stops,
+// because the client must not receive a FIN.
 func (c *conn) Close() error {
-	if c.silent() && c.s.t.Alive() {
+	if c.isStalled() && c.s.t.Alive() {
 		return nil
 	}
-	c.forget()
+	c.untrack()
 	return c.Conn.Close()
 }
 
-func (c *conn) forget() {
+func (c *conn) untrack() {
 	c.s.mu.Lock()
 	delete(c.s.conns, c)
 	c.s.mu.Unlock()
 }
 
-func (c *conn) silence() { c.once.Do(func() { close(c.quiet) }) }
+func (c *conn) stall() { c.once.Do(func() { close(c.stalled) }) }
 
-func (c *conn) silent() bool {
+func (c *conn) isStalled() bool {
 	select {
-	case <-c.quiet:
+	case <-c.stalled:
 		return true
 	default:
 		return false
@@ -194,6 +195,6 @@
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
 	}
-	c.forget()
+	c.untrack()
 	c.Conn.Close()
 }
--- a/standin/server_test.go
+++ b/standin/server_test.go
@@ -13,8 +13,9 @@
 
 const request = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 
-// counting serves a handler that counts its runs.
-func counting(t *testing.T) (*Server, *atomic.Int64) {
+// startCountingServer starts a server and returns it with the number of requests
+// that its handler has served.
+func startCountingServer(t *testing.T) (*Server, *atomic.Int64) {
 	t.Helper()
 	var runs atomic.Int64
 	s, err := Serve(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -38,8 +39,8 @@
 	return c
 }
 
-// ask sends one request over c and reads its answer.
-func ask(t *testing.T, c net.Conn) {
+// roundTrip sends one request over c and reads the answer.
+func roundTrip(t *testing.T, c net.Conn) {
 	t.Helper()
 	io.WriteString(c, request)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -48,28 +49,28 @@
 	}
 }
 
-// A user sees requests over a kept connection time out one after the other
-// while everybody else is served: the connection went silent.
-func TestSilence(t *testing.T) {
-	s, runs := counting(t)
+// Requests over a stalled keep-alive connection must get no answer, and must not
+// reach the handler, while a new connection is served.
+func TestStall(t *testing.T) {
+	s, runs := startCountingServer(t)
 	old := dial(t, s)
-	ask(t, old)
+	roundTrip(t, old)
 	if n := s.Stall(context.Background()); n != 1 {
-		t.Fatalf("%d connections made silent", n)
+		t.Fatalf("%d connections stalled", n)
 	}
 	io.WriteString(old, request)
-	ask(t, dial(t, s))
+	roundTrip(t, dial(t, s))
 	s.Close()
 	rest, _ := io.ReadAll(old)
 	if len(rest) != 0 || runs.Load() != 2 {
-		t.Fatalf("the silent connection sent %q, %d runs", rest, runs.Load())
+		t.Fatalf("the stalled connection sent %q, %d runs", rest, runs.Load())
 	}
 }
 
 func TestCrash(t *testing.T) {
-	s, _ := counting(t)
+	s, _ := startCountingServer(t)
 	c := dial(t, s)
-	ask(t, c)
+	roundTrip(t, c)
 	s.Crash()
 	if _, err := c.Read(make([]byte, 1)); err == nil || errors.Is(err, io.EOF) {
 		t.Fatalf("read after the crash: %v, want a reset", err)
@@ -77,23 +78,23 @@
 	if _, err := net.Dial("tcp", s.Addr()); err == nil {
 		t.Fatal("still listening")
 	}
-	again, err := Serve(http.NotFoundHandler(), s.Addr())
+	restarted, err := Serve(http.NotFoundHandler(), s.Addr())
 	if err != nil {
 		t.Fatalf("restart at the same address: %v", err)
 	}
-	again.Close()
+	restarted.Close()
 }
 
-func TestCrossingAlone(t *testing.T) {
-	var c Swapper[string]
+func TestSwapper(t *testing.T) {
+	var s Swapper[string]
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if got := c.Swap(ctx, "own"); got != "own" {
+	if got := s.Swap(ctx, "own"); got != "own" {
 		t.Fatalf("got %q", got)
 	}
 	first := make(chan string, 1)
-	go func() { first <- c.Swap(t.Context(), "a") }()
-	b := c.Swap(t.Context(), "b")
+	go func() { first <- s.Swap(t.Context(), "a") }()
+	b := s.Swap(t.Context(), "b")
 	if a := <-first; a != "b" || b != "a" {
 		t.Fatalf("a got %q, b got %q", a, b)
 	}
--- a/standin/vmlist/vmlist.go
+++ b/standin/vmlist/vmlist.go
@@ -1,5 +1,5 @@
-// Package vmlist is the stand-in for the platform's list of VMs. Changes show
-// only after a lag, which can be switched while it runs.
+// Package vmlist is the stand-in for the platform's list of VMs. Changes become
+// visible only after a lag, which can be set at run time.
 package vmlist
 
 import (
@@ -23,50 +23,51 @@
 
 // Options are the settings of a List.
 type Options struct {
-	VMs []port.VM        // shown from the start
-	Lag time.Duration    // until a change shows
-	Now func() time.Time // clock of the lag
+	VMs []port.VM        // visible from the start
+	Lag time.Duration    // time until a change is visible
+	Now func() time.Time // clock for the lag
 }
 
-// List is the VM list. It is safe for concurrent use.
+// List is the stand-in VM list. It is safe for concurrent use.
 type List struct {
 	standin.Host
 	now func() time.Time
 
-	mu      sync.Mutex
-	lag     time.Duration
-	down    bool
-	shown   map[string]port.VM
-	pending []change
-	lists   int
+	mu        sync.Mutex
+	lag       time.Duration
+	down      bool
+	visible   map[string]port.VM
+	pending   []change
+	listCount int
 }
 
-// Record is what the list saw.
+// Record counts the calls of the list.
 type Record struct {
-	Lists int `json:"lists"` // answers given
+	Lists int `json:"lists"` // successful calls of List
 }
 
-// Record returns what the list saw so far.
+// Record returns the current record.
 func (l *List) Record() Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return Record{Lists: l.lists}
+	return Record{Lists: l.listCount}
 }
 
+// change is a change that isn't visible yet.
 type change struct {
-	at   time.Time
-	vm   port.VM
-	gone bool
+	at      time.Time
+	vm      port.VM
+	deleted bool
 }
 
-// New returns a list.
+// New returns a list with the given options.
 func New(o Options) *List {
-	l := &List{now: o.Now, lag: o.Lag, shown: make(map[string]port.VM)}
+	l := &List{now: o.Now, lag: o.Lag, visible: make(map[string]port.VM)}
 	if l.now == nil {
 		l.now = time.Now
 	}
 	for _, vm := range o.VMs {
-		l.shown[vm.ID] = vm
+		l.visible[vm.ID] = vm
 	}
 	return l
 }
@@ -74,30 +75,30 @@
 // Run serves the list over HTTP on addr.
 func (l *List) Run(addr string) error { return l.Start(l.Handler(), addr) }
 
-// Close ends the server.
+// Close stops the server.
 func (l *List) Close() error { return l.Stop() }
 
-// Put adds or changes a VM; it shows after the lag.
+// Put adds or replaces a VM. The change is visible after the lag.
 func (l *List) Put(vm port.VM) { l.add(change{vm: vm}) }
 
-// Delete takes a VM away; it shows after the lag.
-func (l *List) Delete(id string) { l.add(change{vm: port.VM{ID: id}, gone: true}) }
+// Delete removes a VM. The change is visible after the lag.
+func (l *List) Delete(id string) { l.add(change{vm: port.VM{ID: id}, deleted: true}) }
 
-// SetLag sets the lag, also of the changes that don't show yet.
+// SetLag sets the lag, also for changes that aren't visible yet.
 func (l *List) SetLag(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lag = d
 }
 
-// SetDown starts or ends an outage.
+// SetDown starts or ends an outage, in which List fails.
 func (l *List) SetDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.down = down
 }
 
-// List returns the VMs that show now, in the order of their ids.
+// List returns the visible VMs, sorted by id.
 func (l *List) List(ctx context.Context) ([]port.VM, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,10 +108,10 @@
 	if err := ctx.Err(); err != nil {
 		return nil, fmt.Errorf("vms: %w: %w", port.ErrUnavailable, err)
 	}
-	l.settle()
-	l.lists++
-	vms := make([]port.VM, 0, len(l.shown))
-	for _, vm := range l.shown {
+	l.applyDue()
+	l.listCount++
+	vms := make([]port.VM, 0, len(l.visible))
+	for _, vm := range l.visible {
 		vms = append(vms, vm)
 	}
 	slices.SortFunc(vms, func(a, b port.VM) int { return cmp.Compare(a.ID, b.ID) })
@@ -124,21 +125,22 @@
 	l.pending = append(l.pending, c)
 }
 
-// settle shows the changes whose lag is over.
-func (l *List) settle() {
+// applyDue makes the changes visible whose lag has passed.
+func (l *List) applyDue() {
 	due := l.now().Add(-l.lag)
 	for len(l.pending) > 0 && !l.pending[0].at.After(due) {
 		c := l.pending[0]
 		l.pending = l.pending[1:]
-		if c.gone {
-			delete(l.shown, c.vm.ID)
+		if c.deleted {
+			delete(l.visible, c.vm.ID)
 			continue
 		}
-		l.shown[c.vm.ID] = c.vm
+		l.visible[c.vm.ID] = c.vm
 	}
 }
 
-// Apply switches a fault: "lag" (ms), "refuse", "up".
+// Apply sets a fault by its kind: "lag" (ms) sets the lag, "refuse" starts an
+// outage and "up" ends it.
 func (l *List) Apply(_ context.Context, f standin.Fault) error {
 	switch f.Kind {
 	case "lag":
@@ -153,7 +155,7 @@
 	return nil
 }
 
-// Handler serves the list.
+// Handler serves the list and the stand-in's own endpoints under /_standin/.
 func (l *List) Handler() http.Handler {
 	r := bunrouter.New()
 	r.GET("/vms", l.serveList)
--- a/standin/weights/weights.go
+++ b/standin/weights/weights.go
@@ -1,5 +1,5 @@
-// Package weights is the stand-in for the weight store: model sizes and one
-// rate that all loaders share.
+// Package weights is the stand-in for the weight store. It knows the sizes of
+// model versions, and all loaders share its transfer rate.
 package weights
 
 import (
@@ -18,20 +18,20 @@
 	"github.com/pomelospool/pomelospool/standin"
 )
 
-// share is how often a loader takes its share of the rate.
-const share = 10 * time.Millisecond
+// loadTick is the interval at which a loader receives its share of the rate.
+const loadTick = 10 * time.Millisecond
 
 var errOutage = errors.New("outage")
 
 // Options are the settings of a Store.
 type Options struct {
-	Rate    float64          // bytes a second to all loaders together
-	Size    int64            // bytes of a model version not in Sizes
-	Sizes   map[string]int64 // by "model/version"
+	Rate    float64          // bytes per second, shared by all loaders; 0 is without limit
+	Size    int64            // bytes of a model version that isn't in Sizes
+	Sizes   map[string]int64 // bytes by "model/version"
 	Latency time.Duration
 }
 
-// Store is the weight store. It is safe for concurrent use.
+// Store is the stand-in weight store. It is safe for concurrent use.
 type Store struct {
 	standin.Host
 	opts Options
@@ -43,45 +43,45 @@
 	loads   int
 }
 
-// Record is what the store saw.
+// Record counts the loads from the store.
 type Record struct {
-	Loads   int `json:"loads"`   // that came to their end
-	Loading int `json:"loading"` // under way
+	Loads   int `json:"loads"`   // completed loads
+	Loading int `json:"loading"` // loads in progress
 }
 
-// Record returns what the store saw so far.
+// Record returns the current record.
 func (s *Store) Record() Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Record{Loads: s.loads, Loading: s.loaders}
 }
 
-// New returns a store.
+// New returns a store with the given options.
 func New(o Options) *Store { return &Store{opts: o, rate: o.Rate} }
 
 // Run serves the store over HTTP on addr.
 func (s *Store) Run(addr string) error { return s.Start(s.Handler(), addr) }
 
-// Close ends the server.
+// Close stops the server.
 func (s *Store) Close() error { return s.Stop() }
 
-// SetRate sets the bytes a second.
+// SetRate sets the rate in bytes per second.
 func (s *Store) SetRate(bytes float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rate = bytes
 }
 
-// SetDown starts or ends an outage.
+// SetDown starts or ends an outage. Loads in progress pause during an outage.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
 }
 
-// Size returns the bytes of a model version.
+// Size returns the size of a model version in bytes.
 func (s *Store) Size(_ context.Context, model, version string) (int64, error) {
-	if _, err := s.state(); err != nil {
+	if _, err := s.currentRate(); err != nil {
 		return 0, err
 	}
 	if n, ok := s.opts.Sizes[model+"/"+version]; ok {
@@ -90,38 +90,40 @@
 	return s.opts.Size, nil
 }
 
-// Rate returns the bytes a second.
-func (s *Store) Rate(context.Context) (float64, error) { return s.state() }
+// Rate returns the rate in bytes per second.
+func (s *Store) Rate(context.Context) (float64, error) { return s.currentRate() }
 
-// Load returns once the weights have come at this loader's share of the rate.
+// Load returns after the time that the weights take to load at this loader's
+// share of the rate.
 func (s *Store) Load(ctx context.Context, model, version string) error {
 	size, err := s.Size(ctx, model, version)
 	if err != nil {
 		return err
 	}
-	s.count(1)
-	defer s.count(-1)
-	ticker := time.NewTicker(share)
+	s.addLoaders(1)
+	defer s.addLoaders(-1)
+	ticker := time.NewTicker(loadTick)
 	defer ticker.Stop()
-	for left := float64(size); left > 0; {
+	for remaining := float64(size); remaining > 0; {
 		select {
 		case <-ticker.C:
-			left -= s.part()
+			remaining -= s.bytesPerTick()
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
-	s.loaded()
+	s.countLoad()
 	return nil
 }
 
-func (s *Store) loaded() {
+func (s *Store) countLoad() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loads++
 }
 
-func (s *Store) state() (float64, error) {
+// currentRate returns the rate, or an error during an outage.
+func (s *Store) currentRate() (float64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
@@ -130,15 +132,15 @@
 	return s.rate, nil
 }
 
-func (s *Store) count(n int) {
+func (s *Store) addLoaders(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loaders += n
 }
 
-// part returns the bytes for one loader in one share; a store without a rate
-// gives all at once.
-func (s *Store) part() float64 {
+// bytesPerTick returns the bytes that one loader receives in one tick. A store
+// without a rate delivers all of them at once.
+func (s *Store) bytesPerTick() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
@@ -147,10 +149,11 @@
 	if s.rate <= 0 {
 		return float64(1 << 62)
 	}
-	return s.rate * share.Seconds() / float64(s.loaders)
+	return s.rate * loadTick.Seconds() / float64(s.loaders)
 }
 
-// Apply switches a fault: "rate" (value), "refuse", "up".
+// Apply sets a fault by its kind: "rate" (value) sets the rate, "refuse" starts an
+// outage and "up" ends it.
 func (s *Store) Apply(_ context.Context, f standin.Fault) error {
 	switch f.Kind {
 	case "rate":
@@ -175,8 +178,8 @@
 	BytesPerSecond float64 `json:"bytes_per_second"`
 }
 
-// Handler serves the store. GET /models/{model}/{version}/weights answers
-// once the weights have come.
+// Handler serves the store. GET /models/{model}/{version}/weights answers once
+// the weights are loaded.
 func (s *Store) Handler() http.Handler {
 	r := bunrouter.New()
 	r.GET("/rate", func(w http.ResponseWriter, req bunrouter.Request) error {
@@ -208,7 +211,8 @@
 	return nil
 }
 
-// Fetch loads a model version from the store at base and drops the bytes.
+// Fetch loads a model version from the store at the URL base and discards the
+// bytes.
 func Fetch(ctx context.Context, base, model, version string) error {
 	u := base + "/models/" + url.PathEscape(model) + "/" + url.PathEscape(version) + "/weights"
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u, nil)
--- a/standin/weights/weights_test.go
+++ b/standin/weights/weights_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// loadTime returns how long n loaders at once take for one model version.
+// loadTime returns the time that n concurrent loaders take for one model version.
 func loadTime(t *testing.T, s *Store, n int) time.Duration {
 	t.Helper()
 	begin := time.Now()
@@ -20,7 +20,7 @@
 		})
 	}
 	wg.Wait()
-	return time.Since(begin).Round(10 * share)
+	return time.Since(begin).Round(10 * loadTick)
 }
 
 func TestLoadersShareTheRate(t *testing.T) {
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestOutageHoldsALoad(t *testing.T) {
+func TestOutagePausesLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Options{Rate: 1e6, Size: 1e7})
 		time.AfterFunc(time.Second, func() { s.SetDown(true) })
