--- a/bench/audit/judge.go
+++ b/bench/audit/judge.go
@@ -209,7 +209,7 @@
 			row.Crossed++
 			r.bad("crossed: %s", o.line())
 		}
-		if o.Faults.Doubled > 0 {
+		if o.Faults.Duplicated > 0 {
 			row.Doubled++
 			r.bad("doubled tokens: %s", o.line())
 		}
--- a/bench/audit/judge_test.go
+++ b/bench/audit/judge_test.go
@@ -36,7 +36,7 @@
 		{"stream refused", []Outcome{stream(refused)}, 0, Row{NotRun: 1}},
 		{"stream too short", []Outcome{stream(with(whole, func(o *Outcome) { o.Tokens = 8 }))}, 0, Row{Answered: 1, Cut: 1}},
 		{"stream with a gap", []Outcome{stream(with(whole, func(o *Outcome) { o.Faults.Lost = 1 }))}, 0, Row{Answered: 1, Cut: 1}},
-		{"stream with a token twice", []Outcome{stream(with(whole, func(o *Outcome) { o.Faults.Doubled = 1 }))}, 0, Row{Answered: 1, Doubled: 1}},
+		{"stream with a token twice", []Outcome{stream(with(whole, func(o *Outcome) { o.Faults.Duplicated = 1 }))}, 0, Row{Answered: 1, Doubled: 1}},
 		{"stream of another", []Outcome{stream(with(whole, func(o *Outcome) { o.Faults.Wrong = 1 }))}, 0, Row{Answered: 1, Crossed: 1}},
 		{"stream cut, told", []Outcome{stream(Outcome{Code: code.StreamCut, Status: 200})}, 0, Row{Cut: 1}},
 		{"given up, told", []Outcome{stream(Outcome{Code: code.TargetFailed, Status: 502})}, 0, Row{Told: 1}},
--- a/bench/chaos/load.go
+++ b/bench/chaos/load.go
@@ -115,7 +115,7 @@
 func Load(ctx context.Context, o LoadOptions, out io.Writer) error {
 	l := &load{o: o, start: time.Now(), enc: json.NewEncoder(out)}
 	for i := range max(len(o.Zones), 1) * callersAZone {
-		opts := caller.Options{Daemons: o.Callers, Attempts: maxAttempts, Seed: o.Seed + uint64(i)}
+		opts := caller.Options{Daemons: o.Callers, MaxAttempts: maxAttempts, Seed: o.Seed + uint64(i)}
 		if len(o.Zones) > 0 {
 			opts.Zone = o.Zones[i%len(o.Zones)]
 		}
@@ -163,9 +163,9 @@
 	answer, err := l.clients[client].Do(ctx, r)
 	o := &audit.Outcome{
 		Kind: a.kind, ID: r.ID, Key: r.Key, Resend: again,
-		Code: answer.Code, Status: answer.Status, NotRun: answer.NotRun, Whole: answer.Whole,
+		Code: answer.Code, Status: answer.Status, NotRun: answer.NotRun, Whole: answer.Complete,
 		Asked: a.tokens, Tokens: answer.Tokens, OwnBody: bytes.Equal(answer.Body, r.Body),
-		Attempts: answer.Attempts, Cut: answer.Cut, Faults: answer.Faults, Addr: answer.Addr,
+		Attempts: answer.Attempts, Cut: answer.CutAttempts, Faults: answer.Faults, Addr: answer.Addr,
 		StartMs: begin.Sub(l.start).Milliseconds(), TookMs: answer.Total.Milliseconds(),
 		DeadlineMs: r.Deadline.Milliseconds(),
 	}
--- a/cmd/pomelosbench/added.go
+++ b/cmd/pomelosbench/added.go
@@ -40,7 +40,7 @@
 }
 
 func (c *addedLatencyCommand) client(addr string) *caller.Client {
-	return caller.New(caller.Options{Daemons: []string{addr}, Fixed: true, Attempts: 1})
+	return caller.New(caller.Options{Daemons: []string{addr}, SkipDiscovery: true, MaxAttempts: 1})
 }
 
 const (
--- a/operator/caller/book.go
+++ b/operator/caller/book.go
@@ -41,7 +41,7 @@
 }
 
 func (c *Client) fetch(ctx context.Context, addr string) (Addresses, error) {
-	if c.opts.Fixed {
+	if c.opts.SkipDiscovery {
 		return c.fixed(), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
--- a/operator/caller/caller.go
+++ b/operator/caller/caller.go
@@ -44,15 +44,15 @@
 
 // Options of a Client.
 type Options struct {
-	Daemons  []string    // callers' ports, host:port, to ask for addresses first
-	Zone     string      // the caller's availability zone, whose daemons come first
-	TLS      *tls.Config // nil means plain TCP
-	Fixed    bool        // use Daemons as they are and ask nobody for addresses
-	Attempts int         // in all; 4
-	Seed     uint64      // for the choice among addresses
-
-	First   time.Duration // least wait for an answer to begin; 5s, and never under a third of the deadline
-	Between time.Duration // longest wait between two reads of an answer; 5s
+	Daemons       []string    // callers' ports, host:port, to ask for addresses first
+	Zone          string      // the caller's availability zone, whose daemons come first
+	TLS           *tls.Config // nil means plain TCP
+	SkipDiscovery bool        // use Daemons as they are and ask nobody for addresses
+	MaxAttempts   int         // in all; 4
+	Seed          uint64      // for the choice among addresses
+
+	MinHeaderTimeout time.Duration // least wait for an answer to begin; 5s, and never under a third of the deadline
+	ReadTimeout      time.Duration // longest wait between two reads of an answer; 5s
 }
 
 // Client sends requests. It is safe for concurrent use.
@@ -65,14 +65,14 @@
 
 // New returns a client.
 func New(o Options) *Client {
-	if o.Attempts <= 0 {
-		o.Attempts = defaultAttempts
+	if o.MaxAttempts <= 0 {
+		o.MaxAttempts = defaultAttempts
 	}
-	if o.First <= 0 {
-		o.First = firstLeast
+	if o.MinHeaderTimeout <= 0 {
+		o.MinHeaderTimeout = firstLeast
 	}
-	if o.Between <= 0 {
-		o.Between = betweenReads
+	if o.ReadTimeout <= 0 {
+		o.ReadTimeout = betweenReads
 	}
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive}
 	c := &Client{opts: o, scheme: "http"}
@@ -107,7 +107,7 @@
 	Idempotent bool   // may run twice, so an attempt that was cut is repeated
 	// Token takes each token of a stream in order; may be nil. With a token
 	// of index 0 after others, the answer begins anew.
-	Token func(t Token)
+	OnToken func(t Token)
 	// Verify reports whether the text of token i is right; may be nil.
 	Verify func(i int, text string) bool
 }
@@ -120,10 +120,10 @@
 
 // Faults counts what must never reach a caller.
 type Faults struct {
-	Crossed int `json:"crossed"` // events or answers of another request
-	Doubled int `json:"doubled"` // tokens that came twice
-	Lost    int `json:"lost"`    // tokens that were left out
-	Wrong   int `json:"wrong"`   // tokens that Verify refused
+	Crossed    int `json:"crossed"` // events or answers of another request
+	Duplicated int `json:"doubled"` // tokens that came twice
+	Lost       int `json:"lost"`    // tokens that were left out
+	Wrong      int `json:"wrong"`   // tokens that Verify refused
 }
 
 // Any reports whether there was any fault.
@@ -131,22 +131,22 @@
 
 // Answer is what became of a request.
 type Answer struct {
-	ID          string        `json:"id"`
-	Addr        string        `json:"addr"` // of the last attempt
-	Attempts    int           `json:"attempts"`
-	Status      int           `json:"status"` // HTTP status of the last attempt, 0 if none came
-	Code        code.Code     `json:"code"`
-	NotRun      bool          `json:"not_run"`
-	RetryAfter  time.Duration `json:"retry_after_ns,omitempty"`
-	Whole       bool          `json:"whole"`
-	Cut         int           `json:"cut"` // attempts that ended without their end marker
-	Tokens      int           `json:"tokens"`
-	Faults      Faults        `json:"faults"`
-	First       time.Duration `json:"first_ns"`   // from the start to the first token
-	Between     time.Duration `json:"between_ns"` // mean time between tokens
-	Total       time.Duration `json:"total_ns"`
-	ContentType string        `json:"content_type,omitempty"`
-	Body        []byte        `json:"-"` // of an answer that is no stream
+	ID                string        `json:"id"`
+	Addr              string        `json:"addr"` // of the last attempt
+	Attempts          int           `json:"attempts"`
+	Status            int           `json:"status"` // HTTP status of the last attempt, 0 if none came
+	Code              code.Code     `json:"code"`
+	NotRun            bool          `json:"not_run"`
+	RetryAfter        time.Duration `json:"retry_after_ns,omitempty"`
+	Complete          bool          `json:"whole"`
+	CutAttempts       int           `json:"cut"` // attempts that ended without their end marker
+	Tokens            int           `json:"tokens"`
+	Faults            Faults        `json:"faults"`
+	TimeToFirstToken  time.Duration `json:"first_ns"`   // from the start to the first token
+	TimeBetweenTokens time.Duration `json:"between_ns"` // mean time between tokens
+	Total             time.Duration `json:"total_ns"`
+	ContentType       string        `json:"content_type,omitempty"`
+	Body              []byte        `json:"-"` // of an answer that is no stream
 }
 
 // chatMessage and completion are the bodies of model calls.
--- a/operator/caller/caller_test.go
+++ b/operator/caller/caller_test.go
@@ -158,7 +158,7 @@
 		{"daemon gone, same key", keyed, []act{vanish, whole}, code.OK, 2, 0, Faults{}},
 		{"crossed event", fixed, []act{stream(tok(0), other, tok(1), stop, done)}, code.OK, 1, 0, Faults{Crossed: 1}},
 		{"crossed answer", fixed, []act{crossedHeader}, code.AnswerMismatch, 1, 0, Faults{Crossed: 1}},
-		{"doubled token", fixed, []act{stream(tok(0), tok(0), tok(1), stop, done)}, code.OK, 1, 0, Faults{Doubled: 1}},
+		{"doubled token", fixed, []act{stream(tok(0), tok(0), tok(1), stop, done)}, code.OK, 1, 0, Faults{Duplicated: 1}},
 		{"lost token", fixed, []act{stream(tok(0), stop, done)}, code.AnswerMismatch, 1, 0, Faults{Lost: 1}},
 		{"wrong token", wrong, []act{whole}, code.AnswerMismatch, 1, 0, Faults{Wrong: 1}},
 	}
@@ -166,21 +166,21 @@
 		t.Run(tt.name, func(t *testing.T) {
 			f := newFleet(t, 3, tt.acts...)
 			var text []string
-			tt.req.Token = func(tok Token) {
+			tt.req.OnToken = func(tok Token) {
 				if tok.Index == 0 {
 					text = nil
 				}
 				text = append(text, tok.Text)
 			}
 			a, err := f.client().Do(t.Context(), tt.req)
-			if code.Of(err) != tt.code || a.Code != tt.code || a.Whole != (tt.code == code.OK) {
+			if code.Of(err) != tt.code || a.Code != tt.code || a.Complete != (tt.code == code.OK) {
 				t.Errorf("error %v, answer %+v, want code %d", err, a, tt.code)
 			}
 			hosts, keys := f.seen()
-			if a.Attempts != tt.attempts || len(hosts) != tt.attempts || a.Cut != tt.cut || a.Faults != tt.faults {
-				t.Errorf("%d attempts (%d seen), %d cut, %+v; want %d, %d, %+v", a.Attempts, len(hosts), a.Cut, a.Faults, tt.attempts, tt.cut, tt.faults)
+			if a.Attempts != tt.attempts || len(hosts) != tt.attempts || a.CutAttempts != tt.cut || a.Faults != tt.faults {
+				t.Errorf("%d attempts (%d seen), %d cut, %+v; want %d, %d, %+v", a.Attempts, len(hosts), a.CutAttempts, a.Faults, tt.attempts, tt.cut, tt.faults)
 			}
-			if a.Whole && tt.req.Stream && strings.Join(text, "") != " t0 t1 t2" {
+			if a.Complete && tt.req.Stream && strings.Join(text, "") != " t0 t1 t2" {
 				t.Errorf("text %q", text)
 			}
 			for i, k := range keys {
--- a/operator/caller/send.go
+++ b/operator/caller/send.go
@@ -37,7 +37,7 @@
 	defer cancel()
 	err := call.verdict(call.run(ctx))
 	call.a.Total = time.Since(start)
-	call.a.Whole = err == nil
+	call.a.Complete = err == nil
 	return call.a, err
 }
 
@@ -67,7 +67,7 @@
 
 func (c *call) run(ctx context.Context) error {
 	var last error
-	for c.a.Attempts < c.c.opts.Attempts {
+	for c.a.Attempts < c.c.opts.MaxAttempts {
 		addr, err := c.c.book.pick(ctx, c.avoid)
 		if err != nil {
 			return c.noAddress(last, err)
@@ -171,11 +171,11 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(content, maxBody))
 	if err != nil {
-		t.a.Cut++
+		t.a.CutAttempts++
 		return code.Wrap(code.StreamCut, err, "%s", addr)
 	}
 	t.a.Body = body
-	t.a.First = time.Since(t.start)
+	t.a.TimeToFirstToken = time.Since(t.start)
 	return nil
 }
 
--- a/operator/caller/silence.go
+++ b/operator/caller/silence.go
@@ -38,8 +38,8 @@
 		return ctx, nil, func() {}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
-	first := max(t.c.opts.First, t.r.Deadline/firstShare)
-	w := &watch{between: t.c.opts.Between}
+	first := max(t.c.opts.MinHeaderTimeout, t.r.Deadline/firstShare)
+	w := &watch{between: t.c.opts.ReadTimeout}
 	w.timer = time.AfterFunc(first, func() { cancel(errSilent) })
 	return ctx, w, func() {
 		w.timer.Stop()
--- a/operator/caller/silence_test.go
+++ b/operator/caller/silence_test.go
@@ -58,7 +58,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel() // each waits in real time
 			f := newFleet(t, 3, tt.acts...)
-			c := New(Options{Daemons: []string{host(f.servers[0])}, First: 50 * time.Millisecond, Between: 50 * time.Millisecond})
+			c := New(Options{Daemons: []string{host(f.servers[0])}, MinHeaderTimeout: 50 * time.Millisecond, ReadTimeout: 50 * time.Millisecond})
 			defer c.Close()
 			tt.req.Deadline = 3 * time.Second
 			a, err := c.Do(t.Context(), tt.req)
--- a/operator/caller/stream.go
+++ b/operator/caller/stream.go
@@ -48,7 +48,7 @@
 	for {
 		line, err := lines.ReadSlice('\n')
 		if err != nil {
-			t.a.Cut++
+			t.a.CutAttempts++
 			return code.Wrap(code.StreamCut, err, "after %d tokens", t.a.Tokens)
 		}
 		data, ok := bytes.CutPrefix(bytes.TrimSpace(line), dataPrefix)
@@ -69,7 +69,7 @@
 // every token in place.
 func (r *reader) done() error {
 	if !r.finished {
-		r.t.a.Cut++
+		r.t.a.CutAttempts++
 		return code.New(code.StreamCut, "ended unfinished after %d tokens", r.t.a.Tokens)
 	}
 	if r.t.wrong > 0 {
@@ -86,7 +86,7 @@
 	if c.Error != nil {
 		r.t.a.NotRun = c.Error.NotRun && r.t.a.Tokens == 0
 		if c.Error.Code == code.StreamCut {
-			r.t.a.Cut++
+			r.t.a.CutAttempts++
 		}
 		return r.t.wire(c.wireError)
 	}
@@ -111,7 +111,7 @@
 func (r *reader) token(i int, text string) {
 	a := r.t.a
 	if i < r.next {
-		a.Faults.Doubled++
+		a.Faults.Duplicated++
 		return
 	}
 	a.Faults.Lost += i - r.next
@@ -126,8 +126,8 @@
 		a.Faults.Wrong++
 		r.t.wrong++
 	}
-	if r.t.r.Token != nil {
-		r.t.r.Token(Token{Index: i, Text: text})
+	if r.t.r.OnToken != nil {
+		r.t.r.OnToken(Token{Index: i, Text: text})
 	}
 }
 
@@ -137,8 +137,8 @@
 	if r.first.IsZero() {
 		return
 	}
-	a.First = r.first.Sub(r.t.start)
+	a.TimeToFirstToken = r.first.Sub(r.t.start)
 	if a.Tokens > 1 {
-		a.Between = r.last.Sub(r.first) / time.Duration(a.Tokens-1)
+		a.TimeBetweenTokens = r.last.Sub(r.first) / time.Duration(a.Tokens-1)
 	}
 }
--- a/operator/ctl/call.go
+++ b/operator/ctl/call.go
@@ -65,7 +65,7 @@
 	defer cancel()
 	printer := &tokenPrinter{c: c}
 	if req.Stream {
-		req.Token = printer.token
+		req.OnToken = printer.token
 	}
 	var a *caller.Answer
 	err = c.app.progress(saying("call: waiting for the answer"), func() error {
--- a/operator/ctl/load.go
+++ b/operator/ctl/load.go
@@ -58,7 +58,7 @@
 	if err := c.show(s); err != nil {
 		return err
 	}
-	if !s.Good() {
+	if !s.Passed() {
 		return reported{code.New(code.Internal, "%d of %d requests failed", s.Failed, s.Sent)}
 	}
 	return nil
@@ -68,7 +68,7 @@
 	if !c.Direct {
 		return c.app.caller(c.Seed)
 	}
-	return caller.New(caller.Options{Daemons: c.app.Callers, Fixed: true, Seed: c.Seed}), nil
+	return caller.New(caller.Options{Daemons: c.app.Callers, SkipDiscovery: true, Seed: c.Seed}), nil
 }
 
 func (c *loadCommand) options() (load.Options, error) {
--- a/operator/ctl/load_test.go
+++ b/operator/ctl/load_test.go
@@ -43,13 +43,13 @@
 		if err := json.Unmarshal([]byte(out.String()), &s); err != nil {
 			t.Fatalf("exit %d, %v: %s%s", exit, err, out.String(), errs.String())
 		}
-		if (exit == ExitOK) != s.Good() {
+		if (exit == ExitOK) != s.Passed() {
 			t.Errorf("exit %d with %+v", exit, s)
 		}
 		return s
 	}
 	s := run()
-	if !s.Good() || !s.Verified || s.Sent < 30 || s.Whole != s.Sent || s.Attempts != s.Sent {
+	if !s.Passed() || !s.Verified || s.Sent < 30 || s.Complete != s.Sent || s.Attempts != s.Sent {
 		t.Errorf("without faults: %+v", s)
 	}
 	if svg, err := os.ReadFile(plot); err != nil || !strings.Contains(string(svg), "<svg") {
@@ -60,11 +60,11 @@
 			t.Fatal(err)
 		}
 		s = run()
-		if s.Whole != s.Sent || s.Attempts != s.Sent+2 {
-			t.Errorf("%s: %d of %d whole in %d attempts", f.Kind, s.Whole, s.Sent, s.Attempts)
+		if s.Complete != s.Sent || s.Attempts != s.Sent+2 {
+			t.Errorf("%s: %d of %d whole in %d attempts", f.Kind, s.Complete, s.Sent, s.Attempts)
 		}
-		if s.Cut+s.Faults.Crossed != 2 || (s.Cut == 2) != (f.Kind == "cut") || s.Faults.Wrong+s.Faults.Doubled+s.Faults.Lost > 0 {
-			t.Errorf("%s: %d cut, %+v", f.Kind, s.Cut, s.Faults)
+		if s.CutAttempts+s.Faults.Crossed != 2 || (s.CutAttempts == 2) != (f.Kind == "cut") || s.Faults.Wrong+s.Faults.Duplicated+s.Faults.Lost > 0 {
+			t.Errorf("%s: %d cut, %+v", f.Kind, s.CutAttempts, s.Faults)
 		}
 	}
 }
--- a/operator/load/load_test.go
+++ b/operator/load/load_test.go
@@ -22,7 +22,7 @@
 	}
 	advance(time.Millisecond)
 	whole := r.Verify == nil || r.Verify(0, "x")
-	a := &caller.Answer{Attempts: 1, Tokens: 1, Whole: whole, Total: time.Since(begin), First: time.Since(begin)}
+	a := &caller.Answer{Attempts: 1, Tokens: 1, Complete: whole, Total: time.Since(begin), TimeToFirstToken: time.Since(begin)}
 	if !whole {
 		a.Code = code.AnswerMismatch
 		a.Faults.Wrong = 1
@@ -47,14 +47,14 @@
 	for _, inFlight := range []int{1, 1000} {
 		synctest.Test(t, func(t *testing.T) {
 			s := Run(t.Context(), &stalling{time.Now()}, options(inFlight), new(Progress))
-			if !s.Good() || s.Whole != s.Planned || s.Planned < 900 || s.Planned > 1100 {
-				t.Fatalf("%d planned, %d whole", s.Planned, s.Whole)
+			if !s.Passed() || s.Complete != s.Planned || s.Planned < 900 || s.Planned > 1100 {
+				t.Fatalf("%d planned, %d whole", s.Planned, s.Complete)
 			}
-			if s.Answer.P90 < 500*time.Millisecond || s.Answer.Max < 1900*time.Millisecond {
-				t.Errorf("in flight %d: p90 %v, max %v: the stall is hidden", inFlight, s.Answer.P90, s.Answer.Max)
+			if s.TimeToCompletion.P90 < 500*time.Millisecond || s.TimeToCompletion.Max < 1900*time.Millisecond {
+				t.Errorf("in flight %d: p90 %v, max %v: the stall is hidden", inFlight, s.TimeToCompletion.P90, s.TimeToCompletion.Max)
 			}
-			if inFlight == 1 && s.Raw.P99 > 10*time.Millisecond {
-				t.Errorf("p99 from the true start is %v; the test shows nothing", s.Raw.P99)
+			if inFlight == 1 && s.Unadjusted.P99 > 10*time.Millisecond {
+				t.Errorf("p99 from the true start is %v; the test shows nothing", s.Unadjusted.P99)
 			}
 		})
 	}
@@ -94,7 +94,7 @@
 			return func(int, string) bool { return !strings.HasPrefix(p, "thread") }
 		}
 		s := Run(t.Context(), &stalling{time.Now()}, o, new(Progress))
-		if s.Good() || s.Failed == 0 || s.Failed != s.Faults.Wrong || s.Whole+s.Failed != s.Planned {
+		if s.Passed() || s.Failed == 0 || s.Failed != s.Faults.Wrong || s.Complete+s.Failed != s.Planned {
 			t.Errorf("%d failed, %d wrong of %d", s.Failed, s.Faults.Wrong, s.Planned)
 		}
 	})
--- a/operator/load/plan.go
+++ b/operator/load/plan.go
@@ -15,10 +15,10 @@
 
 // Kind is one kind of request of a mix.
 type Kind struct {
-	Name   string  `json:"name"`
-	Share  float64 `json:"share"`  // weight against the other kinds
-	Prompt int     `json:"prompt"` // mean tokens of the prompt
-	Output int     `json:"output"` // mean tokens of the answer
+	Name         string  `json:"name"`
+	Share        float64 `json:"share"`  // weight against the other kinds
+	PromptTokens int     `json:"prompt"` // mean tokens of the prompt
+	OutputTokens int     `json:"output"` // mean tokens of the answer
 }
 
 // DefaultMix has many short questions and some long threads.
@@ -45,11 +45,11 @@
 
 // Arrival is one planned request.
 type Arrival struct {
-	At     time.Duration // since the start of the run
-	Kind   int           // index in the mix
-	Prompt string
-	Output int // tokens to ask for
-	Org    string
+	At           time.Duration // since the start of the run
+	Kind         int           // index in the mix
+	Prompt       string
+	OutputTokens int // tokens to ask for
+	Org          string
 }
 
 const (
@@ -70,11 +70,11 @@
 		i := pick(rng, o.Mix)
 		k := o.Mix[i]
 		plan = append(plan, Arrival{
-			At:     at,
-			Kind:   i,
-			Prompt: prompt(rng, k, len(plan)),
-			Output: around(rng, k.Output),
-			Org:    fmt.Sprintf("org-%d", rng.IntN(max(o.Orgs, 1))),
+			At:           at,
+			Kind:         i,
+			Prompt:       prompt(rng, k, len(plan)),
+			OutputTokens: around(rng, k.OutputTokens),
+			Org:          fmt.Sprintf("org-%d", rng.IntN(max(o.Orgs, 1))),
 		})
 	}
 	return plan
@@ -104,7 +104,7 @@
 // prompt makes a text of its own for request n: half of it is shared with the
 // other requests of its thread.
 func prompt(rng *rand.Rand, k Kind, n int) string {
-	size := around(rng, k.Prompt) * bytesPerToken
+	size := around(rng, k.PromptTokens) * bytesPerToken
 	thread := rng.IntN(sharedPrefix)
 	var b strings.Builder
 	for i := 0; b.Len() < size/2; i++ {
--- a/operator/load/run.go
+++ b/operator/load/run.go
@@ -74,7 +74,7 @@
 }
 
 func send(ctx context.Context, d Doer, o Options, a Arrival, intended time.Time) sample {
-	r := caller.Chat(o.Model, a.Prompt, a.Output)
+	r := caller.Chat(o.Model, a.Prompt, a.OutputTokens)
 	r.Org = a.Org
 	r.Deadline = o.Deadline
 	if o.Verify != nil {
@@ -82,8 +82,8 @@
 	}
 	late := time.Since(intended)
 	answer, _ := d.Do(ctx, r) // the answer holds the code
-	if answer.Whole && answer.Tokens == 0 {
-		answer.Whole = false
+	if answer.Complete && answer.Tokens == 0 {
+		answer.Complete = false
 		answer.Code = code.StreamCut
 	}
 	return sample{kind: a.Kind, late: late, answer: *answer, sent: true}
--- a/operator/load/summary.go
+++ b/operator/load/summary.go
@@ -22,8 +22,8 @@
 	digits = 3
 )
 
-// Times is the distribution of a time.
-type Times struct {
+// Distribution is the distribution of a time.
+type Distribution struct {
 	Count int64         `json:"count"`
 	P50   time.Duration `json:"p50_ns"`
 	P90   time.Duration `json:"p90_ns"`
@@ -35,24 +35,24 @@
 	h *hdrhistogram.Histogram
 }
 
-func newTimes() *Times { return &Times{h: hdrhistogram.New(1, high, digits)} }
+func newTimes() *Distribution { return &Distribution{h: hdrhistogram.New(1, high, digits)} }
 
-func (t *Times) add(d time.Duration) { _ = t.h.RecordValue(min(max(int64(d/step), 0), high)) }
+func (t *Distribution) add(d time.Duration) { _ = t.h.RecordValue(min(max(int64(d/step), 0), high)) }
 
-// At returns the time at or below which a share q lies.
-func (t *Times) At(q float64) time.Duration {
+// Quantile returns the time at or below which a share q lies.
+func (t *Distribution) Quantile(q float64) time.Duration {
 	const percent = 100
 	return time.Duration(t.h.ValueAtQuantile(q*percent)) * step
 }
 
-func (t *Times) fill() {
+func (t *Distribution) fill() {
 	t.Count = t.h.TotalCount()
-	t.P50, t.P90, t.P95, t.P99, t.P999 = t.At(0.5), t.At(0.9), t.At(0.95), t.At(0.99), t.At(0.999)
+	t.P50, t.P90, t.P95, t.P99, t.P999 = t.Quantile(0.5), t.Quantile(0.9), t.Quantile(0.95), t.Quantile(0.99), t.Quantile(0.999)
 	t.Max = time.Duration(t.h.Max()) * step
 }
 
-// Ended is how many requests ended with a code.
-type Ended struct {
+// CodeCount is how many requests ended with a code.
+type CodeCount struct {
 	Code  code.Code `json:"code"`
 	Name  string    `json:"name"`
 	Count int       `json:"count"`
@@ -61,45 +61,45 @@
 // KindSummary is the part of one kind of request.
 type KindSummary struct {
 	Kind
-	Sent   int    `json:"sent"`
-	Whole  int    `json:"whole"`
-	First  *Times `json:"first"`
-	Answer *Times `json:"answer"`
+	Sent             int           `json:"sent"`
+	Complete         int           `json:"whole"`
+	TimeToFirstToken *Distribution `json:"first"`
+	TimeToCompletion *Distribution `json:"answer"`
 }
 
 // Summary is the result of a run. All times but Unadjusted count from the
 // intended arrival, and are those of whole answers.
 type Summary struct {
-	Rate     float64       `json:"rate"`
-	Seed     uint64        `json:"seed"`
-	Took     time.Duration `json:"took_ns"`
-	Planned  int           `json:"planned"`
-	Sent     int           `json:"sent"`
-	Whole    int           `json:"whole"`
-	NotRun   int           `json:"not_run"`  // refused, and truly not run
-	Failed   int           `json:"failed"`   // neither whole nor refused
-	Verified bool          `json:"verified"` // each token was checked
-	Attempts int           `json:"attempts"`
-	Cut      int           `json:"cut"` // attempts; a cut one may have been repeated
-	Faults   caller.Faults `json:"faults"`
-	Tokens   int           `json:"tokens"` // of whole answers
-	Goodput  float64       `json:"tokens_per_second"`
-	Ended    []Ended       `json:"ended"`
-	First    *Times        `json:"first"`
-	Between  *Times        `json:"between"`
-	Answer   *Times        `json:"answer"`
-	Late     *Times        `json:"late"`       // how late requests were sent
-	Raw      *Times        `json:"unadjusted"` // whole answers, from the true start
-	Kinds    []KindSummary `json:"kinds"`
+	Rate              float64       `json:"rate"`
+	Seed              uint64        `json:"seed"`
+	Elapsed           time.Duration `json:"took_ns"`
+	Planned           int           `json:"planned"`
+	Sent              int           `json:"sent"`
+	Complete          int           `json:"whole"`
+	NotRun            int           `json:"not_run"`  // refused, and truly not run
+	Failed            int           `json:"failed"`   // neither whole nor refused
+	Verified          bool          `json:"verified"` // each token was checked
+	Attempts          int           `json:"attempts"`
+	CutAttempts       int           `json:"cut"` // attempts; a cut one may have been repeated
+	Faults            caller.Faults `json:"faults"`
+	Tokens            int           `json:"tokens"` // of whole answers
+	TokensPerSecond   float64       `json:"tokens_per_second"`
+	ByCode            []CodeCount   `json:"ended"`
+	TimeToFirstToken  *Distribution `json:"first"`
+	TimeBetweenTokens *Distribution `json:"between"`
+	TimeToCompletion  *Distribution `json:"answer"`
+	SendDelay         *Distribution `json:"late"`       // how late requests were sent
+	Unadjusted        *Distribution `json:"unadjusted"` // whole answers, from the true start
+	Kinds             []KindSummary `json:"kinds"`
 }
 
 func sum(o Options, samples []sample, took time.Duration) *Summary {
 	s := &Summary{
-		Rate: o.Rate, Seed: o.Seed, Took: took, Planned: len(samples), Verified: o.Verify != nil,
-		First: newTimes(), Between: newTimes(), Answer: newTimes(), Late: newTimes(), Raw: newTimes(),
+		Rate: o.Rate, Seed: o.Seed, Elapsed: took, Planned: len(samples), Verified: o.Verify != nil,
+		TimeToFirstToken: newTimes(), TimeBetweenTokens: newTimes(), TimeToCompletion: newTimes(), SendDelay: newTimes(), Unadjusted: newTimes(),
 	}
 	for _, k := range o.Mix {
-		s.Kinds = append(s.Kinds, KindSummary{Kind: k, First: newTimes(), Answer: newTimes()})
+		s.Kinds = append(s.Kinds, KindSummary{Kind: k, TimeToFirstToken: newTimes(), TimeToCompletion: newTimes()})
 	}
 	ended := make(map[code.Code]int)
 	for _, x := range samples {
@@ -109,10 +109,10 @@
 		}
 	}
 	for c, n := range ended {
-		s.Ended = append(s.Ended, Ended{c, c.Info().Name, n})
+		s.ByCode = append(s.ByCode, CodeCount{c, c.Info().Name, n})
 	}
-	sort.Slice(s.Ended, func(i, j int) bool { return s.Ended[i].Code < s.Ended[j].Code })
-	s.Goodput = float64(s.Tokens) / took.Seconds()
+	sort.Slice(s.ByCode, func(i, j int) bool { return s.ByCode[i].Code < s.ByCode[j].Code })
+	s.TokensPerSecond = float64(s.Tokens) / took.Seconds()
 	for _, t := range s.times() {
 		t.fill()
 	}
@@ -124,44 +124,44 @@
 	s.Sent++
 	k.Sent++
 	s.Attempts += a.Attempts
-	s.Cut += a.Cut
+	s.CutAttempts += a.CutAttempts
 	s.Faults.Crossed += a.Faults.Crossed
-	s.Faults.Doubled += a.Faults.Doubled
+	s.Faults.Duplicated += a.Faults.Duplicated
 	s.Faults.Lost += a.Faults.Lost
 	s.Faults.Wrong += a.Faults.Wrong
-	s.Late.add(x.late)
+	s.SendDelay.add(x.late)
 	switch {
-	case !a.Whole && a.NotRun:
+	case !a.Complete && a.NotRun:
 		s.NotRun++
 		return
-	case !a.Whole:
+	case !a.Complete:
 		s.Failed++
 		return
 	}
-	s.Whole++
-	k.Whole++
+	s.Complete++
+	k.Complete++
 	s.Tokens += a.Tokens
-	s.First.add(x.late + a.First)
-	s.Answer.add(x.late + a.Total)
-	s.Raw.add(a.Total)
-	k.First.add(x.late + a.First)
-	k.Answer.add(x.late + a.Total)
-	if a.Between > 0 {
-		s.Between.add(a.Between)
+	s.TimeToFirstToken.add(x.late + a.TimeToFirstToken)
+	s.TimeToCompletion.add(x.late + a.Total)
+	s.Unadjusted.add(a.Total)
+	k.TimeToFirstToken.add(x.late + a.TimeToFirstToken)
+	k.TimeToCompletion.add(x.late + a.Total)
+	if a.TimeBetweenTokens > 0 {
+		s.TimeBetweenTokens.add(a.TimeBetweenTokens)
 	}
 }
 
-func (s *Summary) times() []*Times {
-	all := []*Times{s.First, s.Between, s.Answer, s.Late, s.Raw}
+func (s *Summary) times() []*Distribution {
+	all := []*Distribution{s.TimeToFirstToken, s.TimeBetweenTokens, s.TimeToCompletion, s.SendDelay, s.Unadjusted}
 	for _, k := range s.Kinds {
-		all = append(all, k.First, k.Answer)
+		all = append(all, k.TimeToFirstToken, k.TimeToCompletion)
 	}
 	return all
 }
 
-// Good reports whether every planned request was sent and answered whole or
+// Passed reports whether every planned request was sent and answered whole or
 // truly refused, without a fault.
-func (s *Summary) Good() bool {
+func (s *Summary) Passed() bool {
 	return s.Failed == 0 && s.Sent == s.Planned && !s.Faults.Any()
 }
 
@@ -173,27 +173,27 @@
 		verified = "every token verified"
 	}
 	fmt.Fprintf(w, "%d planned at %g/s, %d sent, %d whole (%s), %d refused and not run, %d failed, in %s\n",
-		s.Planned, s.Rate, s.Sent, s.Whole, verified, s.NotRun, s.Failed, s.Took.Round(time.Millisecond))
+		s.Planned, s.Rate, s.Sent, s.Complete, verified, s.NotRun, s.Failed, s.Elapsed.Round(time.Millisecond))
 	fmt.Fprintf(w, "%d attempts, %d cut; tokens crossed %d, doubled %d, lost %d, wrong %d; %.0f whole tokens/s\n",
-		s.Attempts, s.Cut, s.Faults.Crossed, s.Faults.Doubled, s.Faults.Lost, s.Faults.Wrong, s.Goodput)
+		s.Attempts, s.CutAttempts, s.Faults.Crossed, s.Faults.Duplicated, s.Faults.Lost, s.Faults.Wrong, s.TokensPerSecond)
 	fmt.Fprintln(w, "TIME\tCOUNT\tp50\tp90\tp95\tp99\tp99.9\tMAX")
-	row := func(name string, t *Times) {
+	row := func(name string, t *Distribution) {
 		fmt.Fprintf(w, "%s\t%d", name, t.Count)
 		for _, d := range []time.Duration{t.P50, t.P90, t.P95, t.P99, t.P999, t.Max} {
 			fmt.Fprintf(w, "\t%s", d)
 		}
 		fmt.Fprintln(w)
 	}
-	row("first token", s.First)
-	row("between tokens", s.Between)
-	row("whole answer", s.Answer)
-	row("whole, from true start", s.Raw)
-	row("sent late by", s.Late)
+	row("first token", s.TimeToFirstToken)
+	row("between tokens", s.TimeBetweenTokens)
+	row("whole answer", s.TimeToCompletion)
+	row("whole, from true start", s.Unadjusted)
+	row("sent late by", s.SendDelay)
 	for _, k := range s.Kinds {
-		row(k.Name+": first token", k.First)
-		row(k.Name+": whole answer", k.Answer)
+		row(k.Name+": first token", k.TimeToFirstToken)
+		row(k.Name+": whole answer", k.TimeToCompletion)
 	}
-	for _, e := range s.Ended {
+	for _, e := range s.ByCode {
 		fmt.Fprintf(w, "%d %s\t%d\n", int(e.Code), e.Name, e.Count)
 	}
 	return w.Flush()
@@ -202,7 +202,7 @@
 // Plot draws the times over their quantiles as SVG.
 func (s *Summary) Plot() ([]byte, error) {
 	return svgplot.Quantiles(fmt.Sprintf("%g requests a second", s.Rate),
-		svgplot.Curve{Name: "first token", At: s.First.At},
-		svgplot.Curve{Name: "whole answer", At: s.Answer.At},
-		svgplot.Curve{Name: "whole answer, from the true start", At: s.Raw.At})
+		svgplot.Curve{Name: "first token", At: s.TimeToFirstToken.Quantile},
+		svgplot.Curve{Name: "whole answer", At: s.TimeToCompletion.Quantile},
+		svgplot.Curve{Name: "whole answer, from the true start", At: s.Unadjusted.Quantile})
 }
--- a/process/daemon/crash_test.go
+++ b/process/daemon/crash_test.go
@@ -91,7 +91,7 @@
 	for i := range daemons * rounds {
 		a := f.ask(i%daemons, "the "+marker+" again")
 		last = a.Code
-		if a.Whole {
+		if a.Complete {
 			t.Fatal("the crashing prompt was answered in full")
 		}
 	}
@@ -102,7 +102,7 @@
 		t.Errorf("the last answer was %d, want %d", last, code.CrashConvicted)
 	}
 	for i := range daemons {
-		if a := f.ask(i, "an innocent question"); !a.Whole {
+		if a := f.ask(i, "an innocent question"); !a.Complete {
 			t.Errorf("daemon %d: unrelated request: code %d after %d attempts", i, a.Code, a.Attempts)
 		}
 	}
@@ -115,7 +115,7 @@
 	if !strings.Contains(prompt, marker) {
 		attempts = 10
 	}
-	c := caller.New(caller.Options{Daemons: []string{f.daemons[i].Listen().Callers}, Fixed: true, Attempts: attempts})
+	c := caller.New(caller.Options{Daemons: []string{f.daemons[i].Listen().Callers}, SkipDiscovery: true, MaxAttempts: attempts})
 	defer c.Close()
 	ctx, cancel := context.WithTimeout(f.t.Context(), 20*time.Second)
 	defer cancel()
@@ -137,7 +137,7 @@
 	f.ask(0, marker)
 	wg.Wait()
 	for i, a := range answers {
-		if !a.Whole {
+		if !a.Complete {
 			t.Errorf("unrelated request %d: code %d after %d attempts, %d tokens", i, a.Code, a.Attempts, a.Tokens)
 		}
 	}
--- a/process/daemon/daemon_test.go
+++ b/process/daemon/daemon_test.go
@@ -75,7 +75,7 @@
 	f.daemons[2].Kill()
 	eventually(t, "isolated", func() bool { return f.status(0).Code == code.Isolated })
 	runs := p.Record().Runs
-	c := caller.New(caller.Options{Daemons: []string{f.daemons[0].Listen().Callers}, Fixed: true, Attempts: 1})
+	c := caller.New(caller.Options{Daemons: []string{f.daemons[0].Listen().Callers}, SkipDiscovery: true, MaxAttempts: 1})
 	defer c.Close()
 	a, _ := c.Do(t.Context(), caller.Request{Path: "/s/feed/boards", Body: []byte("b")})
 	if a.Code != code.Isolated || !a.NotRun || p.Record().Runs != runs {
@@ -110,11 +110,11 @@
 	eventually(t, "the engine is live", func() bool { return len(f.status(0).Targets) == 1 && f.status(0).Targets[0].State == "live" })
 	const tokens = 250
 	old, other := f.daemons[0], f.daemons[1]
-	c := caller.New(caller.Options{Daemons: []string{old.Listen().Callers}, Fixed: true, Attempts: 1})
+	c := caller.New(caller.Options{Daemons: []string{old.Listen().Callers}, SkipDiscovery: true, MaxAttempts: 1})
 	defer c.Close()
 	req := caller.Chat("m", "hello", tokens)
 	begun, ended := make(chan struct{}), make(chan *caller.Answer, 1)
-	req.Token = func(tok caller.Token) {
+	req.OnToken = func(tok caller.Token) {
 		if tok.Index == 0 {
 			close(begun)
 		}
@@ -136,7 +136,7 @@
 		t.Fatal("the stream ended before the address list was updated; the test shows nothing")
 	default:
 	}
-	if a := <-ended; !a.Whole || a.Tokens != tokens || a.Cut > 0 {
+	if a := <-ended; !a.Complete || a.Tokens != tokens || a.CutAttempts > 0 {
 		t.Errorf("the stream in flight: %+v", a)
 	}
 	if err := <-stopped; err != nil {
--- a/process/daemon/leaving_test.go
+++ b/process/daemon/leaving_test.go
@@ -17,7 +17,7 @@
 	f.t.Helper()
 	for i := range f.daemons {
 		for range n {
-			if a := f.call(i, "", "b"); !a.Whole {
+			if a := f.call(i, "", "b"); !a.Complete {
 				f.t.Fatalf("daemon %d: %+v", i, a)
 			}
 		}
--- a/process/daemon/once_test.go
+++ b/process/daemon/once_test.go
@@ -24,7 +24,7 @@
 // run.
 func (f *fleet) call(i int, key, body string) *caller.Answer {
 	f.t.Helper()
-	c := caller.New(caller.Options{Daemons: []string{f.daemons[i].Listen().Callers}, Fixed: true, Attempts: 10})
+	c := caller.New(caller.Options{Daemons: []string{f.daemons[i].Listen().Callers}, SkipDiscovery: true, MaxAttempts: 10})
 	defer c.Close()
 	a, _ := c.Do(f.t.Context(), caller.Request{Path: "/s/feed/boards", Body: []byte(body), Key: key})
 	return a
@@ -40,7 +40,7 @@
 	eventually(t, "the other daemon sees the first as live", func() bool { live, _ := f.daemons[1].members.View().Reachable(); return live == 1 })
 	body := strings.Repeat("pomelo ", 10_000)
 	for i := range f.daemons {
-		if a := f.call(i, "large", body); !a.Whole || string(a.Body) != body {
+		if a := f.call(i, "large", body); !a.Complete || string(a.Body) != body {
 			t.Errorf("daemon %d: code %d, %d bytes of %d", i, a.Code, len(a.Body), len(body))
 		}
 	}
@@ -89,7 +89,7 @@
 	f.log.SetLatency(slowLog)
 	release()
 	for range calls {
-		if a := <-answers; !a.Whole {
+		if a := <-answers; !a.Complete {
 			t.Errorf("before the stop: %+v", a)
 		}
 	}
@@ -101,7 +101,7 @@
 	}
 	for i := range calls {
 		a := f.call(1, key(i), "body of "+key(i))
-		if n := p.Record().Keys[key(i)]; !a.Whole || string(a.Body) != "body of "+key(i) || n != 1 {
+		if n := p.Record().Keys[key(i)]; !a.Complete || string(a.Body) != "body of "+key(i) || n != 1 {
 			t.Errorf("%s at the other daemon: code %d, body %q, %d runs", key(i), a.Code, a.Body, n)
 		}
 	}
--- a/process/daemon/stop_test.go
+++ b/process/daemon/stop_test.go
@@ -32,7 +32,7 @@
 // expired.
 func (f *fleet) callUntil(i int, expired <-chan time.Time) {
 	f.t.Helper()
-	c := caller.New(caller.Options{Daemons: []string{f.daemons[i].Listen().Callers}, Fixed: true, Attempts: 1})
+	c := caller.New(caller.Options{Daemons: []string{f.daemons[i].Listen().Callers}, SkipDiscovery: true, MaxAttempts: 1})
 	defer c.Close()
 	ticker := time.NewTicker(2 * time.Millisecond)
 	defer ticker.Stop()
@@ -44,7 +44,7 @@
 			return
 		default:
 		}
-		if !a.Whole || a.Code != code.OK {
+		if !a.Complete || a.Code != code.OK {
 			f.t.Fatalf("call %d to an address that callers may still have cached: %+v", n, a)
 		}
 	}
