--- a/operator/caller/book.go
+++ b/operator/caller/book.go
@@ -14,7 +14,7 @@
 	"github.com/pomelospool/pomelospool/code"
 )
 
-// PathAddresses is where any daemon tells which addresses to use.
+// PathAddresses is the path at which any daemon lists the addresses to use.
 const PathAddresses = "/v1/addresses"
 
 const (
@@ -23,26 +23,27 @@
 	maxTTL       = time.Minute
 )
 
-// Address is one entry of a daemon's answer.
+// Address is one entry of Addresses.
 type Address struct {
 	Addr string `json:"addr"` // host:port
 	Zone string `json:"zone"` // availability zone
 }
 
-// Addresses is a daemon's answer.
+// Addresses is a daemon's answer at PathAddresses.
 type Addresses struct {
 	Addresses []Address `json:"addresses"`
-	TTLMs     int64     `json:"ttl_ms"` // how long they may be kept
+	TTLMs     int64     `json:"ttl_ms"` // how long the addresses may be cached
 }
 
-// Addresses asks for fresh addresses and says which daemon answered.
+// Addresses queries fresh addresses and returns them with the address of the
+// daemon that answered.
 func (c *Client) Addresses(ctx context.Context) (Addresses, string, error) {
-	return c.book.ask(ctx)
+	return c.cache.refresh(ctx)
 }
 
-func (c *Client) fetch(ctx context.Context, addr string) (Addresses, error) {
+func (c *Client) fetchAddresses(ctx context.Context, addr string) (Addresses, error) {
 	if c.opts.SkipDiscovery {
-		return c.fixed(), nil
+		return c.configuredAddresses(), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -62,9 +63,9 @@
 	return a, json.NewDecoder(io.LimitReader(resp.Body, maxEvent)).Decode(&a)
 }
 
-// book keeps addresses for as long as they may be kept. An address that failed
-// is used only when no other is left, until the next answer.
-type book struct {
+// addressCache caches addresses for their TTL. A failed address is used only
+// when no other is left, until the next refresh.
+type addressCache struct {
 	seeds []string
 	zone  string
 	fetch func(ctx context.Context, addr string) (Addresses, error)
@@ -76,8 +77,8 @@
 	expires time.Time
 }
 
-func newBook(o Options, fetch func(context.Context, string) (Addresses, error)) *book {
-	return &book{
+func newAddressCache(o Options, fetch func(context.Context, string) (Addresses, error)) *addressCache {
+	return &addressCache{
 		seeds:  o.Daemons,
 		zone:   o.Zone,
 		fetch:  fetch,
@@ -86,22 +87,22 @@
 	}
 }
 
-// pick returns an address, other than avoid if there is another, and in the
-// caller's zone if there is one.
-func (b *book) pick(ctx context.Context, avoid string) (string, error) {
-	if b.expired() {
-		if _, _, err := b.ask(ctx); err != nil && !b.any() {
+// pick returns a random address. It prefers addresses in the caller's zone, and
+// uses avoid and failed addresses only when no others are left.
+func (c *addressCache) pick(ctx context.Context, avoid string) (string, error) {
+	if c.expired() {
+		if _, _, err := c.refresh(ctx); err != nil && !c.hasAddresses() {
 			return "", err
 		}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var near, far, rest []string
-	for _, a := range b.known {
+	for _, a := range c.known {
 		switch {
-		case a.Addr == avoid || b.failed[a.Addr]:
+		case a.Addr == avoid || c.failed[a.Addr]:
 			rest = append(rest, a.Addr)
-		case a.Zone == b.zone:
+		case a.Zone == c.zone:
 			near = append(near, a.Addr)
 		default:
 			far = append(far, a.Addr)
@@ -109,43 +110,43 @@
 	}
 	for _, list := range [][]string{near, far, rest} {
 		if len(list) > 0 {
-			return list[b.rng.IntN(len(list))], nil
+			return list[c.rng.IntN(len(list))], nil
 		}
 	}
 	return "", code.New(code.DaemonUnreachable, "no daemon gave an address")
 }
 
-// fail notes that an address refused or failed.
-func (b *book) fail(addr string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.failed[addr] = true
+// markFailed marks an address whose daemon refused or failed.
+func (c *addressCache) markFailed(addr string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.failed[addr] = true
 }
 
-func (b *book) expired() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return !time.Now().Before(b.expires)
+func (c *addressCache) expired() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return !time.Now().Before(c.expires)
 }
 
-func (b *book) any() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.known) > 0
+func (c *addressCache) hasAddresses() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.known) > 0
 }
 
-// ask gets a fresh list from the first daemon that answers: those known now,
-// the failed ones last, and then those named at the start.
-func (b *book) ask(ctx context.Context) (Addresses, string, error) {
+// refresh gets a fresh list from the first daemon that answers, in the order of
+// refreshOrder.
+func (c *addressCache) refresh(ctx context.Context) (Addresses, string, error) {
 	var last error
-	for _, addr := range b.order() {
-		a, err := b.fetch(ctx, addr)
+	for _, addr := range c.refreshOrder() {
+		a, err := c.fetch(ctx, addr)
 		if err == nil && len(a.Addresses) > 0 {
-			b.store(a)
+			c.replace(a)
 			return a, addr, nil
 		}
 		if err == nil {
-			err = fmt.Errorf("%s knows no address", addr)
+			err = fmt.Errorf("%s returned no addresses", addr)
 		}
 		last = err
 		if ctx.Err() != nil {
@@ -155,40 +156,42 @@
 	return Addresses{}, "", code.Wrap(code.DaemonUnreachable, last, "no daemon gave an address")
 }
 
-func (b *book) order() []string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// refreshOrder returns the cached addresses and those of the options in random
+// order, with failed ones last.
+func (c *addressCache) refreshOrder() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var good, rest []string
 	seen := make(map[string]bool)
 	var all []string
-	for _, a := range b.known {
+	for _, a := range c.known {
 		all = append(all, a.Addr)
 	}
-	for _, a := range append(all, b.seeds...) {
+	for _, a := range append(all, c.seeds...) {
 		switch {
 		case seen[a]:
-		case b.failed[a]:
+		case c.failed[a]:
 			rest = append(rest, a)
 		default:
 			good = append(good, a)
 		}
 		seen[a] = true
 	}
-	b.rng.Shuffle(len(good), func(i, j int) { good[i], good[j] = good[j], good[i] })
+	c.rng.Shuffle(len(good), func(i, j int) { good[i], good[j] = good[j], good[i] })
 	return append(good, rest...)
 }
 
-func (b *book) store(a Addresses) {
+func (c *addressCache) replace(a Addresses) {
 	ttl := time.Duration(a.TTLMs) * time.Millisecond
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.known = a.Addresses
-	clear(b.failed)
-	b.expires = time.Now().Add(min(max(ttl, minTTL), maxTTL))
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.known = a.Addresses
+	clear(c.failed)
+	c.expires = time.Now().Add(min(max(ttl, minTTL), maxTTL))
 }
 
-// fixed answers with the daemons that the options name.
-func (c *Client) fixed() Addresses {
+// configuredAddresses returns the daemons named by the options.
+func (c *Client) configuredAddresses() Addresses {
 	a := Addresses{TTLMs: maxTTL.Milliseconds()}
 	for _, d := range c.opts.Daemons {
 		a.Addresses = append(a.Addresses, Address{Addr: d})
--- a/operator/caller/caller.go
+++ b/operator/caller/caller.go
@@ -1,6 +1,6 @@
-// Package caller is the library of those who call services: it gets addresses
-// from any daemon and keeps them for as long as they may be kept, sends
-// requests, parses streamed answers, and sends a request again only when it is
+// Package caller is the client library for calling services through daemons. It
+// gets addresses from any daemon and caches them for their TTL, sends requests
+// and parses streamed answers. It retries a request only when the request is
 // known not to have run, or may run twice.
 package caller
 
@@ -36,23 +36,25 @@
 	defaultDeadline = 30 * time.Second
 	dialTimeout     = 2 * time.Second
 	idleTimeout     = 30 * time.Second
-	idlePerHost     = 256
-	deadlineGrace   = time.Second // for the daemon's own refusal to arrive
+	maxIdlePerHost  = 256
+	deadlineGrace   = time.Second // lets the daemon's own refusal arrive before the client gives up
 	maxBody         = 64 << 20
 	maxEvent        = 1 << 20 // bytes of one event of a stream
 )
 
-// Options of a Client.
+// Options configures a Client.
 type Options struct {
-	Daemons       []string    // callers' ports, host:port, to ask for addresses first
-	Zone          string      // the caller's availability zone, whose daemons come first
+	Daemons       []string    // callers' ports (host:port) to query for addresses at first
+	Zone          string      // the caller's availability zone, whose daemons are preferred
 	TLS           *tls.Config // nil means plain TCP
-	SkipDiscovery bool        // use Daemons as they are and ask nobody for addresses
-	MaxAttempts   int         // in all; 4
-	Seed          uint64      // for the choice among addresses
-
-	MinHeaderTimeout time.Duration // least wait for an answer to begin; 5s, and never under a third of the deadline
-	ReadTimeout      time.Duration // longest wait between two reads of an answer; 5s
+	SkipDiscovery bool        // use Daemons as they are, without querying addresses
+	MaxAttempts   int         // including the first; default 4
+	Seed          uint64      // of the random choice among addresses
+
+	// MinHeaderTimeout is the least time to wait for an answer's header; default
+	// 5s. A third of the request's deadline applies if that is longer.
+	MinHeaderTimeout time.Duration
+	ReadTimeout      time.Duration // longest wait between two reads of an answer; default 5s
 }
 
 // Client sends requests. It is safe for concurrent use.
@@ -60,7 +62,7 @@
 	opts   Options
 	http   *http.Client
 	scheme string
-	book   *book
+	cache  *addressCache
 }
 
 // New returns a client.
@@ -69,32 +71,32 @@
 		o.MaxAttempts = defaultAttempts
 	}
 	if o.MinHeaderTimeout <= 0 {
-		o.MinHeaderTimeout = firstLeast
+		o.MinHeaderTimeout = defaultMinHeaderTimeout
 	}
 	if o.ReadTimeout <= 0 {
-		o.ReadTimeout = betweenReads
+		o.ReadTimeout = defaultReadTimeout
 	}
-	dialer := &net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive}
+	dialer := &net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAliveConfig}
 	c := &Client{opts: o, scheme: "http"}
 	c.http = &http.Client{Transport: &http.Transport{
 		DialContext:         dialer.DialContext,
 		TLSClientConfig:     o.TLS,
 		IdleConnTimeout:     idleTimeout,
-		MaxIdleConnsPerHost: idlePerHost,
+		MaxIdleConnsPerHost: maxIdlePerHost,
 	}}
 	if o.TLS != nil {
 		c.scheme = "https"
 	}
-	c.book = newBook(o, c.fetch)
+	c.cache = newAddressCache(o, c.fetchAddresses)
 	return c
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Request is one call. The zero values of the optional fields send no header.
+// Request is one call. An optional field with its zero value sends no header.
 type Request struct {
-	ID         string // X-Request-Id; made when empty
+	ID         string // X-Request-Id; generated when empty
 	Method     string // POST when empty
 	Path       string
 	Body       []byte
@@ -104,11 +106,11 @@
 	Org        string
 	Key        string // Idempotency-Key
 	Stream     bool   // the answer is a stream of tokens
-	Idempotent bool   // may run twice, so an attempt that was cut is repeated
-	// Token takes each token of a stream in order; may be nil. With a token
-	// of index 0 after others, the answer begins anew.
+	Idempotent bool   // may run twice, so an attempt that was cut off is repeated
+	// OnToken receives each token of a stream in order; may be nil. A token of
+	// index 0 after other tokens means that a retry restarts the answer.
 	OnToken func(t Token)
-	// Verify reports whether the text of token i is right; may be nil.
+	// Verify reports whether the text of token i is correct; may be nil.
 	Verify func(i int, text string) bool
 }
 
@@ -118,43 +120,44 @@
 	Text  string
 }
 
-// Faults counts what must never reach a caller.
+// Faults counts the defects of answers that must never reach a caller.
 type Faults struct {
-	Crossed    int `json:"crossed"` // events or answers of another request
-	Duplicated int `json:"doubled"` // tokens that came twice
-	Lost       int `json:"lost"`    // tokens that were left out
-	Wrong      int `json:"wrong"`   // tokens that Verify refused
+	Crossed    int `json:"crossed"` // events or answers that belong to another request
+	Duplicated int `json:"doubled"` // tokens received twice
+	Lost       int `json:"lost"`    // missing tokens
+	Wrong      int `json:"wrong"`   // tokens that Verify rejected
 }
 
-// Any reports whether there was any fault.
+// Any reports whether any count is above zero.
 func (f Faults) Any() bool { return f != Faults{} }
 
-// Answer is what became of a request.
+// Answer describes the outcome of a request.
 type Answer struct {
 	ID                string        `json:"id"`
-	Addr              string        `json:"addr"` // of the last attempt
+	Addr              string        `json:"addr"` // of the daemon of the last attempt
 	Attempts          int           `json:"attempts"`
-	Status            int           `json:"status"` // HTTP status of the last attempt, 0 if none came
+	Status            int           `json:"status"` // HTTP status of the last attempt, 0 without a response
 	Code              code.Code     `json:"code"`
 	NotRun            bool          `json:"not_run"`
 	RetryAfter        time.Duration `json:"retry_after_ns,omitempty"`
 	Complete          bool          `json:"whole"`
-	CutAttempts       int           `json:"cut"` // attempts that ended without their end marker
+	CutAttempts       int           `json:"cut"` // attempts whose answer ended without its end marker
 	Tokens            int           `json:"tokens"`
 	Faults            Faults        `json:"faults"`
-	TimeToFirstToken  time.Duration `json:"first_ns"`   // from the start to the first token
+	TimeToFirstToken  time.Duration `json:"first_ns"`   // from the start to the first token, or to the end of an unstreamed answer
 	TimeBetweenTokens time.Duration `json:"between_ns"` // mean time between tokens
 	Total             time.Duration `json:"total_ns"`
 	ContentType       string        `json:"content_type,omitempty"`
-	Body              []byte        `json:"-"` // of an answer that is no stream
+	Body              []byte        `json:"-"` // of a refusal or an unstreamed answer
 }
 
-// chatMessage and completion are the bodies of model calls.
+// chatMessage is one message of a chat request.
 type chatMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
+// completion is the body of a chat or completion request.
 type completion struct {
 	Model     string        `json:"model"`
 	Messages  []chatMessage `json:"messages,omitempty"`
@@ -163,7 +166,7 @@
 	Stream    bool          `json:"stream"`
 }
 
-// Chat returns a streamed chat request with one user's message.
+// Chat returns a streamed chat request with a single user message.
 func Chat(model, prompt string, maxTokens int) Request {
 	body, _ := json.Marshal(completion{
 		Model:     model,
--- a/operator/caller/caller_test.go
+++ b/operator/caller/caller_test.go
@@ -15,24 +15,24 @@
 	"github.com/pomelospool/pomelospool/code"
 )
 
-// act answers one attempt.
-type act func(w http.ResponseWriter, r *http.Request)
+// response is the handler of one attempt.
+type response func(w http.ResponseWriter, r *http.Request)
 
-// fleet is some daemons that answer the attempts of a test one after another,
-// whichever of them is asked.
-type fleet struct {
-	t       *testing.T
-	servers []*httptest.Server
-	extra   []string // further addresses that the daemons name
+// testFleet is a set of fake daemons that share one list of responses. Attempt i
+// gets response i, whichever daemon it is sent to; the last one repeats.
+type testFleet struct {
+	t          *testing.T
+	servers    []*httptest.Server
+	extraAddrs []string // further addresses that the daemons list
 
-	mu    sync.Mutex
-	acts  []act
-	hosts []string // which daemon got each attempt
-	keys  []string
+	mu        sync.Mutex
+	responses []response
+	hosts     []string // host of the daemon that received each attempt
+	keys      []string
 }
 
-func newFleet(t *testing.T, n int, acts ...act) *fleet {
-	f := &fleet{t: t, acts: acts}
+func newTestFleet(t *testing.T, n int, responses ...response) *testFleet {
+	f := &testFleet{t: t, responses: responses}
 	for range n {
 		s := httptest.NewServer(f)
 		t.Cleanup(s.Close)
@@ -41,13 +41,13 @@
 	return f
 }
 
-func (f *fleet) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *testFleet) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == PathAddresses {
 		a := Addresses{TTLMs: 60000}
 		for i, s := range f.servers {
 			a.Addresses = append(a.Addresses, Address{Addr: host(s), Zone: fmt.Sprint("zone-", i)})
 		}
-		for _, e := range f.extra {
+		for _, e := range f.extraAddrs {
 			a.Addresses = append(a.Addresses, Address{Addr: e})
 		}
 		_ = json.NewEncoder(w).Encode(a)
@@ -55,21 +55,21 @@
 	}
 	_, _ = io.Copy(io.Discard, r.Body)
 	f.mu.Lock()
-	i := min(len(f.hosts), len(f.acts)-1)
+	i := min(len(f.hosts), len(f.responses)-1)
 	f.hosts = append(f.hosts, r.Host)
 	f.keys = append(f.keys, r.Header.Get(HeaderKey))
 	f.mu.Unlock()
-	f.acts[i](w, r)
+	f.responses[i](w, r)
 }
 
-// seen returns which daemon got each attempt, and its keys.
-func (f *fleet) seen() (hosts, keys []string) {
+// attempts returns the host and the key of each attempt.
+func (f *testFleet) attempts() (hosts, keys []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.hosts), slices.Clone(f.keys)
 }
 
-func (f *fleet) client() *Client {
+func (f *testFleet) client() *Client {
 	c := New(Options{Daemons: []string{host(f.servers[0])}, Seed: 1})
 	f.t.Cleanup(c.Close)
 	return c
@@ -77,8 +77,8 @@
 
 func host(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
 
-// stream sends events; ID in an event stands for the request's id.
-func stream(events ...string) act {
+// streamResponse sends events, with ID replaced by the request's id.
+func streamResponse(events ...string) response {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		for _, e := range events {
@@ -87,16 +87,16 @@
 	}
 }
 
-func tok(i int) string {
+func tokenEvent(i int) string {
 	return fmt.Sprintf(`{"id":"ID","token_index":%d,"choices":[{"delta":{"content":" t%d"}}]}`, i, i)
 }
 
 const (
-	stop = `{"id":"ID","token_index":2,"choices":[{"delta":{"content":" t2"},"finish_reason":"stop"}]}`
-	done = "[DONE]"
+	stopEvent = `{"id":"ID","token_index":2,"choices":[{"delta":{"content":" t2"},"finish_reason":"stop"}]}`
+	doneEvent = "[DONE]"
 )
 
-func refuse(c code.Code, header, body bool) act {
+func refusal(c code.Code, header, body bool) response {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if header {
 			w.Header().Set(HeaderNotRun, "true")
@@ -106,19 +106,19 @@
 	}
 }
 
-// vanish closes the connection without an answer, as a killed daemon does.
-func vanish(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+// abortConnection closes the connection without an answer, as a killed daemon does.
+func abortConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-func crossedHeader(w http.ResponseWriter, r *http.Request) {
+func answerOfAnotherRequest(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(HeaderRequestID, "another")
-	stream(tok(0), tok(1), stop, done)(w, r)
+	streamResponse(tokenEvent(0), tokenEvent(1), stopEvent, doneEvent)(w, r)
 }
 
-// Daemons refuse, vanish, cut an answer or give another request's. The caller
-// must come to its own whole answer or a true code, and send again only what
-// may be sent again.
-func TestDo(t *testing.T) {
-	whole := stream(tok(0), tok(1), stop, done)
+// Daemons refuse, close the connection, cut an answer or send another request's
+// answer. The client must return a complete answer or the correct code, and must
+// not retry a request that may have run and may not run twice.
+func TestDoRetriesOnlyWhenSafe(t *testing.T) {
+	complete := streamResponse(tokenEvent(0), tokenEvent(1), stopEvent, doneEvent)
 	other := `{"id":"another","token_index":0,"choices":[{"delta":{"content":" x"}}]}`
 	broken := `{"error":{"code":2006,"message":"gone","not_run":false}}`
 	chat := Chat("m", "hello", 3)
@@ -132,39 +132,39 @@
 	keyed := plain
 	keyed.Key = "k1"
 	tests := []struct {
-		name     string
-		req      Request
-		acts     []act
-		code     code.Code
-		attempts int
-		cut      int
-		faults   Faults
+		name      string
+		req       Request
+		responses []response
+		code      code.Code
+		attempts  int
+		cut       int
+		faults    Faults
 	}{
-		{"whole", verified, []act{whole}, code.OK, 1, 0, Faults{}},
-		{"draining, then another", chat, []act{refuse(code.Draining, true, true), whole}, code.OK, 2, 0, Faults{}},
-		{"overloaded, later", chat, []act{refuse(code.Overloaded, true, true), whole}, code.OK, 2, 0, Faults{}},
-		// A refusal that doesn't say "not run" twice over may have run.
-		{"not run only in the body", plain, []act{refuse(code.Draining, false, true), whole}, code.Draining, 1, 0, Faults{}},
-		{"not run only in the header", plain, []act{refuse(code.Draining, true, false), whole}, code.Draining, 1, 0, Faults{}},
-		{"refused for good", chat, []act{refuse(code.PromptTooLong, true, true), whole}, code.PromptTooLong, 1, 0, Faults{}},
-		{"outcome unknown, with key", keyed, []act{refuse(code.OutcomeUnknown, false, false), whole}, code.OutcomeUnknown, 1, 0, Faults{}},
-		// A daemon is killed after it sent some tokens. The connection closes
-		// in good order, only the end marker is missing.
-		{"cut, restarted", chat, []act{stream(tok(0), tok(1)), whole}, code.OK, 2, 1, Faults{}},
-		{"cut, no restart", fixed, []act{stream(tok(0), tok(1)), whole}, code.StreamCut, 1, 1, Faults{}},
-		{"end marker without finish", fixed, []act{stream(tok(0), tok(1), done)}, code.StreamCut, 1, 1, Faults{}},
-		{"error within the stream", fixed, []act{stream(tok(0), broken)}, code.StreamCut, 1, 1, Faults{}},
-		{"daemon gone, no key", plain, []act{vanish, whole}, code.OutcomeUnknown, 1, 0, Faults{}},
-		{"daemon gone, same key", keyed, []act{vanish, whole}, code.OK, 2, 0, Faults{}},
-		{"crossed event", fixed, []act{stream(tok(0), other, tok(1), stop, done)}, code.OK, 1, 0, Faults{Crossed: 1}},
-		{"crossed answer", fixed, []act{crossedHeader}, code.AnswerMismatch, 1, 0, Faults{Crossed: 1}},
-		{"doubled token", fixed, []act{stream(tok(0), tok(0), tok(1), stop, done)}, code.OK, 1, 0, Faults{Duplicated: 1}},
-		{"lost token", fixed, []act{stream(tok(0), stop, done)}, code.AnswerMismatch, 1, 0, Faults{Lost: 1}},
-		{"wrong token", wrong, []act{whole}, code.AnswerMismatch, 1, 0, Faults{Wrong: 1}},
+		{"whole", verified, []response{complete}, code.OK, 1, 0, Faults{}},
+		{"draining, then another", chat, []response{refusal(code.Draining, true, true), complete}, code.OK, 2, 0, Faults{}},
+		{"overloaded, later", chat, []response{refusal(code.Overloaded, true, true), complete}, code.OK, 2, 0, Faults{}},
+		// Unless both the header and the body say "not run", the call may have run.
+		{"not run only in the body", plain, []response{refusal(code.Draining, false, true), complete}, code.Draining, 1, 0, Faults{}},
+		{"not run only in the header", plain, []response{refusal(code.Draining, true, false), complete}, code.Draining, 1, 0, Faults{}},
+		{"refused for good", chat, []response{refusal(code.PromptTooLong, true, true), complete}, code.PromptTooLong, 1, 0, Faults{}},
+		{"outcome unknown, with key", keyed, []response{refusal(code.OutcomeUnknown, false, false), complete}, code.OutcomeUnknown, 1, 0, Faults{}},
+		// A daemon is killed after it sent some tokens. The connection is closed
+		// cleanly, and only the end marker is missing.
+		{"cut, restarted", chat, []response{streamResponse(tokenEvent(0), tokenEvent(1)), complete}, code.OK, 2, 1, Faults{}},
+		{"cut, no restart", fixed, []response{streamResponse(tokenEvent(0), tokenEvent(1)), complete}, code.StreamCut, 1, 1, Faults{}},
+		{"end marker without finish", fixed, []response{streamResponse(tokenEvent(0), tokenEvent(1), doneEvent)}, code.StreamCut, 1, 1, Faults{}},
+		{"error within the stream", fixed, []response{streamResponse(tokenEvent(0), broken)}, code.StreamCut, 1, 1, Faults{}},
+		{"daemon gone, no key", plain, []response{abortConnection, complete}, code.OutcomeUnknown, 1, 0, Faults{}},
+		{"daemon gone, same key", keyed, []response{abortConnection, complete}, code.OK, 2, 0, Faults{}},
+		{"crossed event", fixed, []response{streamResponse(tokenEvent(0), other, tokenEvent(1), stopEvent, doneEvent)}, code.OK, 1, 0, Faults{Crossed: 1}},
+		{"crossed answer", fixed, []response{answerOfAnotherRequest}, code.AnswerMismatch, 1, 0, Faults{Crossed: 1}},
+		{"doubled token", fixed, []response{streamResponse(tokenEvent(0), tokenEvent(0), tokenEvent(1), stopEvent, doneEvent)}, code.OK, 1, 0, Faults{Duplicated: 1}},
+		{"lost token", fixed, []response{streamResponse(tokenEvent(0), stopEvent, doneEvent)}, code.AnswerMismatch, 1, 0, Faults{Lost: 1}},
+		{"wrong token", wrong, []response{complete}, code.AnswerMismatch, 1, 0, Faults{Wrong: 1}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			f := newFleet(t, 3, tt.acts...)
+			f := newTestFleet(t, 3, tt.responses...)
 			var text []string
 			tt.req.OnToken = func(tok Token) {
 				if tok.Index == 0 {
@@ -176,9 +176,9 @@
 			if code.Of(err) != tt.code || a.Code != tt.code || a.Complete != (tt.code == code.OK) {
 				t.Errorf("error %v, answer %+v, want code %d", err, a, tt.code)
 			}
-			hosts, keys := f.seen()
+			hosts, keys := f.attempts()
 			if a.Attempts != tt.attempts || len(hosts) != tt.attempts || a.CutAttempts != tt.cut || a.Faults != tt.faults {
-				t.Errorf("%d attempts (%d seen), %d cut, %+v; want %d, %d, %+v", a.Attempts, len(hosts), a.CutAttempts, a.Faults, tt.attempts, tt.cut, tt.faults)
+				t.Errorf("%d attempts (%d received), %d cut, %+v; want %d, %d, %+v", a.Attempts, len(hosts), a.CutAttempts, a.Faults, tt.attempts, tt.cut, tt.faults)
 			}
 			if a.Complete && tt.req.Stream && strings.Join(text, "") != " t0 t1 t2" {
 				t.Errorf("text %q", text)
@@ -192,27 +192,27 @@
 	}
 }
 
-// A daemon that drains names others: the next attempt goes to one of those.
-func TestNextAttemptGoesElsewhere(t *testing.T) {
-	f := newFleet(t, 2, refuse(code.Draining, true, true), stream(tok(0), tok(1), stop, done))
+// A draining daemon refuses; the next attempt must go to another daemon.
+func TestRetryAfterDrainingUsesAnotherDaemon(t *testing.T) {
+	f := newTestFleet(t, 2, refusal(code.Draining, true, true), streamResponse(tokenEvent(0), tokenEvent(1), stopEvent, doneEvent))
 	if _, err := f.client().Do(t.Context(), Chat("m", "p", 3)); err != nil {
 		t.Fatal(err)
 	}
-	if hosts, _ := f.seen(); hosts[0] == hosts[1] {
+	if hosts, _ := f.attempts(); hosts[0] == hosts[1] {
 		t.Errorf("both attempts went to %s", hosts[0])
 	}
 }
 
-// A caller with a zone stays within it, until nothing there is left.
+// A client with a zone uses other zones only when every daemon in its own failed.
 func TestOwnZoneFirst(t *testing.T) {
 	ok := func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "{}") }
-	f := newFleet(t, 3, ok)
+	f := newTestFleet(t, 3, ok)
 	c := New(Options{Daemons: []string{host(f.servers[0])}, Zone: "zone-1"})
 	defer c.Close()
 	own := host(f.servers[1])
 	for i := range 12 {
 		if i == 6 {
-			c.book.fail(own)
+			c.cache.markFailed(own)
 		}
 		a, err := c.Do(t.Context(), Request{Path: "/s/app/x"})
 		if err != nil || (a.Addr == own) != (i < 6) {
@@ -221,49 +221,50 @@
 	}
 }
 
-// An address in a list may be a daemon that died since. A refused connection
-// proves that nothing ran, so even a call without a key goes on to the next.
+// A listed address may belong to a daemon that exited since. A refused connection
+// proves that nothing ran, so even a call without a key is sent to the next
+// address.
 func TestDeadAddressIsSkipped(t *testing.T) {
 	dead := httptest.NewServer(nil)
 	dead.Close()
 	ok := func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "{}") }
-	f := newFleet(t, 1, ok)
-	f.extra = []string{host(dead)}
+	f := newTestFleet(t, 1, ok)
+	f.extraAddrs = []string{host(dead)}
 	c := f.client()
 	for range 10 {
-		c.book.expires = time.Time{} // read the list again, with the dead address
+		c.cache.expires = time.Time{} // forces a refresh, which lists the dead address again
 		a, err := c.Do(t.Context(), Request{Path: "/s/app/x"})
 		if err != nil || a.Addr != host(f.servers[0]) {
 			t.Fatalf("%+v, %v", a, err)
 		}
 	}
-	if hosts, _ := f.seen(); len(hosts) != 10 {
+	if hosts, _ := f.attempts(); len(hosts) != 10 {
 		t.Errorf("%d runs for 10 calls", len(hosts))
 	}
 }
 
-// A daemon is killed while it runs a ticket confirmation; the caller asks the
-// others with the same key, and all of them are draining. Each of those refusals
-// is true, but a caller told "not run" for the whole would confirm the ticket
-// anew under another key, and charge the family twice.
+// A daemon is killed while it runs a call with a key. The client retries at the
+// other daemons, which are draining and refuse with "not run". If the client
+// reported "not run" for the whole call, the application would repeat it under
+// another key, and it would run twice.
 func TestNotRunHoldsForAllAttempts(t *testing.T) {
-	draining := refuse(code.Draining, true, true)
+	draining := refusal(code.Draining, true, true)
 	keyed := Request{Path: "/s/app/holds", Body: []byte("{}"), Key: "k1"}
 	chat := Chat("m", "hello", 3)
 	for _, tt := range []struct {
-		name   string
-		req    Request
-		acts   []act
-		code   code.Code
-		notRun bool
+		name      string
+		req       Request
+		responses []response
+		code      code.Code
+		notRun    bool
 	}{
-		{"all refused", keyed, []act{draining}, code.Draining, true},
-		{"daemon gone, then refused", keyed, []act{vanish, draining}, code.OutcomeUnknown, false},
-		{"busy, then refused", keyed, []act{refuse(code.KeyBusy, false, false), draining}, code.OutcomeUnknown, false},
-		{"stream cut, then refused", chat, []act{stream(tok(0)), draining}, code.OutcomeUnknown, false},
+		{"all refused", keyed, []response{draining}, code.Draining, true},
+		{"daemon gone, then refused", keyed, []response{abortConnection, draining}, code.OutcomeUnknown, false},
+		{"busy, then refused", keyed, []response{refusal(code.KeyBusy, false, false), draining}, code.OutcomeUnknown, false},
+		{"stream cut, then refused", chat, []response{streamResponse(tokenEvent(0)), draining}, code.OutcomeUnknown, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			a, err := newFleet(t, 3, tt.acts...).client().Do(t.Context(), tt.req)
+			a, err := newTestFleet(t, 3, tt.responses...).client().Do(t.Context(), tt.req)
 			if a.NotRun != tt.notRun || a.Code != tt.code || code.Of(err) != tt.code {
 				t.Errorf("not run %t, code %d, error %v; want %t, %d", a.NotRun, a.Code, err, tt.notRun, tt.code)
 			}
@@ -271,19 +272,19 @@
 	}
 }
 
-// All daemons are replaced at once, and for some seconds every address refuses
-// the connection, or the daemon there has not read the configuration yet. A
-// caller with time left must still be asking when the first one serves.
-func TestPausesGrowWhileNoDaemonServes(t *testing.T) {
+// While all daemons are replaced at once, every address refuses connections for
+// some seconds, or its daemon hasn't read the configuration yet. A client whose
+// deadline isn't reached must still retry when the first daemon serves.
+func TestRetryDelayGrowsWhileNoDaemonServes(t *testing.T) {
 	c := &call{a: &Answer{}}
 	var total time.Duration
 	for range 20 {
-		total += pauseElsewhere << c.doublings(step{again: true, elsewhere: true})
+		total += minRetryDelay << c.backoffDoublings(retryDecision{retry: true, otherDaemon: true})
 	}
 	if total < 5*time.Second || total > 15*time.Second {
 		t.Errorf("20 attempts last %v", total)
 	}
-	if n := c.doublings(step{again: true}); n != 0 {
+	if n := c.backoffDoublings(retryDecision{retry: true}); n != 0 {
 		t.Errorf("after a daemon that serves the pause is doubled %d times", n)
 	}
 }
--- a/operator/caller/send.go
+++ b/operator/caller/send.go
@@ -17,13 +17,13 @@
 	"github.com/pomelospool/pomelospool/code"
 )
 
-// answeredWhole is the result code of an answer that a target gave itself,
-// whatever its status.
-const answeredWhole = "0"
+// codeAnsweredByTarget is the X-Result-Code of an answer that comes from a
+// target, whatever its HTTP status.
+const codeAnsweredByTarget = "0"
 
-// Do sends r, again where that is safe, until it is answered whole, refused
-// for good or past its deadline. The error is a *code.Error; the answer holds
-// what came, also with an error.
+// Do sends r and retries it where that is safe, until it is answered completely,
+// refused permanently or past its deadline. The error is a *code.Error. The
+// answer holds what was received, even if there is an error.
 func (c *Client) Do(ctx context.Context, r Request) (*Answer, error) {
 	if r.ID == "" {
 		r.ID = uuid.NewString()
@@ -32,10 +32,10 @@
 		r.Deadline = defaultDeadline
 	}
 	start := time.Now()
-	call := &call{c: c, r: &r, a: &Answer{ID: r.ID}, start: start, end: start.Add(r.Deadline)}
-	ctx, cancel := context.WithDeadline(ctx, call.end.Add(deadlineGrace))
+	call := &call{c: c, r: &r, a: &Answer{ID: r.ID}, start: start, deadline: start.Add(r.Deadline)}
+	ctx, cancel := context.WithDeadline(ctx, call.deadline.Add(deadlineGrace))
 	defer cancel()
-	err := call.verdict(call.run(ctx))
+	err := call.finalError(call.runAttempts(ctx))
 	call.a.Total = time.Since(start)
 	call.a.Complete = err == nil
 	return call.a, err
@@ -43,49 +43,50 @@
 
 // call is one request with all its attempts.
 type call struct {
-	c      *Client
-	r      *Request
-	a      *Answer
-	start  time.Time
-	end    time.Time
-	avoid  string // address that refused or failed last
-	mayRun bool   // an attempt may have run
-	passed int    // attempts in a row at daemons that could not serve
+	c                *Client
+	r                *Request
+	a                *Answer
+	start            time.Time
+	deadline         time.Time
+	lastFailedAddr   string // last address whose daemon refused or failed
+	mayHaveRun       bool   // an attempt may have run
+	unavailableInRow int    // consecutive attempts at daemons that couldn't serve
 }
 
-// verdict corrects what the last attempt said about the whole request. A
-// refusal as not run is true for its own attempt only: after one that may have
-// run, a caller who takes it for the whole would send the call anew under
+// finalError turns the last attempt's error into that of the whole request. A
+// refusal marked "not run" holds for its own attempt only. If an earlier attempt
+// may have run, a caller that trusted the mark would send the call again under
 // another key, and it would run twice.
-func (c *call) verdict(err error) error {
-	if err == nil || !c.a.NotRun || !c.mayRun {
+func (c *call) finalError(err error) error {
+	if err == nil || !c.a.NotRun || !c.mayHaveRun {
 		return err
 	}
 	c.a.Code, c.a.NotRun = code.OutcomeUnknown, false
 	return code.Wrap(code.OutcomeUnknown, err, "an earlier attempt may have run")
 }
 
-func (c *call) run(ctx context.Context) error {
+func (c *call) runAttempts(ctx context.Context) error {
 	var last error
 	for c.a.Attempts < c.c.opts.MaxAttempts {
-		addr, err := c.c.book.pick(ctx, c.avoid)
+		addr, err := c.c.cache.pick(ctx, c.lastFailedAddr)
 		if err != nil {
-			return c.noAddress(last, err)
+			return c.addressError(last, err)
 		}
-		next, err := c.attempt(ctx, addr)
+		next, err := c.runAttempt(ctx, addr)
 		if err == nil {
 			return nil
 		}
 		last = err
-		if !next.again || time.Now().Add(next.after).After(c.end) || !wait(ctx, next.after) {
+		if !next.retry || time.Now().Add(next.delay).After(c.deadline) || !sleep(ctx, next.delay) {
 			return err
 		}
 	}
 	return last
 }
 
-// noAddress keeps the error of an earlier attempt, which says more.
-func (c *call) noAddress(last, err error) error {
+// addressError returns the error of an earlier attempt if there is one, because
+// it is more specific.
+func (c *call) addressError(last, err error) error {
 	if last != nil {
 		return last
 	}
@@ -93,136 +94,138 @@
 	return err
 }
 
-// attempt tries one address and says what to do if that failed.
-func (c *call) attempt(ctx context.Context, addr string) (step, error) {
+// runAttempt sends the request to one address and decides whether to retry it if
+// that fails.
+func (c *call) runAttempt(ctx context.Context, addr string) (retryDecision, error) {
 	c.a.Attempts++
 	c.a.Addr = addr
-	t := &try{c: c.c, r: c.r, a: c.a, start: c.start, end: c.end}
-	err := t.run(ctx, addr)
+	at := &attempt{c: c.c, r: c.r, a: c.a, start: c.start, deadline: c.deadline}
+	err := at.send(ctx, addr)
 	c.a.Code = code.Of(err)
 	if err == nil {
-		return step{}, nil
+		return retryDecision{}, nil
 	}
-	c.mayRun = c.mayRun || !c.a.NotRun
-	next := t.next(err)
-	next.after <<= c.doublings(next)
-	if next.elsewhere {
-		c.c.book.fail(addr)
-		c.avoid = addr
+	c.mayHaveRun = c.mayHaveRun || !c.a.NotRun
+	next := at.decideRetry(err)
+	next.delay <<= c.backoffDoublings(next)
+	if next.otherDaemon {
+		c.c.cache.markFailed(addr)
+		c.lastFailedAddr = addr
 	}
 	return next, err
 }
 
-// doublings gives how often the pause after an attempt is doubled: once more for
-// each daemon in a row that can't serve. While all daemons are replaced at once
-// none can, and with the log down they refuse for a while; a caller that ran
-// through its attempts within seconds would give up long before its deadline.
-func (c *call) doublings(next step) int {
-	if !next.elsewhere {
-		c.passed = 0
+// backoffDoublings returns how often the delay after an attempt is doubled: once
+// more for each consecutive daemon that can't serve. No daemon can serve while
+// all are replaced at once, and they refuse for a while when the log is down.
+// Without the backoff a caller would use up its attempts within seconds, long
+// before its deadline.
+func (c *call) backoffDoublings(next retryDecision) int {
+	if !next.otherDaemon {
+		c.unavailableInRow = 0
 		return 0
 	}
-	c.passed++
-	return min(c.passed-1, maxDoublings)
+	c.unavailableInRow++
+	return min(c.unavailableInRow-1, maxBackoffDoublings)
 }
 
-const maxDoublings = 5
+const maxBackoffDoublings = 5
 
-// try is one attempt.
-type try struct {
-	c     *Client
-	r     *Request
-	a     *Answer
-	start time.Time
-	end   time.Time
-	wrong int // tokens of this attempt that are lost or wrong
+// attempt sends a request once to one daemon.
+type attempt struct {
+	c         *Client
+	r         *Request
+	a         *Answer
+	start     time.Time
+	deadline  time.Time
+	badTokens int // lost or wrong tokens of this attempt
 }
 
-func (t *try) run(ctx context.Context, addr string) error {
-	t.a.Status, t.a.NotRun, t.a.RetryAfter = 0, false, 0
-	ctx, silence, stop := t.watchSilence(ctx)
+func (at *attempt) send(ctx context.Context, addr string) error {
+	at.a.Status, at.a.NotRun, at.a.RetryAfter = 0, false, 0
+	ctx, stall, stop := at.withStallTimer(ctx)
 	defer stop()
-	req, err := t.request(ctx, addr)
+	req, err := at.newRequest(ctx, addr)
 	if err != nil {
-		t.a.NotRun = true
-		return code.Wrap(code.BadRequest, err, "%s", t.r.Path)
+		at.a.NotRun = true
+		return code.Wrap(code.BadRequest, err, "%s", at.r.Path)
 	}
-	resp, err := t.c.http.Do(req)
+	resp, err := at.c.http.Do(req)
 	if err != nil {
-		return t.failed(ctx, addr, err)
+		return at.classifySendError(ctx, addr, err)
 	}
 	defer resp.Body.Close()
-	return t.answered(resp, silence.body(resp.Body), addr)
+	return at.readAnswer(resp, stall.wrapBody(resp.Body), addr)
 }
 
-// answered reads the answer of the daemon at addr.
-func (t *try) answered(resp *http.Response, content io.Reader, addr string) error {
-	t.a.Status = resp.StatusCode
-	t.a.ContentType = resp.Header.Get("Content-Type")
-	if id := resp.Header.Get(HeaderRequestID); id != "" && id != t.r.ID {
-		t.a.Faults.Crossed++
+// readAnswer reads the answer of the daemon at addr from content.
+func (at *attempt) readAnswer(resp *http.Response, content io.Reader, addr string) error {
+	at.a.Status = resp.StatusCode
+	at.a.ContentType = resp.Header.Get("Content-Type")
+	if id := resp.Header.Get(HeaderRequestID); id != "" && id != at.r.ID {
+		at.a.Faults.Crossed++
 		return code.New(code.AnswerMismatch, "%s answered request %s", addr, id)
 	}
-	if resp.StatusCode >= http.StatusBadRequest && resp.Header.Get(HeaderCode) != answeredWhole {
-		return t.refusal(resp)
+	if resp.StatusCode >= http.StatusBadRequest && resp.Header.Get(HeaderCode) != codeAnsweredByTarget {
+		return at.readRefusal(resp)
 	}
-	if t.r.Stream && strings.HasPrefix(t.a.ContentType, "text/event-stream") {
-		return t.stream(content)
+	if at.r.Stream && strings.HasPrefix(at.a.ContentType, "text/event-stream") {
+		return at.readStream(content)
 	}
 	body, err := io.ReadAll(io.LimitReader(content, maxBody))
 	if err != nil {
-		t.a.CutAttempts++
+		at.a.CutAttempts++
 		return code.Wrap(code.StreamCut, err, "%s", addr)
 	}
-	t.a.Body = body
-	t.a.TimeToFirstToken = time.Since(t.start)
+	at.a.Body = body
+	at.a.TimeToFirstToken = time.Since(at.start)
 	return nil
 }
 
-func (t *try) request(ctx context.Context, addr string) (*http.Request, error) {
-	method := t.r.Method
+func (at *attempt) newRequest(ctx context.Context, addr string) (*http.Request, error) {
+	method := at.r.Method
 	if method == "" {
 		method = http.MethodPost
 	}
-	req, err := http.NewRequestWithContext(ctx, method, t.c.scheme+"://"+addr+t.r.Path, bytes.NewReader(t.r.Body))
+	req, err := http.NewRequestWithContext(ctx, method, at.c.scheme+"://"+addr+at.r.Path, bytes.NewReader(at.r.Body))
 	if err != nil {
 		return nil, err
 	}
 	h := req.Header
-	h.Set(HeaderRequestID, t.r.ID)
-	h.Set(HeaderDeadline, strconv.FormatInt(max(time.Until(t.end).Milliseconds(), 1), 10))
-	h.Set("Content-Type", t.r.Type)
-	if t.r.Type == "" {
+	h.Set(HeaderRequestID, at.r.ID)
+	h.Set(HeaderDeadline, strconv.FormatInt(max(time.Until(at.deadline).Milliseconds(), 1), 10))
+	h.Set("Content-Type", at.r.Type)
+	if at.r.Type == "" {
 		h.Set("Content-Type", "application/json")
 	}
-	if t.r.Priority != 0 {
-		h.Set(HeaderPriority, strconv.Itoa(t.r.Priority))
+	if at.r.Priority != 0 {
+		h.Set(HeaderPriority, strconv.Itoa(at.r.Priority))
 	}
-	if t.r.Org != "" {
-		h.Set(HeaderOrg, t.r.Org)
+	if at.r.Org != "" {
+		h.Set(HeaderOrg, at.r.Org)
 	}
-	if t.r.Key != "" {
-		h.Set(HeaderKey, t.r.Key)
+	if at.r.Key != "" {
+		h.Set(HeaderKey, at.r.Key)
 	}
 	return req, nil
 }
 
-// failed gives a code to an attempt without an answer. Only a connection that
-// was never made proves that nothing ran.
-func (t *try) failed(ctx context.Context, addr string, err error) error {
+// classifySendError returns an error with a code for an attempt without an
+// answer. Only a failed dial proves that nothing ran.
+func (at *attempt) classifySendError(ctx context.Context, addr string, err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		t.a.NotRun = true
+		at.a.NotRun = true
 		return code.Wrap(code.DaemonUnreachable, err, "%s", addr)
 	}
-	if ctx.Err() != nil && !errors.Is(context.Cause(ctx), errSilent) {
+	if ctx.Err() != nil && !errors.Is(context.Cause(ctx), errNoProgress) {
 		return code.Wrap(code.DeadlinePassed, err, "%s", addr)
 	}
 	return code.Wrap(code.OutcomeUnknown, err, "%s gave no answer", addr)
 }
 
-// wireError is the body of a refusal and of an error within a stream.
-type wireError struct {
+// errorBody is the body of a refusal and of an error within a stream.
+type errorBody struct {
 	Error *struct {
 		Code         code.Code `json:"code"`
 		Message      string    `json:"message"`
@@ -231,69 +234,69 @@
 	} `json:"error"`
 }
 
-// refusal decodes a refusal. It counts as not run only if the header says so,
-// and the body doesn't deny it.
-func (t *try) refusal(resp *http.Response) error {
+// readRefusal decodes a refusal. The request counts as not run only if the header
+// says so and the body doesn't contradict it.
+func (at *attempt) readRefusal(resp *http.Response) error {
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxEvent))
-	t.a.Body = data
-	t.a.NotRun = resp.Header.Get(HeaderNotRun) == "true"
-	var w wireError
+	at.a.Body = data
+	at.a.NotRun = resp.Header.Get(HeaderNotRun) == "true"
+	var w errorBody
 	if err != nil || json.Unmarshal(data, &w) != nil || w.Error == nil {
-		return code.New(t.codeOf(resp), "%s", resp.Status)
+		return code.New(at.refusalCode(resp), "%s", resp.Status)
 	}
-	t.a.NotRun = t.a.NotRun && w.Error.NotRun
-	return t.wire(w)
+	at.a.NotRun = at.a.NotRun && w.Error.NotRun
+	return at.daemonError(w)
 }
 
-// codeOf gives a code to an error answer that isn't of the daemon's form, as
-// a plain service's own.
-func (t *try) codeOf(resp *http.Response) code.Code {
+// refusalCode returns a code for an error answer that isn't in the daemon's
+// format, such as one from a plain service.
+func (at *attempt) refusalCode(resp *http.Response) code.Code {
 	if n, err := strconv.Atoi(resp.Header.Get(HeaderCode)); err == nil && code.Known(code.Code(n)) && n != 0 {
 		return code.Code(n)
 	}
 	return code.TargetRefused
 }
 
-func (t *try) wire(w wireError) error {
-	t.a.RetryAfter = time.Duration(w.Error.RetryAfterMs) * time.Millisecond
-	return code.New(w.Error.Code, "%s", w.Error.Message).After(t.a.RetryAfter)
+func (at *attempt) daemonError(w errorBody) error {
+	at.a.RetryAfter = time.Duration(w.Error.RetryAfterMs) * time.Millisecond
+	return code.New(w.Error.Code, "%s", w.Error.Message).After(at.a.RetryAfter)
 }
 
-// step says what to do after a failed attempt.
-type step struct {
-	again     bool
-	elsewhere bool
-	after     time.Duration
+// retryDecision says whether, where and when to retry after a failed attempt.
+type retryDecision struct {
+	retry       bool
+	otherDaemon bool
+	delay       time.Duration
 }
 
-// pauseElsewhere is the least time between attempts.
-const pauseElsewhere = 20 * time.Millisecond
+// minRetryDelay is the shortest delay between attempts.
+const minRetryDelay = 20 * time.Millisecond
 
-// next decides whether an attempt may be repeated. One that ran, or may have,
-// is repeated only if the request may run twice; with an idempotency key the
-// daemons see to it that it doesn't.
-func (t *try) next(err error) step {
-	after := max(t.a.RetryAfter, pauseElsewhere)
+// decideRetry decides whether to repeat an attempt. An attempt that ran, or may
+// have run, is repeated only if the request may run twice or has an idempotency
+// key, with which the daemons prevent a second run.
+func (at *attempt) decideRetry(err error) retryDecision {
+	delay := max(at.a.RetryAfter, minRetryDelay)
 	switch code.Of(err) {
 	case code.Isolated, code.Draining, code.NoConfiguration, code.TooManyConns, code.DaemonUnreachable:
-		return step{again: t.a.NotRun, elsewhere: true, after: pauseElsewhere}
+		return retryDecision{retry: at.a.NotRun, otherDaemon: true, delay: minRetryDelay}
 	case code.Overloaded, code.OrgOverShare, code.TooManyStreams, code.CrashSuspect, code.NoTarget, code.TargetUnreachable, code.OnceUnavailable:
-		return step{again: t.a.NotRun, after: after}
+		return retryDecision{retry: at.a.NotRun, delay: delay}
 	case code.KeyBusy:
-		return step{again: t.r.Key != "", after: after}
+		return retryDecision{retry: at.r.Key != "", delay: delay}
 	case code.OutcomeUnknown, code.StreamCut:
-		// Without a status nothing came from the daemon, which may be dead. A
-		// status says that the daemon itself gives the code, and with a key it
-		// stands for good.
-		dead := t.a.Status == 0 || t.a.Status == http.StatusOK
-		return step{again: t.r.Idempotent || t.r.Key != "" && dead, elsewhere: dead, after: after}
+		// Without a response, or with an answer that was cut off, the daemon may be
+		// down. With an error status the code comes from the daemon itself, and is
+		// final for a request with a key.
+		daemonMayBeDown := at.a.Status == 0 || at.a.Status == http.StatusOK
+		return retryDecision{retry: at.r.Idempotent || at.r.Key != "" && daemonMayBeDown, otherDaemon: daemonMayBeDown, delay: delay}
 	case code.TargetFailed, code.RetryBudgetSpent, code.AnswerMismatch:
-		return step{again: t.r.Idempotent, after: after}
+		return retryDecision{retry: at.r.Idempotent, delay: delay}
 	}
-	return step{}
+	return retryDecision{}
 }
 
-func wait(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/operator/caller/silence.go
+++ b/operator/caller/silence.go
@@ -8,64 +8,68 @@
 	"time"
 )
 
-// A daemon that is paused, or a connection that something between the two ends
-// has lost track of, gives no error: the request would wait for its whole
-// deadline. So an attempt that may be repeated ends when nothing came for a
-// while, and the next one goes to another address over a new connection. What
-// is cut off this way ran in vain at most; a key keeps it from running twice.
+// A paused daemon, or a connection whose state a middlebox has dropped, returns
+// no error, so the request would wait until its deadline. An attempt that may be
+// repeated is therefore aborted when no data arrives within a timeout, and the
+// next attempt goes to another address over a new connection. At worst the work
+// of the aborted attempt is wasted; an idempotency key prevents a second run.
 const (
-	firstLeast   = 5 * time.Second // for an answer's header, or a third of the deadline
-	firstShare   = 3
-	betweenReads = 5 * time.Second // daemons notice a silent target within half of it
+	defaultMinHeaderTimeout = 5 * time.Second // for the header of an answer; a third of the deadline if that is longer
+	headerTimeoutDivisor    = 3
+	defaultReadTimeout      = 5 * time.Second // daemons detect a stalled target within half of this time
 )
 
-// keepAlive finds a path that drops everything, within about four seconds,
-// also for requests that can't be repeated.
-var keepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 3}
+// keepAliveConfig makes TCP detect a path that drops all packets within about
+// four seconds. It also covers requests that can't be repeated, which have no
+// stall timer.
+var keepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 3}
 
-var errSilent = errors.New("nothing came for too long")
+var errNoProgress = errors.New("no data received within the timeout")
 
-// watch ends an attempt that makes no progress.
-type watch struct {
-	timer   *time.Timer
-	between time.Duration
+// stallTimer aborts an attempt that makes no progress.
+type stallTimer struct {
+	timer       *time.Timer
+	readTimeout time.Duration
 }
 
-// watchSilence returns a context that ends with errSilent when nothing comes.
-// Requests that can't be repeated are left to wait: an end wouldn't help them.
-func (t *try) watchSilence(ctx context.Context) (context.Context, *watch, context.CancelFunc) {
-	if !t.r.Idempotent && t.r.Key == "" {
+// withStallTimer returns a context that is cancelled with errNoProgress when no
+// data arrives in time. Requests that can't be repeated get no timer, because
+// aborting them wouldn't help the caller.
+func (at *attempt) withStallTimer(ctx context.Context) (context.Context, *stallTimer, context.CancelFunc) {
+	if !at.r.Idempotent && at.r.Key == "" {
 		return ctx, nil, func() {}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
-	first := max(t.c.opts.MinHeaderTimeout, t.r.Deadline/firstShare)
-	w := &watch{between: t.c.opts.ReadTimeout}
-	w.timer = time.AfterFunc(first, func() { cancel(errSilent) })
-	return ctx, w, func() {
-		w.timer.Stop()
+	headerTimeout := max(at.c.opts.MinHeaderTimeout, at.r.Deadline/headerTimeoutDivisor)
+	s := &stallTimer{readTimeout: at.c.opts.ReadTimeout}
+	s.timer = time.AfterFunc(headerTimeout, func() { cancel(errNoProgress) })
+	return ctx, s, func() {
+		s.timer.Stop()
 		cancel(nil)
 	}
 }
 
-// body tells the watch of each read.
-func (w *watch) body(r io.Reader) io.Reader {
-	if w == nil {
+// wrapBody returns a reader that resets the timer on each read. It also switches
+// the timer from the header timeout to the read timeout.
+func (s *stallTimer) wrapBody(r io.Reader) io.Reader {
+	if s == nil {
 		return r
 	}
-	w.timer.Reset(w.between)
-	return &watchedBody{r, w}
+	s.timer.Reset(s.readTimeout)
+	return &stallTimerBody{r, s}
 }
 
-type watchedBody struct {
+// stallTimerBody is an answer's body that resets a stallTimer on each read.
+type stallTimerBody struct {
 	io.Reader
-	w *watch
+	timer *stallTimer
 }
 
 // Read implements io.Reader.
-func (b *watchedBody) Read(p []byte) (int, error) {
+func (b *stallTimerBody) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
 	if n > 0 {
-		b.w.timer.Reset(b.w.between)
+		b.timer.timer.Reset(b.timer.readTimeout)
 	}
 	return n, err
 }
--- a/operator/caller/silence_test.go
+++ b/operator/caller/silence_test.go
@@ -9,55 +9,55 @@
 	"github.com/pomelospool/pomelospool/code"
 )
 
-// A daemon stands still, or its connection has been forgotten in between, and
-// the dispatcher's answer with it. The caller goes to another daemon long
-// before the deadline, unless the call can't be repeated.
-func TestSilentDaemon(t *testing.T) {
-	gone := make(chan struct{})
-	t.Cleanup(func() { close(gone) })
-	hold := func(w http.ResponseWriter, r *http.Request) {
+// A daemon stalls, or a middlebox drops the connection's state, so that no answer
+// arrives. The client must retry at another daemon long before the deadline,
+// unless the call can't be repeated.
+func TestStalledDaemon(t *testing.T) {
+	ended := make(chan struct{})
+	t.Cleanup(func() { close(ended) })
+	wait := func(w http.ResponseWriter, r *http.Request) {
 		w.(http.Flusher).Flush()
 		select {
-		case <-gone:
+		case <-ended:
 		case <-r.Context().Done():
 		}
 	}
-	silent := func(_ http.ResponseWriter, r *http.Request) {
+	stalled := func(_ http.ResponseWriter, r *http.Request) {
 		select {
-		case <-gone:
+		case <-ended:
 		case <-r.Context().Done():
 		}
 	}
-	midway := func(w http.ResponseWriter, r *http.Request) {
-		stream(tok(0))(w, r)
-		hold(w, r)
+	stalledStream := func(w http.ResponseWriter, r *http.Request) {
+		streamResponse(tokenEvent(0))(w, r)
+		wait(w, r)
 	}
-	half := func(w http.ResponseWriter, r *http.Request) {
+	stalledBody := func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", "2")
 		fmt.Fprint(w, "{")
-		hold(w, r)
+		wait(w, r)
 	}
-	whole := stream(tok(0), tok(1), stop, done)
+	complete := streamResponse(tokenEvent(0), tokenEvent(1), stopEvent, doneEvent)
 	ok := func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "{}") }
 	chat := Chat("m", "hello", 3)
 	keyed := Request{Path: "/s/app/holds", Body: []byte("{}"), Key: "k1"}
-	bare := Request{Path: "/s/app/holds", Body: []byte("{}")}
+	unkeyed := Request{Path: "/s/app/holds", Body: []byte("{}")}
 	for _, tt := range []struct {
-		name     string
-		req      Request
-		acts     []act
-		code     code.Code
-		attempts int
+		name      string
+		req       Request
+		responses []response
+		code      code.Code
+		attempts  int
 	}{
-		{"stream, no header", chat, []act{silent, whole}, code.OK, 2},
-		{"stream, midway", chat, []act{midway, whole}, code.OK, 2},
-		{"call with key, no header", keyed, []act{silent, ok}, code.OK, 2},
-		{"call with key, half the body", keyed, []act{half, ok}, code.OK, 2},
-		{"call without key", bare, []act{silent, ok}, code.DeadlinePassed, 1},
+		{"stream, no header", chat, []response{stalled, complete}, code.OK, 2},
+		{"stream, midway", chat, []response{stalledStream, complete}, code.OK, 2},
+		{"call with key, no header", keyed, []response{stalled, ok}, code.OK, 2},
+		{"call with key, half the body", keyed, []response{stalledBody, ok}, code.OK, 2},
+		{"call without key", unkeyed, []response{stalled, ok}, code.DeadlinePassed, 1},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel() // each waits in real time
-			f := newFleet(t, 3, tt.acts...)
+			f := newTestFleet(t, 3, tt.responses...)
 			c := New(Options{Daemons: []string{host(f.servers[0])}, MinHeaderTimeout: 50 * time.Millisecond, ReadTimeout: 50 * time.Millisecond})
 			defer c.Close()
 			tt.req.Deadline = 3 * time.Second
--- a/operator/caller/stream.go
+++ b/operator/caller/stream.go
@@ -15,7 +15,7 @@
 	doneMarker = []byte("[DONE]")
 )
 
-// chunk is the part of an event that a caller needs.
+// chunk holds the fields of a stream event that the client uses.
 type chunk struct {
 	ID         string `json:"id"`
 	TokenIndex *int   `json:"token_index"`
@@ -26,30 +26,30 @@
 		Text         *string `json:"text"`
 		FinishReason *string `json:"finish_reason"`
 	} `json:"choices"`
-	wireError
+	errorBody
 }
 
-// reader is the state of one streamed answer.
-type reader struct {
-	t        *try
-	next     int // index of the token that comes next
-	first    time.Time
-	last     time.Time
-	finished bool // a finish_reason came
+// streamReader holds the state of reading one streamed answer.
+type streamReader struct {
+	attempt   *attempt
+	nextIndex int // index of the next token expected
+	firstAt   time.Time
+	lastAt    time.Time
+	finished  bool // a finish_reason was received
 }
 
-// stream reads events until the end marker. Whatever ends the stream before is
-// a cut, also a connection that closes in good order.
-func (t *try) stream(body io.Reader) error {
-	t.a.Tokens = 0
-	r := &reader{t: t}
-	defer r.times()
+// readStream reads events until the end marker. A stream that ends before it
+// counts as cut, even if the connection is closed cleanly.
+func (at *attempt) readStream(body io.Reader) error {
+	at.a.Tokens = 0
+	r := &streamReader{attempt: at}
+	defer r.recordTimes()
 	lines := bufio.NewReaderSize(body, maxEvent)
 	for {
 		line, err := lines.ReadSlice('\n')
 		if err != nil {
-			t.a.CutAttempts++
-			return code.Wrap(code.StreamCut, err, "after %d tokens", t.a.Tokens)
+			at.a.CutAttempts++
+			return code.Wrap(code.StreamCut, err, "after %d tokens", at.a.Tokens)
 		}
 		data, ok := bytes.CutPrefix(bytes.TrimSpace(line), dataPrefix)
 		if !ok {
@@ -57,41 +57,41 @@
 		}
 		data = bytes.TrimSpace(data)
 		if bytes.Equal(data, doneMarker) {
-			return r.done()
+			return r.finish()
 		}
-		if err := r.event(data); err != nil {
+		if err := r.handleEvent(data); err != nil {
 			return err
 		}
 	}
 }
 
-// done takes the end marker, which is true only after a finish_reason and with
-// every token in place.
-func (r *reader) done() error {
+// finish handles the end marker. The answer is complete only if a finish_reason
+// came before and no token is lost or wrong.
+func (r *streamReader) finish() error {
 	if !r.finished {
-		r.t.a.CutAttempts++
-		return code.New(code.StreamCut, "ended unfinished after %d tokens", r.t.a.Tokens)
+		r.attempt.a.CutAttempts++
+		return code.New(code.StreamCut, "ended unfinished after %d tokens", r.attempt.a.Tokens)
 	}
-	if r.t.wrong > 0 {
-		return code.New(code.AnswerMismatch, "%d tokens are lost or wrong", r.t.wrong)
+	if r.attempt.badTokens > 0 {
+		return code.New(code.AnswerMismatch, "%d tokens are lost or wrong", r.attempt.badTokens)
 	}
 	return nil
 }
 
-func (r *reader) event(data []byte) error {
+func (r *streamReader) handleEvent(data []byte) error {
 	var c chunk
 	if err := json.Unmarshal(data, &c); err != nil {
 		return code.Wrap(code.StreamCut, err, "an event is not JSON")
 	}
 	if c.Error != nil {
-		r.t.a.NotRun = c.Error.NotRun && r.t.a.Tokens == 0
+		r.attempt.a.NotRun = c.Error.NotRun && r.attempt.a.Tokens == 0
 		if c.Error.Code == code.StreamCut {
-			r.t.a.CutAttempts++
+			r.attempt.a.CutAttempts++
 		}
-		return r.t.wire(c.wireError)
+		return r.attempt.daemonError(c.errorBody)
 	}
-	if c.ID != r.t.r.ID {
-		r.t.a.Faults.Crossed++
+	if c.ID != r.attempt.r.ID {
+		r.attempt.a.Faults.Crossed++
 		return nil
 	}
 	if len(c.Choices) == 0 || c.TokenIndex == nil {
@@ -101,44 +101,44 @@
 	r.finished = r.finished || choice.FinishReason != nil
 	switch {
 	case choice.Delta != nil:
-		r.token(*c.TokenIndex, choice.Delta.Content)
+		r.handleToken(*c.TokenIndex, choice.Delta.Content)
 	case choice.Text != nil:
-		r.token(*c.TokenIndex, *choice.Text)
+		r.handleToken(*c.TokenIndex, *choice.Text)
 	}
 	return nil
 }
 
-func (r *reader) token(i int, text string) {
-	a := r.t.a
-	if i < r.next {
+func (r *streamReader) handleToken(i int, text string) {
+	a := r.attempt.a
+	if i < r.nextIndex {
 		a.Faults.Duplicated++
 		return
 	}
-	a.Faults.Lost += i - r.next
-	r.t.wrong += i - r.next
-	r.next = i + 1
+	a.Faults.Lost += i - r.nextIndex
+	r.attempt.badTokens += i - r.nextIndex
+	r.nextIndex = i + 1
 	a.Tokens++
-	r.last = time.Now()
-	if r.first.IsZero() {
-		r.first = r.last
+	r.lastAt = time.Now()
+	if r.firstAt.IsZero() {
+		r.firstAt = r.lastAt
 	}
-	if v := r.t.r.Verify; v != nil && !v(i, text) {
+	if v := r.attempt.r.Verify; v != nil && !v(i, text) {
 		a.Faults.Wrong++
-		r.t.wrong++
+		r.attempt.badTokens++
 	}
-	if r.t.r.OnToken != nil {
-		r.t.r.OnToken(Token{Index: i, Text: text})
+	if r.attempt.r.OnToken != nil {
+		r.attempt.r.OnToken(Token{Index: i, Text: text})
 	}
 }
 
-// times fills in the times of the answer.
-func (r *reader) times() {
-	a := r.t.a
-	if r.first.IsZero() {
+// recordTimes sets the times of the answer.
+func (r *streamReader) recordTimes() {
+	a := r.attempt.a
+	if r.firstAt.IsZero() {
 		return
 	}
-	a.TimeToFirstToken = r.first.Sub(r.t.start)
+	a.TimeToFirstToken = r.firstAt.Sub(r.attempt.start)
 	if a.Tokens > 1 {
-		a.TimeBetweenTokens = r.last.Sub(r.first) / time.Duration(a.Tokens-1)
+		a.TimeBetweenTokens = r.lastAt.Sub(r.firstAt) / time.Duration(a.Tokens-1)
 	}
 }
--- a/operator/load/load_test.go
+++ b/operator/load/load_test.go
@@ -12,25 +12,25 @@
 	"github.com/pomelospool/pomelospool/operator/caller"
 )
 
-// stalling answers within 1 ms, but stands still from 2 s to 4 s.
-type stalling struct{ start time.Time }
+// stallingDoer answers within 1 ms, except that it stalls from 2 s to 4 s.
+type stallingDoer struct{ start time.Time }
 
-func (s *stalling) Do(_ context.Context, r caller.Request) (*caller.Answer, error) {
+func (s *stallingDoer) Do(_ context.Context, r caller.Request) (*caller.Answer, error) {
 	begin := time.Now()
 	if at := begin.Sub(s.start); at >= 2*time.Second && at < 4*time.Second {
 		advance(4*time.Second - at)
 	}
 	advance(time.Millisecond)
-	whole := r.Verify == nil || r.Verify(0, "x")
-	a := &caller.Answer{Attempts: 1, Tokens: 1, Complete: whole, Total: time.Since(begin), TimeToFirstToken: time.Since(begin)}
-	if !whole {
+	complete := r.Verify == nil || r.Verify(0, "x")
+	a := &caller.Answer{Attempts: 1, Tokens: 1, Complete: complete, Total: time.Since(begin), TimeToFirstToken: time.Since(begin)}
+	if !complete {
 		a.Code = code.AnswerMismatch
 		a.Faults.Wrong = 1
 	}
 	return a, nil
 }
 
-func options(inFlight int) Options {
+func testOptions(inFlight int) Options {
 	mix, err := ParseMix(DefaultMix)
 	if err != nil {
 		panic(err)
@@ -38,15 +38,15 @@
 	return Options{Model: "m", Rate: 100, Duration: 10 * time.Second, Seed: 7, Mix: mix, Orgs: 3, Deadline: time.Minute, MaxInFlight: inFlight}
 }
 
-// A target stands still for two of ten seconds. A client that waits for each
-// answer sends nothing meanwhile, and sees one slow request in a thousand. The
-// users who would have come then all wait: one in ten at least, for up to two
-// seconds. The times from the intended arrival say so whatever the client's
-// limit is.
+// A target stalls for two of ten seconds. A client that waits for each answer
+// sends nothing during the stall, and sees one slow request in a thousand. In
+// reality at least one request in ten would wait, for up to two seconds. Times
+// measured from the intended arrival must show this whatever the limit of open
+// requests is.
 func TestCoordinatedOmissionIsCorrected(t *testing.T) {
 	for _, inFlight := range []int{1, 1000} {
 		synctest.Test(t, func(t *testing.T) {
-			s := Run(t.Context(), &stalling{time.Now()}, options(inFlight), new(Progress))
+			s := Run(t.Context(), &stallingDoer{time.Now()}, testOptions(inFlight), new(Progress))
 			if !s.Passed() || s.Complete != s.Planned || s.Planned < 900 || s.Planned > 1100 {
 				t.Fatalf("%d planned, %d whole", s.Planned, s.Complete)
 			}
@@ -54,17 +54,17 @@
 				t.Errorf("in flight %d: p90 %v, max %v: the stall is hidden", inFlight, s.TimeToCompletion.P90, s.TimeToCompletion.Max)
 			}
 			if inFlight == 1 && s.Unadjusted.P99 > 10*time.Millisecond {
-				t.Errorf("p99 from the true start is %v; the test shows nothing", s.Unadjusted.P99)
+				t.Errorf("p99 from the actual start is %v; the test proves nothing", s.Unadjusted.P99)
 			}
 		})
 	}
 }
 
-func TestPlanIsFixedByTheSeed(t *testing.T) {
-	o := options(1)
+func TestPlanIsDeterministic(t *testing.T) {
+	o := testOptions(1)
 	a, b := Plan(o), Plan(o)
 	if !reflect.DeepEqual(a, b) {
-		t.Error("the same seed gives two plans")
+		t.Error("the same seed gives different plans")
 	}
 	o.Seed++
 	if reflect.DeepEqual(a, Plan(o)) {
@@ -89,11 +89,11 @@
 
 func TestWrongAnswersAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := options(1000)
+		o := testOptions(1000)
 		o.Verify = func(p string) func(int, string) bool {
 			return func(int, string) bool { return !strings.HasPrefix(p, "thread") }
 		}
-		s := Run(t.Context(), &stalling{time.Now()}, o, new(Progress))
+		s := Run(t.Context(), &stallingDoer{time.Now()}, o, new(Progress))
 		if s.Passed() || s.Failed == 0 || s.Failed != s.Faults.Wrong || s.Complete+s.Failed != s.Planned {
 			t.Errorf("%d failed, %d wrong of %d", s.Failed, s.Faults.Wrong, s.Planned)
 		}
@@ -108,5 +108,5 @@
 	}
 }
 
-// advance lets the virtual clock of the synctest bubble run on.
+// advance advances the virtual clock of the synctest bubble by d.
 func advance(d time.Duration) { <-time.After(d) }
--- a/operator/load/summary.go
+++ b/operator/load/summary.go
@@ -14,15 +14,15 @@
 	"github.com/pomelospool/pomelospool/operator/svgplot"
 )
 
-// Histograms count in steps of 10 microseconds up to an hour, within one in a
-// thousand.
+// Histograms record times with a resolution of 10 microseconds, up to an hour,
+// with a precision of three significant digits.
 const (
-	step   = 10 * time.Microsecond
-	high   = 360_000_000
-	digits = 3
+	resolution        = 10 * time.Microsecond
+	maxSteps          = 360_000_000
+	significantDigits = 3
 )
 
-// Distribution is the distribution of a time.
+// Distribution holds quantiles of a measured time.
 type Distribution struct {
 	Count int64         `json:"count"`
 	P50   time.Duration `json:"p50_ns"`
@@ -35,30 +35,34 @@
 	h *hdrhistogram.Histogram
 }
 
-func newTimes() *Distribution { return &Distribution{h: hdrhistogram.New(1, high, digits)} }
+func newDistribution() *Distribution {
+	return &Distribution{h: hdrhistogram.New(1, maxSteps, significantDigits)}
+}
 
-func (t *Distribution) add(d time.Duration) { _ = t.h.RecordValue(min(max(int64(d/step), 0), high)) }
+func (t *Distribution) add(d time.Duration) {
+	_ = t.h.RecordValue(min(max(int64(d/resolution), 0), maxSteps))
+}
 
-// Quantile returns the time at or below which a share q lies.
+// Quantile returns the time at or below which a share q of the samples lies.
 func (t *Distribution) Quantile(q float64) time.Duration {
 	const percent = 100
-	return time.Duration(t.h.ValueAtQuantile(q*percent)) * step
+	return time.Duration(t.h.ValueAtQuantile(q*percent)) * resolution
 }
 
-func (t *Distribution) fill() {
+func (t *Distribution) fillFields() {
 	t.Count = t.h.TotalCount()
 	t.P50, t.P90, t.P95, t.P99, t.P999 = t.Quantile(0.5), t.Quantile(0.9), t.Quantile(0.95), t.Quantile(0.99), t.Quantile(0.999)
-	t.Max = time.Duration(t.h.Max()) * step
+	t.Max = time.Duration(t.h.Max()) * resolution
 }
 
-// CodeCount is how many requests ended with a code.
+// CodeCount is the number of requests that ended with a code.
 type CodeCount struct {
 	Code  code.Code `json:"code"`
 	Name  string    `json:"name"`
 	Count int       `json:"count"`
 }
 
-// KindSummary is the part of one kind of request.
+// KindSummary summarizes one kind of request.
 type KindSummary struct {
 	Kind
 	Sent             int           `json:"sent"`
@@ -67,8 +71,9 @@
 	TimeToCompletion *Distribution `json:"answer"`
 }
 
-// Summary is the result of a run. All times but Unadjusted count from the
-// intended arrival, and are those of whole answers.
+// Summary is the result of a run. Times are those of complete answers, except
+// SendDelay, which covers every request sent. Times to an event count from the
+// planned arrival, except Unadjusted.
 type Summary struct {
 	Rate              float64       `json:"rate"`
 	Seed              uint64        `json:"seed"`
@@ -76,30 +81,30 @@
 	Planned           int           `json:"planned"`
 	Sent              int           `json:"sent"`
 	Complete          int           `json:"whole"`
-	NotRun            int           `json:"not_run"`  // refused, and truly not run
-	Failed            int           `json:"failed"`   // neither whole nor refused
-	Verified          bool          `json:"verified"` // each token was checked
+	NotRun            int           `json:"not_run"`  // refused and not run
+	Failed            int           `json:"failed"`   // neither complete nor refused
+	Verified          bool          `json:"verified"` // every token was checked
 	Attempts          int           `json:"attempts"`
-	CutAttempts       int           `json:"cut"` // attempts; a cut one may have been repeated
+	CutAttempts       int           `json:"cut"` // attempts whose answer was cut; they may have been retried
 	Faults            caller.Faults `json:"faults"`
-	Tokens            int           `json:"tokens"` // of whole answers
+	Tokens            int           `json:"tokens"` // of complete answers
 	TokensPerSecond   float64       `json:"tokens_per_second"`
 	ByCode            []CodeCount   `json:"ended"`
 	TimeToFirstToken  *Distribution `json:"first"`
 	TimeBetweenTokens *Distribution `json:"between"`
 	TimeToCompletion  *Distribution `json:"answer"`
-	SendDelay         *Distribution `json:"late"`       // how late requests were sent
-	Unadjusted        *Distribution `json:"unadjusted"` // whole answers, from the true start
+	SendDelay         *Distribution `json:"late"`       // from the planned to the actual start
+	Unadjusted        *Distribution `json:"unadjusted"` // time to completion from the actual start
 	Kinds             []KindSummary `json:"kinds"`
 }
 
-func sum(o Options, samples []sample, took time.Duration) *Summary {
+func summarize(o Options, samples []sample, elapsed time.Duration) *Summary {
 	s := &Summary{
-		Rate: o.Rate, Seed: o.Seed, Elapsed: took, Planned: len(samples), Verified: o.Verify != nil,
-		TimeToFirstToken: newTimes(), TimeBetweenTokens: newTimes(), TimeToCompletion: newTimes(), SendDelay: newTimes(), Unadjusted: newTimes(),
+		Rate: o.Rate, Seed: o.Seed, Elapsed: elapsed, Planned: len(samples), Verified: o.Verify != nil,
+		TimeToFirstToken: newDistribution(), TimeBetweenTokens: newDistribution(), TimeToCompletion: newDistribution(), SendDelay: newDistribution(), Unadjusted: newDistribution(),
 	}
 	for _, k := range o.Mix {
-		s.Kinds = append(s.Kinds, KindSummary{Kind: k, TimeToFirstToken: newTimes(), TimeToCompletion: newTimes()})
+		s.Kinds = append(s.Kinds, KindSummary{Kind: k, TimeToFirstToken: newDistribution(), TimeToCompletion: newDistribution()})
 	}
 	ended := make(map[code.Code]int)
 	for _, x := range samples {
@@ -112,9 +117,9 @@
 		s.ByCode = append(s.ByCode, CodeCount{c, c.Info().Name, n})
 	}
 	sort.Slice(s.ByCode, func(i, j int) bool { return s.ByCode[i].Code < s.ByCode[j].Code })
-	s.TokensPerSecond = float64(s.Tokens) / took.Seconds()
-	for _, t := range s.times() {
-		t.fill()
+	s.TokensPerSecond = float64(s.Tokens) / elapsed.Seconds()
+	for _, t := range s.distributions() {
+		t.fillFields()
 	}
 	return s
 }
@@ -129,7 +134,7 @@
 	s.Faults.Duplicated += a.Faults.Duplicated
 	s.Faults.Lost += a.Faults.Lost
 	s.Faults.Wrong += a.Faults.Wrong
-	s.SendDelay.add(x.late)
+	s.SendDelay.add(x.sendDelay)
 	switch {
 	case !a.Complete && a.NotRun:
 		s.NotRun++
@@ -141,17 +146,17 @@
 	s.Complete++
 	k.Complete++
 	s.Tokens += a.Tokens
-	s.TimeToFirstToken.add(x.late + a.TimeToFirstToken)
-	s.TimeToCompletion.add(x.late + a.Total)
+	s.TimeToFirstToken.add(x.sendDelay + a.TimeToFirstToken)
+	s.TimeToCompletion.add(x.sendDelay + a.Total)
 	s.Unadjusted.add(a.Total)
-	k.TimeToFirstToken.add(x.late + a.TimeToFirstToken)
-	k.TimeToCompletion.add(x.late + a.Total)
+	k.TimeToFirstToken.add(x.sendDelay + a.TimeToFirstToken)
+	k.TimeToCompletion.add(x.sendDelay + a.Total)
 	if a.TimeBetweenTokens > 0 {
 		s.TimeBetweenTokens.add(a.TimeBetweenTokens)
 	}
 }
 
-func (s *Summary) times() []*Distribution {
+func (s *Summary) distributions() []*Distribution {
 	all := []*Distribution{s.TimeToFirstToken, s.TimeBetweenTokens, s.TimeToCompletion, s.SendDelay, s.Unadjusted}
 	for _, k := range s.Kinds {
 		all = append(all, k.TimeToFirstToken, k.TimeToCompletion)
@@ -159,8 +164,8 @@
 	return all
 }
 
-// Passed reports whether every planned request was sent and answered whole or
-// truly refused, without a fault.
+// Passed reports whether every planned request was sent and either answered
+// completely or refused without running, and no answer had a fault.
 func (s *Summary) Passed() bool {
 	return s.Failed == 0 && s.Sent == s.Planned && !s.Faults.Any()
 }
@@ -199,7 +204,7 @@
 	return w.Flush()
 }
 
-// Plot draws the times over their quantiles as SVG.
+// Plot returns an SVG plot of the times over their quantiles.
 func (s *Summary) Plot() ([]byte, error) {
 	return svgplot.Quantiles(fmt.Sprintf("%g requests a second", s.Rate),
 		svgplot.Curve{Name: "first token", At: s.TimeToFirstToken.Quantile},
