--- a/operator/burnview/burnview_test.go
+++ b/operator/burnview/burnview_test.go
@@ -18,7 +18,8 @@
 	"github.com/pomelospool/pomelospool/version/document"
 )
 
-// daemon serves the report of a Burn with a few samples.
+// daemon starts a server with the burn report of a few samples and returns its
+// address.
 func daemon(t *testing.T, id string) string {
 	now := time.Date(2026, 5, 4, 8, 10, 0, 0, time.UTC)
 	goals := document.Objectives{FirstToken: time.Second, Answer: 10 * time.Second, Target: 0.95, Window: 720 * time.Hour}
@@ -41,6 +42,8 @@
 	return server.Listener.Addr().String()
 }
 
+// fetch queries two daemons, one of them under two addresses, and an address that
+// refuses connections. It returns the view and that address.
 func fetch(t *testing.T) (View, string) {
 	dead := httptest.NewServer(nil)
 	dead.Close()
@@ -51,8 +54,8 @@
 	return Fetch(t.Context(), client, []string{a, daemon(t, "entry-2"), gone, a}, 5*time.Second), gone
 }
 
-// Two daemons answer, one of them under two addresses, and one is down: its
-// absence is said, and no sample counts twice.
+// One daemon is queried under two addresses, and another is down. The table must
+// name the one that is down and count no sample twice.
 func TestTable(t *testing.T) {
 	v, gone := fetch(t)
 	var out strings.Builder
@@ -63,8 +66,8 @@
 	goldie.New(t).Assert(t, "table", []byte(text))
 }
 
-// The page loads nothing, has its plots inside and shows names as text.
-func TestPageStandsAlone(t *testing.T) {
+// The page must load nothing, embed its plots and escape names.
+func TestPageIsSelfContained(t *testing.T) {
 	v, gone := fetch(t)
 	var out strings.Builder
 	if err := v.HTML(&out); err != nil {
@@ -75,15 +78,15 @@
 		t.Errorf("%d plots, want 4", n)
 	}
 	if loads := regexp.MustCompile(`(src|href)=|@import|url\(`).FindString(page); loads != "" {
-		t.Errorf("the page loads something: %s", loads)
+		t.Errorf("the page loads a resource: %s", loads)
 	}
-	// Names of XML namespaces are no addresses: nothing is fetched from there.
+	// XML namespaces look like URLs, but browsers don't load them.
 	local := regexp.MustCompile(`xmlns(:xlink)?="[^"]*"`).ReplaceAllString(page, "")
 	if url := regexp.MustCompile(`(?i)[a-z]+://[^\s"<]*`).FindString(local); url != "" {
-		t.Errorf("the page names an address: %s", url)
+		t.Errorf("the page contains a URL: %s", url)
 	}
 	if strings.Contains(page, "<b>coach") || !strings.Contains(page, "&lt;b&gt;coach") {
-		t.Error("a name stands in the page as markup")
+		t.Error("a name is not escaped in the page")
 	}
 	if want := fmt.Sprintf("Not in this report: %s (6003 DAEMON_UNREACHABLE)", gone); !strings.Contains(page, want) {
 		t.Errorf("the page lacks %q", want)
--- a/operator/burnview/fetch.go
+++ b/operator/burnview/fetch.go
@@ -1,5 +1,6 @@
-// Package burnview gathers the burn reports of all daemons and shows them as a
-// table and as one HTML page that opens without a network.
+// Package burnview merges the burn reports of all daemons, that is the rates at
+// which services spend their error budgets. It shows them as a table and as a
+// self-contained HTML page.
 package burnview
 
 import (
@@ -11,7 +12,7 @@
 	"github.com/pomelospool/pomelospool/process/status"
 )
 
-// View is the merged burn with the daemons that it lacks.
+// View is the merged burn report with the daemons that it lacks.
 type View struct {
 	Report  *burn.Report `json:"report"`
 	Asked   int          `json:"asked"`
@@ -25,8 +26,8 @@
 	Error string    `json:"error"`
 }
 
-// Fetch asks every daemon and merges the answers. A daemon that is named by two
-// addresses counts once.
+// Fetch queries every daemon and merges the answers. A daemon that is listed under
+// two addresses counts once.
 func Fetch(ctx context.Context, c *status.Client, addrs []string, timeout time.Duration) View {
 	reports := make([]*burn.Report, len(addrs))
 	errs := make([]error, len(addrs))
@@ -35,7 +36,7 @@
 		errs[i] = c.Get(ctx, addrs[i], burn.Path, reports[i])
 	})
 	v := View{Asked: len(addrs), Missing: []Missing{}}
-	var good []*burn.Report
+	var answered []*burn.Report
 	seen := make(map[string]bool)
 	for i, r := range reports {
 		if errs[i] != nil {
@@ -48,8 +49,8 @@
 		for _, d := range r.Daemons {
 			seen[d] = true
 		}
-		good = append(good, r)
+		answered = append(answered, r)
 	}
-	v.Report = burn.Merge(good...)
+	v.Report = burn.Merge(answered...)
 	return v
 }
--- a/operator/burnview/page.go
+++ b/operator/burnview/page.go
@@ -16,7 +16,7 @@
 
 var page = template.Must(template.New("page").Parse(pageSource))
 
-// section is one service of the page.
+// section is the part of the page about one service.
 type section struct {
 	Name  string
 	Rows  []Row
@@ -32,12 +32,12 @@
 	Sections []section
 }
 
-// HTML writes the view as one page with its plots inside, so that it opens
-// without a network.
+// HTML writes the view as one HTML page with embedded plots, which opens without
+// a network.
 func (v View) HTML(out io.Writer) error {
 	d := pageData{View: v, Answered: v.Asked - len(v.Missing)}
 	for _, s := range v.Report.Services {
-		plots, err := plotsOf(s)
+		plots, err := renderPlots(s)
 		if err != nil {
 			return err
 		}
@@ -49,17 +49,17 @@
 	return nil
 }
 
-func plotsOf(s burn.Service) ([]template.HTML, error) {
+func renderPlots(s burn.Service) ([]template.HTML, error) {
 	var plots []template.HTML
 	add := func(svg []byte, err error) error {
 		if err == nil {
-			plots = append(plots, inline(svg))
+			plots = append(plots, stripProlog(svg))
 		}
 		return err
 	}
 	labels := []string{"5m", "1h", "6h", "3d"}
 	for _, o := range allObjectives {
-		if !measured(s, o) || len(s.Windows) != len(labels) {
+		if !hasSamples(s, o) || len(s.Windows) != len(labels) {
 			continue
 		}
 		rates := make([]float64, len(s.Windows))
@@ -85,9 +85,10 @@
 	return plots, add(svgplot.Quantiles("Times of the last hour", curves...))
 }
 
-// inline drops what stands before the svg element. The SVG is made by the plot
-// library, which escapes its texts.
-func inline(svg []byte) template.HTML {
+// stripProlog removes the XML prolog before the svg element, for embedding in
+// HTML. The result is safe as template.HTML because the plot library escapes its
+// texts.
+func stripProlog(svg []byte) template.HTML {
 	if i := bytes.Index(svg, []byte("<svg")); i > 0 {
 		svg = svg[i:]
 	}
--- a/operator/burnview/table.go
+++ b/operator/burnview/table.go
@@ -11,7 +11,7 @@
 	"github.com/pomelospool/pomelospool/process/burn"
 )
 
-// allObjectives in the order of the table.
+// allObjectives lists the objectives in the order of the table.
 var allObjectives = []burn.Objective{burn.FirstToken, burn.BetweenTokens, burn.WholeAnswer, burn.NotLost}
 
 const percent = 100
@@ -21,19 +21,19 @@
 	Service   string
 	Objective string
 	Goal      string
-	Rates     []string // by window, as "1.5"
-	Spent     string   // share of the budget that three days spent
+	Rates     []string // one for each window, formatted like "1.50"
+	Spent     string   // share of the budget spent in three days
 	Alert     burn.Alert
 }
 
-// Rows lists the objectives that a service has samples of.
+// Rows returns a row for each objective that a service has samples for.
 func Rows(s burn.Service) []Row {
 	var rows []Row
 	for _, o := range allObjectives {
-		if !measured(s, o) {
+		if !hasSamples(s, o) {
 			continue
 		}
-		r := Row{Service: s.Name, Objective: o.String(), Goal: goal(s.Goals, o), Alert: s.Alert(o)}
+		r := Row{Service: s.Name, Objective: o.String(), Goal: goalText(s.Goals, o), Alert: s.Alert(o)}
 		for _, w := range s.Windows {
 			r.Rates = append(r.Rates, fmt.Sprintf("%.2f", w.Rate(o, s.Goals.Target)))
 		}
@@ -43,7 +43,7 @@
 	return rows
 }
 
-func measured(s burn.Service, o burn.Objective) bool {
+func hasSamples(s burn.Service, o burn.Objective) bool {
 	for _, w := range s.Windows {
 		if w.Counts[o] != (burn.Count{}) {
 			return true
@@ -52,7 +52,7 @@
 	return false
 }
 
-func goal(g burn.Goals, o burn.Objective) string {
+func goalText(g burn.Goals, o burn.Objective) string {
 	share := fmt.Sprintf("%g%%", g.Target*percent)
 	switch o {
 	case burn.FirstToken:
@@ -66,7 +66,7 @@
 	}
 }
 
-// Ended is one code by which requests ended.
+// Ended is the number of requests that ended with a code.
 type Ended struct {
 	Code  code.Code
 	Name  string
@@ -74,7 +74,7 @@
 	Share string // of all requests
 }
 
-// Codes lists how the requests of the longest window ended, most frequent first.
+// Codes counts the requests of the longest window by code, most frequent first.
 func Codes(s burn.Service) []Ended {
 	if len(s.Windows) == 0 {
 		return nil
@@ -93,14 +93,14 @@
 	return out
 }
 
-// Quantiles are the times of a histogram, as text.
+// Quantiles holds the quantiles of a histogram of times.
 type Quantiles struct {
 	What          string
 	Count         int64
 	P50, P95, P99 time.Duration
 }
 
-// Times lists the quantiles of a service's recent times.
+// Times returns the quantiles of a service's recent times.
 func Times(s burn.Service) []Quantiles {
 	var out []Quantiles
 	add := func(what string, h burn.Histogram) {
@@ -114,7 +114,7 @@
 	return out
 }
 
-// OrgRow is one organisation's line.
+// OrgRow is the table's line of one organisation.
 type OrgRow struct {
 	Name     string
 	Requests uint64
@@ -122,9 +122,10 @@
 	P95      time.Duration
 }
 
-// Orgs lists the organisations by what they lost within six hours.
+// Orgs returns the organisations with requests within six hours, sorted by the
+// number of bad ones in descending order.
 func Orgs(s burn.Service) []OrgRow {
-	const sixHours = 2 // index among the windows
+	const sixHours = 2 // index in Windows
 	var out []OrgRow
 	for _, o := range s.Orgs {
 		if len(o.Windows) <= sixHours {
@@ -139,7 +140,7 @@
 	return out
 }
 
-// Table writes the view as text.
+// Table writes the view as a text table, with organisations if orgs is set.
 func (v View) Table(out io.Writer, orgs bool) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "burn of %d of %d daemons\n", v.Asked-len(v.Missing), v.Asked)
--- a/operator/codedoc/codedoc.go
+++ b/operator/codedoc/codedoc.go
@@ -1,4 +1,4 @@
-// Package codedoc writes docs/CODES.md from the table of package code.
+// Package codedoc generates docs/CODES.md from the table in package code.
 package codedoc
 
 import (
@@ -11,10 +11,10 @@
 
 // group is a range of a thousand codes.
 type group struct {
-	thousand code.Code
-	title    string
-	about    string
-	requests bool // its codes travel to callers about their requests
+	thousand      code.Code
+	title         string
+	about         string
+	aboutRequests bool // callers receive its codes as results of their requests
 }
 
 var groups = []group{
@@ -39,8 +39,8 @@
 repeated has to be checked first.
 `
 
-// Ran says in a word whether the request of a code was run: yes, no or maybe,
-// and "-" for codes that aren't about requests.
+// Ran returns whether a request that ended with the code was run: "yes", "no" or
+// "maybe", or "-" for codes that aren't about requests.
 func Ran(i code.Info) string {
 	g := groupOf(i.Code)
 	switch {
@@ -48,13 +48,13 @@
 		return "yes"
 	case i.NotRun:
 		return "no"
-	case g.requests, i.Code == code.Internal:
+	case g.aboutRequests, i.Code == code.Internal:
 		return "maybe"
 	}
 	return "-"
 }
 
-// Markdown returns the whole page.
+// Markdown returns the contents of docs/CODES.md.
 func Markdown() []byte {
 	var b strings.Builder
 	b.WriteString(intro)
@@ -66,14 +66,14 @@
 		b.WriteString("| code | name | HTTP status | was it run | meaning | what to do |\n|---|---|---|---|---|---|\n")
 		for _, i := range code.All() {
 			if i.Code/1000 == g.thousand {
-				row(&b, i)
+				writeRow(&b, i)
 			}
 		}
 	}
 	return []byte(b.String())
 }
 
-func row(b *strings.Builder, i code.Info) {
+func writeRow(b *strings.Builder, i code.Info) {
 	status := fmt.Sprint(i.Status)
 	if text := http.StatusText(i.Status); text != "" {
 		status += " " + text
--- a/operator/codedoc/codedoc_test.go
+++ b/operator/codedoc/codedoc_test.go
@@ -9,14 +9,14 @@
 	"github.com/pomelospool/pomelospool/code"
 )
 
-// The page in docs/ is what the table says, and holds every code once.
+// docs/CODES.md must match the table and hold every code exactly once.
 func TestPageMatchesTheTable(t *testing.T) {
 	page := Markdown()
 	g := goldie.New(t, goldie.WithFixtureDir("../../docs"), goldie.WithNameSuffix(".md"))
 	g.Assert(t, "CODES", page)
 	for _, i := range code.All() {
 		if n := strings.Count(string(page), " | "+i.Name+" | "); n != 1 {
-			t.Errorf("%s stands %d times", i.Name, n)
+			t.Errorf("%s appears %d times", i.Name, n)
 		}
 	}
 }
--- a/operator/ctl/address.go
+++ b/operator/ctl/address.go
@@ -11,15 +11,15 @@
 
 type addressCommand struct{ app *app }
 
-// addressReport is the JSON of address.
+// addressReport is the JSON output of the address command.
 type addressReport struct {
 	caller.Addresses
-	From string `json:"from"` // daemon that answered
+	From string `json:"from"` // address of the daemon that answered
 }
 
-// Execute asks once.
+// Execute queries one daemon for addresses and prints them.
 func (c *addressCommand) Execute([]string) error {
-	client, err := c.app.caller(0)
+	client, err := c.app.callerClient(0)
 	if err != nil {
 		return err
 	}
@@ -27,7 +27,7 @@
 	ctx, cancel := c.app.withTimeout()
 	defer cancel()
 	var r addressReport
-	err = c.app.progress(saying("address: asking the daemons"), func() error {
+	err = c.app.progress(fixedText("address: asking the daemons"), func() error {
 		r.Addresses, r.From, err = client.Addresses(ctx)
 		return err
 	})
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// caller returns a client for the daemons named by --callers.
-func (a *app) caller(seed uint64) (*caller.Client, error) {
+// callerClient returns a client for the daemons named by --callers.
+func (a *app) callerClient(seed uint64) (*caller.Client, error) {
 	daemons, err := a.callers()
 	if err != nil {
 		return nil, err
--- a/operator/ctl/app.go
+++ b/operator/ctl/app.go
@@ -1,5 +1,5 @@
-// Package ctl is the command line of operators and callers. The main of
-// pomelosctl only calls Main.
+// Package ctl implements pomelosctl, the command line tool of operators and
+// callers.
 package ctl
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/pomelospool/pomelospool/internal/yamlcheck"
 )
 
-// globals are the options of every command.
+// globals holds the options common to all commands.
 type globals struct {
 	Log     string        `long:"log" env:"POMELOS_LOG" value-name:"URL" description:"Base URL of the log service"`
 	Daemons []string      `long:"daemons" env:"POMELOS_DAEMONS" env-delim:"," value-name:"HOST:PORT" description:"Operators' ports of all daemons; repeat it or separate by commas"`
@@ -32,7 +32,7 @@
 	Token   string        `long:"token" value-name:"FILE" description:"File with the operators' token"`
 }
 
-// app is what the commands share.
+// app holds the common options, the streams and the context of a command.
 type app struct {
 	globals
 	ctx context.Context
@@ -43,7 +43,7 @@
 	printedJSON bool
 }
 
-// Main runs the command line and returns the exit code, as Exit* say.
+// Main runs the command line and returns one of the Exit codes.
 func Main(ctx context.Context, args []string, in io.Reader, out, errOut io.Writer) int {
 	a := &app{ctx: ctx, in: in, out: out, err: errOut}
 	parser := newParser(a)
@@ -51,7 +51,7 @@
 	return a.exit(err)
 }
 
-// newParser lists the commands.
+// newParser returns the parser of the command line with all commands.
 func newParser(a *app) *flags.Parser {
 	parser := flags.NewNamedParser("pomelosctl", flags.HelpFlag|flags.PassDoubleDash)
 	parser.LongDescription = "Operators' and callers' tool of pomelospool.\n\n" + exitHelp
@@ -73,7 +73,8 @@
 	return parser
 }
 
-// mustAdd panics on a malformed struct tag, which is a fault of this package.
+// mustAdd panics if a command's struct tags are malformed, which is a bug in this
+// package.
 func mustAdd[T any](_ T, err error) {
 	if err != nil {
 		panic(err)
@@ -90,10 +91,10 @@
 		fmt.Fprintln(a.out, f.Message)
 		return ExitOK
 	}
-	var said reported
-	if !errors.As(err, &said) {
+	var printed printedError
+	if !errors.As(err, &printed) {
 		fmt.Fprintln(a.err, "pomelosctl: "+err.Error())
-		a.advise(err)
+		a.printAction(err)
 	}
 	exit := exitOf(err)
 	if a.JSON && !a.printedJSON {
@@ -102,10 +103,10 @@
 	return exit
 }
 
-// failure is the JSON of a command that failed before it had a result.
+// failure is the JSON output of a command that failed before it had a result.
 type failure struct {
 	Exit  int       `json:"exit"`
-	Code  code.Code `json:"code,omitempty"` // left out for a wrong usage
+	Code  code.Code `json:"code,omitempty"` // omitted for usage errors
 	Name  string    `json:"name,omitempty"`
 	Error string    `json:"error"`
 }
@@ -119,8 +120,9 @@
 	return f
 }
 
-// advise says what to do about an error with a code.
-func (a *app) advise(err error) {
+// printAction prints what to do about an error with a code. Problems of a file
+// get no advice, because each of them says what would be right.
+func (a *app) printAction(err error) {
 	var coded *code.Error
 	var problems yamlcheck.Problems
 	if errors.As(err, &coded) && !errors.As(err, &problems) {
@@ -128,22 +130,22 @@
 	}
 }
 
-// usageError says what is missing on the command line.
+// usageError is a fault of the command line.
 type usageError string
 
 func (u usageError) Error() string { return string(u) }
 
-// reported is an error that the command has printed itself.
-type reported struct{ error }
+// printedError is an error whose details the command has already printed.
+type printedError struct{ error }
 
-func (r reported) Unwrap() error { return r.error }
+func (r printedError) Unwrap() error { return r.error }
 
-// withTimeout bounds a command.
+// withTimeout returns a context bounded by --timeout.
 func (a *app) withTimeout() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(a.ctx, a.Timeout)
 }
 
-// printJSON writes v indented.
+// printJSON writes v as indented JSON to stdout.
 func (a *app) printJSON(v any) error {
 	a.printedJSON = true
 	enc := json.NewEncoder(a.out)
@@ -153,7 +155,7 @@
 
 func (a *app) printf(format string, args ...any) { fmt.Fprintf(a.out, format, args...) }
 
-// callers returns the callers' ports, or a usage error.
+// callers returns the callers' ports named by --callers, or a usage error.
 func (a *app) callers() ([]string, error) {
 	list := split(a.Callers)
 	if len(list) == 0 {
@@ -162,11 +164,12 @@
 	return list, nil
 }
 
+// split splits each item at commas and spaces.
 func split(list []string) []string {
 	return strings.FieldsFunc(strings.Join(list, ","), func(r rune) bool { return r == ',' || r == ' ' })
 }
 
-// tls returns the client side of TLS, nil without --ca.
+// tls returns the TLS configuration of clients, or nil without --ca.
 func (a *app) tls() (*tls.Config, error) {
 	if a.CA == "" {
 		return nil, nil
--- a/operator/ctl/burn.go
+++ b/operator/ctl/burn.go
@@ -22,24 +22,24 @@
 	HTML flags.Filename `long:"html" value-name:"FILE" description:"Write one HTML page with plots, which opens without a network"`
 }
 
-// Execute asks all daemons once.
+// Execute queries all daemons and shows the merged burn.
 func (c *burnCommand) Execute([]string) error {
 	var view burnview.View
-	err := c.app.askDaemons("burn", func(ctx context.Context, client *status.Client, addrs []string) {
-		view = burnview.Fetch(ctx, client, addrs, askTimeout)
+	err := c.app.queryDaemons("burn", func(ctx context.Context, client *status.Client, addrs []string) {
+		view = burnview.Fetch(ctx, client, addrs, queryTimeout)
 	})
 	if err == nil {
 		err = c.show(view)
 	}
 	if err == nil {
-		err = missing(len(view.Missing), view.Asked)
+		err = unansweredError(len(view.Missing), view.Asked)
 	}
 	return err
 }
 
 func (c *burnCommand) show(view burnview.View) error {
 	if c.HTML != "" {
-		if err := c.page(view); err != nil {
+		if err := c.writePage(view); err != nil {
 			return err
 		}
 	}
@@ -49,7 +49,7 @@
 	return view.Table(c.app.out, c.Orgs)
 }
 
-func (c *burnCommand) page(view burnview.View) error {
+func (c *burnCommand) writePage(view burnview.View) error {
 	file, err := os.Create(string(c.HTML))
 	if err != nil {
 		return err
--- a/operator/ctl/call.go
+++ b/operator/ctl/call.go
@@ -23,27 +23,27 @@
 begins anew on a new line. A call with --key is sent again with the same key.`
 
 type callCommand struct {
-	app       *app
-	Model     string        `long:"model" description:"Model that answers the prompt"`
-	MaxTokens int           `long:"max-tokens" default:"64" description:"Most tokens of the answer"`
-	Complete  bool          `long:"completion" description:"Use /v1/completions in place of chat"`
-	Service   string        `long:"service" description:"Plain service to call"`
-	Path      string        `long:"path" default:"/" description:"Path within the plain service"`
-	Method    string        `long:"method" default:"POST" description:"HTTP method of a plain call"`
-	Data      string        `long:"data" description:"Body of a plain call; - reads stdin"`
-	Type      string        `long:"type" default:"application/json" description:"Content type of a plain call"`
-	ID        string        `long:"id" description:"Request id; made when left out"`
-	Deadline  time.Duration `long:"deadline" default:"30s" description:"Time until the whole answer"`
-	Priority  int           `long:"priority" choice:"-1" choice:"0" choice:"1" default:"0" description:"Priority"`
-	Org       string        `long:"org" description:"Organisation that the call counts for"`
-	Key       string        `long:"key" description:"Idempotency-Key of a call that may run at most once"`
-	Once      bool          `long:"no-restart" description:"Don't send a prompt again whose stream was cut"`
-	Args      struct {
+	app            *app
+	Model          string        `long:"model" description:"Model that answers the prompt"`
+	MaxTokens      int           `long:"max-tokens" default:"64" description:"Most tokens of the answer"`
+	UseCompletions bool          `long:"completion" description:"Use /v1/completions in place of chat"`
+	Service        string        `long:"service" description:"Plain service to call"`
+	Path           string        `long:"path" default:"/" description:"Path within the plain service"`
+	Method         string        `long:"method" default:"POST" description:"HTTP method of a plain call"`
+	Data           string        `long:"data" description:"Body of a plain call; - reads stdin"`
+	Type           string        `long:"type" default:"application/json" description:"Content type of a plain call"`
+	ID             string        `long:"id" description:"Request id; made when left out"`
+	Deadline       time.Duration `long:"deadline" default:"30s" description:"Time until the whole answer"`
+	Priority       int           `long:"priority" choice:"-1" choice:"0" choice:"1" default:"0" description:"Priority"`
+	Org            string        `long:"org" description:"Organisation that the call counts for"`
+	Key            string        `long:"key" description:"Idempotency-Key of a call that may run at most once"`
+	NoRestart      bool          `long:"no-restart" description:"Don't send a prompt again whose stream was cut"`
+	Args           struct {
 		Prompt []string `positional-arg-name:"PROMPT" description:"Words of the prompt"`
 	} `positional-args:"yes"`
 }
 
-// callReport is the JSON of call.
+// callReport is the JSON output of the call command.
 type callReport struct {
 	*caller.Answer
 	Text  string `json:"text"`
@@ -56,19 +56,19 @@
 	if err != nil {
 		return err
 	}
-	client, err := c.app.caller(rand.Uint64())
+	client, err := c.app.callerClient(rand.Uint64())
 	if err != nil {
 		return err
 	}
 	defer client.Close()
-	ctx, cancel := context.WithTimeout(c.app.ctx, c.Deadline+askTimeout)
+	ctx, cancel := context.WithTimeout(c.app.ctx, c.Deadline+queryTimeout)
 	defer cancel()
 	printer := &tokenPrinter{c: c}
 	if req.Stream {
 		req.OnToken = printer.token
 	}
 	var a *caller.Answer
-	err = c.app.progress(saying("call: waiting for the answer"), func() error {
+	err = c.app.progress(fixedText("call: waiting for the answer"), func() error {
 		a, err = client.Do(ctx, req)
 		return err
 	})
@@ -81,7 +81,7 @@
 	case (c.Model == "") == (c.Service == ""):
 		return r, usageError("give either --model and a prompt, or --service")
 	case c.Model != "":
-		prompt, err := c.text(strings.Join(c.Args.Prompt, " "))
+		prompt, err := c.readArgument(strings.Join(c.Args.Prompt, " "))
 		if err != nil {
 			return r, err
 		}
@@ -89,12 +89,12 @@
 			return r, usageError("give a prompt, or - to read it from stdin")
 		}
 		r = caller.Chat(c.Model, prompt, c.MaxTokens)
-		if c.Complete {
+		if c.UseCompletions {
 			r = caller.Completion(c.Model, prompt, c.MaxTokens)
 		}
-		r.Idempotent = !c.Once
+		r.Idempotent = !c.NoRestart
 	default:
-		data, err := c.text(c.Data)
+		data, err := c.readArgument(c.Data)
 		if err != nil {
 			return r, err
 		}
@@ -109,7 +109,8 @@
 	return r, nil
 }
 
-func (c *callCommand) text(v string) (string, error) {
+// readArgument returns v, or the contents of stdin if v is "-".
+func (c *callCommand) readArgument(v string) (string, error) {
 	if v != "-" {
 		return v, nil
 	}
@@ -120,7 +121,7 @@
 	return string(data), nil
 }
 
-// tokenPrinter writes tokens as they come, or keeps them for the JSON.
+// tokenPrinter prints tokens as they arrive and collects the text for the JSON.
 type tokenPrinter struct {
 	c    *callCommand
 	text strings.Builder
@@ -171,5 +172,5 @@
 	return nil
 }
 
-// errorStatus is the lowest HTTP status of an error.
+// errorStatus is the lowest HTTP status that denotes an error.
 const errorStatus = 400
--- a/operator/ctl/check.go
+++ b/operator/ctl/check.go
@@ -26,14 +26,14 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// checkReport is the JSON of check, one for each file.
+// checkReport is the JSON output of the check command for one file.
 type checkReport struct {
 	File     string               `json:"file"`
 	Kind     string               `json:"kind"` // document, settings, deploy file or template
 	Problems []*yamlcheck.Problem `json:"problems"`
 }
 
-// Execute checks every file and fails if one has problems.
+// Execute checks every file and returns an error if any has problems.
 func (c *checkCommand) Execute([]string) error {
 	var reports []checkReport
 	var all []*yamlcheck.Problem
@@ -54,7 +54,7 @@
 		c.print(reports)
 	}
 	if err != nil {
-		return reported{err}
+		return printedError{err}
 	}
 	return nil
 }
@@ -70,6 +70,7 @@
 	}
 }
 
+// checkFile checks one file as the kind that its name and contents indicate.
 func checkFile(file string) (checkReport, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -94,7 +95,8 @@
 	return r, nil
 }
 
-// checkTemplate fills a template and checks the settings that come of it.
+// checkTemplate fills a template with example values and checks the resulting
+// settings.
 func checkTemplate(file string, data []byte) []*yamlcheck.Problem {
 	filled, problems := platform.FillTemplate(file, data)
 	if len(problems) > 0 {
@@ -104,8 +106,9 @@
 	return problems
 }
 
-// isSettings tells settings from a document by their top keys. A file that
-// doesn't parse counts as a document, whose check then says why.
+// isSettings reports whether data is settings rather than a document, by its
+// top-level keys. A file that doesn't parse counts as a document; checking it as
+// one reports the error.
 func isSettings(data []byte) bool {
 	var top struct {
 		VM       yaml.Node `yaml:"vm"`
--- a/operator/ctl/cli_test.go
+++ b/operator/ctl/cli_test.go
@@ -14,7 +14,7 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// actAsTool makes the test's own binary the command line.
+// actAsTool is the environment variable that makes the test binary run Main.
 const actAsTool = "POMELOSCTL_TEST_ACTS_AS_TOOL"
 
 func TestMain(m *testing.M) {
@@ -24,14 +24,13 @@
 	m.Run()
 }
 
-// TestCompletion: an operator loads the printed script into bash and presses
-// the tab key.
+// TestCompletion loads the printed script into bash and checks what it completes.
 func TestCompletion(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	const press = `eval "$("$0" completion bash)"
+	const script = `eval "$("$0" completion bash)"
 COMP_WORDS=("$0" "$@"); COMP_CWORD=$#
 _pomelosctl; echo "${COMPREPLY[@]}"`
 	cases := []struct{ words, want string }{
@@ -43,7 +42,7 @@
 		{"check cli_", "cli_test.go"},
 	}
 	for _, tc := range cases {
-		words := append([]string{"-c", press, self}, strings.Split(tc.words, " ")...)
+		words := append([]string{"-c", script, self}, strings.Split(tc.words, " ")...)
 		cmd := exec.CommandContext(t.Context(), "bash", words...)
 		cmd.Env = append(os.Environ(), actAsTool+"=1")
 		out, err := cmd.CombinedOutput()
@@ -53,10 +52,10 @@
 	}
 }
 
-// TestJSON: a script gets one JSON value from every command, also when it
-// fails.
+// TestJSON checks that every command prints exactly one JSON value with --json,
+// also when it fails, so that scripts can parse the output.
 func TestJSON(t *testing.T) {
-	server := newSite(t)
+	server := newTestSite(t)
 	dead := httptest.NewServer(nil)
 	dead.Close()
 	live, gone := server.Listener.Addr().String(), dead.Listener.Addr().String()
@@ -109,8 +108,8 @@
 	}
 }
 
-// TestCommandLinePage: the page says what the program does, and each example
-// on it is a command line that the program takes.
+// TestCommandLinePage checks that docs/CLI.md matches the commands, and that the
+// parser accepts each example on it.
 func TestCommandLinePage(t *testing.T) {
 	goldie.New(t, goldie.WithFixtureDir("../../docs"), goldie.WithNameSuffix(".md")).Assert(t, "CLI", Markdown())
 	for _, c := range newParser(&app{}).Commands() {
--- a/operator/ctl/clidoc.go
+++ b/operator/ctl/clidoc.go
@@ -10,8 +10,8 @@
 	"github.com/pomelospool/pomelospool/code"
 )
 
-// examples are one or two command lines of each command, as the help and
-// docs/CLI.md show them.
+// examples holds the example command lines of each command, which the help and
+// docs/CLI.md show.
 var examples = map[string][]string{
 	"publish": {
 		"pomelosctl publish --log http://10.1.1.2:9000 --daemons 10.1.1.5:7002,10.1.2.5:7002 --wait halen-language.yaml",
@@ -29,7 +29,7 @@
 	"version":    {"pomelosctl version --json"},
 }
 
-// withExamples appends a command's examples to its help.
+// withExamples appends the examples of a command to its help.
 func withExamples(command, help string) string {
 	title := "\n\nExample:\n  "
 	if len(examples[command]) > 1 {
@@ -49,13 +49,13 @@
 (` + "`--help`" + ` and an unknown command or option excepted).
 `
 
-// Markdown returns docs/CLI.md.
+// Markdown returns the contents of docs/CLI.md.
 func Markdown() []byte {
 	var b strings.Builder
 	parser := newParser(&app{})
 	b.WriteString(cliIntro)
 	b.WriteString("\n## Exit codes\n\n")
-	writeExits(&b)
+	writeExitCodes(&b)
 	b.WriteString("\n## Common options\n\n")
 	for _, g := range parser.Groups() {
 		writeOptions(&b, g.Options())
@@ -78,7 +78,7 @@
 	{ExitUnreachable, "the log or a daemon can't be reached"},
 }
 
-func writeExits(b *strings.Builder) {
+func writeExitCodes(b *strings.Builder) {
 	b.WriteString("| exit code | meaning | numbered codes |\n|---|---|---|\n")
 	for _, e := range exitMeanings {
 		var codes []string
@@ -113,7 +113,8 @@
 	}
 }
 
-// valueName is how an option's value is written, nothing for a switch.
+// valueName returns the placeholder of an option's value, which is empty for a
+// switch.
 func valueName(o *flags.Option) string {
 	switch {
 	case o.Field().Type.Kind() == reflect.Bool:
--- a/operator/ctl/ctl_test.go
+++ b/operator/ctl/ctl_test.go
@@ -20,18 +20,18 @@
 	"github.com/pomelospool/pomelospool/version/document"
 )
 
-// site is a log service and a daemon on one loopback server. The daemon
+// testSite is a log service and a fake daemon on one loopback server. The daemon
 // follows the log and answers every call.
-type site struct {
+type testSite struct {
 	log      http.Handler
 	follower *follow.Follower
 }
 
-func newSite(t *testing.T) *httptest.Server {
+func newTestSite(t *testing.T) *httptest.Server {
 	log := logsvc.New(logsvc.Options{})
 	f := follow.New(follow.Options{Log: log, Clock: clock.Boot{}, Self: "entry-1-a", Validate: document.Validate})
 	f.Start()
-	server := httptest.NewServer(&site{log.Handler(), f})
+	server := httptest.NewServer(&testSite{log.Handler(), f})
 	t.Cleanup(func() {
 		server.Close()
 		_ = f.Stop()
@@ -40,7 +40,7 @@
 	return server
 }
 
-func (s *site) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *testSite) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case strings.HasPrefix(r.URL.Path, "/streams/"):
 		s.log.ServeHTTP(w, r)
@@ -49,9 +49,9 @@
 		if svc := s.follower.State().Services["halen-application"]; svc.Version > 0 && !svc.Removed {
 			st.Services = []status.Service{{Name: "halen-application", Kind: "plain", Version: svc.Version}}
 		}
-		answer(w, st)
+		writeJSON(w, st)
 	case r.URL.Path == caller.PathAddresses:
-		answer(w, caller.Addresses{Addresses: []caller.Address{{Addr: r.Host, Zone: "hall-a"}}, TTLMs: 5000})
+		writeJSON(w, caller.Addresses{Addresses: []caller.Address{{Addr: r.Host, Zone: "hall-a"}}, TTLMs: 5000})
 	case r.URL.Path == caller.PathChat:
 		w.Header().Set("Content-Type", "text/event-stream")
 		id := r.Header.Get(caller.HeaderRequestID)
@@ -65,11 +65,11 @@
 	}
 }
 
-func answer(w http.ResponseWriter, v any) { _ = json.NewEncoder(w).Encode(v) }
+func writeJSON(w http.ResponseWriter, v any) { _ = json.NewEncoder(w).Encode(v) }
 
-// Each line is one run of the command line, one after another on one site.
+// TestCommands runs the command lines one after another on one site.
 func TestCommands(t *testing.T) {
-	server := newSite(t)
+	server := newTestSite(t)
 	dead := httptest.NewServer(nil)
 	dead.Close()
 	live, gone := server.Listener.Addr().String(), dead.Listener.Addr().String()
@@ -126,7 +126,7 @@
 	}
 }
 
-// Every example passes its check.
+// TestExamplesAreValid checks every file of the folder examples.
 func TestExamplesAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../examples/*.yaml")
 	if err != nil || len(files) < 5 {
--- a/operator/ctl/daemons.go
+++ b/operator/ctl/daemons.go
@@ -11,10 +11,10 @@
 	"github.com/pomelospool/pomelospool/process/status"
 )
 
-// askTimeout bounds one question to one daemon.
-const askTimeout = 2 * time.Second
+// queryTimeout bounds one query to one daemon.
+const queryTimeout = 2 * time.Second
 
-// daemons returns the operators' ports, or a usage error.
+// daemons returns the operators' ports named by --daemons, or a usage error.
 func (a *app) daemons() ([]string, error) {
 	list := split(a.Daemons)
 	if len(list) == 0 {
@@ -23,8 +23,8 @@
 	return list, nil
 }
 
-// operators returns a client for the operators' ports.
-func (a *app) operators() (*status.Client, error) {
+// statusClient returns a client for the operators' ports.
+func (a *app) statusClient() (*status.Client, error) {
 	conf, err := a.tls()
 	if err != nil {
 		return nil, err
@@ -40,36 +40,38 @@
 	return status.NewClient(conf, token), nil
 }
 
-// fleet returns the operators' ports and a client for them, which the caller
-// closes.
-func (a *app) fleet() ([]string, *status.Client, error) {
+// daemonsAndClient returns the operators' ports and a client for them. The
+// function's caller closes the client.
+func (a *app) daemonsAndClient() ([]string, *status.Client, error) {
 	addrs, err := a.daemons()
 	if err != nil {
 		return nil, nil, err
 	}
-	client, err := a.operators()
+	client, err := a.statusClient()
 	return addrs, client, err
 }
 
-// askDaemons runs ask, with progress in the name of the command.
-func (a *app) askDaemons(command string, ask func(context.Context, *status.Client, []string)) error {
-	addrs, client, err := a.fleet()
+// queryDaemons calls query with a client and the operators' ports, and prints
+// progress in the name of the command.
+func (a *app) queryDaemons(command string, query func(context.Context, *status.Client, []string)) error {
+	addrs, client, err := a.daemonsAndClient()
 	if err != nil {
 		return err
 	}
 	defer client.Close()
 	ctx, cancel := a.withTimeout()
 	defer cancel()
-	return a.progress(saying(command+": asking the daemons"), func() error {
-		ask(ctx, client, addrs)
+	return a.progress(fixedText(command+": asking the daemons"), func() error {
+		query(ctx, client, addrs)
 		return nil
 	})
 }
 
-// missing is the error of a command that printed what the others answered.
-func missing(n, asked int) error {
+// unansweredError returns an error if n of the queried daemons didn't answer. The
+// command has printed the answers of the others.
+func unansweredError(n, queried int) error {
 	if n == 0 {
 		return nil
 	}
-	return reported{code.New(code.DaemonUnreachable, "%d of %d daemons didn't answer", n, asked)}
+	return printedError{code.New(code.DaemonUnreachable, "%d of %d daemons didn't answer", n, queried)}
 }
--- a/operator/ctl/exit.go
+++ b/operator/ctl/exit.go
@@ -8,7 +8,7 @@
 	"github.com/pomelospool/pomelospool/code"
 )
 
-// Exit codes.
+// Exit codes of pomelosctl, which exitHelp describes.
 const (
 	ExitOK          = 0
 	ExitFailed      = 1
@@ -22,7 +22,7 @@
 3 refused, and nothing was run or changed; 4 the outcome is unknown, it may
 have run; 5 the log or a daemon can't be reached.`
 
-// exitOf gives the exit code for an error.
+// exitOf returns the exit code for an error.
 func exitOf(err error) int {
 	var usage usageError
 	var parse *flags.Error
--- a/operator/ctl/info.go
+++ b/operator/ctl/info.go
@@ -23,10 +23,10 @@
 	} `positional-args:"yes"`
 }
 
-// codeName is the number or the name of a code.
+// codeName is the number or the name of a code, as given on the command line.
 type codeName string
 
-// Complete lists the codes that begin with match, for the shell.
+// Complete implements flags.Completer. It lists the codes that begin with match.
 func (codeName) Complete(match string) []flags.Completion {
 	var out []flags.Completion
 	for _, i := range code.All() {
@@ -39,27 +39,27 @@
 	return out
 }
 
-// names reports whether n stands for the code; empty stands for all.
-func (n codeName) names(i code.Info) bool {
+// matches reports whether n names the code. An empty n matches every code.
+func (n codeName) matches(i code.Info) bool {
 	return n == "" || string(n) == strconv.Itoa(int(i.Code)) || strings.EqualFold(string(n), i.Name)
 }
 
-// explained is the JSON of explain.
-type explained struct {
+// explainReport is the JSON output of the explain command for one code.
+type explainReport struct {
 	Code    code.Code `json:"code"`
 	Name    string    `json:"name"`
 	Status  int       `json:"status"`
-	Ran     string    `json:"ran"` // yes, no, maybe, or - when it isn't about a request
+	Ran     string    `json:"ran"` // yes, no, maybe, or - if the code isn't about a request
 	Meaning string    `json:"meaning"`
 	Action  string    `json:"action"`
 }
 
-// Execute prints one code or all.
+// Execute explains one code or lists all.
 func (c *explainCommand) Execute([]string) error {
-	var found []explained
+	var found []explainReport
 	for _, i := range code.All() {
-		if c.Args.Code.names(i) {
-			found = append(found, explained{i.Code, i.Name, i.Status, codedoc.Ran(i), i.Meaning, i.Action})
+		if c.Args.Code.matches(i) {
+			found = append(found, explainReport{i.Code, i.Name, i.Status, codedoc.Ran(i), i.Meaning, i.Action})
 		}
 	}
 	if len(found) == 0 {
@@ -81,15 +81,15 @@
 
 type versionCommand struct{ app *app }
 
-// build is the JSON of version.
-type build struct {
+// versionReport is the JSON output of the version command.
+type versionReport struct {
 	Version  string `json:"version"`
 	Revision string `json:"revision"`
 }
 
-// Execute prints the module's version as the build knows it.
+// Execute prints the version and revision from the build information.
 func (c *versionCommand) Execute([]string) error {
-	b := build{Version: "unknown"}
+	b := versionReport{Version: "unknown"}
 	if info, ok := debug.ReadBuildInfo(); ok {
 		b.Version = info.Main.Version
 		for _, s := range info.Settings {
@@ -112,8 +112,8 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// bashScript asks the command itself, which go-flags answers when
-// GO_FLAGS_COMPLETION is set.
+// bashScript calls pomelosctl for completions. With GO_FLAGS_COMPLETION set,
+// go-flags prints them instead of running a command.
 const bashScript = `_pomelosctl() {
 	local args=("${COMP_WORDS[@]:1:$COMP_CWORD}")
 	local IFS=$'\n'
@@ -123,13 +123,13 @@
 complete -o default -F _pomelosctl pomelosctl
 `
 
-// completionReport is the JSON of completion.
+// completionReport is the JSON output of the completion command.
 type completionReport struct {
 	Shell  string `json:"shell"`
 	Script string `json:"script"`
 }
 
-// Execute prints the script.
+// Execute prints the completion script.
 func (c *completionCommand) Execute([]string) error {
 	if c.Args.Shell != "bash" {
 		return usageError("completion knows bash only")
--- a/operator/ctl/load.go
+++ b/operator/ctl/load.go
@@ -37,7 +37,7 @@
 	Plot        flags.Filename `long:"plot" value-name:"FILE" description:"Write the times over their quantiles as SVG"`
 }
 
-// Execute runs the load.
+// Execute sends the load and reports the result.
 func (c *loadCommand) Execute([]string) error {
 	o, err := c.options()
 	if err != nil {
@@ -50,8 +50,8 @@
 	defer client.Close()
 	var p load.Progress
 	var s *load.Summary
-	say := func() string { return fmt.Sprintf("load: %d sent, %d done", p.Sent.Load(), p.Done.Load()) }
-	_ = c.app.progress(say, func() error {
+	describe := func() string { return fmt.Sprintf("load: %d sent, %d done", p.Sent.Load(), p.Done.Load()) }
+	_ = c.app.progress(describe, func() error {
 		s = load.Run(c.app.ctx, client, o, &p)
 		return nil
 	})
@@ -59,14 +59,14 @@
 		return err
 	}
 	if !s.Passed() {
-		return reported{code.New(code.Internal, "%d of %d requests failed", s.Failed, s.Sent)}
+		return printedError{code.New(code.Internal, "%d of %d requests failed", s.Failed, s.Sent)}
 	}
 	return nil
 }
 
 func (c *loadCommand) client() (*caller.Client, error) {
 	if !c.Direct {
-		return c.app.caller(c.Seed)
+		return c.app.callerClient(c.Seed)
 	}
 	return caller.New(caller.Options{Daemons: c.app.Callers, SkipDiscovery: true, Seed: c.Seed}), nil
 }
@@ -99,8 +99,8 @@
 	return o, nil
 }
 
-// verifyStandin returns the check of the stand-in engine's answer to a chat
-// with one user's message.
+// verifyStandin returns a function that checks the tokens of the stand-in
+// engine's answer to a chat with a single user message.
 func verifyStandin(content string) func(i int, text string) bool {
 	hash := token.Hash(prefix.Prompt([]prefix.Message{{Role: "user", Content: content}}))
 	return func(i int, text string) bool { return text == token.At(hash, i) }
--- a/operator/ctl/load_test.go
+++ b/operator/ctl/load_test.go
@@ -16,17 +16,17 @@
 	"github.com/pomelospool/pomelospool/standin/engine"
 )
 
-// The load goes straight to a stand-in engine, which stands in for a daemon
-// that adds nothing. First all is well. Then the engine cuts two answers, and
-// next it swaps two with one another: the cut ones are repeated, the crossed
-// ones are known by their ids and repeated, and all are whole in the end.
-func TestLoadSeesCutAndCrossedAnswers(t *testing.T) {
+// The load goes directly to a stand-in engine in place of a daemon. The first run
+// has no faults. In the second run the engine cuts two answers, and in the third
+// it swaps two answers. The client must retry the cut answers and those that bear
+// another request's id, and the summary must count them.
+func TestLoadReportsCutAndCrossedAnswers(t *testing.T) {
 	e := engine.New(engine.Options{Spec: port.EngineSpec{Model: "m", Version: "1"}})
 	defer e.Close()
 	next := e.Handler()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == caller.PathAddresses {
-			answer(w, caller.Addresses{Addresses: []caller.Address{{Addr: r.Host}}, TTLMs: 60000})
+			writeJSON(w, caller.Addresses{Addresses: []caller.Address{{Addr: r.Host}}, TTLMs: 60000})
 			return
 		}
 		next.ServeHTTP(w, r)
--- a/operator/ctl/progress.go
+++ b/operator/ctl/progress.go
@@ -7,23 +7,23 @@
 	"gopkg.in/tomb.v2"
 )
 
-// progressEvery is the time between lines of progress, and until the first.
-const progressEvery = 2 * time.Second
+// progressInterval is the time between progress lines, and before the first one.
+const progressInterval = 2 * time.Second
 
-// progress runs work and writes a line to stderr every two seconds until it
-// ends. say returns what is being waited for.
-func (a *app) progress(say func() string, work func() error) error {
+// progress runs work and writes a line to stderr every progressInterval until
+// work returns. describe returns what the command is waiting for.
+func (a *app) progress(describe func() string, work func() error) error {
 	var t tomb.Tomb
 	start := time.Now()
 	t.Go(func() error {
-		tick := time.NewTicker(progressEvery)
+		tick := time.NewTicker(progressInterval)
 		defer tick.Stop()
 		for {
 			select {
 			case <-t.Dying():
 				return nil
 			case <-tick.C:
-				fmt.Fprintf(a.err, "%s, %s\n", say(), time.Since(start).Round(time.Second))
+				fmt.Fprintf(a.err, "%s, %s\n", describe(), time.Since(start).Round(time.Second))
 			}
 		}
 	})
@@ -33,5 +33,5 @@
 	return err
 }
 
-// saying returns a constant text for progress.
-func saying(text string) func() string { return func() string { return text } }
+// fixedText returns a function for progress that always returns text.
+func fixedText(text string) func() string { return func() string { return text } }
--- a/operator/ctl/publish.go
+++ b/operator/ctl/publish.go
@@ -28,8 +28,8 @@
 --daemons has the version in force. --remove ends the service that the
 document names.`
 
-// pollStatus is the time between two looks at all daemons.
-const pollStatus = 200 * time.Millisecond
+// statusPollInterval is the time between two queries of all daemons.
+const statusPollInterval = 200 * time.Millisecond
 
 type publishCommand struct {
 	app    *app
@@ -41,17 +41,17 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// publishReport is the JSON of publish.
+// publishReport is the JSON output of the publish command.
 type publishReport struct {
 	publish.Result
-	Code    code.Code `json:"code"`
-	Error   string    `json:"error,omitempty"`
-	InForce bool      `json:"in_force_already,omitempty"`
-	On      int       `json:"on,omitempty"` // daemons with the version in force, with --wait
-	Of      int       `json:"of,omitempty"`
+	Code           code.Code `json:"code"`
+	Error          string    `json:"error,omitempty"`
+	AlreadyInForce bool      `json:"in_force_already,omitempty"`
+	InForceOn      int       `json:"on,omitempty"` // with --wait: daemons that have the version in force
+	Queried        int       `json:"of,omitempty"`
 }
 
-// Execute publishes one file.
+// Execute publishes or removes one document.
 func (c *publishCommand) Execute([]string) error {
 	data, err := os.ReadFile(string(c.Args.File))
 	if err != nil {
@@ -69,7 +69,7 @@
 	ctx, cancel := c.app.withTimeout()
 	defer cancel()
 	var report publishReport
-	err = c.app.progress(saying("publish: waiting for the log's verdict on "+doc.Service), func() error {
+	err = c.app.progress(fixedText("publish: waiting for the log's verdict on "+doc.Service), func() error {
 		report, err = c.publish(ctx, log, doc.Service, data)
 		return err
 	})
@@ -88,9 +88,9 @@
 			return publishReport{}, err
 		}
 		base = now.Version
-		if now.YAML == c.wanted(data) {
+		if now.YAML == c.newText(data) {
 			r := publish.Result{Service: service, Base: base, Version: base, Newest: base, Again: true}
-			return publishReport{Result: r, InForce: true}, nil
+			return publishReport{Result: r, AlreadyInForce: true}, nil
 		}
 	}
 	if c.Remove {
@@ -101,46 +101,46 @@
 	return publishReport{Result: r}, err
 }
 
-// wanted is the text that shall be in force, none after a removal.
-func (c *publishCommand) wanted(data []byte) string {
+// newText returns the text to bring into force, which is empty for a removal.
+func (c *publishCommand) newText(data []byte) string {
 	if c.Remove {
 		return ""
 	}
 	return string(data)
 }
 
-// waitForAll polls the daemons until all have the version in force.
+// waitForAll polls the daemons until all of them have the version in force.
 func (c *publishCommand) waitForAll(ctx context.Context, report *publishReport) error {
-	addrs, client, err := c.app.fleet()
+	addrs, client, err := c.app.daemonsAndClient()
 	if err != nil {
 		return err
 	}
 	defer client.Close()
-	say := func() string { return fmt.Sprintf("publish: waiting for all of %d daemons", len(addrs)) }
-	return c.app.progress(say, func() error {
-		tick := time.NewTicker(pollStatus)
+	describe := func() string { return fmt.Sprintf("publish: waiting for all of %d daemons", len(addrs)) }
+	return c.app.progress(describe, func() error {
+		tick := time.NewTicker(statusPollInterval)
 		defer tick.Stop()
 		for {
-			report.On, report.Of = 0, len(addrs)
-			for _, d := range client.Fetch(ctx, addrs, askTimeout).Daemons {
-				if d.Status != nil && c.done(d.Status, report.Result) {
-					report.On++
+			report.InForceOn, report.Queried = 0, len(addrs)
+			for _, d := range client.Fetch(ctx, addrs, queryTimeout).Daemons {
+				if d.Status != nil && c.applied(d.Status, report.Result) {
+					report.InForceOn++
 				}
 			}
-			if report.On == report.Of {
+			if report.InForceOn == report.Queried {
 				return nil
 			}
 			select {
 			case <-ctx.Done():
-				return code.New(code.DaemonUnreachable, "version %d of %s is in force on %d of %d daemons", report.Version, report.Service, report.On, report.Of)
+				return code.New(code.DaemonUnreachable, "version %d of %s is in force on %d of %d daemons", report.Version, report.Service, report.InForceOn, report.Queried)
 			case <-tick.C:
 			}
 		}
 	})
 }
 
-// done reports whether a daemon has the result in force.
-func (c *publishCommand) done(s *status.Status, r publish.Result) bool {
+// applied reports whether the daemon of s has r or a later version in force.
+func (c *publishCommand) applied(s *status.Status, r publish.Result) bool {
 	if c.Remove {
 		return s.VersionOf(r.Service) == 0
 	}
@@ -159,19 +159,19 @@
 		return err
 	}
 	switch {
-	case r.InForce && c.Remove:
+	case r.AlreadyInForce && c.Remove:
 		c.app.printf("%s: isn't in force\n", r.Service)
 	case c.Remove:
 		c.app.printf("%s: ended by version %d on base %d\n", r.Service, r.Version, r.Base)
-	case r.InForce:
+	case r.AlreadyInForce:
 		c.app.printf("%s: this file is in force already, version %d\n", r.Service, r.Version)
 	case r.Newest > r.Version:
 		c.app.printf("%s: version %d was accepted before; version %d is in force now\n", r.Service, r.Version, r.Newest)
 	default:
 		c.app.printf("%s: version %d accepted on base %d\n", r.Service, r.Version, r.Base)
 	}
-	if r.Of > 0 {
-		c.app.printf("%s: version %d in force on %d of %d daemons\n", r.Service, r.Version, r.On, r.Of)
+	if r.Queried > 0 {
+		c.app.printf("%s: version %d in force on %d of %d daemons\n", r.Service, r.Version, r.InForceOn, r.Queried)
 	}
 	return nil
 }
--- a/operator/ctl/status.go
+++ b/operator/ctl/status.go
@@ -19,11 +19,11 @@
 	Members bool   `long:"members" description:"Show the members as each daemon sees them"`
 }
 
-// Execute asks all daemons once.
+// Execute queries all daemons and prints their status.
 func (c *statusCommand) Execute([]string) error {
 	var fleet status.Fleet
-	err := c.app.askDaemons("status", func(ctx context.Context, client *status.Client, addrs []string) {
-		fleet = client.Fetch(ctx, addrs, askTimeout)
+	err := c.app.queryDaemons("status", func(ctx context.Context, client *status.Client, addrs []string) {
+		fleet = client.Fetch(ctx, addrs, queryTimeout)
 	})
 	if err != nil {
 		return err
@@ -34,7 +34,7 @@
 		c.print(fleet)
 	}
 	if err == nil {
-		err = missing(fleet.Asked-fleet.Answered, fleet.Asked)
+		err = unansweredError(fleet.Asked-fleet.Answered, fleet.Asked)
 	}
 	return err
 }
--- a/operator/ctl/trace.go
+++ b/operator/ctl/trace.go
@@ -19,18 +19,18 @@
 	} `positional-args:"yes"`
 }
 
-// traced is one log line about the request.
-type traced struct {
-	Before    string         `json:"before,omitempty"` // what stood before the JSON
+// logLine is one log line about the request.
+type logLine struct {
+	Prefix    string         `json:"before,omitempty"` // text before the JSON, such as a collector's time and host
 	Timestamp time.Time      `json:"timestamp"`
 	Message   string         `json:"message"`
 	Fields    map[string]any `json:"fields"`
 }
 
-// maxLogLine bounds one line of a log, in bytes.
+// maxLogLine is the maximum length of a log line in bytes.
 const maxLogLine = 1 << 20
 
-// Execute prints the lines about the request.
+// Execute prints the log lines about the request.
 func (c *traceCommand) Execute([]string) error {
 	found, err := traceLines(c.app.in, c.Args.ID)
 	if err != nil {
@@ -43,14 +43,14 @@
 		return c.app.printJSON(found)
 	}
 	for _, t := range found {
-		c.app.printf("%s %s%s %s\n", t.Timestamp.Format(time.RFC3339Nano), t.Before, t.Message, fieldsText(t.Fields))
+		c.app.printf("%s %s%s %s\n", t.Timestamp.Format(time.RFC3339Nano), t.Prefix, t.Message, fieldsText(t.Fields))
 	}
 	return nil
 }
 
-// traceLines returns the lines about a request in order of time.
-func traceLines(in io.Reader, id string) ([]traced, error) {
-	var out []traced
+// traceLines returns the log lines about a request, sorted by time.
+func traceLines(in io.Reader, id string) ([]logLine, error) {
+	var out []logLine
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, maxLogLine)
 	for lines.Scan() {
@@ -58,7 +58,7 @@
 		if !ok || !strings.Contains(rest, id) {
 			continue
 		}
-		t := traced{Before: before}
+		t := logLine{Prefix: before}
 		if json.Unmarshal([]byte("{"+rest), &t) != nil || t.Fields["request"] != id {
 			continue
 		}
@@ -67,11 +67,11 @@
 	if err := lines.Err(); err != nil {
 		return nil, fmt.Errorf("read the log: %w", err)
 	}
-	slices.SortStableFunc(out, func(a, b traced) int { return a.Timestamp.Compare(b.Timestamp) })
+	slices.SortStableFunc(out, func(a, b logLine) int { return a.Timestamp.Compare(b.Timestamp) })
 	return out, nil
 }
 
-// fieldsText writes the fields in the order of their names.
+// fieldsText formats the fields, sorted by name, without the request's id.
 func fieldsText(fields map[string]any) string {
 	var parts []string
 	for k, v := range fields {
--- a/operator/ctl/trace_test.go
+++ b/operator/ctl/trace_test.go
@@ -14,7 +14,8 @@
 {"fields":{"target":"a"},"message":"about a target"}
 `
 
-// An engineer has an id from a complaint and the logs of all daemons.
+// TestTrace checks that trace finds a request's lines in the mixed logs of several
+// daemons and prints them in order of time.
 func TestTrace(t *testing.T) {
 	var out, errOut bytes.Buffer
 	if exit := Main(t.Context(), []string{"trace", "a"}, strings.NewReader(traceLog), &out, &errOut); exit != ExitOK {
@@ -26,6 +27,6 @@
 		t.Errorf("printed\n%s", out.String())
 	}
 	if exit := Main(t.Context(), []string{"trace", "nobody"}, strings.NewReader(traceLog), &out, &errOut); exit == ExitOK {
-		t.Error("no line and no error")
+		t.Error("trace of an unknown request returned no error")
 	}
 }
--- a/operator/metricdoc/metricdoc_test.go
+++ b/operator/metricdoc/metricdoc_test.go
@@ -1,4 +1,4 @@
-// Package metricdoc holds the test of docs/METRICS.md against the source.
+// Package metricdoc tests that docs/METRICS.md matches the source.
 package metricdoc
 
 import (
@@ -18,13 +18,14 @@
 
 const root = "../.."
 
-// source is what one package publishes.
+// source holds the metrics that one package publishes.
 type source struct {
-	vars  map[string]string // Go variable to expvar name
-	names map[string]bool   // as on the page: "name", "map.key", "map.prefix_<>"
+	vars  map[string]string // expvar name by Go variable
+	names map[string]bool   // as the page writes them: "name", "map.key", "map.prefix_<>"
 }
 
-// scan parses every package of the code that the binaries are built of.
+// scan parses the Go files of all packages except tests, and returns the sources
+// with metrics by package name.
 func scan(t *testing.T) map[string]*source {
 	t.Helper()
 	files := map[string][]*ast.File{}
@@ -43,10 +44,10 @@
 	for _, list := range files {
 		s := &source{vars: map[string]string{}, names: map[string]bool{}}
 		for _, f := range list {
-			ast.Inspect(f, s.published)
+			ast.Inspect(f, s.collectVars)
 		}
 		for _, f := range list {
-			ast.Inspect(f, s.keys)
+			ast.Inspect(f, s.collectMapKeys)
 		}
 		if len(s.names) > 0 {
 			out[list[0].Name.Name] = s
@@ -55,16 +56,16 @@
 	return out
 }
 
-// published notes the variables made by expvar.NewX("name").
-func (s *source) published(n ast.Node) bool {
+// collectVars records the variables that are created by expvar.NewX("name").
+func (s *source) collectVars(n ast.Node) bool {
 	spec, ok := n.(*ast.ValueSpec)
 	if !ok {
 		return true
 	}
 	for i, v := range spec.Values {
-		fun, args := call(v)
+		fun, args := callOf(v)
 		if strings.HasPrefix(fun, "expvar.New") && i < len(spec.Names) {
-			name := pattern(args[0])
+			name := namePattern(args[0])
 			s.vars[spec.Names[i].Name] = name
 			if fun != "expvar.NewMap" {
 				s.names[name] = true
@@ -74,21 +75,23 @@
 	return true
 }
 
-// keys notes what is added to the maps.
-func (s *source) keys(n ast.Node) bool {
+// collectMapKeys records the keys that are added to expvar maps.
+func (s *source) collectMapKeys(n ast.Node) bool {
 	expr, ok := n.(ast.Expr)
 	if !ok {
 		return true
 	}
-	fun, args := call(expr)
+	fun, args := callOf(expr)
 	variable, method, _ := strings.Cut(fun, ".")
 	if name := s.vars[variable]; name != "" && len(args) == 2 && strings.HasPrefix(method, "Add") {
-		s.names[name+"."+pattern(args[0])] = true
+		s.names[name+"."+namePattern(args[0])] = true
 	}
 	return true
 }
 
-func call(e ast.Expr) (string, []ast.Expr) {
+// callOf returns the qualified name and the arguments of a call of the form
+// x.f(args), or "" for other expressions.
+func callOf(e ast.Expr) (string, []ast.Expr) {
 	c, ok := e.(*ast.CallExpr)
 	if !ok {
 		return "", nil
@@ -104,29 +107,31 @@
 	return x.Name + "." + sel.Sel.Name, c.Args
 }
 
-// pattern is a constant text, with <> for what is known at run time only.
-func pattern(e ast.Expr) string {
+// namePattern returns the text of e, with <> for parts that are known only at run
+// time.
+func namePattern(e ast.Expr) string {
 	switch e := e.(type) {
 	case *ast.BasicLit:
 		s, _ := strconv.Unquote(e.Value)
 		return s
 	case *ast.BinaryExpr:
-		return pattern(e.X) + pattern(e.Y)
+		return namePattern(e.X) + namePattern(e.Y)
 	}
 	return "<>"
 }
 
 var (
-	row    = regexp.MustCompile("(?m)^\\| `([^`]+)` \\| [^|]+ \\| [^|]+ \\|$")
-	filled = regexp.MustCompile("<[^>]*>")
-	snake  = regexp.MustCompile(`^[a-z][a-z0-9_]*$|^<>$|^[a-z][a-z0-9_]*_<>$`)
+	row         = regexp.MustCompile("(?m)^\\| `([^`]+)` \\| [^|]+ \\| [^|]+ \\|$")
+	placeholder = regexp.MustCompile("<[^>]*>")
+	snake       = regexp.MustCompile(`^[a-z][a-z0-9_]*$|^<>$|^[a-z][a-z0-9_]*_<>$`)
 )
 
-// parts are the packages whose metrics bear another name than the package.
-var parts = map[string]string{"follow": "control"}
+// metricPrefixes holds the metrics' prefix of packages whose metrics don't begin
+// with the package name.
+var metricPrefixes = map[string]string{"follow": "control"}
 
-// TestPageMatchesTheSource: an operator looks up a number of /debug/vars and
-// finds it on the page, with its unit; the page names none that isn't there.
+// TestPageMatchesTheSource checks that the page documents every metric of
+// /debug/vars, with its unit, and lists no metric that isn't published.
 func TestPageMatchesTheSource(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(root, "docs", "METRICS.md"))
 	if err != nil {
@@ -134,35 +139,36 @@
 	}
 	documented := map[string]bool{}
 	for _, m := range row.FindAllStringSubmatch(string(page), -1) {
-		documented[filled.ReplaceAllString(m[1], "<>")] = true
+		documented[placeholder.ReplaceAllString(m[1], "<>")] = true
 	}
-	published := map[string]bool{"cmdline": true, "memstats": true} // by expvar itself
+	published := map[string]bool{"cmdline": true, "memstats": true} // published by expvar itself
 	for _, s := range scan(t) {
 		maps.Copy(published, s.names)
 	}
 	for _, name := range slices.Sorted(maps.Keys(published)) {
 		if !documented[name] {
-			t.Errorf("%s is published and not on the page", name)
+			t.Errorf("%s is published but not on the page", name)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(documented)) {
 		if !published[name] {
-			t.Errorf("%s is on the page and not published", name)
+			t.Errorf("%s is on the page but not published", name)
 		}
 	}
 }
 
-// TestNames: a metric's name begins with its part and is in snake case.
+// TestNames checks that a metric's name begins with its package's prefix and is
+// in snake case.
 func TestNames(t *testing.T) {
 	for pkg, s := range scan(t) {
-		part := pkg
-		if p := parts[pkg]; p != "" {
-			part = p
+		prefix := pkg
+		if p := metricPrefixes[pkg]; p != "" {
+			prefix = p
 		}
 		for name := range s.names {
 			first, key, isMap := strings.Cut(name, ".")
-			if first != part && !strings.HasPrefix(first, part+"_") {
-				t.Errorf("%s: %s doesn't begin with %s", pkg, name, part)
+			if first != prefix && !strings.HasPrefix(first, prefix+"_") {
+				t.Errorf("%s: %s doesn't begin with %s", pkg, name, prefix)
 			}
 			if !snake.MatchString(first) || isMap && !snake.MatchString(key) {
 				t.Errorf("%s: %s isn't in snake case", pkg, name)
--- a/operator/proofdoc/proofdoc_test.go
+++ b/operator/proofdoc/proofdoc_test.go
@@ -1,4 +1,4 @@
-// Package proofdoc holds the test of docs/PROOFS.md against the source.
+// Package proofdoc tests that docs/PROOFS.md matches the source.
 package proofdoc
 
 import (
@@ -18,35 +18,35 @@
 
 const root = "../.."
 
-// proof is one test function, fuzz target or benchmark.
-type proof struct {
-	dir  string
-	subs bool            // it runs sub-tests
-	said map[string]bool // the texts in its body and in the package's tables
+// testFunc is one test function, fuzz target or benchmark.
+type testFunc struct {
+	dir         string
+	hasSubtests bool
+	literals    map[string]bool // string literals of its body and of the package's variables and constants
 }
 
-// scan parses all test files and returns their functions by name; functions
-// of one name in several packages stand side by side.
-func scan(t *testing.T) map[string][]proof {
+// scan parses all test files and returns their test functions by name. Functions
+// of the same name in several packages share one entry.
+func scan(t *testing.T) map[string][]testFunc {
 	t.Helper()
-	out := map[string][]proof{}
+	out := map[string][]testFunc{}
 	for dir, files := range parseAll(t, func(path string) bool { return strings.HasSuffix(path, "_test.go") }) {
 		tables := map[string]bool{}
 		for _, f := range files {
 			for _, d := range f.Decls {
 				if _, ok := d.(*ast.GenDecl); ok {
-					maps.Copy(tables, texts(d))
+					maps.Copy(tables, stringLiterals(d))
 				}
 			}
 		}
 		for _, f := range files {
 			for _, d := range f.Decls {
 				fn, ok := d.(*ast.FuncDecl)
-				if !ok || fn.Recv != nil || !named.MatchString(fn.Name.Name) {
+				if !ok || fn.Recv != nil || !testName.MatchString(fn.Name.Name) {
 					continue
 				}
-				p := proof{dir: dir, subs: calls(fn)["Run"] != nil, said: texts(fn)}
-				maps.Copy(p.said, tables)
+				p := testFunc{dir: dir, hasSubtests: callArguments(fn)["Run"] != nil, literals: stringLiterals(fn)}
+				maps.Copy(p.literals, tables)
 				out[fn.Name.Name] = append(out[fn.Name.Name], p)
 			}
 		}
@@ -54,7 +54,8 @@
 	return out
 }
 
-// parseAll parses the Go files that want takes, by directory below the root.
+// parseAll parses the Go files whose path want accepts. It returns them by
+// directory relative to the root.
 func parseAll(t *testing.T, want func(path string) bool) map[string][]*ast.File {
 	t.Helper()
 	out := map[string][]*ast.File{}
@@ -73,8 +74,9 @@
 	return out
 }
 
-// texts are the string literals below n, as testing writes names of sub-tests.
-func texts(n ast.Node) map[string]bool {
+// stringLiterals returns the string literals below n, with underscores in place of
+// spaces, as package testing writes the names of sub-tests.
+func stringLiterals(n ast.Node) map[string]bool {
 	out := map[string]bool{}
 	ast.Inspect(n, func(n ast.Node) bool {
 		if lit, ok := n.(*ast.BasicLit); ok && lit.Kind == token.STRING {
@@ -86,9 +88,9 @@
 	return out
 }
 
-// calls are the first constant texts that each function below n is called
-// with, by the function's last name.
-func calls(n ast.Node) map[string][]string {
+// callArguments returns the first string literal among the arguments of each call
+// below n, or "" without one, by the unqualified name of the function.
+func callArguments(n ast.Node) map[string][]string {
 	out := map[string][]string{}
 	ast.Inspect(n, func(n ast.Node) bool {
 		c, ok := n.(*ast.CallExpr)
@@ -115,16 +117,16 @@
 }
 
 var (
-	named  = regexp.MustCompile(`^(Test|Fuzz|Benchmark)[A-Z]`)
-	bare   = regexp.MustCompile(`\b(Test|Fuzz|Benchmark)[A-Z]\w*`)
-	quoted = regexp.MustCompile("`([a-z0-9/]+)\\.((?:Test|Fuzz|Benchmark)[A-Z]\\w*)(?:([/:])([^`]+))?`")
-	corpus = regexp.MustCompile("(?m)^\\| `[a-z]+\\.(Fuzz\\w+)` \\| (\\d+) \\|")
-	link   = regexp.MustCompile(`\]\(([^)#:]+)\)`)
-	target = regexp.MustCompile("`make ([a-z]+)")
-	tool   = regexp.MustCompile("`(pomelos[a-z]+) ([a-z][a-z-]*)")
-	gotest = regexp.MustCompile("`go test ([^`]+)`")
-	goal   = regexp.MustCompile(`(?m)^([a-z]+):`)
-	tagged = regexp.MustCompile(`command:"([a-z]+)"`)
+	testName       = regexp.MustCompile(`^(Test|Fuzz|Benchmark)[A-Z]`)
+	unquotedTest   = regexp.MustCompile(`\b(Test|Fuzz|Benchmark)[A-Z]\w*`)
+	quotedTest     = regexp.MustCompile("`([a-z0-9/]+)\\.((?:Test|Fuzz|Benchmark)[A-Z]\\w*)(?:([/:])([^`]+))?`")
+	corpusRow      = regexp.MustCompile("(?m)^\\| `[a-z]+\\.(Fuzz\\w+)` \\| (\\d+) \\|")
+	link           = regexp.MustCompile(`\]\(([^)#:]+)\)`)
+	makeMention    = regexp.MustCompile("`make ([a-z]+)")
+	commandMention = regexp.MustCompile("`(pomelos[a-z]+) ([a-z][a-z-]*)")
+	goTestMention  = regexp.MustCompile("`go test ([^`]+)`")
+	makeGoal       = regexp.MustCompile(`(?m)^([a-z]+):`)
+	commandTag     = regexp.MustCompile(`command:"([a-z]+)"`)
 )
 
 func page(t *testing.T) string {
@@ -141,42 +143,42 @@
 	return string(data)
 }
 
-// TestNamedTestsExist: a reader runs the test that the page names for a
-// promise, and go test says "no tests to run", because it was renamed. Each
-// name must be a function of that package, and what follows it a sub-test
-// ("/") or, where a table runs without sub-tests, a case (":").
+// TestNamedTestsExist guards against tests that were renamed without the page, for
+// which go test reports "no tests to run". Each name on the page must be a
+// function of its package. A part after the name must be a sub-test ("/") or, for
+// a table without sub-tests, a case (":").
 func TestNamedTestsExist(t *testing.T) {
 	source, text := scan(t), page(t)
-	for _, m := range quoted.FindAllStringSubmatch(text, -1) {
+	for _, m := range quotedTest.FindAllStringSubmatch(text, -1) {
 		whole, pkg, name, kind, sub := m[0], m[1], m[2], m[3], m[4]
-		i := slices.IndexFunc(source[name], func(p proof) bool {
+		i := slices.IndexFunc(source[name], func(p testFunc) bool {
 			return p.dir == pkg || strings.HasSuffix(p.dir, "/"+pkg)
 		})
 		if i < 0 {
-			t.Errorf("%s is on the page and not in the source", whole)
+			t.Errorf("%s is on the page but not in the source", whole)
 			continue
 		}
 		p := source[name][i]
-		if kind != "" && (kind == "/") != p.subs {
-			t.Errorf("%s: sub-tests stand after a slash, cases of other tables after a colon", whole)
+		if kind != "" && (kind == "/") != p.hasSubtests {
+			t.Errorf("%s: sub-tests must follow a slash, cases of other tables a colon", whole)
 		}
 		for _, part := range strings.Split(sub, "/") {
-			if part != "" && !p.said[strings.ReplaceAll(part, " ", "_")] {
+			if part != "" && !p.literals[strings.ReplaceAll(part, " ", "_")] {
 				t.Errorf("%s: the test has no %q", whole, part)
 			}
 		}
 	}
-	for _, name := range bare.FindAllString(quoted.ReplaceAllString(text, ""), -1) {
-		t.Errorf("%s stands on the page, but not as package.Name in backquotes", name)
+	for _, name := range unquotedTest.FindAllString(quotedTest.ReplaceAllString(text, ""), -1) {
+		t.Errorf("%s is on the page, but not as package.Name in backquotes", name)
 	}
 }
 
-// TestFuzzTargetsAreListed: the table of fuzz targets names each one with the
-// number of inputs of its corpus, and each benchmark stands on the page.
+// TestFuzzTargetsAreListed checks that the page lists each fuzz target with the
+// number of inputs in its corpus, and names each benchmark.
 func TestFuzzTargetsAreListed(t *testing.T) {
 	text := page(t)
 	inputs := map[string]string{}
-	for _, m := range corpus.FindAllStringSubmatch(text, -1) {
+	for _, m := range corpusRow.FindAllStringSubmatch(text, -1) {
 		inputs[m[1]] = m[2]
 	}
 	for name, list := range scan(t) {
@@ -192,46 +194,46 @@
 	}
 }
 
-// TestNamedCommandsExist: the make targets, sub-commands, packages and pages
-// that the page names are there.
+// TestNamedCommandsExist checks that the make targets, sub-commands, packages and
+// pages named by the page exist.
 func TestNamedCommandsExist(t *testing.T) {
 	text := page(t)
 	goals := map[string]bool{}
-	for _, m := range goal.FindAllStringSubmatch(read(t, "Makefile"), -1) {
+	for _, m := range makeGoal.FindAllStringSubmatch(read(t, "Makefile"), -1) {
 		goals[m[1]] = true
 	}
-	for _, m := range target.FindAllStringSubmatch(text, -1) {
+	for _, m := range makeMention.FindAllStringSubmatch(text, -1) {
 		if !goals[m[1]] {
 			t.Errorf("no target %s in the Makefile", m[1])
 		}
 	}
 	commands := subCommands(t)
-	for _, m := range tool.FindAllStringSubmatch(text, -1) {
+	for _, m := range commandMention.FindAllStringSubmatch(text, -1) {
 		if !commands[m[1]][m[2]] {
 			t.Errorf("%s has no sub-command %s", m[1], m[2])
 		}
 	}
-	for _, m := range gotest.FindAllStringSubmatch(text, -1) {
+	for _, m := range goTestMention.FindAllStringSubmatch(text, -1) {
 		for _, word := range strings.Fields(m[1]) {
 			if dir, ok := strings.CutPrefix(word, "./"); ok {
-				exists(t, strings.TrimSuffix(dir, "..."))
+				checkExists(t, strings.TrimSuffix(dir, "..."))
 			}
 		}
 	}
 	for _, m := range link.FindAllStringSubmatch(text, -1) {
-		exists(t, filepath.Join("docs", m[1]))
+		checkExists(t, filepath.Join("docs", m[1]))
 	}
 }
 
-func exists(t *testing.T, path string) {
+func checkExists(t *testing.T, path string) {
 	t.Helper()
 	if _, err := os.Stat(filepath.Join(root, path)); err != nil {
 		t.Errorf("on the page: %v", err)
 	}
 }
 
-// subCommands are those of each command, by the calls that add them or by the
-// tags of go-flags.
+// subCommands returns the sub-commands of each command. It finds them by the calls
+// that add them and by the struct tags of go-flags.
 func subCommands(t *testing.T) map[string]map[string]bool {
 	t.Helper()
 	out := map[string]map[string]bool{}
@@ -247,11 +249,11 @@
 			out[name] = map[string]bool{}
 		}
 		for _, f := range files {
-			for _, c := range append(calls(f)["add"], calls(f)["AddCommand"]...) {
+			for _, c := range append(callArguments(f)["add"], callArguments(f)["AddCommand"]...) {
 				out[name][c] = true
 			}
-			for tag := range texts(f) {
-				for _, m := range tagged.FindAllStringSubmatch(tag, -1) {
+			for tag := range stringLiterals(f) {
+				for _, m := range commandTag.FindAllStringSubmatch(tag, -1) {
 					out[name][m[1]] = true
 				}
 			}
--- a/operator/svgplot/svgplot.go
+++ b/operator/svgplot/svgplot.go
@@ -1,4 +1,4 @@
-// Package svgplot draws the plots of the reports as SVG.
+// Package svgplot draws bar charts and quantile plots of reports as SVG.
 package svgplot
 
 import (
@@ -16,24 +16,24 @@
 )
 
 const (
-	width  = 16 * vg.Centimeter
-	height = 8 * vg.Centimeter
-	bar    = 12 * vg.Millimeter
+	width    = 16 * vg.Centimeter
+	height   = 8 * vg.Centimeter
+	barWidth = 12 * vg.Millimeter
 )
 
 var barColor = color.Gray{Y: 0x60}
 
-// Curve is one line of a plot of quantiles.
+// Curve is one line of a quantile plot. At returns the time at quantile q.
 type Curve struct {
 	Name string
 	At   func(q float64) time.Duration
 }
 
-// quantiles are the points of a curve, closer together towards the slow end.
-var quantiles = []float64{0.01, 0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 0.995, 0.999, 0.9999}
+// plottedQuantiles are the points of a curve, denser towards the tail.
+var plottedQuantiles = []float64{0.01, 0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 0.995, 0.999, 0.9999}
 
-// Quantiles draws times over quantiles. The axis is logarithmic in the share
-// of requests that are slower, so that the slow end can be read.
+// Quantiles plots times over quantiles. The x axis is logarithmic in the share of
+// slower requests, which makes the tail readable.
 func Quantiles(title string, curves ...Curve) ([]byte, error) {
 	p := plot.New()
 	p.Title.Text = title
@@ -43,15 +43,15 @@
 	p.Legend.Top, p.Legend.Left = true, true
 	p.X.Tick.Marker = plot.ConstantTicks(quantileTicks())
 	for i, c := range curves {
-		points := make(plotter.XYs, len(quantiles))
-		for j, q := range quantiles {
+		points := make(plotter.XYs, len(plottedQuantiles))
+		for j, q := range plottedQuantiles {
 			points[j] = plotter.XY{X: nines(q), Y: float64(c.At(q)) / float64(time.Millisecond)}
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
 			return nil, fmt.Errorf("plot %s: %w", c.Name, err)
 		}
-		line.Dashes = dashes(i)
+		line.Dashes = dashStyle(i)
 		p.Add(line)
 		p.Legend.Add(c.Name, line)
 	}
@@ -59,7 +59,7 @@
 	return render(p)
 }
 
-// nines gives 1 for 0.9, 2 for 0.99 and so on.
+// nines returns the number of nines of q: 1 for 0.9, 2 for 0.99 and so on.
 func nines(q float64) float64 { return -math.Log10(1 - q) }
 
 func quantileTicks() []plot.Tick {
@@ -71,18 +71,18 @@
 	return ticks
 }
 
-func dashes(i int) []vg.Length {
+func dashStyle(i int) []vg.Length {
 	styles := [][]vg.Length{nil, {vg.Points(6), vg.Points(3)}, {vg.Points(2), vg.Points(2)}}
 	return styles[i%len(styles)]
 }
 
-// Bars draws one bar a label.
+// Bars draws one bar for each label.
 func Bars(title, unit string, labels []string, values []float64) ([]byte, error) {
 	p := plot.New()
 	p.Title.Text = title
 	p.Y.Label.Text = unit
 	p.Y.Min = 0
-	bars, err := plotter.NewBarChart(plotter.Values(values), bar)
+	bars, err := plotter.NewBarChart(plotter.Values(values), barWidth)
 	if err != nil {
 		return nil, fmt.Errorf("plot %s: %w", title, err)
 	}
