--- a/operator/caller/caller_test.go
+++ b/operator/caller/caller_test.go
@@ -117,16 +117,16 @@
 // Daemons refuse, close the connection, cut an answer or send another request's
 // answer. The client must return a complete answer or the correct code, and must
 // not retry a request that may have run and may not run twice.
-func TestDoRetriesOnlyWhenSafe(t *testing.T) {
+func TestDo(t *testing.T) {
 	complete := streamResponse(tokenEvent(0), tokenEvent(1), stopEvent, doneEvent)
 	other := `{"id":"another","token_index":0,"choices":[{"delta":{"content":" x"}}]}`
-	broken := `{"error":{"code":2006,"message":"gone","not_run":false}}`
+	cutError := `{"error":{"code":2006,"message":"gone","not_run":false}}`
 	chat := Chat("m", "hello", 3)
-	fixed := chat
-	fixed.Idempotent = false
+	notIdempotent := chat
+	notIdempotent.Idempotent = false
 	verified := chat
 	verified.Verify = func(i int, text string) bool { return text == fmt.Sprintf(" t%d", i) }
-	wrong := fixed
+	wrong := notIdempotent
 	wrong.Verify = func(i int, _ string) bool { return i != 1 }
 	plain := Request{Path: "/s/app/holds", Body: []byte("{}")}
 	keyed := plain
@@ -151,15 +151,15 @@
 		// A daemon is killed after it sent some tokens. The connection is closed
 		// cleanly, and only the end marker is missing.
 		{"cut, restarted", chat, []response{streamResponse(tokenEvent(0), tokenEvent(1)), complete}, code.OK, 2, 1, Faults{}},
-		{"cut, no restart", fixed, []response{streamResponse(tokenEvent(0), tokenEvent(1)), complete}, code.StreamCut, 1, 1, Faults{}},
-		{"end marker without finish", fixed, []response{streamResponse(tokenEvent(0), tokenEvent(1), doneEvent)}, code.StreamCut, 1, 1, Faults{}},
-		{"error within the stream", fixed, []response{streamResponse(tokenEvent(0), broken)}, code.StreamCut, 1, 1, Faults{}},
+		{"cut, no restart", notIdempotent, []response{streamResponse(tokenEvent(0), tokenEvent(1)), complete}, code.StreamCut, 1, 1, Faults{}},
+		{"end marker without finish", notIdempotent, []response{streamResponse(tokenEvent(0), tokenEvent(1), doneEvent)}, code.StreamCut, 1, 1, Faults{}},
+		{"error within the stream", notIdempotent, []response{streamResponse(tokenEvent(0), cutError)}, code.StreamCut, 1, 1, Faults{}},
 		{"daemon gone, no key", plain, []response{abortConnection, complete}, code.OutcomeUnknown, 1, 0, Faults{}},
 		{"daemon gone, same key", keyed, []response{abortConnection, complete}, code.OK, 2, 0, Faults{}},
-		{"crossed event", fixed, []response{streamResponse(tokenEvent(0), other, tokenEvent(1), stopEvent, doneEvent)}, code.OK, 1, 0, Faults{Crossed: 1}},
-		{"crossed answer", fixed, []response{answerOfAnotherRequest}, code.AnswerMismatch, 1, 0, Faults{Crossed: 1}},
-		{"doubled token", fixed, []response{streamResponse(tokenEvent(0), tokenEvent(0), tokenEvent(1), stopEvent, doneEvent)}, code.OK, 1, 0, Faults{Duplicated: 1}},
-		{"lost token", fixed, []response{streamResponse(tokenEvent(0), stopEvent, doneEvent)}, code.AnswerMismatch, 1, 0, Faults{Lost: 1}},
+		{"crossed event", notIdempotent, []response{streamResponse(tokenEvent(0), other, tokenEvent(1), stopEvent, doneEvent)}, code.OK, 1, 0, Faults{Crossed: 1}},
+		{"crossed answer", notIdempotent, []response{answerOfAnotherRequest}, code.AnswerMismatch, 1, 0, Faults{Crossed: 1}},
+		{"doubled token", notIdempotent, []response{streamResponse(tokenEvent(0), tokenEvent(0), tokenEvent(1), stopEvent, doneEvent)}, code.OK, 1, 0, Faults{Duplicated: 1}},
+		{"lost token", notIdempotent, []response{streamResponse(tokenEvent(0), stopEvent, doneEvent)}, code.AnswerMismatch, 1, 0, Faults{Lost: 1}},
 		{"wrong token", wrong, []response{complete}, code.AnswerMismatch, 1, 0, Faults{Wrong: 1}},
 	}
 	for _, tt := range tests {
--- a/operator/caller/send.go
+++ b/operator/caller/send.go
@@ -240,12 +240,12 @@
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxEvent))
 	at.a.Body = data
 	at.a.NotRun = resp.Header.Get(HeaderNotRun) == "true"
-	var w errorBody
-	if err != nil || json.Unmarshal(data, &w) != nil || w.Error == nil {
+	var body errorBody
+	if err != nil || json.Unmarshal(data, &body) != nil || body.Error == nil {
 		return code.New(at.refusalCode(resp), "%s", resp.Status)
 	}
-	at.a.NotRun = at.a.NotRun && w.Error.NotRun
-	return at.daemonError(w)
+	at.a.NotRun = at.a.NotRun && body.Error.NotRun
+	return at.daemonError(body)
 }
 
 // refusalCode returns a code for an error answer that isn't in the daemon's
@@ -257,9 +257,11 @@
 	return code.TargetRefused
 }
 
-func (at *attempt) daemonError(w errorBody) error {
-	at.a.RetryAfter = time.Duration(w.Error.RetryAfterMs) * time.Millisecond
-	return code.New(w.Error.Code, "%s", w.Error.Message).After(at.a.RetryAfter)
+// daemonError returns the error that a daemon reports in body, and records its
+// retry delay.
+func (at *attempt) daemonError(body errorBody) error {
+	at.a.RetryAfter = time.Duration(body.Error.RetryAfterMs) * time.Millisecond
+	return code.New(body.Error.Code, "%s", body.Error.Message).After(at.a.RetryAfter)
 }
 
 // retryDecision says whether, where and when to retry after a failed attempt.
@@ -296,6 +298,7 @@
 	return retryDecision{}
 }
 
+// sleep waits for d. It reports false if ctx is done first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/operator/load/summary.go
+++ b/operator/load/summary.go
@@ -39,20 +39,21 @@
 	return &Distribution{h: hdrhistogram.New(1, maxSteps, significantDigits)}
 }
 
-func (t *Distribution) add(d time.Duration) {
-	_ = t.h.RecordValue(min(max(int64(d/resolution), 0), maxSteps))
+func (d *Distribution) add(v time.Duration) {
+	_ = d.h.RecordValue(min(max(int64(v/resolution), 0), maxSteps))
 }
 
 // Quantile returns the time at or below which a share q of the samples lies.
-func (t *Distribution) Quantile(q float64) time.Duration {
+func (d *Distribution) Quantile(q float64) time.Duration {
 	const percent = 100
-	return time.Duration(t.h.ValueAtQuantile(q*percent)) * resolution
+	return time.Duration(d.h.ValueAtQuantile(q*percent)) * resolution
 }
 
-func (t *Distribution) fillFields() {
-	t.Count = t.h.TotalCount()
-	t.P50, t.P90, t.P95, t.P99, t.P999 = t.Quantile(0.5), t.Quantile(0.9), t.Quantile(0.95), t.Quantile(0.99), t.Quantile(0.999)
-	t.Max = time.Duration(t.h.Max()) * resolution
+// fillFields sets the exported fields from the histogram.
+func (d *Distribution) fillFields() {
+	d.Count = d.h.TotalCount()
+	d.P50, d.P90, d.P95, d.P99, d.P999 = d.Quantile(0.5), d.Quantile(0.9), d.Quantile(0.95), d.Quantile(0.99), d.Quantile(0.999)
+	d.Max = time.Duration(d.h.Max()) * resolution
 }
 
 // CodeCount is the number of requests that ended with a code.
