--- a/operator/ctl/load_test.go
+++ b/operator/ctl/load_test.go
@@ -16,17 +16,17 @@
 	"github.com/pomelospool/pomelospool/standin/engine"
 )
 
-// The load goes straight to a stand-in engine, which stands in for a daemon
-// that adds nothing. First all is well. Then the engine cuts two answers, and
-// next it swaps two with one another: the cut ones are repeated, the crossed
-// ones are known by their ids and repeated, and all are whole in the end.
-func TestLoadSeesCutAndCrossedAnswers(t *testing.T) {
+// The load goes directly to a stand-in engine in place of a daemon. The first run
+// has no faults. In the second run the engine cuts two answers, and in the third
+// it swaps two answers. The client must retry the cut answers and those that bear
+// another request's id, and the summary must count them.
+func TestLoadReportsCutAndCrossedAnswers(t *testing.T) {
 	e := engine.New(engine.Options{Spec: port.EngineSpec{Model: "m", Version: "1"}})
 	defer e.Close()
 	next := e.Handler()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == caller.PathAddresses {
-			answer(w, caller.Addresses{Addresses: []caller.Address{{Addr: r.Host}}, TTLMs: 60000})
+			writeJSON(w, caller.Addresses{Addresses: []caller.Address{{Addr: r.Host}}, TTLMs: 60000})
 			return
 		}
 		next.ServeHTTP(w, r)
@@ -43,13 +43,13 @@
 		if err := json.Unmarshal([]byte(out.String()), &s); err != nil {
 			t.Fatalf("exit %d, %v: %s%s", exit, err, out.String(), errs.String())
 		}
-		if (exit == ExitOK) != s.Good() {
+		if (exit == ExitOK) != s.Passed() {
 			t.Errorf("exit %d with %+v", exit, s)
 		}
 		return s
 	}
 	s := run()
-	if !s.Good() || !s.Verified || s.Sent < 30 || s.Whole != s.Sent || s.Attempts != s.Sent {
+	if !s.Passed() || !s.Verified || s.Sent < 30 || s.Complete != s.Sent || s.Attempts != s.Sent {
 		t.Errorf("without faults: %+v", s)
 	}
 	if svg, err := os.ReadFile(plot); err != nil || !strings.Contains(string(svg), "<svg") {
@@ -60,11 +60,11 @@
 			t.Fatal(err)
 		}
 		s = run()
-		if s.Whole != s.Sent || s.Attempts != s.Sent+2 {
-			t.Errorf("%s: %d of %d whole in %d attempts", f.Kind, s.Whole, s.Sent, s.Attempts)
+		if s.Complete != s.Sent || s.Attempts != s.Sent+2 {
+			t.Errorf("%s: %d of %d whole in %d attempts", f.Kind, s.Complete, s.Sent, s.Attempts)
 		}
-		if s.Cut+s.Faults.Crossed != 2 || (s.Cut == 2) != (f.Kind == "cut") || s.Faults.Wrong+s.Faults.Doubled+s.Faults.Lost > 0 {
-			t.Errorf("%s: %d cut, %+v", f.Kind, s.Cut, s.Faults)
+		if s.CutAttempts+s.Faults.Crossed != 2 || (s.CutAttempts == 2) != (f.Kind == "cut") || s.Faults.Wrong+s.Faults.Duplicated+s.Faults.Lost > 0 {
+			t.Errorf("%s: %d cut, %+v", f.Kind, s.CutAttempts, s.Faults)
 		}
 	}
 }
--- a/operator/load/summary.go
+++ b/operator/load/summary.go
@@ -14,16 +14,16 @@
 	"github.com/pomelospool/pomelospool/operator/svgplot"
 )
 
-// Histograms count in steps of 10 microseconds up to an hour, within one in a
-// thousand.
+// Histograms record times with a resolution of 10 microseconds, up to an hour,
+// with a precision of three significant digits.
 const (
-	step   = 10 * time.Microsecond
-	high   = 360_000_000
-	digits = 3
+	resolution        = 10 * time.Microsecond
+	maxSteps          = 360_000_000
+	significantDigits = 3
 )
 
-// Times is the distribution of a time.
-type Times struct {
+// Distribution holds quantiles of a measured time.
+type Distribution struct {
 	Count int64         `json:"count"`
 	P50   time.Duration `json:"p50_ns"`
 	P90   time.Duration `json:"p90_ns"`
@@ -35,71 +35,77 @@
 	h *hdrhistogram.Histogram
 }
 
-func newTimes() *Times { return &Times{h: hdrhistogram.New(1, high, digits)} }
+func newDistribution() *Distribution {
+	return &Distribution{h: hdrhistogram.New(1, maxSteps, significantDigits)}
+}
 
-func (t *Times) add(d time.Duration) { _ = t.h.RecordValue(min(max(int64(d/step), 0), high)) }
+func (d *Distribution) add(v time.Duration) {
+	_ = d.h.RecordValue(min(max(int64(v/resolution), 0), maxSteps))
+}
 
-// At returns the time at or below which a share q lies.
-func (t *Times) At(q float64) time.Duration {
+// Quantile returns the time at or below which a share q of the samples lies.
+func (d *Distribution) Quantile(q float64) time.Duration {
 	const percent = 100
-	return time.Duration(t.h.ValueAtQuantile(q*percent)) * step
+	return time.Duration(d.h.ValueAtQuantile(q*percent)) * resolution
 }
 
-func (t *Times) fill() {
-	t.Count = t.h.TotalCount()
-	t.P50, t.P90, t.P95, t.P99, t.P999 = t.At(0.5), t.At(0.9), t.At(0.95), t.At(0.99), t.At(0.999)
-	t.Max = time.Duration(t.h.Max()) * step
+// fillFields sets the exported fields from the histogram.
+func (d *Distribution) fillFields() {
+	d.Count = d.h.TotalCount()
+	d.P50, d.P90, d.P95, d.P99, d.P999 = d.Quantile(0.5), d.Quantile(0.9), d.Quantile(0.95), d.Quantile(0.99), d.Quantile(0.999)
+	d.Max = time.Duration(d.h.Max()) * resolution
 }
 
-// Ended is how many requests ended with a code.
-type Ended struct {
+// CodeCount is the number of requests that ended with a code.
+type CodeCount struct {
 	Code  code.Code `json:"code"`
 	Name  string    `json:"name"`
 	Count int       `json:"count"`
 }
 
-// KindSummary is the part of one kind of request.
+// KindSummary summarizes one kind of request.
 type KindSummary struct {
 	Kind
-	Sent   int    `json:"sent"`
-	Whole  int    `json:"whole"`
-	First  *Times `json:"first"`
-	Answer *Times `json:"answer"`
+	Sent             int           `json:"sent"`
+	Complete         int           `json:"whole"`
+	TimeToFirstToken *Distribution `json:"first"`
+	TimeToCompletion *Distribution `json:"answer"`
 }
 
-// Summary is the result of a run. All times but Unadjusted count from the
-// intended arrival, and are those of whole answers.
+// Summary is the result of a run. Times are those of complete answers, except
+// SendDelay, which covers every request sent. Times to an event count from the
+// planned arrival, except Unadjusted.
 type Summary struct {
-	Rate     float64       `json:"rate"`
-	Seed     uint64        `json:"seed"`
-	Took     time.Duration `json:"took_ns"`
-	Planned  int           `json:"planned"`
-	Sent     int           `json:"sent"`
-	Whole    int           `json:"whole"`
-	NotRun   int           `json:"not_run"`  // refused, and truly not run
-	Failed   int           `json:"failed"`   // neither whole nor refused
-	Verified bool          `json:"verified"` // each token was checked
-	Attempts int           `json:"attempts"`
-	Cut      int           `json:"cut"` // attempts; a cut one may have been repeated
-	Faults   caller.Faults `json:"faults"`
-	Tokens   int           `json:"tokens"` // of whole answers
-	Goodput  float64       `json:"tokens_per_second"`
-	Ended    []Ended       `json:"ended"`
-	First    *Times        `json:"first"`
-	Between  *Times        `json:"between"`
-	Answer   *Times        `json:"answer"`
-	Late     *Times        `json:"late"`       // how late requests were sent
-	Raw      *Times        `json:"unadjusted"` // whole answers, from the true start
-	Kinds    []KindSummary `json:"kinds"`
+	Rate              float64       `json:"rate"`
+	Seed              uint64        `json:"seed"`
+	Elapsed           time.Duration `json:"took_ns"`
+	Planned           int           `json:"planned"`
+	Sent              int           `json:"sent"`
+	Complete          int           `json:"whole"`
+	NotRun            int           `json:"not_run"`  // refused and not run
+	Failed            int           `json:"failed"`   // neither complete nor refused
+	Verified          bool          `json:"verified"` // every token was checked
+	Attempts          int           `json:"attempts"`
+	CutAttempts       int           `json:"cut"` // attempts whose answer was cut; they may have been retried
+	Faults            caller.Faults `json:"faults"`
+	Tokens            int           `json:"tokens"` // of complete answers
+	TokensPerSecond   float64       `json:"tokens_per_second"`
+	ByCode            []CodeCount   `json:"ended"`
+	TimeToFirstToken  *Distribution `json:"first"`
+	TimeBetweenTokens *Distribution `json:"between"`
+	TimeToCompletion  *Distribution `json:"answer"`
+	SendDelay         *Distribution `json:"late"`       // from the planned to the actual start
+	Unadjusted        *Distribution `json:"unadjusted"` // time to completion from the actual start
+	Kinds             []KindSummary `json:"kinds"`
 }
 
-func sum(o Options, samples []sample, took time.Duration) *Summary {
+func summarize(o Options, samples []sample, elapsed time.Duration) *Summary {
 	s := &Summary{
-		Rate: o.Rate, Seed: o.Seed, Took: took, Planned: len(samples), Verified: o.Verify != nil,
-		First: newTimes(), Between: newTimes(), Answer: newTimes(), Late: newTimes(), Raw: newTimes(),
+		Rate: o.Rate, Seed: o.Seed, Elapsed: elapsed, Planned: len(samples), Verified: o.Verify != nil,
+		TimeToFirstToken: newDistribution(), TimeBetweenTokens: newDistribution(), TimeToCompletion: newDistribution(), SendDelay: newDistribution(), Unadjusted: newDistribution(),
 	}
 	for _, k := range o.Mix {
-		s.Kinds = append(s.Kinds, KindSummary{Kind: k, First: newTimes(), Answer: newTimes()})
+		s.Kinds = append(s.Kinds, KindSummary{Kind: k, TimeToFirstToken: newDistribution(), TimeToCompletion: newDistribution()})
 	}
 	ended := make(map[code.Code]int)
 	for _, x := range samples {
@@ -109,12 +115,12 @@
 		}
 	}
 	for c, n := range ended {
-		s.Ended = append(s.Ended, Ended{c, c.Info().Name, n})
+		s.ByCode = append(s.ByCode, CodeCount{c, c.Info().Name, n})
 	}
-	sort.Slice(s.Ended, func(i, j int) bool { return s.Ended[i].Code < s.Ended[j].Code })
-	s.Goodput = float64(s.Tokens) / took.Seconds()
-	for _, t := range s.times() {
-		t.fill()
+	sort.Slice(s.ByCode, func(i, j int) bool { return s.ByCode[i].Code < s.ByCode[j].Code })
+	s.TokensPerSecond = float64(s.Tokens) / elapsed.Seconds()
+	for _, t := range s.distributions() {
+		t.fillFields()
 	}
 	return s
 }
@@ -124,44 +130,44 @@
 	s.Sent++
 	k.Sent++
 	s.Attempts += a.Attempts
-	s.Cut += a.Cut
+	s.CutAttempts += a.CutAttempts
 	s.Faults.Crossed += a.Faults.Crossed
-	s.Faults.Doubled += a.Faults.Doubled
+	s.Faults.Duplicated += a.Faults.Duplicated
 	s.Faults.Lost += a.Faults.Lost
 	s.Faults.Wrong += a.Faults.Wrong
-	s.Late.add(x.late)
+	s.SendDelay.add(x.sendDelay)
 	switch {
-	case !a.Whole && a.NotRun:
+	case !a.Complete && a.NotRun:
 		s.NotRun++
 		return
-	case !a.Whole:
+	case !a.Complete:
 		s.Failed++
 		return
 	}
-	s.Whole++
-	k.Whole++
+	s.Complete++
+	k.Complete++
 	s.Tokens += a.Tokens
-	s.First.add(x.late + a.First)
-	s.Answer.add(x.late + a.Total)
-	s.Raw.add(a.Total)
-	k.First.add(x.late + a.First)
-	k.Answer.add(x.late + a.Total)
-	if a.Between > 0 {
-		s.Between.add(a.Between)
+	s.TimeToFirstToken.add(x.sendDelay + a.TimeToFirstToken)
+	s.TimeToCompletion.add(x.sendDelay + a.Total)
+	s.Unadjusted.add(a.Total)
+	k.TimeToFirstToken.add(x.sendDelay + a.TimeToFirstToken)
+	k.TimeToCompletion.add(x.sendDelay + a.Total)
+	if a.TimeBetweenTokens > 0 {
+		s.TimeBetweenTokens.add(a.TimeBetweenTokens)
 	}
 }
 
-func (s *Summary) times() []*Times {
-	all := []*Times{s.First, s.Between, s.Answer, s.Late, s.Raw}
+func (s *Summary) distributions() []*Distribution {
+	all := []*Distribution{s.TimeToFirstToken, s.TimeBetweenTokens, s.TimeToCompletion, s.SendDelay, s.Unadjusted}
 	for _, k := range s.Kinds {
-		all = append(all, k.First, k.Answer)
+		all = append(all, k.TimeToFirstToken, k.TimeToCompletion)
 	}
 	return all
 }
 
-// Good reports whether every planned request was sent and answered whole or
-// truly refused, without a fault.
-func (s *Summary) Good() bool {
+// Passed reports whether every planned request was sent and either answered
+// completely or refused without running, and no answer had a fault.
+func (s *Summary) Passed() bool {
 	return s.Failed == 0 && s.Sent == s.Planned && !s.Faults.Any()
 }
 
@@ -173,36 +179,36 @@
 		verified = "every token verified"
 	}
 	fmt.Fprintf(w, "%d planned at %g/s, %d sent, %d whole (%s), %d refused and not run, %d failed, in %s\n",
-		s.Planned, s.Rate, s.Sent, s.Whole, verified, s.NotRun, s.Failed, s.Took.Round(time.Millisecond))
+		s.Planned, s.Rate, s.Sent, s.Complete, verified, s.NotRun, s.Failed, s.Elapsed.Round(time.Millisecond))
 	fmt.Fprintf(w, "%d attempts, %d cut; tokens crossed %d, doubled %d, lost %d, wrong %d; %.0f whole tokens/s\n",
-		s.Attempts, s.Cut, s.Faults.Crossed, s.Faults.Doubled, s.Faults.Lost, s.Faults.Wrong, s.Goodput)
+		s.Attempts, s.CutAttempts, s.Faults.Crossed, s.Faults.Duplicated, s.Faults.Lost, s.Faults.Wrong, s.TokensPerSecond)
 	fmt.Fprintln(w, "TIME\tCOUNT\tp50\tp90\tp95\tp99\tp99.9\tMAX")
-	row := func(name string, t *Times) {
+	row := func(name string, t *Distribution) {
 		fmt.Fprintf(w, "%s\t%d", name, t.Count)
 		for _, d := range []time.Duration{t.P50, t.P90, t.P95, t.P99, t.P999, t.Max} {
 			fmt.Fprintf(w, "\t%s", d)
 		}
 		fmt.Fprintln(w)
 	}
-	row("first token", s.First)
-	row("between tokens", s.Between)
-	row("whole answer", s.Answer)
-	row("whole, from true start", s.Raw)
-	row("sent late by", s.Late)
+	row("first token", s.TimeToFirstToken)
+	row("between tokens", s.TimeBetweenTokens)
+	row("whole answer", s.TimeToCompletion)
+	row("whole, from true start", s.Unadjusted)
+	row("sent late by", s.SendDelay)
 	for _, k := range s.Kinds {
-		row(k.Name+": first token", k.First)
-		row(k.Name+": whole answer", k.Answer)
+		row(k.Name+": first token", k.TimeToFirstToken)
+		row(k.Name+": whole answer", k.TimeToCompletion)
 	}
-	for _, e := range s.Ended {
+	for _, e := range s.ByCode {
 		fmt.Fprintf(w, "%d %s\t%d\n", int(e.Code), e.Name, e.Count)
 	}
 	return w.Flush()
 }
 
-// Plot draws the times over their quantiles as SVG.
+// Plot returns an SVG plot of the times over their quantiles.
 func (s *Summary) Plot() ([]byte, error) {
 	return svgplot.Quantiles(fmt.Sprintf("%g requests a second", s.Rate),
-		svgplot.Curve{Name: "first token", At: s.First.At},
-		svgplot.Curve{Name: "whole answer", At: s.Answer.At},
-		svgplot.Curve{Name: "whole answer, from the true start", At: s.Raw.At})
+		svgplot.Curve{Name: "first token", At: s.TimeToFirstToken.Quantile},
+		svgplot.Curve{Name: "whole answer", At: s.TimeToCompletion.Quantile},
+		svgplot.Curve{Name: "whole answer, from the true start", At: s.Unadjusted.Quantile})
 }
