--- a/bench/soak/planted_test.go
+++ b/bench/soak/planted_test.go
@@ -29,30 +29,30 @@
 		want  string
 	}{
 		{"calls that may run once are repeated", []edit{
-			{"request/dispatch/send.go", "case f.MayHaveRun() && !u.c.Route.Idempotent():", "case false:"},
-			{"request/dispatch/send.go", "|| u.ran >= u.c.Route.Attempts", ""},
+			{"request/dispatch/send.go", "case f.MayHaveRun() && !x.call.Route.Idempotent():", "case false:"},
+			{"request/dispatch/send.go", "|| x.possibleRuns >= x.call.Route.Attempts", ""},
 		}, onAll(SpoilTarget, spoilFail), "ran twice"},
 		{"what ran is called not run", []edit{
-			{"request/dispatch/failure.go", "case u.ran > 0:", "case false:"},
+			{"request/dispatch/failure.go", "case x.possibleRuns > 0:", "case false:"},
 		}, onAll(SpoilTarget, spoilFail), "told that it didn't run"},
 		{"a cut stream ends as if whole", []edit{
-			{"request/ingress/ingress.go", "if x.begun && err != nil {", "if false {"},
+			{"request/ingress/ingress.go", "if x.headerSent && err != nil {", "if false {"},
 		}, onAll(SpoilTarget, spoilCut), "isn't whole"},
 		{"an answer is taken for whoever asks next", []edit{
-			{"request/dispatch/send.go", "Mine:   u.mine,", ""},
+			{"request/dispatch/send.go", "Matches:          x.answersCall,", ""},
 		}, onAll(SpoilTarget, spoilExtra), "another's"},
 		{"a planned stop cuts", []edit{
 			{"process/front/stop.go", "_ = d.callers.http.Shutdown(ctx)", "_ = d.callers.http.Close()"},
-			{"process/front/stop.go", "_ = pause.For(ctx, min(keptFactor*addressTTL+broadcastTime, limit/2))", ""},
+			{"process/front/stop.go", "_ = pause.For(ctx, min(addressCacheFactor*addressTTL+broadcastTime, limit/2))", ""},
 		}, onAll(StopDaemon, 0), "cut, though"},
 		{"requests outlive their deadline", []edit{
-			{"request/dispatch/call.go", "ctx, cancel := context.WithDeadline(ctx, c.GiveUp)", "ctx, cancel := context.WithCancel(ctx)"},
+			{"request/dispatch/call.go", "ctx, cancel := context.WithDeadline(ctx, c.Deadline)", "ctx, cancel := context.WithCancel(ctx)"},
 		}, onAll(SpoilTarget, spoilMute), "no end"},
 		{"targets learn the callers' keys", []edit{
 			{"platform/headers.go", "if keyed {", "if false {"},
 		}, nil, "with key"},
 		{"the store is given up after a failure", []edit{
-			{"process/topic/follower.go", "f.o.Sink.Lost(err)", "f.o.Sink.Lost(err); <-f.tomb.Dying()"},
+			{"process/topic/follower.go", "f.o.Sink.StoreLost(err)", "f.o.Sink.StoreLost(err); <-f.tomb.Dying()"},
 		}, append([]Event{{At: 0, For: 3 * time.Second, Kind: FailStore, How: failReset}}, onAll(KillTarget, 0)...), "isn't well"},
 	}
 	for _, tc := range cases {
