--- a/bench/soak/client.go
+++ b/bench/soak/client.go
@@ -14,87 +14,87 @@
 	"time"
 )
 
-// Daemon is where one daemon listens.
+// Daemon holds the addresses at which a daemon listens.
 type Daemon struct {
 	Callers   string
 	Addresses string
 }
 
-// Wire is the form of what callers send and read. It is that of the platform.
-type Wire struct {
-	Headers   func(id string, left time.Duration, prompt string) http.Header
-	Addresses func(ctx context.Context, addr string) (callers []string, ttl time.Duration, err error)
-	NotRun    func(status int, h http.Header) bool
-	Paths     [3]string // by class
-	Host      string
-	Answer    func(id string) string // of plain targets
-	Events    string                 // of engines
+// CallerProtocol is the platform's protocol between callers and daemons.
+type CallerProtocol struct {
+	Headers          func(id string, left time.Duration, prompt string) http.Header
+	ResolveAddresses func(ctx context.Context, addr string) (callers []string, ttl time.Duration, err error)
+	NotRun           func(status int, h http.Header) bool
+	Paths            [3]string // indexed by Class
+	Host             string
+	Answer           func(id string) string // expected body from a plain target
+	Events           string                 // expected body from an engine
 }
 
-// Load is a number of callers that ask without pause.
+// Load runs callers that send requests until they are stopped.
 type Load struct {
-	Seed    uint64
-	Callers int
-	Daemons []Daemon
-	Wire    Wire
-	Judge   *Judge
-	// Grace is how long callers wait beyond their deadline. A request that has
-	// no end by then is a fault: its daemon has forgotten it.
+	Seed     uint64
+	Callers  int
+	Daemons  []Daemon
+	Protocol CallerProtocol
+	Judge    *Judge
+	// Grace is how long callers wait after the deadline of a request. A request
+	// that hasn't ended by then is reported as a fault of its daemon.
 	Grace time.Duration
 }
 
 const (
-	// patience is the deadline of a request.
-	patience = 3 * time.Second
-	// think is the longest pause of a caller between two requests.
-	think = 60 * time.Millisecond
-	// leaveShare is the share of requests that their callers give up.
-	leaveShare = 0.03
-	// leaveWithin is the longest time that these wait: a target answers within
-	// some milliseconds.
-	leaveWithin = 8 * time.Millisecond
+	// requestTimeout is the time until the deadline of a request.
+	requestTimeout = 3 * time.Second
+	// maxThinkTime is the longest pause of a caller between two requests.
+	maxThinkTime = 60 * time.Millisecond
+	// cancelShare is the share of requests that their callers cancel.
+	cancelShare = 0.03
+	// maxCancelDelay is the longest time until a caller cancels. A target
+	// answers within some milliseconds.
+	maxCancelDelay = 8 * time.Millisecond
 )
 
-// Run has all callers ask until ctx ends, and returns when all have ended.
+// Run runs the callers until ctx is done. It returns when all have ended.
 func (l *Load) Run(ctx context.Context) {
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range l.Callers {
-		all.Go(func() {
+		wg.Go(func() {
 			c := &caller{Load: l, name: fmt.Sprintf("c%d", i), rand: rand.New(rand.NewPCG(l.Seed, uint64(i)+2))}
 			c.run(ctx)
 		})
 	}
-	all.Wait()
+	wg.Wait()
 }
 
-// caller is one caller with one connection.
+// caller sends requests one after another on at most one connection.
 type caller struct {
 	*Load
-	name  string
-	rand  *rand.Rand
-	next  int
-	conn  net.Conn
-	read  *bufio.Reader
-	open  time.Time // since when
-	to    int       // index of the daemon at the other end
-	known []int     // daemons that the last answer named
-	until time.Time
+	name       string
+	rand       *rand.Rand
+	requests   int
+	conn       net.Conn
+	reader     *bufio.Reader
+	connOpened time.Time // when conn was opened
+	daemon     int       // index of the daemon that conn leads to
+	resolved   []int     // indexes of the daemons in the last address answer
+	expires    time.Time // when resolved expires
 }
 
 func (c *caller) run(ctx context.Context) {
-	defer c.hangUp()
+	defer c.closeConn()
 	for ctx.Err() == nil {
-		if !c.connected(ctx) {
+		if !c.connect(ctx) {
 			c.pause(ctx)
 			continue
 		}
-		c.ask()
+		c.sendNext()
 		c.pause(ctx)
 	}
 }
 
 func (c *caller) pause(ctx context.Context) {
-	t := time.NewTimer(time.Duration(c.rand.Int64N(int64(think))))
+	t := time.NewTimer(time.Duration(c.rand.Int64N(int64(maxThinkTime))))
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
@@ -102,104 +102,105 @@
 	}
 }
 
-// connected opens a connection to a daemon that the address answers name.
-func (c *caller) connected(ctx context.Context) bool {
+// connect opens a connection to one of the resolved daemons unless one is
+// open. It reports whether a connection is open.
+func (c *caller) connect(ctx context.Context) bool {
 	if c.conn != nil {
 		return true
 	}
-	if time.Now().After(c.until) || len(c.known) == 0 {
-		c.learn(ctx)
+	if time.Now().After(c.expires) || len(c.resolved) == 0 {
+		c.resolve(ctx)
 	}
-	if len(c.known) == 0 {
+	if len(c.resolved) == 0 {
 		return false
 	}
-	c.to = c.known[c.rand.IntN(len(c.known))]
+	c.daemon = c.resolved[c.rand.IntN(len(c.resolved))]
 	d := net.Dialer{Timeout: time.Second}
-	conn, err := d.DialContext(ctx, "tcp", c.Daemons[c.to].Callers)
+	conn, err := d.DialContext(ctx, "tcp", c.Daemons[c.daemon].Callers)
 	if err != nil {
-		c.known = nil
+		c.resolved = nil
 		return false
 	}
-	c.conn, c.read, c.open = conn, bufio.NewReader(conn), time.Now()
+	c.conn, c.reader, c.connOpened = conn, bufio.NewReader(conn), time.Now()
 	return true
 }
 
-func (c *caller) learn(ctx context.Context) {
+func (c *caller) resolve(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	c.known = nil
-	addrs, ttl, err := c.Wire.Addresses(ctx, c.Daemons[c.rand.IntN(len(c.Daemons))].Addresses)
+	c.resolved = nil
+	addrs, ttl, err := c.Protocol.ResolveAddresses(ctx, c.Daemons[c.rand.IntN(len(c.Daemons))].Addresses)
 	if err != nil {
-		return // asked again at the next request
+		return // the next request resolves again
 	}
 	for i, d := range c.Daemons {
 		for _, a := range addrs {
 			if a == d.Callers {
-				c.known = append(c.known, i)
+				c.resolved = append(c.resolved, i)
 			}
 		}
 	}
-	c.until = time.Now().Add(ttl)
+	c.expires = time.Now().Add(ttl)
 }
 
-func (c *caller) hangUp() {
+func (c *caller) closeConn() {
 	if c.conn != nil {
 		_ = c.conn.Close()
 		c.conn = nil
 	}
 }
 
-func (c *caller) ask() {
-	c.next++
+func (c *caller) sendNext() {
+	c.requests++
 	class := Class(c.rand.IntN(len(classNames)))
-	o := Outcome{ID: fmt.Sprintf("%s-%d", c.name, c.next), Class: class, Daemon: c.to, Opened: c.open, Begun: time.Now()}
-	o.Want = c.Wire.Answer(o.ID)
+	o := Outcome{ID: fmt.Sprintf("%s-%d", c.name, c.requests), Class: class, Daemon: c.daemon, ConnOpened: c.connOpened, Started: time.Now()}
+	o.WantBody = c.Protocol.Answer(o.ID)
 	prompt := ""
 	if class == Stream {
-		o.Want = c.Wire.Events
-		prompt = fmt.Sprintf("%x:800,%x:660", c.rand.IntN(4), c.next)
+		o.WantBody = c.Protocol.Events
+		prompt = fmt.Sprintf("%x:800,%x:660", c.rand.IntN(4), c.requests)
 	}
-	o.Left = c.rand.Float64() < leaveShare
-	limit := patience + c.Grace
-	if o.Left {
-		limit = time.Duration(c.rand.Int64N(int64(leaveWithin)))
+	o.Canceled = c.rand.Float64() < cancelShare
+	limit := requestTimeout + c.Grace
+	if o.Canceled {
+		limit = time.Duration(c.rand.Int64N(int64(maxCancelDelay)))
 	}
-	_ = c.conn.SetDeadline(o.Begun.Add(limit))
+	_ = c.conn.SetDeadline(o.Started.Add(limit))
 	reuse, err := c.exchange(&o, prompt)
 	o.Ended = time.Now()
 	o.Err = err
 	var ne net.Error
-	if errors.As(err, &ne) && ne.Timeout() && !o.Left {
-		c.Judge.Fault("%s %s at daemon %d: no end %v after its deadline", o.Class, o.ID, o.Daemon, c.Grace)
+	if errors.As(err, &ne) && ne.Timeout() && !o.Canceled {
+		c.Judge.ReportFault("%s %s at daemon %d: no end %v after its deadline", o.Class, o.ID, o.Daemon, c.Grace)
 	}
-	if o.Whole {
-		o.Left = false
+	if o.Complete {
+		o.Canceled = false
 	}
-	c.Judge.Saw(o)
+	c.Judge.Record(o)
 	if !reuse {
-		c.hangUp()
+		c.closeConn()
 	}
 }
 
-// exchange sends one request and reads the answer; reuse reports whether the
-// connection may carry another one.
+// exchange sends one request and reads the answer. reuse reports whether the
+// connection may be used for another request.
 func (c *caller) exchange(o *Outcome, prompt string) (reuse bool, err error) {
 	body := "body of " + o.ID
 	var b strings.Builder
-	fmt.Fprintf(&b, "POST %s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n", c.Wire.Paths[o.Class], c.Wire.Host, len(body))
-	h := c.Wire.Headers(o.ID, patience, prompt)
-	_ = h.Write(&b) // a strings.Builder takes all
+	fmt.Fprintf(&b, "POST %s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n", c.Protocol.Paths[o.Class], c.Protocol.Host, len(body))
+	h := c.Protocol.Headers(o.ID, requestTimeout, prompt)
+	_ = h.Write(&b) // writing to a strings.Builder never fails
 	if _, err := io.WriteString(c.conn, b.String()+"\r\n"+body); err != nil {
 		return false, err
 	}
-	resp, err := http.ReadResponse(c.read, &http.Request{Method: http.MethodPost})
+	resp, err := http.ReadResponse(c.reader, &http.Request{Method: http.MethodPost})
 	if err != nil {
 		return false, err
 	}
 	o.Status = resp.StatusCode
-	o.NotRun = c.Wire.NotRun(resp.StatusCode, resp.Header)
+	o.NotRun = c.Protocol.NotRun(resp.StatusCode, resp.Header)
 	text, err := io.ReadAll(resp.Body)
 	o.Body = string(text)
-	o.Whole = err == nil
+	o.Complete = err == nil
 	return err == nil && !resp.Close, err
 }
--- a/bench/soak/doc.go
+++ b/bench/soak/doc.go
@@ -1,10 +1,15 @@
-// Package soak disturbs a fleet of real daemons on loopback and holds what
-// callers and targets see against the promises: a request runs once at most
-// unless it may be repeated, "not run" is true, an answer is whole, the
-// caller's own and given by a target, nobody is cut by a planned stop, every
-// request ends, and all is well again when the disturbances are over.
+// Package soak runs real daemons on loopback under load, injects faults and
+// checks what callers and targets observe against the system's guarantees:
 //
-// The tests start the daemons as processes, with the store and the targets of
-// platform/standin before them, and end only those. A seed fixes the plan of
-// disturbances and what the callers ask.
+//   - A request that isn't idempotent runs at most once.
+//   - A request that is reported as not run didn't run.
+//   - An answer is complete, belongs to the caller's request and comes from a
+//     target.
+//   - A planned stop cuts no request.
+//   - Every request ends.
+//   - The system recovers once the faults are over.
+//
+// The tests start the daemons as processes that use the store, the cloud and
+// the targets of platform/standin. They signal only processes that they
+// started. The seed determines the faults and the requests of the callers.
 package soak
--- a/bench/soak/fleet_test.go
+++ b/bench/soak/fleet_test.go
@@ -13,30 +13,30 @@
 	"time"
 )
 
-// process is one daemon, over the lives of its processes.
+// process is one daemon across restarts.
 type process struct {
-	index   int
-	program string
-	file    string // its settings
-	out     string // its log
-	wrote   int64  // size of the log when cmd was started
-	judge   *Judge
+	index          int
+	program        string
+	settingsPath   string
+	logPath        string
+	logSizeAtStart int64 // size of the log when cmd was started
+	judge          *Judge
 
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	ended  chan struct{} // closed when cmd has ended
-	asked  bool          // cmd was told to end
-	killed time.Time     // when it was killed, zero: it wasn't
+	mu            sync.Mutex
+	cmd           *exec.Cmd
+	exited        chan struct{} // closed when cmd has exited
+	stopRequested bool          // SIGTERM was sent to cmd
+	killedAt      time.Time     // when SIGKILL was sent to cmd; zero if it wasn't
 }
 
-// start runs the daemon unless it runs.
+// start starts the daemon unless it is running.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
 		return nil
 	}
-	out, err := os.OpenFile(p.out, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	out, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
@@ -45,50 +45,50 @@
 	if err != nil {
 		return err
 	}
-	p.wrote = info.Size()
-	cmd := exec.Command(p.program, "--settings", p.file)
+	p.logSizeAtStart = info.Size()
+	cmd := exec.Command(p.program, "--settings", p.settingsPath)
 	cmd.Stdout, cmd.Stderr = out, out
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	p.cmd, p.asked, p.killed, p.ended = cmd, false, time.Time{}, make(chan struct{})
-	go p.await(cmd, p.ended)
+	p.cmd, p.stopRequested, p.killedAt, p.exited = cmd, false, time.Time{}, make(chan struct{})
+	go p.waitExit(cmd, p.exited)
 	return nil
 }
 
-// await notes the end of a process. One that nobody asked for, or a planned one
-// with an error, is a fault.
-func (p *process) await(cmd *exec.Cmd, ended chan struct{}) {
+// waitExit waits for a process to exit. An exit that wasn't requested is
+// reported as a fault, and so is an error after a planned stop.
+func (p *process) waitExit(cmd *exec.Cmd, exited chan struct{}) {
 	err := cmd.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case !p.killed.IsZero():
-		p.judge.Killed(p.index, p.killed, time.Now())
-	case !p.asked:
-		p.judge.Fault("daemon %d ended by itself: %v", p.index, err)
-	case err != nil && !p.endedBeforeItBegan(cmd):
-		p.judge.Fault("daemon %d: planned stop ended with %v", p.index, err)
+	case !p.killedAt.IsZero():
+		p.judge.RecordKill(p.index, p.killedAt, time.Now())
+	case !p.stopRequested:
+		p.judge.ReportFault("daemon %d ended by itself: %v", p.index, err)
+	case err != nil && !p.terminatedBeforeStart(cmd):
+		p.judge.ReportFault("daemon %d: planned stop ended with %v", p.index, err)
 	}
 	p.cmd = nil
-	close(ended)
+	close(exited)
 }
 
-// endedBeforeItBegan reports whether a process that was asked to stop ended by
-// the signal before it could handle one. It handles signals before it opens a
-// port, and says that it starts right after: without a line it had no port
-// open, and no caller could have seen it. Traced: the signal came 3.6 to 5.2 ms
-// after the start of the process, which takes Go's own start as long.
-func (p *process) endedBeforeItBegan(cmd *exec.Cmd) bool {
+// terminatedBeforeStart reports whether SIGTERM ended a process before it
+// could handle signals. The daemon installs its signal handler before it opens
+// a port and logs its start right after. Without a log line it had no port
+// open, so no caller can have reached it. Such signals came 3.6 to 5.2 ms after
+// the start of the process; the start of the Go runtime takes that long.
+func (p *process) terminatedBeforeStart(cmd *exec.Cmd) bool {
 	status, ok := cmd.ProcessState.Sys().(syscall.WaitStatus)
 	if !ok || !status.Signaled() || status.Signal() != syscall.SIGTERM {
 		return false
 	}
-	info, err := os.Stat(p.out)
-	return err == nil && info.Size() == p.wrote
+	info, err := os.Stat(p.logPath)
+	return err == nil && info.Size() == p.logSizeAtStart
 }
 
-// signal sends a signal to the process, if there is one.
+// signal sends a signal to the process if it is running.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -97,27 +97,28 @@
 	}
 	switch s {
 	case syscall.SIGKILL:
-		p.killed = time.Now()
+		p.killedAt = time.Now()
 	case syscall.SIGTERM:
-		p.asked = true
+		p.stopRequested = true
 	}
 	if err := p.cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		p.judge.Fault("daemon %d: %v", p.index, err)
+		p.judge.ReportFault("daemon %d: %v", p.index, err)
 	}
 }
 
-// over waits until the process has ended.
-func (p *process) over() {
+// waitExited waits until the process has exited.
+func (p *process) waitExited() {
 	p.mu.Lock()
-	ended, runs := p.ended, p.cmd != nil
+	exited, running := p.exited, p.cmd != nil
 	p.mu.Unlock()
-	if runs {
-		<-ended
+	if running {
+		<-exited
 	}
 }
 
-// build makes the daemon's program, with files replaced as overlay says.
-func build(t *testing.T, dir string, overlay string) string {
+// buildDaemon builds the daemon and returns the path of the program. overlay is
+// the path of a build overlay, or empty.
+func buildDaemon(t *testing.T, dir string, overlay string) string {
 	t.Helper()
 	program := filepath.Join(dir, "pomelospoold")
 	args := []string{"build", "-o", program}
@@ -131,7 +132,7 @@
 	return program
 }
 
-const settingsForm = `vm: "vm-%[1]d"
+const settingsTemplate = `vm: "vm-%[1]d"
 zone: "%[2]s"
 listen: {callers: "%[3]s:17000", ready: "%[3]s:17001", addresses: "%[3]s:17002", peers: "%[3]s:17003", operators: "%[3]s:17004"}
 store: {addr: "%[4]s"}
@@ -140,13 +141,14 @@
 log: {level: info, format: json}
 `
 
-// settings writes the settings of a daemon.
-func settings(dir string, index int, ip, store, cloud string) (string, error) {
+// writeSettings writes the settings of a daemon and returns their path.
+func writeSettings(dir string, index int, ip, store, cloud string) (string, error) {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, settingsForm, index, []string{"a", "b"}[index%2], ip, store, cloud)
+	fmt.Fprintf(&b, settingsTemplate, index, []string{"a", "b"}[index%2], ip, store, cloud)
 	path := filepath.Join(dir, fmt.Sprintf("daemon-%d.yaml", index))
 	return path, os.WriteFile(path, b.Bytes(), 0o644)
 }
 
-// stopLimit is how long a planned stop may take; its grace time is 8 s.
-const stopLimit = 30 * time.Second
+// maxStopTime is the longest time that a planned stop may take. The daemons'
+// grace period is 8 s.
+const maxStopTime = 30 * time.Second
--- a/bench/soak/judge.go
+++ b/bench/soak/judge.go
@@ -6,137 +6,139 @@
 	"time"
 )
 
-// Class is how a caller may repeat a request.
+// Class tells how a request is answered and whether it may be repeated.
 type Class int
 
 // The classes.
 const (
-	Unsafe Class = iota // runs once at most
-	Safe                // may run again
-	Stream              // answered by events, may run again
+	Unsafe Class = iota // not idempotent: runs at most once
+	Safe                // idempotent: may run more than once
+	Stream              // answered by a stream of events; may run more than once
 )
 
 var classNames = [...]string{"unsafe", "safe", "stream"}
 
-// String names the class.
+// String returns the name of the class.
 func (c Class) String() string { return classNames[c] }
 
-// Outcome is what a caller saw of one attempt.
+// Outcome is what a caller observed of one request.
 type Outcome struct {
-	ID     string
-	Class  Class
-	Daemon int
-	Opened time.Time // when its connection was opened
-	Begun  time.Time
-	Ended  time.Time
-	Status int  // 0: no header came
-	Whole  bool // the answer came to its marked end
-	NotRun bool // the answer says that nothing ran
-	Body   string
-	Want   string // the body of a good whole answer
-	Err    error  // why the answer isn't whole
-	Left   bool   // the caller gave up by itself
+	ID         string
+	Class      Class
+	Daemon     int
+	ConnOpened time.Time // when the connection was opened
+	Started    time.Time
+	Ended      time.Time
+	Status     int  // 0 if no header was received
+	Complete   bool // the answer was received up to its end
+	NotRun     bool // the answer states that nothing ran
+	Body       string
+	WantBody   string // expected body of a complete success
+	Err        error  // why the answer is incomplete
+	Canceled   bool   // the caller canceled the request
 }
 
-// Judge holds what callers saw against what targets did. It is safe for
-// concurrent use.
+// Judge checks what callers observed against what targets recorded. It is
+// safe for concurrent use.
 type Judge struct {
 	mu       sync.Mutex
 	outcomes []Outcome
-	killed   map[int][]span // by daemon
+	killed   map[int][]killSpan // by index of the daemon
 	faults   []string
 }
 
-// span is the time from a kill to the end of the process.
-type span struct{ from, to time.Time }
+// killSpan is the time from a kill signal to the exit of the process.
+type killSpan struct{ from, to time.Time }
 
 // NewJudge returns an empty Judge.
-func NewJudge() *Judge { return &Judge{killed: make(map[int][]span)} }
+func NewJudge() *Judge { return &Judge{killed: make(map[int][]killSpan)} }
 
-// Saw notes the end of an attempt.
-func (j *Judge) Saw(o Outcome) {
+// Record records the outcome of a request.
+func (j *Judge) Record(o Outcome) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.outcomes = append(j.outcomes, o)
 }
 
-// Killed notes that a daemon was killed, with the requests on it, and had ended
-// by then.
-func (j *Judge) Killed(daemon int, from, to time.Time) {
+// RecordKill records that a daemon was killed at from and had exited at to.
+// The requests that were open on it are lost.
+func (j *Judge) RecordKill(daemon int, from, to time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.killed[daemon] = append(j.killed[daemon], span{from: from, to: to})
+	j.killed[daemon] = append(j.killed[daemon], killSpan{from: from, to: to})
 }
 
-// Fault notes a broken promise that was seen elsewhere.
-func (j *Judge) Fault(format string, args ...any) {
+// ReportFault records a violation that was found outside of Judge.
+func (j *Judge) ReportFault(format string, args ...any) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.faults = append(j.faults, fmt.Sprintf(format, args...))
 }
 
-// Sums counts the attempts by how they ended.
-type Sums struct {
+// Totals counts the requests by how they ended.
+type Totals struct {
 	Attempts, Good, Refused, Failed, Broken, Left int
 }
 
-// Verdict lists the broken promises. ran has how often each attempt ran, over
-// all targets; a run is one that made an answer, or would have.
-func (j *Judge) Verdict(ran map[string]int) (faults []string, sums Sums) {
+// Verdict returns the violations and the totals. ran is the number of runs of
+// each request over all targets. A run counts also if its answer was never
+// sent.
+func (j *Judge) Verdict(ran map[string]int) (faults []string, totals Totals) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	faults = append(faults, j.faults...)
 	for _, o := range j.outcomes {
-		sums.add(o)
-		for _, f := range j.one(o, ran[o.ID]) {
+		totals.add(o)
+		for _, f := range j.check(o, ran[o.ID]) {
 			faults = append(faults, fmt.Sprintf("%s %s at daemon %d after %d ms, status %d, %d runs, %v: %s",
-				o.Class, o.ID, o.Daemon, o.Ended.Sub(o.Begun).Milliseconds(), o.Status, ran[o.ID], o.Err, f))
+				o.Class, o.ID, o.Daemon, o.Ended.Sub(o.Started).Milliseconds(), o.Status, ran[o.ID], o.Err, f))
 		}
 	}
-	return faults, sums
+	return faults, totals
 }
 
-func (s *Sums) add(o Outcome) {
-	s.Attempts++
+func (t *Totals) add(o Outcome) {
+	t.Attempts++
 	switch {
-	case o.Left:
-		s.Left++
-	case !o.Whole:
-		s.Broken++
+	case o.Canceled:
+		t.Left++
+	case !o.Complete:
+		t.Broken++
 	case o.NotRun:
-		s.Refused++
+		t.Refused++
 	case o.Status == 200:
-		s.Good++
+		t.Good++
 	default:
-		s.Failed++
+		t.Failed++
 	}
 }
 
-// one holds one attempt against the promises.
-func (j *Judge) one(o Outcome, runs int) (faults []string) {
+// check returns the violations that the outcome of one request shows.
+func (j *Judge) check(o Outcome, runs int) (faults []string) {
 	if o.Class == Unsafe && runs > 1 {
 		faults = append(faults, "ran twice")
 	}
-	if o.Whole && o.NotRun && runs > 0 {
+	if o.Complete && o.NotRun && runs > 0 {
 		faults = append(faults, "told that it didn't run, and it ran")
 	}
-	if o.Whole && o.Status == 200 && o.Body != o.Want {
+	if o.Complete && o.Status == 200 && o.Body != o.WantBody {
 		faults = append(faults, fmt.Sprintf("answer isn't whole or another's: %.80q", o.Body))
 	}
-	if o.Whole && o.Status == 200 && runs == 0 {
+	if o.Complete && o.Status == 200 && runs == 0 {
 		faults = append(faults, "a good answer that no target gave")
 	}
-	if !o.Whole && !o.Left && o.Class != Stream && !j.killedSince(o) {
+	if !o.Complete && !o.Canceled && o.Class != Stream && !j.killedWhileOpen(o) {
 		faults = append(faults, "cut, though its daemon wasn't killed")
 	}
 	return faults
 }
 
-// killedSince reports whether the daemon was killed while the connection was open:
-// a caller learns of it by its next request only.
-func (j *Judge) killedSince(o Outcome) bool {
+// killedWhileOpen reports whether the daemon was killed while the connection
+// was open. The whole lifetime of the connection counts, because a caller
+// notices the loss of an idle connection only at its next request.
+func (j *Judge) killedWhileOpen(o Outcome) bool {
 	for _, k := range j.killed[o.Daemon] {
-		if !k.to.Before(o.Opened) && !k.from.After(o.Ended) {
+		if !k.to.Before(o.ConnOpened) && !k.from.After(o.Ended) {
 			return true
 		}
 	}
--- a/bench/soak/judge_test.go
+++ b/bench/soak/judge_test.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// The judge passes over a broken promise, and the soak proves nothing.
+// TestJudge guards against a judge that misses a violation: the soak would
+// pass whatever the system does.
 func TestJudge(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(0, 0).Add(time.Duration(ms) * time.Millisecond) }
-	good := Outcome{ID: "r", Class: Unsafe, Opened: at(0), Begun: at(5), Ended: at(10), Status: 200, Whole: true, Body: "b", Want: "b"}
+	good := Outcome{ID: "r", Class: Unsafe, ConnOpened: at(0), Started: at(5), Ended: at(10), Status: 200, Complete: true, Body: "b", WantBody: "b"}
 	cases := []struct {
 		name   string
 		change func(o *Outcome)
@@ -24,18 +25,18 @@
 		{"refused and run", func(o *Outcome) { o.Status, o.NotRun = 503, true }, 1, "told that it didn't run"},
 		{"another's", func(o *Outcome) { o.Body = "c" }, 1, "another's"},
 		{"from nobody", func(*Outcome) {}, 0, "no target gave"},
-		{"cut", func(o *Outcome) { o.Whole, o.Err = false, errors.New("reset") }, 1, "cut"},
-		{"cut, the caller left", func(o *Outcome) { o.Whole, o.Left = false, true }, 1, ""},
-		{"cut by a kill", func(o *Outcome) { o.Whole, o.Daemon = false, 1 }, 1, ""},
-		{"cut after the kill", func(o *Outcome) { o.Whole, o.Daemon, o.Opened = false, 1, at(9) }, 1, "cut"},
-		{"a stream that was cut", func(o *Outcome) { o.Whole, o.Class = false, Stream }, 1, ""},
+		{"cut", func(o *Outcome) { o.Complete, o.Err = false, errors.New("reset") }, 1, "cut"},
+		{"cut, the caller left", func(o *Outcome) { o.Complete, o.Canceled = false, true }, 1, ""},
+		{"cut by a kill", func(o *Outcome) { o.Complete, o.Daemon = false, 1 }, 1, ""},
+		{"cut after the kill", func(o *Outcome) { o.Complete, o.Daemon, o.ConnOpened = false, 1, at(9) }, 1, "cut"},
+		{"a stream that was cut", func(o *Outcome) { o.Complete, o.Class = false, Stream }, 1, ""},
 	}
 	for _, tc := range cases {
 		j := NewJudge()
-		j.Killed(1, at(7), at(8))
+		j.RecordKill(1, at(7), at(8))
 		o := good
 		tc.change(&o)
-		j.Saw(o)
+		j.Record(o)
 		faults, _ := j.Verdict(map[string]int{"r": tc.runs})
 		got := strings.Join(faults, "; ")
 		if tc.want == "" && got != "" || !strings.Contains(got, tc.want) {
@@ -44,8 +45,9 @@
 	}
 }
 
-// A seed that failed must give the same plan again, and nothing may be left
-// disturbed at its end: the system would be blamed for it.
+// TestPlanEnds checks that a seed always gives the same plan, so that a
+// failure can be reproduced. No fault may outlast the load, because the system
+// would be blamed for it.
 func TestPlanEnds(t *testing.T) {
 	size := Size{Daemons: 4, Targets: 8, Length: 6 * time.Second}
 	seen := make(map[Kind]bool)
@@ -62,7 +64,7 @@
 			}
 		}
 	}
-	if len(seen) != int(kinds) {
-		t.Errorf("%d kinds drawn, want %d", len(seen), kinds)
+	if len(seen) != int(kindCount) {
+		t.Errorf("%d kinds drawn, want %d", len(seen), kindCount)
 	}
 }
--- a/bench/soak/plan.go
+++ b/bench/soak/plan.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// Kind of a disturbance.
+// Kind is the kind of a fault or of a planned change.
 type Kind int
 
-// The kinds. A disturbance with a length ends by itself.
+// The kinds. An event with a duration is undone at its end.
 const (
-	KillDaemon   Kind = iota // SIGKILL; started again at its end
-	StopDaemon               // SIGTERM; started again once it has ended
-	PauseDaemon              // SIGSTOP; SIGCONT at its end
-	ReloadDaemon             // SIGHUP
-	CutStore                 // a daemon's connections to the store are disturbed
-	FailStore                // the store itself answers badly
-	CutTarget                // connections to a target are disturbed
-	SpoilTarget              // a target answers badly
-	KillTarget               // a target is gone; another one takes its address at its end
-	DrainTarget              // a target leaves, and stays again at its end
-	Publish                  // a new version of the configuration
-	kinds
+	KillDaemon    Kind = iota // SIGKILL; restart at the end
+	StopDaemon                // SIGTERM; restart once the process has exited
+	PauseDaemon               // SIGSTOP; SIGCONT at the end
+	ReloadDaemon              // SIGHUP
+	CutStore                  // network fault between a daemon and the store
+	FailStore                 // the store and the cloud return errors or hang
+	CutTarget                 // network fault between the daemons and a target
+	DegradeTarget             // a target answers incorrectly
+	KillTarget                // a target is removed; at the end a new one gets its address
+	DrainTarget               // a target announces that it leaves, and withdraws that at the end
+	Publish                   // a new version of the configuration is published
+	kindCount
 )
 
 var kindNames = [...]string{
@@ -31,76 +31,79 @@
 	"cut target", "spoil target", "kill target", "drain target", "publish",
 }
 
-// String names the kind in plans.
+// String returns the name of the kind in plans.
 func (k Kind) String() string { return kindNames[k] }
 
-// Event is one disturbance.
+// Event is one fault or planned change of a plan.
 type Event struct {
-	At   time.Duration // from the start of the load
-	For  time.Duration // how long, 0: it has no length
+	At   time.Duration // since the start of the load
+	For  time.Duration // duration; 0 for an event without one
 	Kind Kind
 	On   int  // index of the daemon or target
-	Mode Mode // of a proxy, for cuts
+	Mode Mode // of the proxy, for CutStore and CutTarget
 	How  int  // variant, for FailStore and SpoilTarget
 }
 
-// String gives the event in one line.
+// String returns the event as one line.
 func (e Event) String() string {
 	return fmt.Sprintf("%5d ms %v on %d for %v, %v, variant %d", e.At.Milliseconds(), e.Kind, e.On, e.For, e.Mode, e.How)
 }
 
-// Size is what a plan disturbs.
+// Size is the size of the fleet and the length of the load.
 type Size struct {
 	Daemons int
 	Targets int
-	Length  time.Duration // of the load
+	Length  time.Duration
 }
 
 const (
-	// meanGap is the mean time between two disturbances: several overlap.
+	// meanGap is the mean time between two events. It is short enough that
+	// several overlap.
 	meanGap = 700 * time.Millisecond
-	// quiet is the time at the end without new disturbances, in which all ends.
-	quiet = time.Second
-	// leastFor and mostFor bound the length of a disturbance.
-	leastFor = 200 * time.Millisecond
-	mostFor  = 2500 * time.Millisecond
-	// burstShare is the share of disturbances that hit all daemons or targets
-	// of their kind at once.
+	// quietPeriod is the time at the end of the load in which no event starts
+	// and all others end.
+	quietPeriod = time.Second
+	// minDuration and maxDuration bound the duration of an event.
+	minDuration = 200 * time.Millisecond
+	maxDuration = 2500 * time.Millisecond
+	// burstShare is the share of events that affect all daemons or all targets
+	// at once.
 	burstShare = 0.08
-	// longDelay is what a piece waits in the mode Delay.
+	// longDelay is the delay of each chunk in the mode Delay.
 	longDelay = 40 * time.Millisecond
-	// variants is the number of ways in which a store or a target answers badly.
-	variants = 6
+	// variantCount is the number of variants of FailStore and of DegradeTarget.
+	variantCount = 6
 )
 
-// Plan draws the disturbances of a seed. The same seed gives the same plan.
+// Plan returns the events of a seed, ordered by time. The same seed gives the
+// same plan.
 func Plan(seed uint64, s Size) []Event {
 	r := rand.New(rand.NewPCG(seed, 1))
 	var out []Event
 	at := time.Duration(0)
 	for {
 		at += time.Duration(r.ExpFloat64() * float64(meanGap))
-		if at >= s.Length-quiet {
+		if at >= s.Length-quietPeriod {
 			break
 		}
-		out = append(out, draw(r, s, at)...)
+		out = append(out, randomEvents(r, s, at)...)
 	}
 	sort.SliceStable(out, func(i, j int) bool { return out[i].At < out[j].At })
 	return out
 }
 
-func draw(r *rand.Rand, s Size, at time.Duration) []Event {
+func randomEvents(r *rand.Rand, s Size, at time.Duration) []Event {
 	e := Event{
 		At:   at,
-		For:  leastFor + rand2(r, mostFor-leastFor),
-		Kind: Kind(r.IntN(int(kinds))),
-		Mode: Delay + Mode(r.IntN(int(Silence-Delay)+1)),
-		How:  r.IntN(variants),
+		For:  minDuration + randomDuration(r, maxDuration-minDuration),
+		Kind: Kind(r.IntN(int(kindCount))),
+		Mode: Delay + Mode(r.IntN(int(Blackhole-Delay)+1)),
+		How:  r.IntN(variantCount),
 	}
 	e.For = min(e.For, s.Length-at)
 	count := s.Daemons
 	switch e.Kind {
-	case CutTarget, SpoilTarget, KillTarget, DrainTarget:
+	case CutTarget, DegradeTarget, KillTarget, DrainTarget:
 		count = s.Targets
 	case FailStore, Publish:
 		return []Event{e}
@@ -117,6 +120,6 @@
 	return all
 }
 
-func rand2(r *rand.Rand, most time.Duration) time.Duration {
+func randomDuration(r *rand.Rand, most time.Duration) time.Duration {
 	return time.Duration(r.Int64N(int64(most)))
 }
--- a/bench/soak/planted_test.go
+++ b/bench/soak/planted_test.go
@@ -12,11 +12,11 @@
 
 var planted = flag.Bool("soak.planted", false, "build daemons with planted faults and look whether each is found")
 
-// edit replaces a text of a source file, for one build.
+// edit replaces a text of a source file for one build.
 type edit struct{ file, old, new string }
 
-// A soak that finds nothing may be blind. Each of these faults is built into
-// the daemons, and must be found by what callers and targets see.
+// TestPlantedFaults checks that the soak detects faults. Each case builds
+// daemons with a known fault and expects the soak to report it.
 func TestPlantedFaults(t *testing.T) {
 	if !*planted {
 		t.Log("not asked for: -soak.planted")
@@ -31,51 +31,52 @@
 		{"calls that may run once are repeated", []edit{
 			{"request/dispatch/send.go", "case f.MayHaveRun() && !x.call.Route.Idempotent():", "case false:"},
 			{"request/dispatch/send.go", "|| x.possibleRuns >= x.call.Route.Attempts", ""},
-		}, onAll(SpoilTarget, spoilFail), "ran twice"},
+		}, onAll(DegradeTarget, degradeFail), "ran twice"},
 		{"what ran is called not run", []edit{
 			{"request/dispatch/failure.go", "case x.possibleRuns > 0:", "case false:"},
-		}, onAll(SpoilTarget, spoilFail), "told that it didn't run"},
+		}, onAll(DegradeTarget, degradeFail), "told that it didn't run"},
 		{"a cut stream ends as if whole", []edit{
 			{"request/ingress/ingress.go", "if x.headerSent && err != nil {", "if false {"},
-		}, onAll(SpoilTarget, spoilCut), "isn't whole"},
+		}, onAll(DegradeTarget, degradeCut), "isn't whole"},
 		{"an answer is taken for whoever asks next", []edit{
 			{"request/dispatch/send.go", "Matches:          x.answersCall,", ""},
-		}, onAll(SpoilTarget, spoilExtra), "another's"},
+		}, onAll(DegradeTarget, degradeExtra), "another's"},
 		{"a planned stop cuts", []edit{
 			{"process/front/stop.go", "_ = d.callers.http.Shutdown(ctx)", "_ = d.callers.http.Close()"},
 			{"process/front/stop.go", "_ = pause.For(ctx, min(addressCacheFactor*addressTTL+broadcastTime, limit/2))", ""},
 		}, onAll(StopDaemon, 0), "cut, though"},
 		{"requests outlive their deadline", []edit{
 			{"request/dispatch/call.go", "ctx, cancel := context.WithDeadline(ctx, c.Deadline)", "ctx, cancel := context.WithCancel(ctx)"},
-		}, onAll(SpoilTarget, spoilMute), "no end"},
+		}, onAll(DegradeTarget, degradeMute), "no end"},
 		{"targets learn the callers' keys", []edit{
 			{"platform/headers.go", "if keyed {", "if false {"},
 		}, nil, "with key"},
 		{"the store is given up after a failure", []edit{
 			{"process/topic/follower.go", "f.o.Sink.StoreLost(err)", "f.o.Sink.StoreLost(err); <-f.tomb.Dying()"},
-		}, append([]Event{{At: 0, For: 3 * time.Second, Kind: FailStore, How: failReset}}, onAll(KillTarget, 0)...), "isn't well"},
+		}, append([]Event{{At: 0, For: 3 * time.Second, Kind: FailStore, How: storeReset}}, onAll(KillTarget, 0)...), "isn't well"},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			program := build(t, t.TempDir(), plant(t, tc.edits))
-			faults, sums := soak(t, trial{seed: 1, program: program, daemons: *daemons, plan: tc.plan, length: plantedLength, settle: plantedSettle, grace: plantedGrace})
+			program := buildDaemon(t, t.TempDir(), plant(t, tc.edits))
+			faults, totals := runTrial(t, trial{seed: 1, program: program, daemons: *daemons, plan: tc.plan, length: plantedLength, recoveryLimit: plantedRecovery, grace: plantedGrace})
 			if !strings.Contains(strings.Join(faults, "\n"), tc.want) {
-				t.Errorf("not found, %+v: %v", sums, faults)
+				t.Errorf("not found, %+v: %v", totals, faults)
 			}
 		})
 	}
 }
 
 const (
-	// plantedLength is the length of a trial: requests that never end are
-	// noticed patience and grace after they begin.
-	plantedLength = 9 * time.Second
-	plantedSettle = 5 * time.Second
-	plantedGrace  = 3 * time.Second
+	// plantedLength is the length of the load of a trial. A request that never
+	// ends is detected after requestTimeout and plantedGrace.
+	plantedLength   = 9 * time.Second
+	plantedRecovery = 5 * time.Second
+	plantedGrace    = 3 * time.Second
 )
 
-// onAll disturbs all daemons or targets for two seconds, after a second.
+// onAll returns a plan that affects all daemons or all targets for two
+// seconds, starting after one second.
 func onAll(kind Kind, how int) (plan []Event) {
 	count := defaultTargets
 	if kind == StopDaemon {
@@ -87,7 +88,8 @@
 	return plan
 }
 
-// plant writes changed copies of source files and the overlay that names them.
+// plant writes edited copies of source files and a build overlay that refers
+// to them. It returns the path of the overlay.
 func plant(t *testing.T, edits []edit) string {
 	t.Helper()
 	root, err := filepath.Abs("../..")
--- a/bench/soak/proxy.go
+++ b/bench/soak/proxy.go
@@ -9,29 +9,29 @@
 	"time"
 )
 
-// Mode is what a Proxy does to the connections through it.
+// Mode is the network fault that a Proxy applies to its connections.
 type Mode int
 
 // The modes.
 const (
-	Pass     Mode = iota
-	Delay         // each piece waits for the proxy's delay
-	Reset         // open connections are reset, new ones at once
-	HoldUp        // what the connecting side sends is held back
-	HoldDown      // what the accepting side sends is held back
-	Silence       // both are lost for good, as by a device that forgot the connection
+	Pass           Mode = iota
+	Delay               // each chunk is delayed
+	Reset               // open connections are reset, and new ones when they are accepted
+	HoldUpstream        // data from the client is held back
+	HoldDownstream      // data from the server is held back
+	Blackhole           // data of both directions is dropped for good, as by a middlebox that lost the connection's state
 )
 
 var modeNames = [...]string{"pass", "delay", "reset", "hold up", "hold down", "silence"}
 
-// String names the mode in plans.
+// String returns the name of the mode in plans.
 func (m Mode) String() string { return modeNames[m] }
 
-// Proxy passes TCP connections on to one address and disturbs them on command.
-// It is safe for concurrent use.
+// Proxy forwards TCP connections to one address and applies network faults to
+// them. It is safe for concurrent use.
 type Proxy struct {
-	to string
-	l  net.Listener
+	server   string
+	listener net.Listener
 
 	mu      sync.Mutex
 	mode    Mode
@@ -42,21 +42,22 @@
 	wg      sync.WaitGroup
 }
 
-// NewProxy listens at addr and passes connections on to another address.
-func NewProxy(addr, to string) (*Proxy, error) {
+// NewProxy returns a Proxy that listens at addr and forwards connections to
+// another address.
+func NewProxy(addr, server string) (*Proxy, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{to: to, l: l, changed: make(chan struct{}), conns: make(map[net.Conn]bool)}
+	p := &Proxy{server: server, listener: l, changed: make(chan struct{}), conns: make(map[net.Conn]bool)}
 	p.wg.Go(p.accept)
 	return p, nil
 }
 
-// Addr is where the proxy listens.
-func (p *Proxy) Addr() string { return p.l.Addr().String() }
+// Addr returns the address at which the proxy listens.
+func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// Set changes the mode; delay matters to Delay alone.
+// Set changes the mode. delay is used by the mode Delay only.
 func (p *Proxy) Set(m Mode, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -70,11 +71,11 @@
 	}
 }
 
-// Close ends all connections.
+// Close closes the listener and all connections.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	p.closed = true
-	_ = p.l.Close()
+	_ = p.listener.Close()
 	for c := range p.conns {
 		_ = c.Close()
 	}
@@ -84,7 +85,7 @@
 	p.wg.Wait()
 }
 
-// reset ends a connection the hard way: the other end sees ECONNRESET.
+// reset closes a connection with a TCP reset, so that the peer gets ECONNRESET.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -94,7 +95,7 @@
 
 func (p *Proxy) accept() {
 	for {
-		c, err := p.l.Accept()
+		c, err := p.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -105,32 +106,33 @@
 	}
 }
 
-// dialLimit bounds the wait for the other side; it is on this machine.
-const dialLimit = 5 * time.Second
+// dialTimeout bounds the connect to the server, which runs on the same machine.
+const dialTimeout = 5 * time.Second
 
 func (p *Proxy) serve(in net.Conn) {
 	if m, _, _ := p.state(); m == Reset {
 		reset(in)
 		return
 	}
-	d := net.Dialer{Timeout: dialLimit}
-	out, err := d.DialContext(context.Background(), "tcp", p.to)
+	d := net.Dialer{Timeout: dialTimeout}
+	out, err := d.DialContext(context.Background(), "tcp", p.server)
 	if err != nil {
 		reset(in)
 		return
 	}
-	if !p.keep(in, out) {
+	if !p.addConns(in, out) {
 		return
 	}
-	defer p.drop(in, out)
-	var both sync.WaitGroup
-	both.Go(func() { p.copy(out, in, HoldUp) })
-	both.Go(func() { p.copy(in, out, HoldDown) })
-	both.Wait()
+	defer p.closeConns(in, out)
+	var wg sync.WaitGroup
+	wg.Go(func() { p.relay(out, in, HoldUpstream) })
+	wg.Go(func() { p.relay(in, out, HoldDownstream) })
+	wg.Wait()
 }
 
-// keep notes an open pair of connections; false: the proxy is closed.
-func (p *Proxy) keep(pair ...net.Conn) bool {
+// addConns registers a pair of open connections. If the proxy is closed, it
+// closes them and returns false.
+func (p *Proxy) addConns(pair ...net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range pair {
@@ -143,7 +145,7 @@
 	return !p.closed
 }
 
-func (p *Proxy) drop(pair ...net.Conn) {
+func (p *Proxy) closeConns(pair ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range pair {
@@ -158,17 +160,18 @@
 	return p.mode, p.delay, p.changed
 }
 
-// pieceBytes is the most that is read of a connection at a time.
-const pieceBytes = 16 << 10
+// maxChunk is the most bytes read from a connection at a time.
+const maxChunk = 16 << 10
 
-// copy passes one direction on. A reset here is passed on as a reset: an end
-// that looks orderly would make a cut answer look whole.
-func (p *Proxy) copy(dst, src net.Conn, held Mode) {
-	buf := make([]byte, pieceBytes)
+// relay forwards one direction of a connection. It forwards a reset as a
+// reset, because an orderly close could make a cut answer look complete.
+func (p *Proxy) relay(dst, src net.Conn, heldMode Mode) {
+	buf := make([]byte, maxChunk)
 	for {
 		n, err := src.Read(buf)
-		if n > 0 && !p.pass(dst, buf[:n], held) {
-			// Lost for good: the connection stays open and takes no more.
+		if n > 0 && !p.forward(dst, buf[:n], heldMode) {
+			// The chunk is dropped. The connection stays open, but nothing
+			// more is forwarded on it.
 			continue
 		}
 		switch {
@@ -188,24 +191,24 @@
 	}
 }
 
-// pass writes one piece as the mode says. False: the piece is lost, and with it
-// all that follows on the connection.
-func (p *Proxy) pass(dst net.Conn, piece []byte, held Mode) bool {
+// forward writes one chunk according to the mode. It returns false if the chunk
+// is dropped; all later data of the connection is then dropped too.
+func (p *Proxy) forward(dst net.Conn, chunk []byte, heldMode Mode) bool {
 	for {
 		mode, delay, changed := p.state()
 		switch {
 		case p.isClosed():
 			return false
-		case mode == Silence:
-			_ = dst.SetWriteDeadline(time.Unix(1, 0)) // nothing more goes out
+		case mode == Blackhole:
+			_ = dst.SetWriteDeadline(time.Unix(1, 0)) // all later writes fail
 			return false
-		case mode == held:
+		case mode == heldMode:
 			<-changed
 			continue
 		case mode == Delay:
 			wait(changed, delay)
 		}
-		_, err := dst.Write(piece)
+		_, err := dst.Write(chunk)
 		return err == nil
 	}
 }
@@ -216,12 +219,12 @@
 	return p.closed
 }
 
-// wait returns after d, or when over is closed.
-func wait(over <-chan struct{}, d time.Duration) {
+// wait returns after d or when done is closed.
+func wait(done <-chan struct{}, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-over:
+	case <-done:
 	}
 }
--- a/bench/soak/site_test.go
+++ b/bench/soak/site_test.go
@@ -19,45 +19,45 @@
 	"github.com/pomelospool/pomelospool/platform/standin"
 )
 
-// events is the length of the engines' streams.
+// events is the number of events in a stream.
 const events = 5
 
-// spot is one address of a target; targets follow each other there.
-type spot struct {
-	stage   string // of a new target
-	leaving bool   // guarded by the site's lock, as is gone
-	gone    bool
-	now     atomic.Pointer[standin.Target]
-	lives   atomic.Int32
-	name    string
-	proxy   *Proxy
-	srv     *http.Server
-	all     []*standin.Target // guarded by the site's lock
+// targetSlot is one target address. Successive targets use it.
+type targetSlot struct {
+	stage      string // stage of new targets
+	leaving    bool   // guarded by environment.mu
+	removed    bool   // guarded by environment.mu
+	current    atomic.Pointer[standin.Target]
+	generation atomic.Int32
+	name       string
+	proxy      *Proxy
+	srv        *http.Server
+	targets    []*standin.Target // guarded by environment.mu
 }
 
-// site is a platform on loopback with its daemons.
-type site struct {
-	t     *testing.T
-	dir   string
-	base  string // first three numbers of the daemons' addresses
-	judge *Judge
-	store *standin.Store
-	front *http.Server // of the store
-	cloud *standin.Cloud
-	side  *http.Server // of the cloud
-	wires []*Proxy     // to the store, one a daemon
-	procs []*process
+// environment is a platform on loopback together with its daemons.
+type environment struct {
+	t            *testing.T
+	dir          string
+	addrPrefix   string // first three octets of the daemons' IP addresses
+	judge        *Judge
+	store        *standin.Store
+	storeServer  *http.Server // serves store
+	cloud        *standin.Cloud
+	cloudServer  *http.Server // serves cloud
+	storeProxies []*Proxy     // to the store, one for each daemon
+	daemons      []*process
 
-	mu      sync.Mutex
-	spots   []*spot
-	version int
+	mu            sync.Mutex
+	slots         []*targetSlot
+	configVersion int
 
-	end  context.CancelFunc // of what runs beside
-	rest sync.WaitGroup
+	cancel     context.CancelFunc // stops the background goroutines
+	background sync.WaitGroup     // of the background goroutines
 }
 
-// newSite starts the store, the targets and the daemons of a seed.
-func newSite(t *testing.T, seed uint64, program string, s Size) *site {
+// newEnvironment starts the store, the cloud, the targets and the daemons.
+func newEnvironment(t *testing.T, seed uint64, program string, s Size) *environment {
 	t.Helper()
 	dir := t.TempDir()
 	if keep := os.Getenv("SOAK_DIR"); keep != "" {
@@ -66,44 +66,45 @@
 			t.Fatal(err)
 		}
 	}
-	w := &site{t: t, dir: dir, judge: NewJudge(), store: standin.NewStore(), cloud: standin.NewCloud()}
-	w.base = freeNet(t)
-	storeAddr, cloudAddr := w.serve(w.store, &w.front), w.serve(w.cloud, &w.side)
+	env := &environment{t: t, dir: dir, judge: NewJudge(), store: standin.NewStore(), cloud: standin.NewCloud()}
+	env.addrPrefix = reserveRange(t)
+	storeAddr, cloudAddr := env.startServer(env.store, &env.storeServer), env.startServer(env.cloud, &env.cloudServer)
 	for i := range s.Targets {
-		w.addSpot(i)
+		env.addSlot(i)
 	}
-	w.publish()
-	ctx, end := context.WithCancel(context.Background())
-	w.end = end
-	w.rest.Go(func() { w.announceAll(ctx) })
+	env.publish()
+	ctx, cancel := context.WithCancel(context.Background())
+	env.cancel = cancel
+	env.background.Go(func() { env.announceAll(ctx) })
 	for i := range s.Daemons {
-		wire, err := NewProxy("127.0.0.1:0", storeAddr)
+		proxy, err := NewProxy("127.0.0.1:0", storeAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.wires = append(w.wires, wire)
-		file, err := settings(dir, i, w.ip(i), wire.Addr(), cloudAddr)
+		env.storeProxies = append(env.storeProxies, proxy)
+		path, err := writeSettings(dir, i, env.ip(i), proxy.Addr(), cloudAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		p := &process{index: i, program: program, file: file, judge: w.judge, out: filepath.Join(dir, fmt.Sprintf("daemon-%d.log", i))}
-		w.procs = append(w.procs, p)
+		p := &process{index: i, program: program, settingsPath: path, judge: env.judge, logPath: filepath.Join(dir, fmt.Sprintf("daemon-%d.log", i))}
+		env.daemons = append(env.daemons, p)
 		if err := p.start(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return w
+	return env
 }
 
-// nets counts the address ranges that this process took.
-var nets atomic.Int32
+// rangesTried counts the address ranges that this process has tried.
+var rangesTried atomic.Int32
 
-// freeNet returns a range of loopback addresses that nobody listens on: runs
-// beside each other, of other processes too, must not meet.
-func freeNet(t *testing.T) string {
+// reserveRange returns an unused range of loopback addresses and reserves it
+// until the test ends. Concurrent runs, also of other processes, must not use
+// the same addresses.
+func reserveRange(t *testing.T) string {
 	const first, ranges = 30, 200
 	for range ranges * ranges {
-		n := int(nets.Add(1)) + os.Getpid()
+		n := int(rangesTried.Add(1)) + os.Getpid()
 		base := fmt.Sprintf("127.%d.%d", first+n%ranges, 1+n/ranges%ranges)
 		l, err := net.Listen("tcp", base+".250:17099")
 		if err != nil {
@@ -116,52 +117,52 @@
 	return ""
 }
 
-func (w *site) ip(i int) string { return fmt.Sprintf("%s.%d", w.base, i+1) }
+func (env *environment) ip(i int) string { return fmt.Sprintf("%s.%d", env.addrPrefix, i+1) }
 
-// serve runs a server on a free port, whose address it returns.
-func (w *site) serve(h http.Handler, srv **http.Server) string {
+// startServer starts a server on a free port and returns its address.
+func (env *environment) startServer(h http.Handler, srv **http.Server) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
 	*srv = &http.Server{Handler: h}
 	go func() { _ = (*srv).Serve(l) }()
 	return l.Addr().String()
 }
 
-func (w *site) addSpot(i int) {
-	p := &spot{stage: []string{"", "prefill", "decode", ""}[i%4], name: fmt.Sprintf("i-%d", i)}
-	addr := w.serve(http.HandlerFunc(func(rw http.ResponseWriter, req *http.Request) { p.now.Load().ServeHTTP(rw, req) }), &p.srv)
+func (env *environment) addSlot(i int) {
+	p := &targetSlot{stage: []string{"", "prefill", "decode", ""}[i%4], name: fmt.Sprintf("i-%d", i)}
+	addr := env.startServer(http.HandlerFunc(func(rw http.ResponseWriter, req *http.Request) { p.current.Load().ServeHTTP(rw, req) }), &p.srv)
 	var err error
 	if p.proxy, err = NewProxy("127.0.0.1:0", addr); err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
-	w.spots = append(w.spots, p)
-	w.reborn(p)
+	env.slots = append(env.slots, p)
+	env.replaceTarget(p)
 }
 
-// reborn puts a new target at a spot, in place of the one before.
-func (w *site) reborn(p *spot) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if old := p.now.Load(); old != nil {
-		w.store.Withdraw(old.ID)
+// replaceTarget replaces the target of a slot by a new one.
+func (env *environment) replaceTarget(p *targetSlot) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	if old := p.current.Load(); old != nil {
+		env.store.Withdraw(old.ID)
 	}
-	t := standin.NewTarget(fmt.Sprintf("%s-%d", p.name, p.lives.Add(1)), p.stage)
+	t := standin.NewTarget(fmt.Sprintf("%s-%d", p.name, p.generation.Add(1)), p.stage)
 	t.Set(func(b *standin.Behaviour) { b.Events, b.Gap = events, 2*time.Millisecond })
-	p.now.Store(t)
-	p.all = append(p.all, t)
-	p.leaving, p.gone = false, false
-	w.store.Announce(t, p.proxy.Addr(), false)
+	p.current.Store(t)
+	p.targets = append(p.targets, t)
+	p.leaving, p.removed = false, false
+	env.store.Announce(t, p.proxy.Addr(), false)
 }
 
-// announceEvery is the time in which targets write their entries again, with
-// the role that they have then.
-const announceEvery = 500 * time.Millisecond
+// announceInterval is the time between two writes of a target's entry. Each
+// write has the target's current role.
+const announceInterval = 500 * time.Millisecond
 
-// announceAll writes the targets' entries until ctx ends.
-func (w *site) announceAll(ctx context.Context) {
-	tick := time.NewTicker(announceEvery)
+// announceAll writes the targets' entries periodically until ctx is done.
+func (env *environment) announceAll(ctx context.Context) {
+	tick := time.NewTicker(announceInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -169,30 +170,30 @@
 			return
 		case <-tick.C:
 		}
-		for _, p := range w.spots {
-			w.announce(p, func() {})
+		for _, p := range env.slots {
+			env.announce(p, func() {})
 		}
 	}
 }
 
-// announce changes the state of the target at a spot and writes its entry.
-func (w *site) announce(p *spot, change func()) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// announce changes the state of a slot and writes the entry of its target.
+func (env *environment) announce(p *targetSlot, change func()) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
 	change()
-	if !p.gone {
-		w.store.Announce(p.now.Load(), p.proxy.Addr(), p.leaving)
+	if !p.removed {
+		env.store.Announce(p.current.Load(), p.proxy.Addr(), p.leaving)
 	}
 }
 
-func (w *site) publish() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.version++
-	w.store.ConfigureKeyed(w.version, "/p/", organisation, key)
+func (env *environment) publish() {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.configVersion++
+	env.store.ConfigureKeyed(env.configVersion, "/p/", organisation, key)
 }
 
-// The organisation of all callers, and its key.
+// The organisation of all callers and its key.
 const (
 	organisation = "o1"
 	key          = "k1"
@@ -204,50 +205,50 @@
 	return h
 }
 
-// checkDuties reports what the targets and the cloud must not have seen: a
-// caller's key, a request without its organisation, two counts of a window, two
-// holders with one fencing number.
-func (w *site) checkDuties() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, p := range w.spots {
-		for _, t := range p.all {
+// checkDuties reports violations that the targets and the cloud recorded: a
+// request with a caller's key or without its organisation, two counts of one
+// window, and two holders with the same fencing number.
+func (env *environment) checkDuties() {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	for _, p := range env.slots {
+		for _, t := range p.targets {
 			for _, a := range t.Arrivals() {
 				if a.Key != "" || a.Organisation != organisation {
-					w.judge.Fault("target %s saw a request of organisation %q with key %q", t.ID, a.Organisation, a.Key)
+					env.judge.ReportFault("target %s saw a request of organisation %q with key %q", t.ID, a.Organisation, a.Key)
 				}
 			}
 		}
 	}
-	for _, broken := range w.cloud.Broken() {
-		w.judge.Fault("cloud: %s", broken)
+	for _, broken := range env.cloud.Broken() {
+		env.judge.ReportFault("cloud: %s", broken)
 	}
 }
 
-// usageLimit is how long after the last disturbance a window that ends then may
-// wait for its report: for the lease of a holder that is gone, and until the
-// report is due.
-const usageLimit = 8 * time.Second
+// maxReportDelay is the longest time until a window that ends after the last
+// fault is reported. It covers the lease of a holder that has exited and the
+// time until the report is due.
+const maxReportDelay = 8 * time.Second
 
-// reportsUsage checks that windows that end from now on are reported.
-func (w *site) reportsUsage() {
+// checkUsageReported checks that windows that end from now on are reported.
+func (env *environment) checkUsageReported() {
 	newest := func() int64 {
-		windows := slices.Collect(maps.Keys(w.cloud.Usage()))
+		windows := slices.Collect(maps.Keys(env.cloud.Usage()))
 		return slices.Max(append(windows, 0))
 	}
-	now := time.Now().Unix() // windows are a second long
-	if !await(usageLimit, func() bool { return newest() > now }) {
-		w.judge.Fault("no window that ended after %d was reported within %v: the newest is %d", now, usageLimit, newest())
+	now := time.Now().Unix() // a window lasts one second
+	if !eventually(maxReportDelay, func() bool { return newest() > now }) {
+		env.judge.ReportFault("no window that ended after %d was reported within %v: the newest is %d", now, maxReportDelay, newest())
 	}
 }
 
-// ran counts the runs of each attempt over all targets.
-func (w *site) ran() map[string]int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// runCounts returns the number of runs of each request over all targets.
+func (env *environment) runCounts() map[string]int {
+	env.mu.Lock()
+	defer env.mu.Unlock()
 	out := make(map[string]int)
-	for _, p := range w.spots {
-		for _, t := range p.all {
+	for _, p := range env.slots {
+		for _, t := range p.targets {
 			for _, id := range t.Ran() {
 				out[id]++
 			}
@@ -256,27 +257,27 @@
 	return out
 }
 
-func (w *site) load(seed uint64, callers int) *Load {
-	l := &Load{Seed: seed, Callers: callers, Judge: w.judge, Wire: Wire{
-		Headers:   callerHeaders,
-		Addresses: standin.AskAddresses,
-		NotRun:    standin.SaysNotRun,
-		Paths:     [...]string{"/p/x", "/i/x", "/s/x"},
-		Host:      standin.Host,
-		Answer:    standin.Answer,
-		Events:    standin.Events(events),
+func (env *environment) newLoad(seed uint64, callers int) *Load {
+	l := &Load{Seed: seed, Callers: callers, Judge: env.judge, Protocol: CallerProtocol{
+		Headers:          callerHeaders,
+		ResolveAddresses: standin.AskAddresses,
+		NotRun:           standin.SaysNotRun,
+		Paths:            [...]string{"/p/x", "/i/x", "/s/x"},
+		Host:             standin.Host,
+		Answer:           standin.Answer,
+		Events:           standin.Events(events),
 	}}
-	for i := range w.procs {
-		l.Daemons = append(l.Daemons, Daemon{Callers: w.ip(i) + ":17000", Addresses: w.ip(i) + ":17002"})
+	for i := range env.daemons {
+		l.Daemons = append(l.Daemons, Daemon{Callers: env.ip(i) + ":17000", Addresses: env.ip(i) + ":17002"})
 	}
 	return l
 }
 
-// ready reports whether a daemon takes requests.
-func (w *site) ready(i int) bool {
+// ready reports whether a daemon's readiness check succeeds.
+func (env *environment) ready(i int) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+w.ip(i)+":17001"+standin.ReadyPath, http.NoBody)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+env.ip(i)+":17001"+standin.ReadyPath, http.NoBody)
 	if err != nil {
 		return false
 	}
@@ -289,8 +290,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// answers reports whether a daemon answers a request of each class well.
-func (w *site) answers(i, try int) bool {
+// answersAll reports whether a daemon answers a request of each class correctly.
+func (env *environment) answersAll(i, try int) bool {
 	paths := []string{"/p/x", "/i/x", "/s/x"}
 	for class, path := range paths {
 		id := fmt.Sprintf("end-%d-%d-%d", i, class, try)
@@ -298,13 +299,13 @@
 		if Class(class) == Stream {
 			want, prompt = standin.Events(events), "aa:800,bb:660"
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.ip(i)+":17000"+path, http.NoBody)
+		ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+env.ip(i)+":17000"+path, http.NoBody)
 		if err != nil {
 			cancel()
 			return false
 		}
-		req.Host, req.Header, req.Close = standin.Host, callerHeaders(id, patience, prompt), true
+		req.Host, req.Header, req.Close = standin.Host, callerHeaders(id, requestTimeout, prompt), true
 		resp, err := http.DefaultTransport.RoundTrip(req)
 		if err != nil {
 			cancel()
@@ -320,14 +321,15 @@
 	return true
 }
 
-// await returns once the condition holds, and whether it did in time.
-func await(limit time.Duration, holds func() bool) bool {
-	over := time.After(limit)
+// eventually polls a condition until it holds or the limit has passed. It
+// reports whether the condition held in time.
+func eventually(limit time.Duration, cond func() bool) bool {
+	timeout := time.After(limit)
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
-	for !holds() {
+	for !cond() {
 		select {
-		case <-over:
+		case <-timeout:
 			return false
 		case <-tick.C:
 		}
@@ -335,21 +337,21 @@
 	return true
 }
 
-// close ends everything that the site started.
-func (w *site) close() {
-	w.end()
-	w.rest.Wait()
-	for _, p := range w.procs {
+// close stops everything that newEnvironment started.
+func (env *environment) close() {
+	env.cancel()
+	env.background.Wait()
+	for _, p := range env.daemons {
 		p.signal(syscall.SIGKILL)
-		p.over()
+		p.waitExited()
 	}
-	for _, wire := range w.wires {
-		wire.Close()
+	for _, proxy := range env.storeProxies {
+		proxy.Close()
 	}
-	for _, p := range w.spots {
+	for _, p := range env.slots {
 		_ = p.srv.Close()
 		p.proxy.Close()
 	}
-	_ = w.front.Close()
-	_ = w.side.Close()
+	_ = env.storeServer.Close()
+	_ = env.cloudServer.Close()
 }
--- a/bench/soak/soak_test.go
+++ b/bench/soak/soak_test.go
@@ -14,7 +14,7 @@
 	"github.com/pomelospool/pomelospool/platform/standin"
 )
 
-// The usual size of a fleet, and the number of daemons of a large one.
+// The default size of a fleet and the number of daemons of a large fleet.
 const (
 	defaultDaemons = 4
 	defaultTargets = 8
@@ -30,22 +30,22 @@
 	callers   = flag.Int("soak.callers", 24, "number of callers")
 )
 
-// regressions are the seeds that ever failed; the cause stands beside each.
+// regressions lists the seeds that have failed, each with a comment that states
+// the cause.
 var regressions = []uint64{}
 
-// Bounds that only a daemon which has forgotten something reaches, however
-// busy the machine is.
+// Limits that are long enough for a busy machine. They are exceeded only if a
+// daemon has lost track of a request or doesn't recover.
 const (
-	settleLimit = 30 * time.Second // until all is well after the disturbances
-	callerGrace = 20 * time.Second // beyond a request's deadline
+	recoveryLimit = 30 * time.Second // for the recovery after the last fault
+	callerGrace   = 20 * time.Second // after the deadline of a request
 )
 
-// Callers ask without pause while daemons, targets, the store and the links
-// between them fail in series and at once. Nobody may be cut by a planned stop,
-// told untruly, run twice or answered with another's answer, and in the end
-// all is well again.
+// TestSoak runs load while daemons, targets, the store and the connections
+// between them fail one after another and at the same time. It fails if a
+// guarantee that the package comment lists is violated.
 func TestSoak(t *testing.T) {
-	program := build(t, t.TempDir(), "")
+	program := buildDaemon(t, t.TempDir(), "")
 	seeds := append([]uint64(nil), regressions...)
 	for i := range *seedCount {
 		seeds = append(seeds, *firstSeed+uint64(i))
@@ -53,80 +53,81 @@
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			playSeed(t, program, seed, *daemons)
+			runSeed(t, program, seed, *daemons)
 		})
 	}
 }
 
-// The same with so many daemons that few of them sum up for the others, keep
-// engines' queues and read the store, and are killed, paused and cut off in it.
+// TestSoakOfALargeFleet runs the same with so many daemons that only a few of
+// them aggregate for the others, own engines' queues and read the store. These
+// are killed, paused and disconnected too.
 func TestSoakOfALargeFleet(t *testing.T) {
 	const seed = 2300
-	playSeed(t, build(t, t.TempDir(), ""), seed, largeDaemons)
+	runSeed(t, buildDaemon(t, t.TempDir(), ""), seed, largeDaemons)
 }
 
-func playSeed(t *testing.T, program string, seed uint64, daemons int) {
+func runSeed(t *testing.T, program string, seed uint64, daemons int) {
 	size := Size{Daemons: daemons, Targets: *targets, Length: *length}
-	faults, sums := soak(t, trial{
+	faults, totals := runTrial(t, trial{
 		seed: seed, program: program, daemons: daemons, plan: Plan(seed, size),
-		length: *length, settle: settleLimit, grace: callerGrace,
+		length: *length, recoveryLimit: recoveryLimit, grace: callerGrace,
 	})
-	t.Logf("seed %d: %+v", seed, sums)
+	t.Logf("seed %d: %+v", seed, totals)
 	for _, f := range faults {
 		t.Error(f)
 	}
 }
 
-// trial is one play.
+// trial describes one run of the soak.
 type trial struct {
-	seed    uint64
-	program string
-	daemons int
-	plan    []Event
-	length  time.Duration
-	settle  time.Duration // longest wait until all is well again
-	grace   time.Duration // of the callers
+	seed          uint64
+	program       string
+	daemons       int
+	plan          []Event
+	length        time.Duration
+	recoveryLimit time.Duration // limit for the recovery after the load
+	grace         time.Duration // Load.Grace
 }
 
-// soak plays a trial and returns the broken promises.
-func soak(t *testing.T, tr trial) ([]string, Sums) {
-	w := newSite(t, tr.seed, tr.program, Size{Daemons: tr.daemons, Targets: *targets})
-	defer w.close()
-	for i := range w.procs {
-		if !await(settleLimit, func() bool { return w.ready(i) }) {
+// runTrial runs a trial and returns the violations.
+func runTrial(t *testing.T, tr trial) ([]string, Totals) {
+	env := newEnvironment(t, tr.seed, tr.program, Size{Daemons: tr.daemons, Targets: *targets})
+	defer env.close()
+	for i := range env.daemons {
+		if !eventually(recoveryLimit, func() bool { return env.ready(i) }) {
 			t.Fatalf("daemon %d isn't ready", i)
 		}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), tr.length)
 	defer cancel()
-	var all sync.WaitGroup
-	load := w.load(tr.seed, *callers)
+	var wg sync.WaitGroup
+	load := env.newLoad(tr.seed, *callers)
 	load.Grace = tr.grace
-	all.Go(func() { load.Run(ctx) })
-	w.play(ctx, tr.plan, &all)
-	all.Wait()
-	w.settle(tr.settle)
-	w.reportsUsage()
-	w.stopAll()
-	w.checkDuties()
-	return w.judge.Verdict(w.ran())
+	wg.Go(func() { load.Run(ctx) })
+	env.runPlan(ctx, tr.plan, &wg)
+	wg.Wait()
+	env.waitRecovered(tr.recoveryLimit)
+	env.checkUsageReported()
+	env.stopAll()
+	env.checkDuties()
+	return env.judge.Verdict(env.runCounts())
 }
 
-// play carries the plan out.
-func (w *site) play(ctx context.Context, plan []Event, all *sync.WaitGroup) {
-	begun := time.Now()
-	if text := planText(plan); text != "" {
-		if err := os.WriteFile(filepath.Join(w.dir, "plan.txt"), []byte(text), 0o644); err != nil {
-			w.t.Log(err)
+// runPlan applies the events of the plan at their times.
+func (env *environment) runPlan(ctx context.Context, plan []Event, wg *sync.WaitGroup) {
+	start := time.Now()
+	if text := formatPlan(plan); text != "" {
+		if err := os.WriteFile(filepath.Join(env.dir, "plan.txt"), []byte(text), 0o644); err != nil {
+			env.t.Log(err)
 		}
 	}
 	for _, e := range plan {
-		wait(ctx.Done(), time.Until(begun.Add(e.At)))
-		all.Go(func() { w.disturb(ctx, e) })
+		wait(ctx.Done(), time.Until(start.Add(e.At)))
+		wg.Go(func() { env.apply(ctx, e) })
 	}
 }
 
-func planText(plan []Event) string {
+func formatPlan(plan []Event) string {
 	text := ""
 	for _, e := range plan {
 		text += e.String() + "\n"
@@ -134,98 +135,98 @@
 	return text
 }
 
-// disturb carries one disturbance out, to its end.
-func (w *site) disturb(ctx context.Context, e Event) {
-	over := func() { wait(ctx.Done(), e.For) }
+// apply applies one event and, if it has a duration, undoes it at its end.
+func (env *environment) apply(ctx context.Context, e Event) {
+	waitEnd := func() { wait(ctx.Done(), e.For) }
 	switch e.Kind {
 	case KillDaemon:
-		p := w.procs[e.On]
+		p := env.daemons[e.On]
 		p.signal(syscall.SIGKILL)
-		p.over()
-		over()
-		w.restart(p)
+		p.waitExited()
+		waitEnd()
+		env.restart(p)
 	case StopDaemon:
-		p := w.procs[e.On]
+		p := env.daemons[e.On]
 		p.signal(syscall.SIGTERM)
-		p.over()
-		w.restart(p)
+		p.waitExited()
+		env.restart(p)
 	case PauseDaemon:
-		w.procs[e.On].signal(syscall.SIGSTOP)
-		over()
-		w.procs[e.On].signal(syscall.SIGCONT)
+		env.daemons[e.On].signal(syscall.SIGSTOP)
+		waitEnd()
+		env.daemons[e.On].signal(syscall.SIGCONT)
 	case ReloadDaemon:
-		w.procs[e.On].signal(syscall.SIGHUP)
+		env.daemons[e.On].signal(syscall.SIGHUP)
 	case CutStore:
-		w.wires[e.On].Set(e.Mode, longDelay)
-		over()
-		w.wires[e.On].Set(Pass, 0)
+		env.storeProxies[e.On].Set(e.Mode, longDelay)
+		waitEnd()
+		env.storeProxies[e.On].Set(Pass, 0)
 	case FailStore:
-		w.failStore(e.How, over)
+		env.failStore(e.How, waitEnd)
 	case CutTarget:
-		w.spots[e.On].proxy.Set(e.Mode, longDelay)
-		over()
-		w.spots[e.On].proxy.Set(Pass, 0)
-	case SpoilTarget:
-		w.spoil(e, over)
+		env.slots[e.On].proxy.Set(e.Mode, longDelay)
+		waitEnd()
+		env.slots[e.On].proxy.Set(Pass, 0)
+	case DegradeTarget:
+		env.degrade(e, waitEnd)
 	case KillTarget:
-		p := w.spots[e.On]
-		w.announce(p, func() { p.gone = true })
+		p := env.slots[e.On]
+		env.announce(p, func() { p.removed = true })
 		p.proxy.Set(Reset, 0)
-		over()
-		w.reborn(p)
+		waitEnd()
+		env.replaceTarget(p)
 		p.proxy.Set(Pass, 0)
 	case DrainTarget:
-		w.drain(e, over)
+		env.drain(e, waitEnd)
 	case Publish:
-		w.publish()
+		env.publish()
 	}
 }
 
-func (w *site) restart(p *process) {
+func (env *environment) restart(p *process) {
 	if err := p.start(); err != nil {
-		w.judge.Fault("daemon %d: %v", p.index, err)
+		env.judge.ReportFault("daemon %d: %v", p.index, err)
 	}
 }
 
-// failReset is the variant of FailStore that breaks connections off.
-const failReset = 2
+// storeReset is the variant of FailStore that resets connections.
+const storeReset = 2
 
-func (w *site) failStore(how int, over func()) {
-	modes := [variants]standin.Mode{standin.Busy, standin.Many, failReset: standin.Reset, standin.Silent, standin.Slow, standin.Late}
-	w.store.SetMode(modes[how])
-	w.cloud.SetMode(modes[variants-1-how])
-	over()
-	w.store.SetMode(standin.Up)
-	w.cloud.SetMode(standin.Up)
+func (env *environment) failStore(how int, waitEnd func()) {
+	modes := [variantCount]standin.Mode{standin.Busy, standin.Many, storeReset: standin.Reset, standin.Silent, standin.Slow, standin.Late}
+	env.store.SetMode(modes[how])
+	env.cloud.SetMode(modes[variantCount-1-how])
+	waitEnd()
+	env.store.SetMode(standin.Up)
+	env.cloud.SetMode(standin.Up)
 }
 
-// The variants of SpoilTarget.
+// The variants of DegradeTarget.
 const (
-	spoilRefuse = iota
-	spoilFail
-	spoilMute
-	spoilGarble
-	spoilExtra // answers the request of before too, and no order
-	spoilCut
+	degradeRefuse = iota
+	degradeFail
+	degradeMute
+	degradeGarble
+	degradeExtra // sends the previous answer again before each answer, and applies orders without an answer
+	degradeCut
 )
 
-// spoil has a target answer badly.
-func (w *site) spoil(e Event, over func()) {
-	t := w.spots[e.On].now.Load()
+// degrade makes a target answer incorrectly while the event lasts.
+func (env *environment) degrade(e Event, waitEnd func()) {
+	t := env.slots[e.On].current.Load()
 	set := func(on bool) {
 		t.Set(func(b *standin.Behaviour) {
 			switch e.How {
-			case spoilRefuse:
+			case degradeRefuse:
 				b.Refuse = on
-			case spoilFail:
+			case degradeFail:
 				b.Fail = on
-			case spoilMute:
+			case degradeMute:
 				b.Mute = on
-			case spoilGarble:
+			case degradeGarble:
 				b.Garble = on
-			case spoilExtra:
+			case degradeExtra:
 				b.Extra, b.LateOrders = on, on
-			case spoilCut:
+			case degradeCut:
 				b.Cut = 0
 				if on {
 					b.Cut = events / 2
@@ -234,41 +235,41 @@
 		})
 	}
 	set(true)
-	over()
+	waitEnd()
 	set(false)
 }
 
-func (w *site) drain(e Event, over func()) {
-	p := w.spots[e.On]
-	w.announce(p, func() { p.leaving = true })
-	over()
-	w.announce(p, func() { p.leaving = false })
+func (env *environment) drain(e Event, waitEnd func()) {
+	p := env.slots[e.On]
+	env.announce(p, func() { p.leaving = true })
+	waitEnd()
+	env.announce(p, func() { p.leaving = false })
 }
 
-// settle waits until every daemon answers well again.
-func (w *site) settle(limit time.Duration) {
-	for i, p := range w.procs {
+// waitRecovered waits until every daemon is ready and answers correctly.
+func (env *environment) waitRecovered(limit time.Duration) {
+	for i, p := range env.daemons {
 		p.signal(syscall.SIGCONT)
-		w.restart(p)
+		env.restart(p)
 		try := 0
-		well := await(limit, func() bool {
+		recovered := eventually(limit, func() bool {
 			try++
-			return w.ready(i) && w.answers(i, try)
+			return env.ready(i) && env.answersAll(i, try)
 		})
-		if !well {
-			w.judge.Fault("daemon %d isn't well %v after the last disturbance", i, limit)
+		if !recovered {
+			env.judge.ReportFault("daemon %d isn't well %v after the last disturbance", i, limit)
 		}
 	}
 }
 
-// stopAll ends the daemons in a planned way, all at once.
-func (w *site) stopAll() {
-	for _, p := range w.procs {
+// stopAll stops all daemons at the same time, as planned stops.
+func (env *environment) stopAll() {
+	for _, p := range env.daemons {
 		p.signal(syscall.SIGTERM)
 	}
-	for _, p := range w.procs {
-		if !await(stopLimit, func() bool { p.mu.Lock(); defer p.mu.Unlock(); return p.cmd == nil }) {
-			w.judge.Fault("daemon %d didn't stop in %v", p.index, stopLimit)
+	for _, p := range env.daemons {
+		if !eventually(maxStopTime, func() bool { p.mu.Lock(); defer p.mu.Unlock(); return p.cmd == nil }) {
+			env.judge.ReportFault("daemon %d didn't stop in %v", p.index, maxStopTime)
 		}
 	}
 }
