--- a/bench/audit/judge.go
+++ b/bench/audit/judge.go
@@ -1,25 +1,30 @@
-// Package audit compares what callers got with what targets recorded. It
-// trusts neither the daemons' counters nor their logs.
+// Package audit compares what callers received with what targets recorded. It
+// doesn't rely on the counters or logs of the daemons.
 //
-// Every request ends for its caller in one way, the best over its sendings:
+// A caller may send a request several times. The request is counted by its
+// best result over all sends:
 //
-//   - answered: whole. A stream's every token was checked, a plain answer's
-//     body is the one to this request.
-//   - refused, not run: every attempt proved that nothing reached a target.
-//   - unknown: a call that may run at most once, and may have run.
-//   - failed, told so: an idempotent request that was given up, with a 2xxx
-//     code of a daemon; past the deadline only when the deadline had passed.
-//     Also a plain call that the target itself answered with a 5xx status.
-//   - cut: a stream that ended in the middle for good, told or not; also any
-//     answer taken for whole that is shorter than asked.
-//   - lost: all else. Nobody gave an answer or a truthful code before the
-//     deadline; or the caller has an answer, but no target counted a run.
+//   - answered: The answer is complete. Every token of a stream was checked,
+//     and the body of a plain answer belongs to the request.
+//   - refused, not run: Every send proved that nothing reached a target.
+//   - unknown: The call may run at most once, and it may have run.
+//   - failed, told so: An idempotent request was given up, and a daemon
+//     returned a 2xxx code. The code for a passed deadline counts only if the
+//     deadline had passed. A plain call to which the target itself answered
+//     with a 5xx status counts here too.
+//   - cut: A stream ended early and wasn't repeated successfully, whether or
+//     not a code reported it. An answer that passed as complete but is shorter
+//     than requested counts too.
+//   - lost: Anything else. The caller received neither an answer nor a correct
+//     code before the deadline, or it has an answer but no target counted a
+//     run.
 //
-// Doubled is a key that targets ran more than once, or a token that came
-// twice. Crossed is anything of another request that reached the caller.
-// Untrue is a refusal as not run although a target counted a run. Conflicting
-// are orders that an engine got while another one ran, or carried out under a
-// fencing number below the highest that it had seen.
+// A request is doubled if targets ran its key more than once, or if a token was
+// received twice. It is crossed if anything of another request reached the
+// caller. It is untrue if it was refused as not run although a target counted a
+// run. Orders to an engine conflict if one arrived while another was running,
+// or if one took effect under a fencing number lower than the highest that the
+// engine had received.
 package audit
 
 import (
@@ -29,7 +34,7 @@
 	"text/tabwriter"
 )
 
-// Plain is what the stand-in of a plain service recorded.
+// PlainRecord is the record of a plain service's stand-in.
 type Plain struct {
 	Name     string         `json:"name"`
 	Runs     int            `json:"runs"`
@@ -37,41 +42,42 @@
 	Requests map[string]int `json:"requests"` // runs by X-Request-Id
 }
 
-// Engine is the part of an engine stand-in's record that is judged. One that
-// crashed has a record for each life.
+// EngineRecord is the part of an engine stand-in's record that the judge uses.
+// An engine that crashed has one record for each incarnation.
 type Engine struct {
 	Engine      string `json:"engine"`
-	Overlapping int    `json:"overlapping"` // orders that came while another one ran
-	Stale       int    `json:"stale"`       // orders under a lower fencing number that took effect
+	Overlapping int    `json:"overlapping"` // orders that arrived while another was running
+	Stale       int    `json:"stale"`       // orders with a lower fencing number that took effect
 }
 
-// Records is what all targets of a run recorded.
+// Records holds the records of all targets of a run.
 type Records struct {
 	Plain   []Plain
 	Engines []Engine
 }
 
-// Row counts how the requests of one kind ended and what must not be.
+// Row counts the requests of one kind by result, and their faults. The package
+// comment defines the columns.
 type Row struct {
-	Kind                                  Kind
-	Sent, Answered, NotRun, Unknown, Told int
-	Lost, Doubled, Crossed, Cut, Untrue   int
+	Kind                                    Kind
+	Sent, Answered, NotRun, Unknown, Failed int
+	Lost, Doubled, Crossed, Cut, Untrue     int
 }
 
-// Good reports whether nothing happened that must not.
+// Passed reports whether the requests show no fault.
 func (r Row) Good() bool { return r.Lost+r.Doubled+r.Crossed+r.Cut+r.Untrue == 0 }
 
-// Report is the judgement of a run.
+// Report is the result of the judgement of a run.
 type Report struct {
 	Rows        []Row
 	Attempts    int
-	CutAttempts int // that their callers repeated, or not
-	Conflicting int // orders
-	Runs        int // of keys
-	Bad         []string
+	CutAttempts int      // attempts that were cut, whether or not they were repeated
+	Conflicting int      // conflicting orders
+	Runs        int      // runs of calls that may run at most once
+	Bad         []string // one line for each fault
 }
 
-// Good reports whether the run showed no fault.
+// Passed reports whether the run shows no fault.
 func (r *Report) Good() bool {
 	for _, row := range r.Rows {
 		if !row.Good() {
@@ -81,19 +87,19 @@
 	return r.Conflicting == 0
 }
 
-// Untouched reports whether no attempt was cut and none ended in doubt, which is
-// what planned changes owe to callers beyond Good.
+// Undisturbed reports whether no attempt was cut and no request ended as unknown
+// or failed. Planned changes must meet this in addition to Passed.
 func (r *Report) Untouched() bool {
 	t := r.total()
-	return r.CutAttempts+t.Unknown+t.Told == 0
+	return r.CutAttempts+t.Unknown+t.Failed == 0
 }
 
 // Judge compares outcomes with records.
 func Judge(outcomes []Outcome, rec Records) *Report {
 	rep := &Report{}
-	runs := rec.runs()
+	runs := rec.runCounts()
 	for _, kind := range []Kind{KindStream, KindFeed, KindOnce} {
-		rep.Rows = append(rep.Rows, rep.row(kind, byRequest(outcomes, kind), runs))
+		rep.Rows = append(rep.Rows, rep.row(kind, groupByRequest(outcomes, kind), runs))
 	}
 	for _, o := range outcomes {
 		rep.Attempts += o.Attempts
@@ -102,15 +108,16 @@
 	for _, e := range rec.Engines {
 		rep.Conflicting += e.Overlapping + e.Stale
 		if e.Overlapping+e.Stale > 0 {
-			rep.bad("%s: %d overlapping and %d stale orders", e.Engine, e.Overlapping, e.Stale)
+			rep.addFinding("%s: %d overlapping and %d stale orders", e.Engine, e.Overlapping, e.Stale)
 		}
 	}
 	return rep
 }
 
-// runs sums the runs of each key, and of each request without one. Daemons
-// give every attempt an id of its own: the caller's, a dot and the attempt.
-func (rec Records) runs() map[string]int {
+// runCounts returns the number of runs by key, and by request id for requests
+// without a key. A daemon gives each attempt an id that consists of the
+// caller's request id, a dot and the number of the attempt.
+func (rec Records) runCounts() map[string]int {
 	sum := make(map[string]int)
 	for _, p := range rec.Plain {
 		for key, n := range p.Keys {
@@ -124,15 +131,16 @@
 	return sum
 }
 
-// byRequest gathers the sendings of each request, in the order of the first.
-func byRequest(outcomes []Outcome, kind Kind) [][]Outcome {
+// groupByRequest groups the outcomes of one kind by request, in the order of
+// the first send.
+func groupByRequest(outcomes []Outcome, kind Kind) [][]Outcome {
 	var out [][]Outcome
 	index := make(map[string]int)
 	for _, o := range outcomes {
 		if o.Kind != kind {
 			continue
 		}
-		name := o.name()
+		name := o.recordKey()
 		i, ok := index[name]
 		if !ok {
 			i = len(out)
@@ -144,8 +152,8 @@
 	return out
 }
 
-// name is what targets count the request under.
-func (o *Outcome) name() string {
+// recordKey returns the key under which targets count the request.
+func (o *Outcome) recordKey() string {
 	if o.Kind == KindOnce {
 		return o.Key
 	}
@@ -154,25 +162,25 @@
 
 func (r *Report) row(kind Kind, requests [][]Outcome, runs map[string]int) Row {
 	row := Row{Kind: kind, Sent: len(requests)}
-	for _, sendings := range requests {
-		r.count(&row, sendings)
-		r.faults(&row, sendings)
+	for _, sends := range requests {
+		r.count(&row, sends)
+		r.checkContent(&row, sends)
 		if kind != KindStream {
-			r.ran(&row, sendings, runs[sendings[0].name()])
+			r.checkRuns(&row, sends, runs[sends[0].recordKey()])
 		}
 	}
 	return row
 }
 
-// best is how a request ended over all its sendings: an answer counts whenever
-// it came, and "not run" only if each sending said so.
-func best(sendings []Outcome) end {
-	worst := endNotRun
-	for _, o := range sendings {
-		switch e := o.end(); e {
-		case endAnswered:
+// finalResult returns the result of a request over all its sends. It is
+// answered if any send was, and not run only if every send was reported so.
+func finalResult(sends []Outcome) result {
+	worst := resultNotRun
+	for _, o := range sends {
+		switch e := o.result(); e {
+		case resultAnswered:
 			return e
-		case endNotRun:
+		case resultNotRun:
 		default:
 			worst = max(worst, e)
 		}
@@ -180,80 +188,84 @@
 	return worst
 }
 
-func (r *Report) count(row *Row, sendings []Outcome) {
-	o := &sendings[0]
-	switch best(sendings) {
-	case endAnswered:
+func (r *Report) count(row *Row, sends []Outcome) {
+	o := &sends[0]
+	switch finalResult(sends) {
+	case resultAnswered:
 		row.Answered++
-	case endNotRun:
+	case resultNotRun:
 		row.NotRun++
-	case endUnknown:
+	case resultUnknown:
 		row.Unknown++
-	case endTold:
-		row.Told++
-		r.bad("told: %s", o.line())
-	case endCut:
+	case resultFailed:
+		row.Failed++
+		r.addFinding("told: %s", o.describe())
+	case resultCut:
 		row.Cut++
-		r.bad("cut: %s", o.line())
+		r.addFinding("cut: %s", o.describe())
 	default:
 		row.Lost++
-		r.bad("lost: %s", o.line())
+		r.addFinding("lost: %s", o.describe())
 	}
 }
 
-// faults looks into what arrived.
-func (r *Report) faults(row *Row, sendings []Outcome) {
-	for i := range sendings {
-		o := &sendings[i]
+// checkContent counts the faults in what the caller received.
+func (r *Report) checkContent(row *Row, sends []Outcome) {
+	for i := range sends {
+		o := &sends[i]
 		if o.crossed() {
 			row.Crossed++
-			r.bad("crossed: %s", o.line())
+			r.addFinding("crossed: %s", o.describe())
 		}
 		if o.Faults.Doubled > 0 {
 			row.Doubled++
-			r.bad("doubled tokens: %s", o.line())
+			r.addFinding("doubled tokens: %s", o.describe())
 		}
-		if o.Whole && o.short() || o.Faults.Lost > 0 {
+		if o.Whole && o.truncated() || o.Faults.Lost > 0 {
 			row.Cut++
-			r.bad("short: %s", o.line())
+			r.addFinding("short: %s", o.describe())
 		}
 	}
 }
 
-// ran holds the callers' view against the runs that targets counted.
-func (r *Report) ran(row *Row, sendings []Outcome, runs int) {
-	e, o := best(sendings), &sendings[0]
+// checkRuns compares the result of a request with the runs that targets
+// counted.
+func (r *Report) checkRuns(row *Row, sends []Outcome, runs int) {
+	e, o := finalResult(sends), &sends[0]
 	switch {
-	case e == endAnswered && runs == 0:
+	case e == resultAnswered && runs == 0:
 		row.Lost++
-		r.bad("answered, but never ran: %s", o.line())
-	case e == endNotRun && runs > 0:
+		r.addFinding("answered, but never ran: %s", o.describe())
+	case e == resultNotRun && runs > 0:
 		row.Untrue++
-		r.bad("said not run, but ran %d times: %s", runs, o.line())
+		r.addFinding("said not run, but ran %d times: %s", runs, o.describe())
 	}
 	if row.Kind == KindOnce {
 		r.Runs += runs
 		if runs > 1 {
 			row.Doubled++
-			r.bad("ran %d times: %s", runs, o.line())
+			r.addFinding("ran %d times: %s", runs, o.describe())
 		}
 	}
 }
 
-func (r *Report) bad(format string, args ...any) { r.Bad = append(r.Bad, fmt.Sprintf(format, args...)) }
+func (r *Report) addFinding(format string, args ...any) {
+	r.Bad = append(r.Bad, fmt.Sprintf(format, args...))
+}
 
-func (o *Outcome) line() string {
+// describe returns one line for a finding about the request.
+func (o *Outcome) describe() string {
 	return fmt.Sprintf("%s %s %s at %d ms, took %d of %d ms, code %d, status %d, %d attempts, last %s, %d of %d tokens: %s",
 		o.Kind, o.ID, o.Key, o.StartMs, o.TookMs, o.DeadlineMs, o.Code, o.Status, o.Attempts, o.Addr, o.Tokens, o.Asked, o.Error)
 }
 
-// Table writes the report.
+// WriteTable writes the report as a table.
 func (r *Report) Table(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "\tSENT\tANSWERED\tREFUSED, NOT RUN\tUNKNOWN\tFAILED, TOLD SO\tLOST\tDOUBLED\tCROSSED\tCUT\tUNTRUE\t")
 	for _, v := range append(r.Rows, r.total()) {
 		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n",
-			v.Kind, v.Sent, v.Answered, v.NotRun, v.Unknown, v.Told, v.Lost, v.Doubled, v.Crossed, v.Cut, v.Untrue)
+			v.Kind, v.Sent, v.Answered, v.NotRun, v.Unknown, v.Failed, v.Lost, v.Doubled, v.Crossed, v.Cut, v.Untrue)
 	}
 	if err := w.Flush(); err != nil {
 		return err
@@ -270,7 +282,7 @@
 		t.Answered += v.Answered
 		t.NotRun += v.NotRun
 		t.Unknown += v.Unknown
-		t.Told += v.Told
+		t.Failed += v.Failed
 		t.Lost += v.Lost
 		t.Doubled += v.Doubled
 		t.Crossed += v.Crossed
--- a/bench/audit/judge_test.go
+++ b/bench/audit/judge_test.go
@@ -19,8 +19,8 @@
 	return o
 }
 
-// A checker that can't fail proves nothing: each fault that the runs look for
-// must turn the verdict, and nothing else must.
+// TestJudge guards against a judge that misses a fault or reports one where
+// there is none. Each kind of fault must make the judgement fail.
 func TestJudge(t *testing.T) {
 	whole := Outcome{Whole: true, Tokens: 9, Status: 200, OwnBody: true}
 	refused := Outcome{NotRun: true, Code: code.Draining, Status: 503}
@@ -39,8 +39,8 @@
 		{"stream with a token twice", []Outcome{stream(with(whole, func(o *Outcome) { o.Faults.Doubled = 1 }))}, 0, Row{Answered: 1, Doubled: 1}},
 		{"stream of another", []Outcome{stream(with(whole, func(o *Outcome) { o.Faults.Wrong = 1 }))}, 0, Row{Answered: 1, Crossed: 1}},
 		{"stream cut, told", []Outcome{stream(Outcome{Code: code.StreamCut, Status: 200})}, 0, Row{Cut: 1}},
-		{"given up, told", []Outcome{stream(Outcome{Code: code.TargetFailed, Status: 502})}, 0, Row{Told: 1}},
-		{"past its deadline, told", []Outcome{stream(Outcome{Code: code.DeadlinePassed, Status: 504, TookMs: deadline})}, 0, Row{Told: 1}},
+		{"given up, told", []Outcome{stream(Outcome{Code: code.TargetFailed, Status: 502})}, 0, Row{Failed: 1}},
+		{"past its deadline, told", []Outcome{stream(Outcome{Code: code.DeadlinePassed, Status: 504, TookMs: deadline})}, 0, Row{Failed: 1}},
 		{"said past its deadline before it was", []Outcome{stream(Outcome{Code: code.DeadlinePassed, Status: 504, TookMs: 9000})}, 0, Row{Lost: 1}},
 		{"no word by the deadline", []Outcome{stream(Outcome{Code: code.DeadlinePassed, TookMs: deadline})}, 0, Row{Lost: 1}},
 		{"a fault of the daemon itself", []Outcome{stream(Outcome{Code: code.Internal, Status: 500})}, 0, Row{Lost: 1}},
@@ -48,9 +48,9 @@
 		{"board", []Outcome{plain(KindFeed, whole)}, 1, Row{Answered: 1}},
 		{"board, run again after a fault", []Outcome{plain(KindFeed, whole)}, 2, Row{Answered: 1}},
 		{"board of another", []Outcome{plain(KindFeed, with(whole, func(o *Outcome) { o.OwnBody = false }))}, 1, Row{Answered: 1, Crossed: 1}},
-		{"board, the target's own error", []Outcome{plain(KindFeed, Outcome{Whole: true, Status: 503})}, 0, Row{Told: 1}},
+		{"board, the target's own error", []Outcome{plain(KindFeed, Outcome{Whole: true, Status: 503})}, 0, Row{Failed: 1}},
 		{"board of another, well answered", []Outcome{plain(KindFeed, Outcome{Whole: true, Status: 404})}, 1, Row{Answered: 1, Crossed: 1}},
-		{"ticket, the target's own error, ran twice", []Outcome{plain(KindOnce, Outcome{Whole: true, Status: 500})}, 2, Row{Told: 1, Doubled: 1}},
+		{"ticket, the target's own error, ran twice", []Outcome{plain(KindOnce, Outcome{Whole: true, Status: 500})}, 2, Row{Failed: 1, Doubled: 1}},
 		{"board from nowhere", []Outcome{plain(KindFeed, whole)}, 0, Row{Answered: 1, Lost: 1}},
 		{"board said not run, but ran", []Outcome{plain(KindFeed, refused)}, 1, Row{NotRun: 1, Untrue: 1}},
 
--- a/bench/audit/outcome.go
+++ b/bench/audit/outcome.go
@@ -11,18 +11,18 @@
 	"github.com/pomelospool/pomelospool/operator/caller"
 )
 
-// Kind tells the requests of a run apart.
+// Kind is the kind of a request.
 type Kind string
 
 // The kinds.
 const (
-	KindStream Kind = "streams" // verified token by token
+	KindStream Kind = "streams" // streams of which every token is verified
 	KindFeed   Kind = "feed"    // idempotent plain calls
 	KindOnce   Kind = "once"    // plain calls that may run at most once
 )
 
-// Outcome is what became of one sending of a request, as its caller saw it.
-// One that was sent anew under the same key has several.
+// Outcome is the result of one send of a request as its caller observed it. A
+// request that was sent again under the same key has several.
 type Outcome struct {
 	Kind       Kind          `json:"kind"`
 	ID         string        `json:"id"`
@@ -30,14 +30,14 @@
 	Resend     bool          `json:"resend,omitempty"`
 	Code       code.Code     `json:"code"`
 	Error      string        `json:"error,omitempty"`
-	Status     int           `json:"status"` // HTTP status, 0 if no daemon's word came
+	Status     int           `json:"status"` // HTTP status, 0 if no daemon answered
 	NotRun     bool          `json:"not_run"`
 	Whole      bool          `json:"whole"`
-	Asked      int           `json:"asked,omitempty"` // tokens
+	Asked      int           `json:"asked,omitempty"` // requested tokens
 	Tokens     int           `json:"tokens,omitempty"`
-	OwnBody    bool          `json:"own_body,omitempty"` // a plain answer is the one to this request
+	OwnBody    bool          `json:"own_body,omitempty"` // the body of a plain answer belongs to this request
 	Attempts   int           `json:"attempts"`
-	Cut        int           `json:"cut"` // attempts that ended in the middle
+	Cut        int           `json:"cut"` // attempts whose stream was cut
 	Faults     caller.Faults `json:"faults"`
 	Addr       string        `json:"addr"`
 	StartMs    int64         `json:"start_ms"` // since the start of the load
@@ -45,11 +45,11 @@
 	DeadlineMs int64         `json:"deadline_ms"`
 }
 
-// ReadOutcomes reads JSON lines.
+// ReadOutcomes reads outcomes as lines of JSON.
 func ReadOutcomes(r io.Reader) ([]Outcome, error) {
 	var out []Outcome
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, maxLine)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
 		var o Outcome
 		if err := json.Unmarshal(s.Bytes(), &o); err != nil {
@@ -60,63 +60,65 @@
 	return out, s.Err()
 }
 
-const maxLine = 1 << 20
+const maxLineBytes = 1 << 20
 
-// end is how a request ended for its caller.
-type end int
+// result is the result of a request for its caller. The package comment defines
+// the values; a higher one is worse.
+type result int
 
 const (
-	endAnswered end = iota
-	endNotRun
-	endUnknown
-	endTold // failed, and a truthful code or the target's own error said so
-	endCut
-	endLost
+	resultAnswered result = iota
+	resultNotRun
+	resultUnknown
+	resultFailed // a correct code or the target's own error reported the failure
+	resultCut
+	resultLost
 )
 
-// earlyMs is how much before its deadline a request may end as past it: the
-// daemon counts from the header, which carries whole milliseconds.
-const earlyMs = 50
+// deadlineToleranceMs is how long before its deadline a request may be reported
+// as past it. The daemon computes the deadline from a header in whole
+// milliseconds.
+const deadlineToleranceMs = 50
 
-// end classifies one sending; see the package comment.
-func (o *Outcome) end() end {
+// result classifies one send.
+func (o *Outcome) result() result {
 	switch {
 	case o.Whole && o.Status >= http.StatusInternalServerError:
-		return endTold
+		return resultFailed
 	case o.Whole:
-		return endAnswered
+		return resultAnswered
 	case o.NotRun:
-		return endNotRun
+		return resultNotRun
 	case o.Kind == KindOnce:
-		return endUnknown
+		return resultUnknown
 	case o.Code == code.StreamCut:
-		return endCut
+		return resultCut
 	case o.Status == 0:
-		return endLost
-	case o.Code == code.DeadlinePassed && o.TookMs < o.DeadlineMs-earlyMs:
-		return endLost
-	case told[o.Code]:
-		return endTold
+		return resultLost
+	case o.Code == code.DeadlinePassed && o.TookMs < o.DeadlineMs-deadlineToleranceMs:
+		return resultLost
+	case failureCodes[o.Code]:
+		return resultFailed
 	}
-	return endLost
+	return resultLost
 }
 
-// told are the codes that say truthfully that an idempotent request was given
-// up after it may have run.
-var told = map[code.Code]bool{
+// failureCodes are the codes that correctly report that an idempotent request
+// was given up after it may have run.
+var failureCodes = map[code.Code]bool{
 	code.TargetFailed:     true,
 	code.RetryBudgetSpent: true,
 	code.DeadlinePassed:   true,
 	code.AnswerMismatch:   true,
 	code.TargetRefused:    true,
-	code.OutcomeUnknown:   true, // refused in the end, after an attempt that may have run
+	code.OutcomeUnknown:   true, // the last attempt was refused, but an earlier one may have run
 }
 
-// short reports whether an answer that was taken as whole is not.
-func (o *Outcome) short() bool { return o.Kind == KindStream && o.Tokens != o.Asked }
+// truncated reports whether a complete stream has the wrong number of tokens.
+func (o *Outcome) truncated() bool { return o.Kind == KindStream && o.Tokens != o.Asked }
 
 // crossed reports whether anything of another request reached the caller.
 func (o *Outcome) crossed() bool {
 	plain := o.Kind != KindStream
-	return o.Faults.Crossed+o.Faults.Wrong > 0 || plain && o.end() == endAnswered && !o.OwnBody
+	return o.Faults.Crossed+o.Faults.Wrong > 0 || plain && o.result() == resultAnswered && !o.OwnBody
 }
