--- a/bench/chaos/chaos_test.go
+++ b/bench/chaos/chaos_test.go
@@ -10,8 +10,9 @@
 
 var fleet = Fleet{Daemons: 4, Engines: 4, Plain: 2, Documents: []string{"a"}}
 
-// A schedule that leaves something out at its end, or takes a process out that
-// is out already, would blame the system for its own fault.
+// TestPlanBringsEverythingBack checks that a schedule restores every process
+// that it takes down, and takes down none that is down already. Otherwise the
+// system would be blamed for a fault of the schedule.
 func TestPlanBringsEverythingBack(t *testing.T) {
 	const length = time.Minute
 	back := map[Verb]Verb{VerbKill: VerbStart, VerbTerm: VerbStart, VerbPause: VerbResume}
@@ -20,30 +21,30 @@
 		if len(plan) < 20 || !reflect.DeepEqual(plan, Plan(seed, length, fleet)) {
 			t.Fatalf("seed %d: %d steps, or not the same twice", seed, len(plan))
 		}
-		out := make(map[string]Verb)
+		down := make(map[string]Verb)
 		for _, e := range plan {
-			if e.At > length-quiet {
+			if e.At > length-quietPeriod {
 				t.Errorf("seed %d: %v comes too late", seed, e)
 			}
 			crash := e.Fault == `{"kind":"crash"}`
 			switch {
 			case back[e.Verb] != "" || crash:
-				if out[e.Target] != "" {
-					t.Errorf("seed %d: %v while it is out", seed, e)
+				if down[e.Target] != "" {
+					t.Errorf("seed %d: %v while it is down", seed, e)
 				}
-				out[e.Target] = back[e.Verb]
+				down[e.Target] = back[e.Verb]
 				if crash {
-					out[e.Target] = VerbStart
+					down[e.Target] = VerbStart
 				}
 			case e.Verb == VerbStart || e.Verb == VerbResume:
-				if out[e.Target] != e.Verb {
-					t.Errorf("seed %d: %v, but %q was due", seed, e, out[e.Target])
+				if down[e.Target] != e.Verb {
+					t.Errorf("seed %d: %v, but %q was due", seed, e, down[e.Target])
 				}
-				delete(out, e.Target)
+				delete(down, e.Target)
 			}
 		}
-		if len(out) > 0 {
-			t.Errorf("seed %d: still out at the end: %v", seed, out)
+		if len(down) > 0 {
+			t.Errorf("seed %d: still down at the end: %v", seed, down)
 		}
 	}
 }
--- a/bench/chaos/load.go
+++ b/bench/chaos/load.go
@@ -19,55 +19,55 @@
 	"github.com/pomelospool/pomelospool/standin/token"
 )
 
-// LoadOptions describe the load of a run.
+// LoadOptions configures the load of a run.
 type LoadOptions struct {
-	Callers  []string // daemons to ask for addresses first
-	Zones    []string // availability zones that callers stand in
+	Callers  []string // addresses of the daemons to which the callers connect first
+	Zones    []string // availability zones of the callers
 	Seed     uint64
 	Duration time.Duration
 	Deadline time.Duration // of each request
 	Rates    Rates
 	Model    string
-	Feed     string  // idempotent plain service
-	Once     string  // plain service, and path of calls that may run at most once
-	Short    bool    // streams of a few tokens and some very long ones, for runs of many requests
-	Resend   float64 // share of non-idempotent calls sent again although they ended
+	Feed     string  // plain service for idempotent calls
+	Once     string  // plain service and path for calls that may run at most once
+	Short    bool    // short streams and a few very long ones, for runs with many requests
+	Resend   float64 // share of the calls to Once that are sent again although their result is known
 }
 
-// Rates are requests a second, by kind.
+// Rates holds the number of requests per second of each kind.
 type Rates struct {
 	Streams, Feed, Once float64
 }
 
 const (
-	loadStream   = 2  // of random numbers
-	maxAttempts  = 60 // in the deadline of one request
-	maxInFlight  = 2048
-	callersAZone = 3 // callers with a book of addresses of their own
-	shortTokens  = 8
-	longShare    = 0.03 // of short streams; they outlast a daemon's wait before it drains
-	longLeast    = 500
-	longMost     = 1200
-	questionMost = 60
-	draftLeast   = 150
-	draftMost    = 400
-	draftShare   = 0.2
-	promptWords  = 40
+	loadStreamID      = 2  // PCG stream of the load; planStreamID is that of the schedule
+	maxAttempts       = 60 // of one request before its deadline
+	maxInFlight       = 2048
+	callersPerZone    = 3    // callers per zone, each with its own address cache
+	maxShortTokens    = 8    // longest short stream
+	longStreamShare   = 0.03 // share of long streams among short ones; they outlast the time that a daemon waits before it drains
+	minLongTokens     = 500
+	maxLongTokens     = 1200
+	maxQuestionTokens = 60 // longest answer to a question
+	minDraftTokens    = 150
+	maxDraftTokens    = 400
+	draftShare        = 0.2 // share of drafts among the streams; the others are questions
+	promptWords       = 40
 )
 
 // arrival is one planned request.
 type arrival struct {
 	at     time.Duration
 	kind   audit.Kind
-	n      int
+	number int
 	caller int
 	tokens int
 	resend bool
 }
 
-// plan fixes all arrivals by the seed.
+// plan returns all arrivals. They depend on the options only.
 func (o *LoadOptions) plan() []arrival {
-	rng := rand.New(rand.NewPCG(o.Seed, loadStream))
+	rng := rand.New(rand.NewPCG(o.Seed, loadStreamID))
 	total := o.Rates.Streams + o.Rates.Feed + o.Rates.Once
 	var out []arrival
 	for at := time.Duration(0); ; {
@@ -75,7 +75,7 @@
 		if at >= o.Duration {
 			return out
 		}
-		a := arrival{at: at, n: len(out), caller: rng.IntN(max(len(o.Zones), 1) * callersAZone), kind: audit.KindOnce}
+		a := arrival{at: at, number: len(out), caller: rng.IntN(max(len(o.Zones), 1) * callersPerZone), kind: audit.KindOnce}
 		switch x := rng.Float64() * total; {
 		case x < o.Rates.Streams:
 			a.kind, a.tokens = audit.KindStream, o.tokens(rng)
@@ -90,19 +90,19 @@
 
 func (o *LoadOptions) tokens(rng *rand.Rand) int {
 	switch {
-	case o.Short && rng.Float64() < longShare:
-		return longLeast + rng.IntN(longMost-longLeast)
+	case o.Short && rng.Float64() < longStreamShare:
+		return minLongTokens + rng.IntN(maxLongTokens-minLongTokens)
 	case o.Short:
-		return 1 + rng.IntN(shortTokens)
+		return 1 + rng.IntN(maxShortTokens)
 	case rng.Float64() < draftShare:
-		return draftLeast + rng.IntN(draftMost-draftLeast)
+		return minDraftTokens + rng.IntN(maxDraftTokens-minDraftTokens)
 	}
-	return 1 + rng.IntN(questionMost)
+	return 1 + rng.IntN(maxQuestionTokens)
 }
 
-// load is a run of it.
+// load is the state of a running load.
 type load struct {
-	o       LoadOptions
+	options LoadOptions
 	clients []*caller.Client
 	start   time.Time
 
@@ -110,11 +110,11 @@
 	enc *json.Encoder
 }
 
-// Load sends the planned requests and writes an audit.Outcome for each sending
-// as a line of JSON.
+// Load sends the planned requests and writes an audit.Outcome for each send as
+// a line of JSON.
 func Load(ctx context.Context, o LoadOptions, out io.Writer) error {
-	l := &load{o: o, start: time.Now(), enc: json.NewEncoder(out)}
-	for i := range max(len(o.Zones), 1) * callersAZone {
+	l := &load{options: o, start: time.Now(), enc: json.NewEncoder(out)}
+	for i := range max(len(o.Zones), 1) * callersPerZone {
 		opts := caller.Options{Daemons: o.Callers, Attempts: maxAttempts, Seed: o.Seed + uint64(i)}
 		if len(o.Zones) > 0 {
 			opts.Zone = o.Zones[i%len(o.Zones)]
@@ -129,14 +129,14 @@
 		if pause.For(ctx, time.Until(l.start.Add(a.at))) != nil {
 			break
 		}
-		open.Go(func() error { return l.one(ctx, a) })
+		open.Go(func() error { return l.sendArrival(ctx, a) })
 	}
 	return open.Wait()
 }
 
-// one sends a request, and once more what a caller may send again: a call
-// whose outcome nobody knew, and some of those that were answered.
-func (l *load) one(ctx context.Context, a arrival) error {
+// sendArrival sends a request. It sends a call of the kind KindOnce a second
+// time if its outcome is unknown or if the arrival asks for it.
+func (l *load) sendArrival(ctx context.Context, a arrival) error {
 	o := l.send(ctx, a, a.caller, false)
 	if err := l.write(o); err != nil {
 		return err
@@ -175,23 +175,23 @@
 	return o
 }
 
-// request makes the request of an arrival. Its content names it, so that an
-// answer to another one shows.
+// request builds the request of an arrival. Its content is unique, so that an
+// answer to another request is detected.
 func (l *load) request(a arrival) caller.Request {
 	var r caller.Request
-	name := fmt.Sprintf("%d-%d", l.o.Seed, a.n)
+	name := fmt.Sprintf("%d-%d", l.options.Seed, a.number)
 	switch a.kind {
 	case audit.KindStream:
 		prompt := "request " + name + string(bytes.Repeat([]byte(" stop"), promptWords))
-		r = caller.Chat(l.o.Model, prompt, a.tokens)
+		r = caller.Chat(l.options.Model, prompt, a.tokens)
 		hash := token.Hash(prefix.Prompt([]prefix.Message{{Role: "user", Content: prompt}}))
 		r.Verify = func(i int, text string) bool { return text == token.At(hash, i) }
 	case audit.KindFeed:
-		r = caller.Request{Path: "/s/" + l.o.Feed, Body: fmt.Appendf(nil, `{"board":%q}`, name), Idempotent: true}
+		r = caller.Request{Path: "/s/" + l.options.Feed, Body: fmt.Appendf(nil, `{"board":%q}`, name), Idempotent: true}
 	case audit.KindOnce:
-		r = caller.Request{Path: "/s/" + l.o.Once, Body: fmt.Appendf(nil, `{"ticket":%q}`, name), Key: "key-" + name}
+		r = caller.Request{Path: "/s/" + l.options.Once, Body: fmt.Appendf(nil, `{"ticket":%q}`, name), Key: "key-" + name}
 	}
 	r.ID = string(a.kind) + "-" + name
-	r.Deadline = l.o.Deadline
+	r.Deadline = l.options.Deadline
 	return r
 }
--- a/bench/chaos/plan.go
+++ b/bench/chaos/plan.go
@@ -1,7 +1,7 @@
-// Package chaos makes the seeded runs under faults: the schedule of what fails
-// when, and the load that goes on meanwhile. The same seed gives the same
-// schedule and the same load; scripts/chaos.sh carries the schedule out on
-// separate processes, and bench/audit judges what came of it.
+// Package chaos generates the schedule of faults and the load of a chaos run.
+// The same seed gives the same schedule and the same load. scripts/chaos.sh
+// applies the schedule to separate processes, and bench/audit judges the
+// results.
 package chaos
 
 import (
@@ -15,8 +15,8 @@
 type Event struct {
 	At     time.Duration // since the start of the load
 	Verb   Verb
-	Target string // process, as "daemon-2", or the document to publish
-	Fault  string // JSON of the fault command, for VerbFault only
+	Target string // name of a process, like "daemon-2", or of the document to publish
+	Fault  string // fault command in JSON, for VerbFault only
 }
 
 // Verb is what a step does.
@@ -26,15 +26,15 @@
 const (
 	VerbKill    Verb = "kill"    // SIGKILL
 	VerbTerm    Verb = "term"    // SIGTERM, a planned stop
-	VerbStart   Verb = "start"   // start again, after the old process is gone
+	VerbStart   Verb = "start"   // start again once the old process has exited
 	VerbPause   Verb = "pause"   // SIGSTOP
 	VerbResume  Verb = "resume"  // SIGCONT
-	VerbFault   Verb = "fault"   // fault command of a stand-in
-	VerbPublish Verb = "publish" // a new version of the document
+	VerbFault   Verb = "fault"   // send a fault command to a stand-in
+	VerbPublish Verb = "publish" // publish a new version of a document
 )
 
-// String gives the line that the script reads: milliseconds, verb, target and
-// the fault command, separated by blanks.
+// String returns the line that scripts/chaos.sh reads: milliseconds, verb,
+// target and fault command, separated by spaces.
 func (e Event) String() string {
 	s := fmt.Sprintf("%d %s %s", e.At.Milliseconds(), e.Verb, e.Target)
 	if e.Fault != "" {
@@ -43,59 +43,62 @@
 	return s
 }
 
-// Fleet is how many processes of each kind a schedule may strike.
+// Fleet holds the number of processes of each kind and the documents that a
+// schedule uses.
 type Fleet struct {
 	Daemons, Engines, Plain int
-	Documents               []string // to publish anew
+	Documents               []string // documents to publish again
 }
 
 const (
-	warmUp    = 2 * time.Second  // of load before the first fault
-	quiet     = 12 * time.Second // at the end, for open requests
-	meanGap   = 1500 * time.Millisecond
-	maxOut    = 2 // processes of one kind that are out at once
-	minPause  = time.Second
-	maxPause  = 8 * time.Second
-	termAway  = 8 * time.Second // until a daemon that was stopped starts again
-	minAway   = time.Second
-	maxAway   = 5 * time.Second
-	logOutage = 6 * time.Second // the longest
+	warmUp       = 2 * time.Second  // load before the first fault
+	quietPeriod  = 12 * time.Second // time without faults at the end, in which open requests end
+	meanGap      = 1500 * time.Millisecond
+	maxDown      = 2 // processes of one kind that are down at the same time
+	minPause     = time.Second
+	maxPause     = 8 * time.Second
+	stopDowntime = 8 * time.Second // from the planned stop of a daemon to its restart
+	minDowntime  = time.Second
+	maxDowntime  = 5 * time.Second
+	maxLogOutage = 6 * time.Second
 )
 
 // planner builds a schedule.
 type planner struct {
-	rng    *rand.Rand
-	fleet  Fleet
-	end    time.Duration            // of the last fault
-	out    map[string]time.Duration // when a process is back
-	events []Event
+	rng       *rand.Rand
+	fleet     Fleet
+	faultsEnd time.Duration            // no fault lasts longer
+	downUntil map[string]time.Duration // until when a process counts as down
+	events    []Event
 }
 
-// Plan makes the schedule of a run. Everything is back before its last
-// seconds, so that a request which never ends is the system's fault.
+// Plan returns the schedule of a run. All faults are over before the last
+// seconds of the run, so that a request that never ends is a fault of the
+// system.
 func Plan(seed uint64, length time.Duration, f Fleet) []Event {
 	p := &planner{
-		rng:   rand.New(rand.NewPCG(seed, planStream)),
-		fleet: f,
-		end:   length - quiet,
-		out:   make(map[string]time.Duration),
+		rng:       rand.New(rand.NewPCG(seed, planStreamID)),
+		fleet:     f,
+		faultsEnd: length - quietPeriod,
+		downUntil: make(map[string]time.Duration),
 	}
-	for at := warmUp; at < p.end; at += p.gap() {
-		p.strike(at)
+	for at := warmUp; at < p.faultsEnd; at += p.randomGap() {
+		p.addFault(at)
 	}
 	slices.SortStableFunc(p.events, func(a, b Event) int { return int(a.At - b.At) })
 	return p.events
 }
 
-// planStream keeps the schedule's random numbers apart from the load's.
-const planStream = 1
+// planStreamID is the PCG stream of the schedule. It differs from that of the
+// load, so that the two are independent.
+const planStreamID = 1
 
-func (p *planner) gap() time.Duration {
+func (p *planner) randomGap() time.Duration {
 	return time.Duration((0.5 + p.rng.Float64()) * float64(meanGap))
 }
 
-// strike adds one fault at a time, with its end.
-func (p *planner) strike(at time.Duration) {
+// addFault adds a random fault that starts at the given time, and its end.
+func (p *planner) addFault(at time.Duration) {
 	kinds := []func(time.Duration){
 		p.killDaemon, p.killDaemon, p.pauseDaemon, p.pauseDaemon, p.termDaemon,
 		p.replaceAll,
@@ -106,88 +109,89 @@
 	kinds[p.rng.IntN(len(kinds))](at)
 }
 
-func (p *planner) add(at time.Duration, v Verb, target, fault string) {
+func (p *planner) addStep(at time.Duration, v Verb, target, fault string) {
 	p.events = append(p.events, Event{at, v, target, fault})
 }
 
-func (p *planner) between(low, high time.Duration) time.Duration {
+func (p *planner) randomDuration(low, high time.Duration) time.Duration {
 	return low + time.Duration(p.rng.Int64N(int64(high-low)))
 }
 
-// free picks a process of a kind that is not out, and takes it out until the
-// time given. It returns "" when enough of the kind are out.
-func (p *planner) free(kind string, n int, at, until time.Duration) string {
+// takeDown picks a process of a kind that isn't down and marks it as down until
+// the given time. It returns "" if maxDown processes of the kind are down.
+func (p *planner) takeDown(kind string, n int, at, until time.Duration) string {
 	var names []string
-	out := 0
+	down := 0
 	for i := 1; i <= n; i++ {
 		name := fmt.Sprintf("%s-%d", kind, i)
-		if p.out[name] >= at && p.out[name] > 0 {
-			out++
+		if p.downUntil[name] >= at && p.downUntil[name] > 0 {
+			down++
 			continue
 		}
 		names = append(names, name)
 	}
-	if out >= maxOut || len(names) == 0 {
+	if down >= maxDown || len(names) == 0 {
 		return ""
 	}
 	name := names[p.rng.IntN(len(names))]
-	p.out[name] = until
+	p.downUntil[name] = until
 	return name
 }
 
-// away adds a pair of steps that take a process out and bring it back.
-func (p *planner) away(kind string, n int, at, for_ time.Duration, out, back Verb) {
-	until := min(at+for_, p.end)
-	if name := p.free(kind, n, at, until+settle); name != "" {
-		p.add(at, out, name, "")
-		p.add(until, back, name, "")
+// addDowntime adds a step that takes a process down and one that brings it back.
+func (p *planner) addDowntime(kind string, n int, at, downtime time.Duration, down, up Verb) {
+	until := min(at+downtime, p.faultsEnd)
+	if name := p.takeDown(kind, n, at, until+recoveryTime); name != "" {
+		p.addStep(at, down, name, "")
+		p.addStep(until, up, name, "")
 	}
 }
 
-// settle is how long a process that is back is left alone.
-const settle = time.Second
+// recoveryTime is the time after its return in which a process isn't taken down
+// again.
+const recoveryTime = time.Second
 
 func (p *planner) killDaemon(at time.Duration) {
-	p.away("daemon", p.fleet.Daemons, at, p.between(minAway, maxAway), VerbKill, VerbStart)
+	p.addDowntime("daemon", p.fleet.Daemons, at, p.randomDuration(minDowntime, maxDowntime), VerbKill, VerbStart)
 }
 
 func (p *planner) pauseDaemon(at time.Duration) {
-	p.away("daemon", p.fleet.Daemons, at, p.between(minPause, maxPause), VerbPause, VerbResume)
+	p.addDowntime("daemon", p.fleet.Daemons, at, p.randomDuration(minPause, maxPause), VerbPause, VerbResume)
 }
 
 func (p *planner) termDaemon(at time.Duration) {
-	p.away("daemon", p.fleet.Daemons, at, termAway, VerbTerm, VerbStart)
+	p.addDowntime("daemon", p.fleet.Daemons, at, stopDowntime, VerbTerm, VerbStart)
 }
 
 func (p *planner) pauseEngine(at time.Duration) {
-	p.away("engine", p.fleet.Engines, at, p.between(minPause, maxPause), VerbPause, VerbResume)
+	p.addDowntime("engine", p.fleet.Engines, at, p.randomDuration(minPause, maxPause), VerbPause, VerbResume)
 }
 
-// replaceAll kills every daemon that is up at the same moment, as when the
-// platform replaces all VMs, and starts new ones.
+// replaceAll kills all running daemons at the same time and starts new ones, as
+// when the platform replaces all VMs.
 func (p *planner) replaceAll(at time.Duration) {
 	for i := 1; i <= p.fleet.Daemons; i++ {
 		name := fmt.Sprintf("daemon-%d", i)
-		if p.out[name] >= at && p.out[name] > 0 {
+		if p.downUntil[name] >= at && p.downUntil[name] > 0 {
 			continue
 		}
-		until := min(at+p.between(minAway, maxAway), p.end)
-		p.out[name] = until + settle
-		p.add(at, VerbKill, name, "")
-		p.add(until, VerbStart, name, "")
+		until := min(at+p.randomDuration(minDowntime, maxDowntime), p.faultsEnd)
+		p.downUntil[name] = until + recoveryTime
+		p.addStep(at, VerbKill, name, "")
+		p.addStep(until, VerbStart, name, "")
 	}
 }
 
-// crashEngine lets an engine end itself in the middle of what it does.
+// crashEngine makes an engine crash in the middle of its work.
 func (p *planner) crashEngine(at time.Duration) {
-	until := min(at+p.between(minAway, maxAway), p.end)
-	if name := p.free("engine", p.fleet.Engines, at, until+settle); name != "" {
-		p.add(at, VerbFault, name, `{"kind":"crash"}`)
-		p.add(until, VerbStart, name, "")
+	until := min(at+p.randomDuration(minDowntime, maxDowntime), p.faultsEnd)
+	if name := p.takeDown("engine", p.fleet.Engines, at, until+recoveryTime); name != "" {
+		p.addStep(at, VerbFault, name, `{"kind":"crash"}`)
+		p.addStep(until, VerbStart, name, "")
 	}
 }
 
-// engineFaults strike single answers, and leave the engine up.
+// engineFaults are faults of single answers. The engine keeps running.
 var engineFaults = []string{
 	`{"kind":"silent"}`,
 	`{"kind":"cut","count":3,"after":5}`,
@@ -198,11 +202,11 @@
 }
 
 func (p *planner) engineFault(at time.Duration) {
-	p.fault("engine", p.fleet.Engines, at, engineFaults)
+	p.addFaultCommand("engine", p.fleet.Engines, at, engineFaults)
 }
 
-// plainFaults never end the process: it holds the count of runs that the
-// judge needs.
+// plainFaults are faults of single answers. They never end the process, because
+// it holds the count of runs that the judge needs.
 var plainFaults = []string{
 	`{"kind":"silent"}`,
 	`{"kind":"cut","count":3}`,
@@ -212,37 +216,40 @@
 	`{"kind":"refuse","count":4}`,
 }
 
-func (p *planner) plainFault(at time.Duration) { p.fault("plain", p.fleet.Plain, at, plainFaults) }
+func (p *planner) plainFault(at time.Duration) {
+	p.addFaultCommand("plain", p.fleet.Plain, at, plainFaults)
+}
 
-// fault strikes one process; one that is out is struck when it is back, or not
-// at all, since nothing listens.
-func (p *planner) fault(kind string, n int, at time.Duration, list []string) {
+// addFaultCommand adds a random fault command for a random process. It adds
+// none if that process is down, because nothing would receive the command.
+func (p *planner) addFaultCommand(kind string, n int, at time.Duration, list []string) {
 	name := fmt.Sprintf("%s-%d", kind, 1+p.rng.IntN(n))
 	f := list[p.rng.IntN(len(list))]
-	if p.out[name] < at {
-		p.add(at, VerbFault, name, f)
+	if p.downUntil[name] < at {
+		p.addStep(at, VerbFault, name, f)
 	}
 }
 
-// outage takes the log away, refusing or hanging.
+// outage makes the log refuse calls, hang or refuse reads for some time.
 func (p *planner) outage(at time.Duration) {
-	until := min(at+p.between(minAway, logOutage), p.end)
-	if p.free("log", 1, at, until) == "" {
+	until := min(at+p.randomDuration(minDowntime, maxLogOutage), p.faultsEnd)
+	if p.takeDown("log", 1, at, until) == "" {
 		return
 	}
 	how := []string{"refuse", "hang", "no_reads"}[p.rng.IntN(3)]
-	p.add(at, VerbFault, "log", fmt.Sprintf(`{"kind":%q}`, how))
-	p.add(until, VerbFault, "log", `{"kind":"up"}`)
+	p.addStep(at, VerbFault, "log", fmt.Sprintf(`{"kind":%q}`, how))
+	p.addStep(until, VerbFault, "log", `{"kind":"up"}`)
 }
 
-// loseAppends loses answers to appends that took effect.
+// loseAppends makes the log return errors for appends that nevertheless take
+// effect, immediately or later.
 func (p *planner) loseAppends(at time.Duration) {
 	f := []string{`{"kind":"lose","count":3}`, `{"kind":"delay","count":2,"ms":1500}`}[p.rng.IntN(2)]
-	p.add(at, VerbFault, "log", f)
+	p.addStep(at, VerbFault, "log", f)
 }
 
 func (p *planner) publish(at time.Duration) {
 	if n := len(p.fleet.Documents); n > 0 {
-		p.add(at, VerbPublish, p.fleet.Documents[p.rng.IntN(n)], "")
+		p.addStep(at, VerbPublish, p.fleet.Documents[p.rng.IntN(n)], "")
 	}
 }
