--- a/bench/chaos/load.go
+++ b/bench/chaos/load.go
@@ -40,12 +40,14 @@
 }
 
 const (
-	loadStreamID      = 2  // PCG stream of the load; planStreamID is that of the schedule
-	maxAttempts       = 60 // of one request before its deadline
-	maxInFlight       = 2048
-	callersPerZone    = 3    // callers per zone, each with its own address cache
-	maxShortTokens    = 8    // longest short stream
-	longStreamShare   = 0.03 // share of long streams among short ones; they outlast the time that a daemon waits before it drains
+	loadStreamID   = 2  // PCG stream of the load; planStreamID is that of the schedule
+	maxAttempts    = 60 // of one request before its deadline
+	maxInFlight    = 2048
+	callersPerZone = 3 // callers per zone, each with its own address cache
+	maxShortTokens = 8 // longest short stream
+	// longStreamShare is the share of long streams if LoadOptions.Short is set.
+	// They outlast the time that a daemon waits before it drains.
+	longStreamShare   = 0.03
 	minLongTokens     = 500
 	maxLongTokens     = 1200
 	maxQuestionTokens = 60 // longest answer to a question
--- a/bench/policy/baseline.go
+++ b/bench/policy/baseline.go
@@ -9,14 +9,17 @@
 	"github.com/pomelospool/pomelospool/request/routing"
 )
 
-// chooser is a baseline router: it names the engine for the prompt and the one for the streams.
-type chooser struct {
+// baselineRouter is a routing.Router of a baseline. choose returns the index of
+// the engine for the prompt, or for decoding if decode is set, or -1 if there
+// is none.
+type baselineRouter struct {
 	m      *Model
 	choose func(ts []routing.Target, decode bool) int
 }
 
-// Route makes the same estimate for admission whatever the choice.
-func (c chooser) Route(r routing.Request, ts []routing.Target) (routing.Decision, error) {
+// Route estimates the time to the first token in the same way for all
+// baselines, so that admission doesn't depend on the choice.
+func (c baselineRouter) Route(r routing.Request, ts []routing.Target) (routing.Decision, error) {
 	usable := make([]routing.Target, 0, len(ts))
 	for i := range ts {
 		t := &ts[i]
@@ -37,7 +40,7 @@
 		d.DecodeTarget = usable[i].Name
 	}
 	t := &usable[p]
-	if t.Role == port.RoleMixed && full(c.m, t) {
+	if t.Role == port.RoleMixed && isFull(c.m, t) {
 		return routing.Decision{}, code.New(code.Overloaded, "full")
 	}
 	rate := t.Load.PrefillRate
@@ -58,26 +61,28 @@
 	return false
 }
 
-func able(t *routing.Target, decode bool) bool {
+func canServe(t *routing.Target, decode bool) bool {
 	if decode {
 		return t.Role != port.RolePrefill
 	}
 	return t.Role != port.RoleDecode
 }
 
-// full keeps the baselines, too, from starting streams beyond the objective.
-func full(m *Model, t *routing.Target) bool {
+// isFull reports whether another stream on the target would exceed the objective
+// between tokens. The baselines respect this limit too.
+func isFull(m *Model, t *routing.Target) bool {
 	return t.Load.Running+t.Load.Waiting+t.SentCount >= m.Streams[t.Role]
 }
 
-// leastLoaded takes the shortest prompt queue, or the fewest streams for the
-// room that the role has for them.
-func leastLoaded(m *Model) chooser {
-	return chooser{m, func(ts []routing.Target, decode bool) int {
-		best, least := -1, 0.0
+// leastLoaded returns a router that picks the engine with the shortest prompt
+// queue, or for decoding the one with the fewest streams in relation to the
+// capacity of its role.
+func leastLoaded(m *Model) baselineRouter {
+	return baselineRouter{m, func(ts []routing.Target, decode bool) int {
+		best, minLoad := -1, 0.0
 		for i := range ts {
 			t := &ts[i]
-			if !able(t, decode) || (decode && full(m, t)) {
+			if !canServe(t, decode) || (decode && isFull(m, t)) {
 				continue
 			}
 			var load float64
@@ -86,21 +91,21 @@
 			} else {
 				load = float64(t.Load.QueuedPrefill + t.SentPrefill)
 			}
-			if best < 0 || load < least {
-				best, least = i, load
+			if best < 0 || load < minLoad {
+				best, minLoad = i, load
 			}
 		}
 		return best
 	}}
 }
 
-// roundRobin takes the engines that are able in turn.
-func roundRobin(m *Model) chooser {
+// roundRobin returns a router that picks the suitable engines in turn.
+func roundRobin(m *Model) baselineRouter {
 	next := 0
-	return chooser{m, func(ts []routing.Target, decode bool) int {
+	return baselineRouter{m, func(ts []routing.Target, decode bool) int {
 		for range ts {
 			next++
-			if i := next % len(ts); able(&ts[i], decode) && !(decode && full(m, &ts[i])) {
+			if i := next % len(ts); canServe(&ts[i], decode) && !(decode && isFull(m, &ts[i])) {
 				return i
 			}
 		}
@@ -108,44 +113,46 @@
 	}}
 }
 
-// rolePlanner changes roles in a run.
+// rolePlanner plans the role changes of a run.
 type rolePlanner interface {
 	plan(now float64, obs planner.Observation) []planner.Change
 }
 
-// never changes no role.
-type never struct{}
+// staticRoles is a rolePlanner that never changes a role.
+type staticRoles struct{}
 
-func (never) plan(float64, planner.Observation) []planner.Change { return nil }
+func (staticRoles) plan(float64, planner.Observation) []planner.Change { return nil }
 
-// The threshold rule's bounds: seconds of prompts waiting for an engine, and
-// streams of those that fit.
+// Parameters of the threshold rule. The prefill thresholds are the queued
+// prompts in seconds of work, the decode thresholds are the share of the stream
+// capacity in use.
 const (
-	thresholdEvery   = 5.0
-	prefillHigh      = 0.5
-	prefillLow       = 0.1
-	decodeHigh       = 0.85
-	decodeLow        = 0.7
-	maxThresholdAway = 1
+	thresholdInterval    = 5.0
+	prefillQueueHigh     = 0.5
+	prefillQueueLow      = 0.1
+	decodeUseHigh        = 0.85
+	decodeUseLow         = 0.7
+	maxThresholdChanging = 1
 )
 
-// threshold changes one engine when one phase is pressed and the other not.
-type threshold struct {
+// thresholdPlanner is a rolePlanner that changes one engine if one phase is
+// overloaded and the other isn't.
+type thresholdPlanner struct {
 	m    *Model
 	last float64
 }
 
-func (p *threshold) plan(now float64, obs planner.Observation) []planner.Change {
-	if now-p.last < thresholdEvery {
+func (p *thresholdPlanner) plan(now float64, obs planner.Observation) []planner.Change {
+	if now-p.last < thresholdInterval {
 		return nil
 	}
 	p.last = now
 	var queued, rate, streams, room float64
 	n := map[port.Role]int{}
-	away := 0
+	changing := 0
 	for _, e := range obs.Engines {
 		if e.Changing {
-			away++
+			changing++
 		}
 		if !e.Live || e.Changing {
 			continue
@@ -160,21 +167,22 @@
 			room += float64(p.m.Streams[e.Role])
 		}
 	}
-	if away >= maxThresholdAway || rate == 0 || room == 0 {
+	if changing >= maxThresholdChanging || rate == 0 || room == 0 {
 		return nil
 	}
-	waits, use := queued/rate, streams/room
+	queueTime, use := queued/rate, streams/room
 	switch {
-	case waits > prefillHigh && use < decodeHigh:
-		return change(obs, n, port.RoleDecode, port.RolePrefill)
-	case use > decodeHigh && waits < prefillHigh, use > decodeLow && waits < prefillLow:
-		return change(obs, n, port.RolePrefill, port.RoleDecode)
+	case queueTime > prefillQueueHigh && use < decodeUseHigh:
+		return firstChange(obs, n, port.RoleDecode, port.RolePrefill)
+	case use > decodeUseHigh && queueTime < prefillQueueHigh, use > decodeUseLow && queueTime < prefillQueueLow:
+		return firstChange(obs, n, port.RolePrefill, port.RoleDecode)
 	}
 	return nil
 }
 
-// change asks for the first engine of a role, if it isn't the last one.
-func change(obs planner.Observation, n map[port.Role]int, from, to port.Role) []planner.Change {
+// firstChange returns the change of the first available engine of a role. It
+// returns none if that is the last engine of the role.
+func firstChange(obs planner.Observation, n map[port.Role]int, from, to port.Role) []planner.Change {
 	if n[from] <= 1 {
 		return nil
 	}
@@ -186,13 +194,14 @@
 	return nil
 }
 
-// real runs the product's planner, one for each zone as leases give it.
-type real struct {
+// productPlanner runs the daemons' planner. It keeps a separate state for each
+// zone, because in production each zone has its own lease holder that plans.
+type productPlanner struct {
 	d      *Deployment
 	states []planner.State
 }
 
-func (p *real) plan(now float64, obs planner.Observation) []planner.Change {
+func (p *productPlanner) plan(now float64, obs planner.Observation) []planner.Change {
 	var all []planner.Change
 	at := time.Duration(now * float64(time.Second))
 	for i, zone := range p.d.Zones {
--- a/bench/policy/bench.go
+++ b/bench/policy/bench.go
@@ -9,31 +9,32 @@
 
 // The systems that Run compares.
 const (
-	Pomelospool = "pomelospool"
-	LeastLoaded = "never changed, least loaded"
-	RoundRobin  = "never changed, round robin"
-	Threshold   = "threshold rule, least loaded"
-	RoutingOnly = "never changed, our routing"
-	OurThresh   = "threshold rule, our routing"
+	Pomelospool          = "pomelospool"
+	LeastLoaded          = "never changed, least loaded"
+	RoundRobin           = "never changed, round robin"
+	Threshold            = "threshold rule, least loaded"
+	RoutingOnly          = "never changed, our routing"
+	ThresholdWithRouting = "threshold rule, our routing"
 )
 
 func systems(m *Model, d *Deployment) []system {
 	opts := routing.Options{
-		PrefillRate: m.prefillRate(), KVTransferRate: m.KVMoveRate, KVTransferDelay: duration(m.KVMoveDelay),
-		BetweenTokens: BetweenTokens, RouterCount: d.Deciders,
+		PrefillRate: m.prefillRate(), KVTransferRate: m.KVTransferRate, KVTransferDelay: duration(m.KVTransferDelay),
+		BetweenTokens: BetweenTokens, RouterCount: d.RouterCount,
 	}
-	ours := func() routing.Router { return routing.New(opts) }
+	daemonRouting := func() routing.Router { return routing.New(opts) }
 	return []system{
-		{Pomelospool, ours, &real{d, make([]planner.State, len(d.Zones))}},
-		{LeastLoaded, func() routing.Router { return leastLoaded(m) }, never{}},
-		{RoundRobin, func() routing.Router { return roundRobin(m) }, never{}},
-		{Threshold, func() routing.Router { return leastLoaded(m) }, &threshold{m: m}},
-		{RoutingOnly, ours, never{}},
-		{OurThresh, ours, &threshold{m: m}},
+		{Pomelospool, daemonRouting, &productPlanner{d, make([]planner.State, len(d.Zones))}},
+		{LeastLoaded, func() routing.Router { return leastLoaded(m) }, staticRoles{}},
+		{RoundRobin, func() routing.Router { return roundRobin(m) }, staticRoles{}},
+		{Threshold, func() routing.Router { return leastLoaded(m) }, &thresholdPlanner{m: m}},
+		{RoutingOnly, daemonRouting, staticRoles{}},
+		{ThresholdWithRouting, daemonRouting, &thresholdPlanner{m: m}},
 	}
 }
 
-// Run puts every system through one trace, side by side. A length of 0 is the trace's own.
+// Run runs every system on the same trace, concurrently. If length is 0, the
+// trace has its default length.
 func Run(name string, seed uint64, d *Deployment, m *Model, length float64) ([]Result, error) {
 	tr, err := NewTrace(name, seed, len(d.Roles), len(d.Zones), m, length)
 	if err != nil {
@@ -45,7 +46,7 @@
 	var wg sync.WaitGroup
 	wg.Go(func() { bound = Bound(tr, d, m) })
 	for i, sys := range all {
-		wg.Go(func() { results[i] = newRun(m, d, tr, sys).do() })
+		wg.Go(func() { results[i] = newRun(m, d, tr, sys).simulate() })
 	}
 	wg.Wait()
 	for i := range results {
--- a/bench/policy/cache.go
+++ b/bench/policy/cache.go
@@ -1,7 +1,7 @@
 package policy
 
-// cache keeps the shared prefixes of the newest prompts, the oldest leaving
-// first when memory ends. Processes see it later than it changes, and with gaps.
+// cache models the prefix cache of an engine. It evicts the oldest prefix first
+// if it is full. Entry processes see its content with a delay and incompletely.
 type cache struct {
 	limit   int
 	used    int
@@ -14,13 +14,12 @@
 	since  float64
 }
 
-// How much later processes see an entry, and one in how many they never see.
 const (
-	cacheLag = 1.0
-	cacheGap = 16
+	cacheLag = 1.0 // delay in seconds until processes see an entry
+	cacheGap = 16  // processes never see one of this many groups
 )
 
-// lookup returns the tokens of the group's prefix that are held.
+// lookup returns the number of cached tokens of the group's prefix.
 func (c *cache) lookup(group uint64, now float64) int {
 	e, ok := c.entries[group]
 	if group == 0 || !ok || e.since > now {
@@ -29,8 +28,9 @@
 	return e.tokens
 }
 
-// seen is what processes believe to be held.
-func (c *cache) seen(group uint64, now float64) int {
+// visible returns the number of cached tokens of the group's prefix that
+// processes know of.
+func (c *cache) visible(group uint64, now float64) int {
 	if group%cacheGap == 0 {
 		return 0
 	}
--- a/bench/policy/deployment.go
+++ b/bench/policy/deployment.go
@@ -8,19 +8,20 @@
 	"github.com/pomelospool/pomelospool/version/document"
 )
 
-// Deployment is a fleet of engines and the document that guides its roles.
+// Deployment is a fleet of engines and the document that configures the planning
+// of its roles.
 type Deployment struct {
-	Name     string
-	Zones    []string
-	Roles    []port.Role // of the engines at the start
-	Deciders int         // entry processes
-	Doc      *document.Document
+	Name        string
+	Zones       []string
+	Roles       []port.Role // initial roles of the engines
+	RouterCount int         // number of entry processes
+	Doc         *document.Document
 }
 
-// deciders is the number of entry VMs of the brief.
-const deciders = 8
+// routerCount is the number of entry VMs of each deployment.
+const routerCount = 8
 
-// NewDeployment returns the fleet of the given name.
+// NewDeployment returns the deployment of the given name.
 func NewDeployment(name string) (*Deployment, error) {
 	switch name {
 	case "jadranski":
@@ -38,10 +39,10 @@
 func deployment(name string, zones []string, roles document.Roles) *Deployment {
 	const p, m, d = port.RolePrefill, port.RoleMixed, port.RoleDecode
 	return &Deployment{
-		Name:     name,
-		Zones:    zones,
-		Roles:    []port.Role{p, d, d, p, m, d, p, m, d},
-		Deciders: deciders,
+		Name:        name,
+		Zones:       zones,
+		Roles:       []port.Role{p, d, d, p, m, d, p, m, d},
+		RouterCount: routerCount,
 		Doc: &document.Document{
 			Service:    name,
 			Kind:       document.KindModel,
--- a/bench/policy/engine.go
+++ b/bench/policy/engine.go
@@ -8,57 +8,57 @@
 	"github.com/pomelospool/pomelospool/request/routing"
 )
 
-// job is one request on its way.
+// job is the state of one request.
 type job struct {
-	arrival       // what the trace asks for
-	decider   int // process that routed it
-	decodeAt  *engine
-	prompt    int // tokens still to compute; more than the trace's after a crash
-	left      int // output tokens still to make
-	endStep   int64
-	first     float64 // when the first token came, 0 before
-	tried     []string
-	prefillAt *engine
-	expected  routing.Decision // what routing expected at the last attempt
-	sentAt    float64
+	arrival          // from the trace
+	router       int // index of the process that routes it
+	decodeAt     *engine
+	prompt       int // tokens still to compute; after a crash they include the output so far
+	remaining    int // output tokens still to compute
+	endStep      int64
+	firstTokenAt float64  // time of the first token, 0 before
+	tried        []string // engines that were down when the job was sent
+	prefillAt    *engine
+	expected     routing.Decision // the decision of the last attempt
+	sentAt       float64
 }
 
-// engine is one model engine. It works step by step: each step gives every
-// running stream a token and takes in a chunk of the prompts that wait.
+// engine simulates one model engine. In each step it computes one token of every
+// running stream and a chunk of the queued prompts.
 type engine struct {
-	m        *Model
-	name     string
-	zone     string
-	role     port.Role
-	speed    float64
-	now      float64
-	steps    int64
-	prompts  []*job // in order of arrival
-	queued   int    // prompt tokens in prompts
-	incoming []transfer
-	waiting  []*job // for a place in the batch
-	running  streams
-	reserved int // KV tokens
-	expected int // streams that prefill engines will still hand over
-	cache    cache
+	m               *Model
+	name            string
+	zone            string
+	role            port.Role
+	speed           float64
+	now             float64
+	steps           int64
+	prompts         []*job // in order of arrival
+	queuedTokens    int    // prompt tokens in prompts
+	incoming        []transfer
+	waiting         []*job // streams that wait for a slot in the batch
+	running         streams
+	reservedKV      int // KV tokens
+	expectedStreams int // streams that prefill engines will still hand over
+	cache           cache
 
-	to       port.Role // role it changes to, or empty
-	inChange bool      // away for a change, not for a crash
-	worked   float64   // engine-seconds of work done
-	awayTill float64   // while > now, the engine does nothing
-	crashes  int
-	leaving  bool
+	nextRole     port.Role // role that it is to change to, or empty
+	changingRole bool      // the last downtime is due to a role change, not to a crash
+	worked       float64   // engine-seconds of work done
+	downUntil    float64   // end of the last downtime
+	crashes      int
+	withdrawn    bool
 
 	prefillRate, decodeRate, streamsSeen float64
 }
 
-// transfer is a stream whose KV cache arrives at a time.
+// transfer is a stream whose KV cache arrives at the given time.
 type transfer struct {
 	j  *job
 	at float64
 }
 
-// streams is a heap by the step in which they end.
+// streams is a heap ordered by the step in which a stream ends.
 type streams []*job
 
 func (s streams) Len() int           { return len(s) }
@@ -72,25 +72,27 @@
 	return j
 }
 
-// rateWeight is that of the newest step in the engine's measured rates.
+// rateWeight is the weight of the newest step in the moving averages of the
+// engine's rates.
 const rateWeight = 0.1
 
-func (e *engine) live() bool { return e.awayTill <= e.now && !e.leaving }
+func (e *engine) live() bool { return e.downUntil <= e.now && !e.withdrawn }
 
-// submit queues a request's prompt. What is cached needn't be computed.
+// submit queues the prompt of a request. Cached tokens aren't computed again.
 func (e *engine) submit(j *job, now float64) {
 	cached := e.cache.lookup(j.group, now)
-	j.prompt = max(j.prompt-min(cached, j.shared), 1)
+	j.prompt = max(j.prompt-min(cached, j.sharedPrefix), 1)
 	j.prefillAt = e
 	e.prompts = append(e.prompts, j)
-	e.queued += j.prompt
+	e.queuedTokens += j.prompt
 }
 
-// advance works until the given time and reports jobs that ended.
+// advance simulates the engine until the given time. It calls done for jobs that
+// ended, and handOver for those whose decoding is to continue on another engine.
 func (e *engine) advance(till float64, done func(*job, float64), handOver func(*job, float64)) {
 	for e.now < till {
-		if e.awayTill > e.now {
-			e.now = min(e.awayTill, till)
+		if e.downUntil > e.now {
+			e.now = min(e.downUntil, till)
 			continue
 		}
 		e.admit()
@@ -108,29 +110,30 @@
 func (e *engine) nextIncoming(till float64) float64 {
 	next := till
 	for _, t := range e.incoming {
-		next = min(next, max(t.at, e.now+minIdle))
+		next = min(next, max(t.at, e.now+minIdleStep))
 	}
 	return next
 }
 
-const minIdle = 0.001
+const minIdleStep = 0.001
 
-// finishChange starts the seconds away once the last stream has ended.
+// finishChange starts the downtime of a pending role change once the last stream
+// has ended. It reports whether it did.
 func (e *engine) finishChange() bool {
-	idle := e.expected == 0 && len(e.incoming) == 0 && len(e.waiting) == 0
-	if e.to == "" || !idle {
+	idle := e.expectedStreams == 0 && len(e.incoming) == 0 && len(e.waiting) == 0
+	if e.nextRole == "" || !idle {
 		return false
 	}
-	e.role, e.to = e.to, ""
-	e.awayTill = e.now + e.m.ChangeTime
-	e.inChange = true
+	e.role, e.nextRole = e.nextRole, ""
+	e.downUntil = e.now + e.m.ChangeTime
+	e.changingRole = true
 	e.cache.clear()
 	e.prefillRate, e.decodeRate, e.streamsSeen = 0, 0, 0
 	return true
 }
 
-// admit moves streams whose KV cache has come into the batch, as far as there
-// is place and memory.
+// admit adds streams whose KV cache has arrived to the batch while there are free
+// slots and memory.
 func (e *engine) admit() {
 	rest := e.incoming[:0]
 	for _, t := range e.incoming {
@@ -143,18 +146,18 @@
 	e.incoming = rest
 	for len(e.waiting) > 0 && len(e.running) < e.m.Streams[e.role] {
 		j := e.waiting[0]
-		need := j.arrival.prompt + j.out
-		if e.reserved+need > e.m.KVCapacity && len(e.running) > 0 {
+		need := j.arrival.prompt + j.output
+		if e.reservedKV+need > e.m.KVCapacity && len(e.running) > 0 {
 			return
 		}
 		e.waiting = e.waiting[1:]
-		e.reserved += need
-		j.endStep = e.steps + int64(j.left)
+		e.reservedKV += need
+		j.endStep = e.steps + int64(j.remaining)
 		heap.Push(&e.running, j)
 	}
 }
 
-// chunk is how many prompt tokens the next step takes in.
+// chunk returns the most prompt tokens that the next step computes.
 func (e *engine) chunk() int {
 	n := len(e.running)
 	if n == 0 {
@@ -172,7 +175,7 @@
 
 func (e *engine) step(done func(*job, float64), handOver func(*job, float64)) {
 	n := len(e.running)
-	tokens := min(e.chunk(), e.queued)
+	tokens := min(e.chunk(), e.queuedTokens)
 	compute := float64(tokens) / e.m.PrefillRate
 	if n > 0 {
 		compute *= 1 - e.m.Overlap
@@ -184,10 +187,10 @@
 	e.measure(n, tokens, took)
 	for n > 0 && len(e.running) > 0 && e.running[0].endStep <= e.steps {
 		j := heap.Pop(&e.running).(*job)
-		e.reserved -= j.arrival.prompt + j.out
+		e.reservedKV -= j.arrival.prompt + j.output
 		done(j, e.now)
 	}
-	e.queued -= tokens
+	e.queuedTokens -= tokens
 	for tokens > 0 {
 		j := e.prompts[0]
 		used := min(tokens, j.prompt)
@@ -197,23 +200,23 @@
 			return
 		}
 		e.prompts = e.prompts[1:]
-		e.cache.add(j.group, j.shared, e.now)
+		e.cache.add(j.group, j.sharedPrefix, e.now)
 		e.prefilled(j, done, handOver)
 	}
 }
 
-// prefilled ends the prompt's phase, which gives the first token.
+// prefilled ends the prefill of a job, which produces its first token.
 func (e *engine) prefilled(j *job, done func(*job, float64), handOver func(*job, float64)) {
-	if j.first == 0 {
-		j.first = e.now
+	if j.firstTokenAt == 0 {
+		j.firstTokenAt = e.now
 	}
-	j.left--
-	if j.left <= 0 {
+	j.remaining--
+	if j.remaining <= 0 {
 		done(j, e.now)
 		return
 	}
 	if j.decodeAt != e {
-		handOver(j, e.now+e.m.KVMoveDelay+float64(j.arrival.prompt)/e.m.KVMoveRate)
+		handOver(j, e.now+e.m.KVTransferDelay+float64(j.arrival.prompt)/e.m.KVTransferRate)
 		return
 	}
 	e.waiting = append(e.waiting, j)
@@ -235,42 +238,43 @@
 	*f += rateWeight * (v - *f)
 }
 
-// load is the engine's report.
+// load returns the load that the engine reports.
 func (e *engine) load() port.Load {
-	left := 0
+	remaining := 0
 	for _, j := range e.running {
-		left += int(j.endStep - e.steps)
+		remaining += int(j.endStep - e.steps)
 	}
 	return port.Load{
 		Engine:          e.name,
 		Running:         len(e.running),
 		Waiting:         len(e.prompts) + len(e.waiting),
-		QueuedPrefill:   e.queued,
-		DecodeRemaining: left,
-		KVUsed:          e.reserved,
+		QueuedPrefill:   e.queuedTokens,
+		DecodeRemaining: remaining,
+		KVUsed:          e.reservedKV,
 		KVCapacity:      e.m.KVCapacity,
 		PrefillRate:     e.prefillRate,
 		DecodeRate:      e.decodeRate,
 	}
 }
 
-// crash loses all work and memory; the engine restarts in the role it had.
+// crash drops all jobs and the cache and restarts the engine in its current
+// role. It returns the lost jobs.
 func (e *engine) crash() []*job {
 	var lost []*job
 	lost = append(lost, e.prompts...)
 	lost = append(lost, e.waiting...)
 	for _, j := range e.running {
-		j.left = int(j.endStep - e.steps)
+		j.remaining = int(j.endStep - e.steps)
 		lost = append(lost, j)
 	}
 	for _, t := range e.incoming {
 		lost = append(lost, t.j)
 	}
 	e.prompts, e.waiting, e.running, e.incoming = nil, nil, nil, nil
-	e.queued, e.reserved, e.to = 0, 0, ""
+	e.queuedTokens, e.reservedKV, e.nextRole = 0, 0, ""
 	e.crashes++
-	e.awayTill = e.now + e.m.RestartTime
-	e.inChange = false
+	e.downUntil = e.now + e.m.RestartTime
+	e.changingRole = false
 	e.cache.clear()
 	e.prefillRate, e.decodeRate = 0, 0
 	return lost
--- a/bench/policy/events.go
+++ b/bench/policy/events.go
@@ -1,16 +1,17 @@
 package policy
 
-// happen makes an event of the trace come about.
-func (r *run) happen(ev event) {
+// applyEvent applies an event of the trace. A crashChanging event hits an engine
+// that changes its role if there is one.
+func (r *run) applyEvent(ev event) {
 	e := r.engines[ev.engine]
 	switch ev.kind {
 	case withdraw:
-		e.leaving = true
-	case giveBack:
-		e.leaving = false
+		e.withdrawn = true
+	case restore:
+		e.withdrawn = false
 	case crashChanging:
 		for _, c := range r.engines {
-			if c.to != "" {
+			if c.nextRole != "" {
 				e = c
 			}
 		}
@@ -23,37 +24,39 @@
 func (r *run) crash(e *engine) {
 	lost := e.crash()
 	for _, j := range lost {
-		t := &r.views[j.decider].targets[r.index[e.name]]
+		t := &r.views[j.router].targets[r.index[e.name]]
 		t.InFlight--
 		if j.decodeAt != e {
-			j.decodeAt.expected--
-			r.views[j.decider].targets[r.index[j.decodeAt.name]].InFlight--
+			j.decodeAt.expectedStreams--
+			r.views[j.router].targets[r.index[j.decodeAt.name]].InFlight--
 		}
-		r.again(j)
+		r.reroute(j)
 	}
 }
 
-// again routes a job that lost its engine. What was streamed is a part of the prompt now.
-func (r *run) again(j *job) {
-	made := j.out - j.left
-	j.prompt = j.arrival.prompt + made
+// reroute routes a job that lost its engine. The output that was streamed already
+// becomes part of the prompt.
+func (r *run) reroute(j *job) {
+	generated := j.output - j.remaining
+	j.prompt = j.arrival.prompt + generated
 	if !r.route(j) {
-		r.homeless = append(r.homeless, j)
+		r.unplaced = append(r.unplaced, j)
 	}
 }
 
-// rehome tries again to place what lost its engine. What was accepted is
-// answered, late if need be; it counts as lost only past its deadline.
-func (r *run) rehome() {
-	jobs := r.homeless
-	r.homeless = nil
+// retryUnplaced routes again the jobs that lost their engine and have no other yet.
+// An accepted request is answered even if late. It counts as lost only if its
+// deadline has passed.
+func (r *run) retryUnplaced() {
+	jobs := r.unplaced
+	r.unplaced = nil
 	for _, j := range jobs {
 		if r.now-j.at > Deadline.Seconds() {
 			r.res.Lost++
 			continue
 		}
 		if !r.route(j) {
-			r.homeless = append(r.homeless, j)
+			r.unplaced = append(r.unplaced, j)
 		}
 	}
 }
--- a/bench/policy/policy_test.go
+++ b/bench/policy/policy_test.go
@@ -8,16 +8,17 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// testLength keeps the runs of CI short; the tables in docs/design use whole traces.
+// testLength is the length of the traces in tests, which keeps CI short. The
+// tables in docs/design use traces of full length.
 const testLength = 400
 
-// TestRegression holds the policy to bounds that are ratios within one run, so
-// that they don't depend on the machine. They lie a little below what the
-// policy reaches with these seeds.
+// TestRegression checks lower limits of the policy's goodput. The limits are
+// ratios within one run, so they don't depend on the machine. They are slightly
+// below what the policy reaches with these seeds.
 func TestRegression(t *testing.T) {
 	bounds := map[string]struct {
-		share  float64 // of the plan in hindsight
-		better float64 // against the best baseline
+		share  float64 // share of the upper bound
+		better float64 // ratio to the best baseline
 	}{
 		"day":         {0.91, 1.04},
 		"swings":      {0.90, 1.05},
@@ -50,14 +51,15 @@
 			changes += us.Changes
 			threshold += Find(sums, Threshold).Changes
 		}
-		most := map[string]float64{"jadranski": changesOfThresh, "halen": changesHalen}[deployment]
+		most := map[string]float64{"jadranski": maxChangeRatio, "halen": maxChangeRatioHalen}[deployment]
 		if float64(changes) > most*float64(threshold) {
 			t.Errorf("%s: %d changes, threshold rule %d", deployment, changes, threshold)
 		}
 	}
 }
 
-// checkCounts holds every run to one end for each request and to the bound.
+// checkCounts checks that each request of a run is counted once and that the
+// goodput doesn't exceed the bound.
 func checkCounts(t *testing.T, each [][]Result) {
 	t.Helper()
 	for _, results := range each {
@@ -89,14 +91,15 @@
 	}
 }
 
-// TestEngineTimes checks single requests against sums made by hand from the model.
+// TestEngineTimes compares the times of single requests with values that are
+// computed by hand from the model.
 func TestEngineTimes(t *testing.T) {
 	m := DefaultModel()
 	one := func(role port.Role, prompt, out int) (first, end float64) {
 		e := &engine{m: &m, role: role, speed: 1}
-		j := &job{arrival: arrival{prompt: prompt, out: out}, prompt: prompt, left: out, decodeAt: e}
+		j := &job{arrival: arrival{prompt: prompt, output: out}, prompt: prompt, remaining: out, decodeAt: e}
 		e.submit(j, 0)
-		e.advance(100, func(j *job, at float64) { first, end = j.first, at }, nil)
+		e.advance(100, func(j *job, at float64) { first, end = j.firstTokenAt, at }, nil)
 		return first, end
 	}
 	step := m.StepBase + m.StepPerStream
@@ -116,22 +119,23 @@
 	}
 }
 
-// TestChangeCutsNothing lets an engine change its role with streams running.
+// TestChangeCutsNothing checks that an engine changes its role only after its
+// running streams have ended.
 func TestChangeCutsNothing(t *testing.T) {
 	m := DefaultModel()
 	e := &engine{m: &m, role: port.RoleDecode, speed: 1}
-	j := &job{arrival: arrival{prompt: 100, out: 200}, prompt: 100, left: 200, decodeAt: e}
+	j := &job{arrival: arrival{prompt: 100, output: 200}, prompt: 100, remaining: 200, decodeAt: e}
 	ended := 0.0
 	done := func(_ *job, at float64) { ended = at }
 	e.submit(j, 0)
 	e.advance(1, done, nil)
-	e.to = port.RolePrefill
+	e.nextRole = port.RolePrefill
 	e.advance(2, done, nil)
 	if e.role != port.RoleDecode {
 		t.Fatal("changed with a stream running")
 	}
 	e.advance(60, done, nil)
-	if ended == 0 || e.role != port.RolePrefill || e.awayTill < ended+m.ChangeTime {
-		t.Errorf("ended %v, role %s, away till %v", ended, e.role, e.awayTill)
+	if ended == 0 || e.role != port.RolePrefill || e.downUntil < ended+m.ChangeTime {
+		t.Errorf("ended %v, role %s, away till %v", ended, e.role, e.downUntil)
 	}
 }
--- a/bench/policy/result.go
+++ b/bench/policy/result.go
@@ -2,15 +2,15 @@
 
 import "math"
 
-// Result is what one system did on one trace. Work is counted in
-// engine-seconds on dedicated engines, so that a long prompt and a long output
-// weigh what they cost.
+// Result is the result of one system on one trace. Work is counted in
+// engine-seconds on dedicated engines, so that prompts and outputs are weighted
+// by their cost.
 type Result struct {
 	System      string  `json:"system"`
 	Trace       string  `json:"trace"`
 	Seed        uint64  `json:"seed"`
-	Goodput     float64 `json:"goodput"` // engines' worth of work finished within all objectives
-	Bound       float64 `json:"bound"`   // of the plan in hindsight
+	Goodput     float64 `json:"goodput"` // work that met all objectives, in engines
+	Bound       float64 `json:"bound"`   // upper bound of the goodput, see Bound
 	Share       float64 `json:"share"`   // Goodput / Bound
 	Tokens      float64 `json:"tokens"`  // output tokens/s within all objectives
 	Offered     int     `json:"offered"` // requests
@@ -19,34 +19,35 @@
 	LateFirst   int     `json:"late_first"`
 	LateBetween int     `json:"late_between"`
 	LateAnswer  int     `json:"late_answer"`
-	Lost        int     `json:"lost"` // in crashes, with no engine to go on
+	Lost        int     `json:"lost"` // lost their engine in a crash and found no other before the deadline
 	Changes     int     `json:"changes"`
-	LostEach    float64 `json:"lost_each"`    // engine-seconds of work for each change
-	FirstBias   float64 `json:"first_bias"`   // mean seconds by which the first token came later than expected
-	FirstError  float64 `json:"first_error"`  // mean seconds off, either way
-	FinishRatio float64 `json:"finish_ratio"` // mean time to the end over the expected one
+	LostEach    float64 `json:"lost_each"`    // engine-seconds of work lost per role change
+	FirstBias   float64 `json:"first_bias"`   // mean of the first token's time minus the predicted time, in seconds
+	FirstError  float64 `json:"first_error"`  // mean absolute error of the predicted time to the first token, in seconds
+	FinishRatio float64 `json:"finish_ratio"` // mean ratio of the time to completion to the predicted one
 
-	offered, onTime, tokens, lost float64
-	ended                         int
-	Points                        []Point `json:"-"`
+	offered, onTimeWork, tokens, lostWork float64
+	compared                              int
+	Points                                []Point `json:"-"`
 }
 
-// Point is ten seconds of a run.
+// Point summarises ten seconds of a run.
 type Point struct {
 	At      float64
-	Offered float64 // engines' worth of work
+	Offered float64 // offered work in engines
 	OnTime  float64
 	Changes int
 	Roles   [3]int // prefill, mixed, decode
 }
 
-// compare sums how far routing's estimates were off.
-func (r *Result) compare(j *job, at float64) {
+// comparePrediction adds the errors of the predictions that routing made for a
+// job. Jobs for which routing first chose an engine that was down don't count.
+func (r *Result) comparePrediction(j *job, at float64) {
 	if j.expected.TimeToCompletion <= 0 || len(j.tried) > 0 {
 		return
 	}
-	off := j.first - j.sentAt - j.expected.TimeToFirstToken.Seconds()
-	r.ended++
+	off := j.firstTokenAt - j.sentAt - j.expected.TimeToFirstToken.Seconds()
+	r.compared++
 	r.FirstBias += off
 	r.FirstError += math.Abs(off)
 	r.FinishRatio += (at - j.sentAt) / j.expected.TimeToCompletion.Seconds()
@@ -54,14 +55,14 @@
 
 func (r *Result) finish(t *Trace) {
 	r.Trace, r.Seed = t.Name, t.Seed
-	r.Goodput = r.onTime / t.Length
+	r.Goodput = r.onTimeWork / t.Length
 	r.Tokens = r.tokens / t.Length
-	if r.ended > 0 {
-		r.FirstBias /= float64(r.ended)
-		r.FirstError /= float64(r.ended)
-		r.FinishRatio /= float64(r.ended)
+	if r.compared > 0 {
+		r.FirstBias /= float64(r.compared)
+		r.FirstError /= float64(r.compared)
+		r.FinishRatio /= float64(r.compared)
 	}
 	if r.Changes > 0 {
-		r.LostEach = r.lost / float64(r.Changes)
+		r.LostEach = r.lostWork / float64(r.Changes)
 	}
 }
--- a/bench/policy/run.go
+++ b/bench/policy/run.go
@@ -9,18 +9,18 @@
 	"github.com/pomelospool/pomelospool/request/routing"
 )
 
-// system is one policy under test.
+// system is a policy under comparison: a router and a planner of roles.
 type system struct {
 	name   string
 	router func() routing.Router // one for each entry process
 	roles  rolePlanner
 }
 
-// run is one system on one trace.
+// run is the state of the simulation of one system on one trace.
 type run struct {
 	m        *Model
 	d        *Deployment
-	tr       *Trace
+	trace    *Trace
 	sys      system
 	rng      *rand.Rand
 	now      float64
@@ -30,37 +30,39 @@
 	views    []*view
 	routers  []routing.Router
 	pending  []report
-	seen     []report
+	visible  []report
 	orders   []order
-	asked    planner.Observation // the demand so far
-	homeless []*job              // lost their engine and found no other yet
+	demand   planner.Observation // the demand since the start
+	unplaced []*job              // jobs that lost their engine and have no other yet
 	res      Result
 	window   Point
 }
 
-// order is a role change under way.
+// order is a role change in progress.
 type order struct {
-	e      *engine
-	to     port.Role
-	at     float64
-	worked float64
+	engine       *engine
+	role         port.Role
+	at           float64
+	workedBefore float64
 }
 
 // Times of the run, in seconds.
 const (
-	tick        = 0.010
-	planEvery   = 1.0
-	rehomeEvery = 0.1
-	runOut      = 60.0 // after the last arrival
-	pointEvery  = 10.0
-	speedSpread = 0.1 // engines differ from the mean by up to this
-	maxTries    = 4
-	admitFirst  = FirstToken * 90 / 100 // admission's margin for its estimate, for all systems
+	tick          = 0.010
+	planInterval  = 1.0
+	retryInterval = 0.1
+	drainTime     = 60.0 // after the end of the trace
+	pointInterval = 10.0
+	speedSpread   = 0.1 // largest deviation of an engine's speed from the mean
+	maxTries      = 4
+	// maxAdmittedFirst is the longest predicted time to the first token with which
+	// a request is admitted, in all systems. It leaves a margin for errors.
+	maxAdmittedFirst = FirstToken * 90 / 100
 )
 
 func newRun(m *Model, d *Deployment, tr *Trace, sys system) *run {
 	r := &run{
-		m: m, d: d, tr: tr, sys: sys,
+		m: m, d: d, trace: tr, sys: sys,
 		rng:    rand.New(rand.NewPCG(tr.Seed, 7)),
 		byName: map[string]*engine{},
 		index:  map[string]int{},
@@ -74,22 +76,23 @@
 		r.byName[e.name], r.index[e.name] = e, i
 		r.pending = append(r.pending, report{role: role, live: true})
 	}
-	r.seen = slices.Clone(r.pending)
-	for range d.Deciders {
+	r.visible = slices.Clone(r.pending)
+	for range d.RouterCount {
 		r.views = append(r.views, newView(r.engines, &r.now))
 		r.routers = append(r.routers, sys.router())
 	}
 	return r
 }
 
-// do runs the trace to its end and a while beyond, so that streams can finish.
-func (r *run) do() Result {
-	ticks := int((r.tr.Length + runOut) / tick)
-	arrivals, events := r.tr.arrivals, r.tr.events
+// simulate runs the trace, and drainTime beyond its end so that streams can
+// finish.
+func (r *run) simulate() Result {
+	ticks := int((r.trace.Length + drainTime) / tick)
+	arrivals, events := r.trace.arrivals, r.trace.events
 	for i := range ticks {
 		r.now = float64(i) * tick
 		for len(events) > 0 && events[0].at <= r.now {
-			r.happen(events[0])
+			r.applyEvent(events[0])
 			events = events[1:]
 		}
 		r.observe(i)
@@ -102,52 +105,56 @@
 		}
 		r.followOrders()
 	}
-	r.res.finish(r.tr)
+	r.res.finish(r.trace)
 	return r.res
 }
 
-// every reports whether a period begins with tick i.
-func every(i int, period, offset float64) bool {
+// periodStarts reports whether a period starts at tick i. The first one starts at
+// the offset.
+func periodStarts(i int, period, offset float64) bool {
 	n := int(period/tick + 0.5)
 	return i%n == int(offset/tick+0.5)
 }
 
-// observe lets reports be made and seen, and the roles be planned.
+// observe runs the periodic tasks that are due at tick i: the engines' reports,
+// their delivery, the retries, the planning of roles and the points of the
+// result.
 func (r *run) observe(i int) {
-	if every(i, reportEvery, 0) {
+	if periodStarts(i, reportInterval, 0) {
 		for k, e := range r.engines {
-			r.pending[k] = report{r.now, e.load(), e.role, e.to != "" || e.coming(), e.live()}
-			if e.to != "" {
-				r.pending[k].live = !e.leaving
+			r.pending[k] = report{r.now, e.load(), e.role, e.nextRole != "" || e.inRoleChange(), e.live()}
+			if e.nextRole != "" {
+				r.pending[k].live = !e.withdrawn
 			}
 		}
 	}
-	if every(i, reportEvery, reportLag) {
+	if periodStarts(i, reportInterval, reportLag) {
 		for k := range r.engines {
-			r.seen[k] = r.pending[k]
+			r.visible[k] = r.pending[k]
 			for _, v := range r.views {
-				v.take(k, r.pending[k])
+				v.applyReport(k, r.pending[k])
 			}
 		}
 	}
-	if every(i, rehomeEvery, 0) {
-		r.rehome()
+	if periodStarts(i, retryInterval, 0) {
+		r.retryUnplaced()
 	}
-	if every(i, planEvery, 0) {
+	if periodStarts(i, planInterval, 0) {
 		r.plan()
 	}
-	if every(i, pointEvery, 0) {
-		r.point()
+	if periodStarts(i, pointInterval, 0) {
+		r.closePoint()
 	}
 }
 
-// coming reports whether the engine is away for a role change, not for a crash.
-func (e *engine) coming() bool { return e.awayTill > e.now && e.inChange }
+// inRoleChange reports whether the engine is down for a role change, not for a
+// crash.
+func (e *engine) inRoleChange() bool { return e.downUntil > e.now && e.changingRole }
 
 func (r *run) plan() {
-	obs := r.asked
+	obs := r.demand
 	for i, e := range r.engines {
-		s := r.seen[i]
+		s := r.visible[i]
 		obs.Engines = append(obs.Engines, planner.Engine{
 			Name: e.name, Group: e.zone, Incarnation: string(rune('0' + e.crashes)),
 			Role: s.role, Live: s.live, Changing: s.changing, Load: s.load,
@@ -155,63 +162,64 @@
 	}
 	for _, c := range r.sys.roles.plan(r.now, obs) {
 		e := r.byName[c.Engine]
-		if !e.live() || e.to != "" {
+		if !e.live() || e.nextRole != "" {
 			continue
 		}
-		e.to = c.To
+		e.nextRole = c.To
 		r.orders = append(r.orders, order{e, c.To, r.now, e.worked})
 		r.res.Changes++
 		r.window.Changes++
 	}
 }
 
-// followOrders counts what each role change cost, once the engine is back.
+// followOrders adds up the work that each role change cost once the engine is
+// available again.
 func (r *run) followOrders() {
 	open := r.orders[:0]
 	for _, o := range r.orders {
-		if o.e.to != "" || o.e.awayTill > o.e.now {
+		if o.engine.nextRole != "" || o.engine.downUntil > o.engine.now {
 			open = append(open, o)
 			continue
 		}
-		r.res.lost += max(r.now-o.at-(o.e.worked-o.worked), 0)
+		r.res.lostWork += max(r.now-o.at-(o.engine.worked-o.workedBefore), 0)
 	}
 	r.orders = open
 }
 
 func (r *run) arrive(a arrival) {
-	j := &job{arrival: a, decider: r.rng.IntN(len(r.views)), prompt: a.prompt, left: a.out}
-	r.res.offered += r.m.work(float64(a.prompt), float64(a.out))
+	j := &job{arrival: a, router: r.rng.IntN(len(r.views)), prompt: a.prompt, remaining: a.output}
+	r.res.offered += r.m.work(float64(a.prompt), float64(a.output))
 	r.res.Offered++
-	r.window.Offered += r.m.work(float64(a.prompt), float64(a.out))
-	r.asked.Requests++
-	r.asked.Decode += float64(a.estimate)
+	r.window.Offered += r.m.work(float64(a.prompt), float64(a.output))
+	r.demand.Requests++
+	r.demand.Decode += float64(a.estimate)
 	if !r.route(j) {
-		r.asked.Prefill += float64(a.prompt)
+		r.demand.Prefill += float64(a.prompt)
 		r.res.Refused++
 	}
 }
 
-// route sends the job to an engine, or returns false for a refusal.
+// route sends the job to an engine. It returns false if the job is rejected.
 func (r *run) route(j *job) bool {
-	v := r.views[j.decider]
-	v.at(r.now)
+	v := r.views[j.router]
+	v.setAges(r.now)
 	for range maxTries {
 		req := routing.Request{
 			Service: r.d.Name, Model: modelName, PromptTokens: j.prompt, OutputTokens: j.estimate,
 			Deadline: Deadline - duration(r.now-j.at), Zone: r.d.Zones[j.zone], Seed: r.rng.Uint64(), Exclude: j.tried,
 		}
 		if j.prefillAt != nil {
-			req.Priority = 1 // accepted already
+			req.Priority = 1 // the request has been accepted before
 		}
 		if j.group != 0 {
 			req.Prefix = []uint64{j.group}
 		}
-		d, err := r.routers[j.decider].Route(req, v.targets)
-		if err != nil || (j.prefillAt == nil && d.TimeToFirstToken > admitFirst) {
+		d, err := r.routers[j.router].Route(req, v.targets)
+		if err != nil || (j.prefillAt == nil && d.TimeToFirstToken > maxAdmittedFirst) {
 			return false
 		}
 		p := r.byName[d.Target]
-		if p.awayTill > p.now {
+		if p.downUntil > p.now {
 			j.tried = append(j.tried, d.Target)
 			continue
 		}
@@ -222,50 +230,51 @@
 }
 
 func (r *run) send(j *job, p *engine, d *routing.Decision, v *view) {
-	first := j.first == 0 && j.prefillAt == nil
+	first := j.firstTokenAt == 0 && j.prefillAt == nil
 	j.decodeAt = p
 	j.expected, j.sentAt = *d, r.now
 	if d.DecodeTarget != "" && d.DecodeTarget != p.name {
 		j.decodeAt = r.byName[d.DecodeTarget]
-		j.decodeAt.expected++
-		v.send(r.index[d.DecodeTarget], sent{r.now, 0, j.estimate})
+		j.decodeAt.expectedStreams++
+		v.recordSend(r.index[d.DecodeTarget], sentWork{r.now, 0, j.estimate})
 	}
 	if d.KVSource != "" && j.group != 0 {
 		p.cache.add(j.group, r.byName[d.KVSource].cache.lookup(j.group, r.now), r.now)
 	}
 	p.submit(j, r.now)
-	v.send(r.index[p.name], sent{r.now, j.prompt, j.estimate})
+	v.recordSend(r.index[p.name], sentWork{r.now, j.prompt, j.estimate})
 	if first {
-		r.asked.Prefill += float64(j.prompt)
+		r.demand.Prefill += float64(j.prompt)
 	}
 }
 
-// handOver moves a stream from the engine of its prompt to that of its output.
+// handOver moves a stream from the engine that ran the prefill to the one that
+// decodes.
 func (r *run) handOver(j *job, at float64) {
-	r.views[j.decider].targets[r.index[j.prefillAt.name]].InFlight--
+	r.views[j.router].targets[r.index[j.prefillAt.name]].InFlight--
 	to := j.decodeAt
-	to.expected--
-	if to.awayTill > to.now {
-		r.again(j)
+	to.expectedStreams--
+	if to.downUntil > to.now {
+		r.reroute(j)
 		return
 	}
 	to.incoming = append(to.incoming, transfer{j, at})
 }
 
 func (r *run) done(j *job, at float64) {
-	v := r.views[j.decider]
-	if j.prefillAt != j.decodeAt && j.left <= 0 && j.out == 1 {
-		j.decodeAt.expected--
+	v := r.views[j.router]
+	if j.prefillAt != j.decodeAt && j.remaining <= 0 && j.output == 1 {
+		j.decodeAt.expectedStreams--
 	}
 	v.targets[r.index[j.decodeAt.name]].InFlight--
-	work := r.m.work(float64(j.arrival.prompt), float64(j.out))
-	r.res.compare(j, at)
+	work := r.m.work(float64(j.arrival.prompt), float64(j.output))
+	r.res.comparePrediction(j, at)
 	between := 0.0
-	if j.out > 1 {
-		between = (at - j.first) / float64(j.out-1)
+	if j.output > 1 {
+		between = (at - j.firstTokenAt) / float64(j.output-1)
 	}
 	switch {
-	case j.first-j.at > FirstToken.Seconds():
+	case j.firstTokenAt-j.at > FirstToken.Seconds():
 		r.res.LateFirst++
 	case between > BetweenTokens.Seconds():
 		r.res.LateBetween++
@@ -273,14 +282,14 @@
 		r.res.LateAnswer++
 	default:
 		r.res.OnTime++
-		r.res.onTime += work
-		r.res.tokens += float64(j.out)
+		r.res.onTimeWork += work
+		r.res.tokens += float64(j.output)
 		r.window.OnTime += work
 	}
 }
 
-// point closes ten seconds of the run's record.
-func (r *run) point() {
+// closePoint adds the current Point to the result and starts a new one.
+func (r *run) closePoint() {
 	r.window.At = r.now
 	for _, e := range r.engines {
 		switch e.role {
@@ -292,8 +301,8 @@
 			r.window.Roles[1]++
 		}
 	}
-	r.window.Offered /= pointEvery
-	r.window.OnTime /= pointEvery
+	r.window.Offered /= pointInterval
+	r.window.OnTime /= pointInterval
 	r.res.Points = append(r.res.Points, r.window)
 	r.window = Point{}
 }
--- a/bench/policy/summary.go
+++ b/bench/policy/summary.go
@@ -5,14 +5,14 @@
 	"sync"
 )
 
-// Summary is one system on one trace, summed over seeds.
+// Summary combines the results of one system on one trace over several seeds.
 type Summary struct {
 	Result
 	Seeds int `json:"seeds"`
 }
 
-// RunSeeds runs a trace for each seed and sums the results by system. It runs
-// at most parallel seeds at once.
+// RunSeeds runs a trace with each seed and combines the results by system. It
+// also returns the results of each seed. At most parallel seeds run at a time.
 func RunSeeds(name string, seeds []uint64, d *Deployment, m *Model, length float64, parallel int) ([]Summary, [][]Result, error) {
 	all := make([][]Result, len(seeds))
 	errs := make([]error, len(seeds))
@@ -64,13 +64,13 @@
 	s.LateAnswer += r.LateAnswer
 	s.Lost += r.Lost
 	s.Changes += r.Changes
-	s.lost += r.lost
+	s.lostWork += r.lostWork
 	s.FirstBias += r.FirstBias
 	s.FirstError += r.FirstError
 	s.FinishRatio += r.FinishRatio
 }
 
-// mean turns rates into means; counts stay sums over the seeds.
+// mean divides the sums of rates by the number of seeds. Counts stay sums.
 func (s *Summary) mean() {
 	n := float64(s.Seeds)
 	s.Goodput /= n
@@ -81,7 +81,7 @@
 	s.FinishRatio /= n
 	s.Share = s.Goodput / s.Bound
 	if s.Changes > 0 {
-		s.LostEach = s.lost / float64(s.Changes)
+		s.LostEach = s.lostWork / float64(s.Changes)
 	}
 }
 
@@ -95,31 +95,33 @@
 	return Summary{}
 }
 
-// Goals of issue 6.
+// The goals: the least share of the bound, and the most changes in relation to
+// the threshold rule.
 const (
-	goalShare       = 0.90
-	changesOfThresh = 0.5
-	changesHalen    = 0.1
+	minBoundShare       = 0.90
+	maxChangeRatio      = 0.5
+	maxChangeRatioHalen = 0.1
 )
 
-// Shortfalls says where pomelospool misses the goals on a trace, and by how
-// much; none when it meets them all. The baselines are those of the issue;
-// rows with our own routing are there to tell the two levers apart.
+// Shortfalls describes each goal that pomelospool misses on a trace, and by how
+// much. The baselines of the goals are LeastLoaded, RoundRobin and Threshold.
+// The systems that use the daemons' routing aren't among them. They only
+// separate the effect of routing from that of the planner.
 func Shortfalls(deployment string, sums []Summary) []string {
 	us := Find(sums, Pomelospool)
 	thresh := Find(sums, Threshold)
 	var out []string
-	if us.Share < goalShare {
-		out = append(out, fmt.Sprintf("%.1f%% of the bound, goal %.0f%%", 100*us.Share, 100*goalShare))
+	if us.Share < minBoundShare {
+		out = append(out, fmt.Sprintf("%.1f%% of the bound, goal %.0f%%", 100*us.Share, 100*minBoundShare))
 	}
 	for _, name := range []string{LeastLoaded, RoundRobin, Threshold} {
 		if b := Find(sums, name); us.Goodput <= b.Goodput {
 			out = append(out, fmt.Sprintf("goodput %.2f, not above %.2f of %q", us.Goodput, b.Goodput, name))
 		}
 	}
-	most := changesOfThresh
+	most := maxChangeRatio
 	if deployment == "halen" {
-		most = changesHalen
+		most = maxChangeRatioHalen
 	}
 	if float64(us.Changes) > most*float64(thresh.Changes) {
 		out = append(out, fmt.Sprintf("%d changes, goal at most %.1f of the threshold rule's %d", us.Changes, most*float64(thresh.Changes), thresh.Changes))
@@ -127,12 +129,13 @@
 	return out
 }
 
-// Remarks compares with the rows that are no baselines of the goals: our own
-// routing under the threshold rule, and without any role change.
+// Remarks compares pomelospool with the systems that aren't baselines of the
+// goals: the daemons' routing with the threshold rule, and without role changes.
+// It has an entry for each of them that reaches a higher goodput.
 func Remarks(sums []Summary) []string {
 	us := Find(sums, Pomelospool)
 	var out []string
-	for _, name := range []string{RoutingOnly, OurThresh} {
+	for _, name := range []string{RoutingOnly, ThresholdWithRouting} {
 		s := Find(sums, name)
 		if s.Goodput > us.Goodput {
 			out = append(out, fmt.Sprintf("%q reaches %.1f%% of the bound with %d changes, pomelospool %.1f%% with %d",
--- a/bench/policy/view.go
+++ b/bench/policy/view.go
@@ -7,7 +7,7 @@
 	"github.com/pomelospool/pomelospool/request/routing"
 )
 
-// report is what an engine told of itself at a time.
+// report is the state that an engine reported at a time.
 type report struct {
 	at       float64
 	load     port.Load
@@ -16,38 +16,38 @@
 	live     bool
 }
 
-// How often engines report, and how late a report is seen.
 const (
-	reportEvery = 0.250
-	reportLag   = 0.200
-	queueLimit  = 160 // requests in flight at one target
+	reportInterval = 0.250 // seconds between two reports of an engine
+	reportLag      = 0.200 // seconds until processes receive a report
+	queueLimit     = 160   // requests in flight at one target
 )
 
-// sent is what one process sent to an engine.
-type sent struct {
+// sentWork is the work of one request that a process sent to an engine, in
+// tokens.
+type sentWork struct {
 	at      float64
 	prefill int
 	decode  int
 }
 
-// view is what one entry process knows: the last report of each engine and
-// what it sent itself.
+// view is the knowledge of one entry process: the last report of each engine, and
+// the work that the process has sent since then.
 type view struct {
 	targets  []routing.Target
 	reported []float64
-	sends    [][]sent
+	sends    [][]sentWork
 }
 
 func newView(engines []*engine, now *float64) *view {
 	v := &view{
 		targets:  make([]routing.Target, len(engines)),
 		reported: make([]float64, len(engines)),
-		sends:    make([][]sent, len(engines)),
+		sends:    make([][]sentWork, len(engines)),
 	}
 	for i, e := range engines {
 		v.targets[i] = routing.Target{
 			Name: e.name, Zone: e.zone, Model: modelName, Role: e.role, Live: true, Limit: queueLimit,
-			CachedTokens: func(prefix []uint64) int { return e.cache.seen(prefix[0], *now) },
+			CachedTokens: func(prefix []uint64) int { return e.cache.visible(prefix[0], *now) },
 		}
 	}
 	return v
@@ -55,8 +55,9 @@
 
 const modelName = "m"
 
-// take replaces what is known of engine i by a report.
-func (v *view) take(i int, r report) {
+// applyReport updates the view of engine i from a report. Work that was sent
+// before the report is dropped, because the report includes it.
+func (v *view) applyReport(i int, r report) {
 	t := &v.targets[i]
 	t.Load, t.Role, t.Changing, t.Live = r.load, r.role, r.changing, r.live
 	v.reported[i] = r.at
@@ -67,26 +68,26 @@
 			continue
 		}
 		keep = append(keep, s)
-		count(t, s)
+		addSent(t, s)
 	}
 	v.sends[i] = keep
 }
 
-// count adds to what was sent since the report.
-func count(t *routing.Target, s sent) {
+// addSent adds to the work that was sent since the last report.
+func addSent(t *routing.Target, s sentWork) {
 	t.SentPrefill += s.prefill
 	t.SentDecode += s.decode
 	t.SentCount++
 }
 
-func (v *view) send(i int, s sent) {
+func (v *view) recordSend(i int, s sentWork) {
 	v.sends[i] = append(v.sends[i], s)
-	count(&v.targets[i], s)
+	addSent(&v.targets[i], s)
 	v.targets[i].InFlight++
 }
 
-// at sets the ages of the reports.
-func (v *view) at(now float64) {
+// setAges sets the ages of the reports.
+func (v *view) setAges(now float64) {
 	for i := range v.targets {
 		v.targets[i].LoadAge = time.Duration((now - v.reported[i]) * float64(time.Second))
 	}
--- a/bench/soak/proxy.go
+++ b/bench/soak/proxy.go
@@ -19,7 +19,7 @@
 	Reset               // open connections are reset, and new ones when they are accepted
 	HoldUpstream        // data from the client is held back
 	HoldDownstream      // data from the server is held back
-	Blackhole           // data of both directions is dropped for good, as by a middlebox that lost the connection's state
+	Blackhole           // data of both directions is dropped for good, as by a middlebox without state
 )
 
 var modeNames = [...]string{"pass", "delay", "reset", "hold up", "hold down", "silence"}
