--- a/bench/audit/judge.go
+++ b/bench/audit/judge.go
@@ -35,7 +35,7 @@
 )
 
 // PlainRecord is the record of a plain service's stand-in.
-type Plain struct {
+type PlainRecord struct {
 	Name     string         `json:"name"`
 	Runs     int            `json:"runs"`
 	Keys     map[string]int `json:"keys"`     // runs by Idempotency-Key
@@ -44,7 +44,7 @@
 
 // EngineRecord is the part of an engine stand-in's record that the judge uses.
 // An engine that crashed has one record for each incarnation.
-type Engine struct {
+type EngineRecord struct {
 	Engine      string `json:"engine"`
 	Overlapping int    `json:"overlapping"` // orders that arrived while another was running
 	Stale       int    `json:"stale"`       // orders with a lower fencing number that took effect
@@ -52,8 +52,8 @@
 
 // Records holds the records of all targets of a run.
 type Records struct {
-	Plain   []Plain
-	Engines []Engine
+	Plain   []PlainRecord
+	Engines []EngineRecord
 }
 
 // Row counts the requests of one kind by result, and their faults. The package
@@ -65,7 +65,7 @@
 }
 
 // Passed reports whether the requests show no fault.
-func (r Row) Good() bool { return r.Lost+r.Doubled+r.Crossed+r.Cut+r.Untrue == 0 }
+func (r Row) Passed() bool { return r.Lost+r.Doubled+r.Crossed+r.Cut+r.Untrue == 0 }
 
 // Report is the result of the judgement of a run.
 type Report struct {
@@ -74,13 +74,13 @@
 	CutAttempts int      // attempts that were cut, whether or not they were repeated
 	Conflicting int      // conflicting orders
 	Runs        int      // runs of calls that may run at most once
-	Bad         []string // one line for each fault
+	Findings    []string // one line for each fault
 }
 
 // Passed reports whether the run shows no fault.
-func (r *Report) Good() bool {
+func (r *Report) Passed() bool {
 	for _, row := range r.Rows {
-		if !row.Good() {
+		if !row.Passed() {
 			return false
 		}
 	}
@@ -89,7 +89,7 @@
 
 // Undisturbed reports whether no attempt was cut and no request ended as unknown
 // or failed. Planned changes must meet this in addition to Passed.
-func (r *Report) Untouched() bool {
+func (r *Report) Undisturbed() bool {
 	t := r.total()
 	return r.CutAttempts+t.Unknown+t.Failed == 0
 }
@@ -103,7 +103,7 @@
 	}
 	for _, o := range outcomes {
 		rep.Attempts += o.Attempts
-		rep.CutAttempts += o.Cut
+		rep.CutAttempts += o.CutAttempts
 	}
 	for _, e := range rec.Engines {
 		rep.Conflicting += e.Overlapping + e.Stale
@@ -221,7 +221,7 @@
 			row.Doubled++
 			r.addFinding("doubled tokens: %s", o.describe())
 		}
-		if o.Whole && o.truncated() || o.Faults.Lost > 0 {
+		if o.Complete && o.truncated() || o.Faults.Lost > 0 {
 			row.Cut++
 			r.addFinding("short: %s", o.describe())
 		}
@@ -250,17 +250,17 @@
 }
 
 func (r *Report) addFinding(format string, args ...any) {
-	r.Bad = append(r.Bad, fmt.Sprintf(format, args...))
+	r.Findings = append(r.Findings, fmt.Sprintf(format, args...))
 }
 
 // describe returns one line for a finding about the request.
 func (o *Outcome) describe() string {
 	return fmt.Sprintf("%s %s %s at %d ms, took %d of %d ms, code %d, status %d, %d attempts, last %s, %d of %d tokens: %s",
-		o.Kind, o.ID, o.Key, o.StartMs, o.TookMs, o.DeadlineMs, o.Code, o.Status, o.Attempts, o.Addr, o.Tokens, o.Asked, o.Error)
+		o.Kind, o.ID, o.Key, o.StartMs, o.TookMs, o.DeadlineMs, o.Code, o.Status, o.Attempts, o.Addr, o.Tokens, o.RequestedTokens, o.Error)
 }
 
 // WriteTable writes the report as a table.
-func (r *Report) Table(out io.Writer) error {
+func (r *Report) WriteTable(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "\tSENT\tANSWERED\tREFUSED, NOT RUN\tUNKNOWN\tFAILED, TOLD SO\tLOST\tDOUBLED\tCROSSED\tCUT\tUNTRUE\t")
 	for _, v := range append(r.Rows, r.total()) {
--- a/bench/audit/judge_test.go
+++ b/bench/audit/judge_test.go
@@ -10,7 +10,7 @@
 const deadline = 20000
 
 func stream(o Outcome) Outcome {
-	o.Kind, o.ID, o.Asked, o.DeadlineMs = KindStream, "s", 9, deadline
+	o.Kind, o.ID, o.RequestedTokens, o.DeadlineMs = KindStream, "s", 9, deadline
 	return o
 }
 
@@ -22,7 +22,7 @@
 // TestJudge guards against a judge that misses a fault or reports one where
 // there is none. Each kind of fault must make the judgement fail.
 func TestJudge(t *testing.T) {
-	whole := Outcome{Whole: true, Tokens: 9, Status: 200, OwnBody: true}
+	whole := Outcome{Complete: true, Tokens: 9, Status: 200, BodyMatches: true}
 	refused := Outcome{NotRun: true, Code: code.Draining, Status: 503}
 	unknown := Outcome{Code: code.OutcomeUnknown, Status: 502}
 	with := func(o Outcome, f func(*Outcome)) Outcome { f(&o); return o }
@@ -47,10 +47,10 @@
 
 		{"board", []Outcome{plain(KindFeed, whole)}, 1, Row{Answered: 1}},
 		{"board, run again after a fault", []Outcome{plain(KindFeed, whole)}, 2, Row{Answered: 1}},
-		{"board of another", []Outcome{plain(KindFeed, with(whole, func(o *Outcome) { o.OwnBody = false }))}, 1, Row{Answered: 1, Crossed: 1}},
-		{"board, the target's own error", []Outcome{plain(KindFeed, Outcome{Whole: true, Status: 503})}, 0, Row{Failed: 1}},
-		{"board of another, well answered", []Outcome{plain(KindFeed, Outcome{Whole: true, Status: 404})}, 1, Row{Answered: 1, Crossed: 1}},
-		{"ticket, the target's own error, ran twice", []Outcome{plain(KindOnce, Outcome{Whole: true, Status: 500})}, 2, Row{Failed: 1, Doubled: 1}},
+		{"board of another", []Outcome{plain(KindFeed, with(whole, func(o *Outcome) { o.BodyMatches = false }))}, 1, Row{Answered: 1, Crossed: 1}},
+		{"board, the target's own error", []Outcome{plain(KindFeed, Outcome{Complete: true, Status: 503})}, 0, Row{Failed: 1}},
+		{"board of another, well answered", []Outcome{plain(KindFeed, Outcome{Complete: true, Status: 404})}, 1, Row{Answered: 1, Crossed: 1}},
+		{"ticket, the target's own error, ran twice", []Outcome{plain(KindOnce, Outcome{Complete: true, Status: 500})}, 2, Row{Failed: 1, Doubled: 1}},
 		{"board from nowhere", []Outcome{plain(KindFeed, whole)}, 0, Row{Answered: 1, Lost: 1}},
 		{"board said not run, but ran", []Outcome{plain(KindFeed, refused)}, 1, Row{NotRun: 1, Untrue: 1}},
 
@@ -67,33 +67,33 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			kind := c.outcomes[0].Kind
-			p := Plain{Keys: map[string]int{"k": c.runs}}
+			p := PlainRecord{Keys: map[string]int{"k": c.runs}}
 			if kind == KindFeed {
-				p = Plain{Requests: map[string]int{"r.1": c.runs}}
+				p = PlainRecord{Requests: map[string]int{"r.1": c.runs}}
 			}
-			rep := Judge(c.outcomes, Records{Plain: []Plain{p}})
+			rep := Judge(c.outcomes, Records{Plain: []PlainRecord{p}})
 			c.want.Kind, c.want.Sent = kind, 1
 			for _, row := range rep.Rows {
 				if row.Kind == kind && row != c.want {
 					t.Errorf("got  %+v\nwant %+v", row, c.want)
 				}
 			}
-			if rep.Good() != c.want.Good() {
-				t.Errorf("good: %t", rep.Good())
+			if rep.Passed() != c.want.Passed() {
+				t.Errorf("good: %t", rep.Passed())
 			}
 		})
 	}
 }
 
 func TestConflictingOrdersAndCuts(t *testing.T) {
-	for _, e := range []Engine{{Overlapping: 1}, {Stale: 1}} {
-		if Judge(nil, Records{Engines: []Engine{{}, e}}).Good() {
+	for _, e := range []EngineRecord{{Overlapping: 1}, {Stale: 1}} {
+		if Judge(nil, Records{Engines: []EngineRecord{{}, e}}).Passed() {
 			t.Errorf("%+v passes", e)
 		}
 	}
-	repeated := stream(Outcome{Whole: true, Tokens: 9, Attempts: 2, Cut: 1, Faults: caller.Faults{}})
+	repeated := stream(Outcome{Complete: true, Tokens: 9, Attempts: 2, CutAttempts: 1, Faults: caller.Faults{}})
 	rep := Judge([]Outcome{repeated}, Records{})
-	if !rep.Good() || rep.Untouched() {
+	if !rep.Passed() || rep.Undisturbed() {
 		t.Error("an answer that was cut once and repeated must pass under faults only")
 	}
 }
--- a/bench/audit/outcome.go
+++ b/bench/audit/outcome.go
@@ -24,25 +24,25 @@
 // Outcome is the result of one send of a request as its caller observed it. A
 // request that was sent again under the same key has several.
 type Outcome struct {
-	Kind       Kind          `json:"kind"`
-	ID         string        `json:"id"`
-	Key        string        `json:"key,omitempty"`
-	Resend     bool          `json:"resend,omitempty"`
-	Code       code.Code     `json:"code"`
-	Error      string        `json:"error,omitempty"`
-	Status     int           `json:"status"` // HTTP status, 0 if no daemon answered
-	NotRun     bool          `json:"not_run"`
-	Whole      bool          `json:"whole"`
-	Asked      int           `json:"asked,omitempty"` // requested tokens
-	Tokens     int           `json:"tokens,omitempty"`
-	OwnBody    bool          `json:"own_body,omitempty"` // the body of a plain answer belongs to this request
-	Attempts   int           `json:"attempts"`
-	Cut        int           `json:"cut"` // attempts whose stream was cut
-	Faults     caller.Faults `json:"faults"`
-	Addr       string        `json:"addr"`
-	StartMs    int64         `json:"start_ms"` // since the start of the load
-	TookMs     int64         `json:"took_ms"`
-	DeadlineMs int64         `json:"deadline_ms"`
+	Kind            Kind          `json:"kind"`
+	ID              string        `json:"id"`
+	Key             string        `json:"key,omitempty"`
+	Resend          bool          `json:"resend,omitempty"`
+	Code            code.Code     `json:"code"`
+	Error           string        `json:"error,omitempty"`
+	Status          int           `json:"status"` // HTTP status, 0 if no daemon answered
+	NotRun          bool          `json:"not_run"`
+	Complete        bool          `json:"whole"`
+	RequestedTokens int           `json:"asked,omitempty"` // requested tokens
+	Tokens          int           `json:"tokens,omitempty"`
+	BodyMatches     bool          `json:"own_body,omitempty"` // the body of a plain answer belongs to this request
+	Attempts        int           `json:"attempts"`
+	CutAttempts     int           `json:"cut"` // attempts whose stream was cut
+	Faults          caller.Faults `json:"faults"`
+	Addr            string        `json:"addr"`
+	StartMs         int64         `json:"start_ms"` // since the start of the load
+	TookMs          int64         `json:"took_ms"`
+	DeadlineMs      int64         `json:"deadline_ms"`
 }
 
 // ReadOutcomes reads outcomes as lines of JSON.
@@ -83,9 +83,9 @@
 // result classifies one send.
 func (o *Outcome) result() result {
 	switch {
-	case o.Whole && o.Status >= http.StatusInternalServerError:
+	case o.Complete && o.Status >= http.StatusInternalServerError:
 		return resultFailed
-	case o.Whole:
+	case o.Complete:
 		return resultAnswered
 	case o.NotRun:
 		return resultNotRun
@@ -115,10 +115,10 @@
 }
 
 // truncated reports whether a complete stream has the wrong number of tokens.
-func (o *Outcome) truncated() bool { return o.Kind == KindStream && o.Tokens != o.Asked }
+func (o *Outcome) truncated() bool { return o.Kind == KindStream && o.Tokens != o.RequestedTokens }
 
 // crossed reports whether anything of another request reached the caller.
 func (o *Outcome) crossed() bool {
 	plain := o.Kind != KindStream
-	return o.Faults.Crossed+o.Faults.Wrong > 0 || plain && o.result() == resultAnswered && !o.OwnBody
+	return o.Faults.Crossed+o.Faults.Wrong > 0 || plain && o.result() == resultAnswered && !o.BodyMatches
 }
--- a/bench/chaos/chaos_test.go
+++ b/bench/chaos/chaos_test.go
@@ -50,7 +50,7 @@
 }
 
 func TestLoadIsFixedByTheSeed(t *testing.T) {
-	o := LoadOptions{Seed: 3, Duration: time.Minute, Rates: Rates{Streams: 10, Feed: 20, Once: 10}, Zones: []string{"a", "b"}, Resend: 0.5}
+	o := LoadOptions{Seed: 3, Duration: time.Minute, Rates: Rates{Streams: 10, Feed: 20, Once: 10}, Zones: []string{"a", "b"}, ResendShare: 0.5}
 	plan := o.plan()
 	if !reflect.DeepEqual(plan, o.plan()) {
 		t.Error("the same seed gives two loads")
--- a/bench/chaos/load.go
+++ b/bench/chaos/load.go
@@ -21,17 +21,17 @@
 
 // LoadOptions configures the load of a run.
 type LoadOptions struct {
-	Callers  []string // addresses of the daemons to which the callers connect first
-	Zones    []string // availability zones of the callers
-	Seed     uint64
-	Duration time.Duration
-	Deadline time.Duration // of each request
-	Rates    Rates
-	Model    string
-	Feed     string  // plain service for idempotent calls
-	Once     string  // plain service and path for calls that may run at most once
-	Short    bool    // short streams and a few very long ones, for runs with many requests
-	Resend   float64 // share of the calls to Once that are sent again although their result is known
+	Daemons      []string // addresses of the daemons to which the callers connect first
+	Zones        []string // availability zones of the callers
+	Seed         uint64
+	Duration     time.Duration
+	Deadline     time.Duration // of each request
+	Rates        Rates
+	Model        string
+	FeedService  string  // plain service for idempotent calls
+	OnceService  string  // plain service and path for calls that may run at most once
+	ShortStreams bool    // short streams and a few very long ones, for runs with many requests
+	ResendShare  float64 // share of the calls to Once that are sent again although their result is known
 }
 
 // Rates holds the number of requests per second of each kind.
@@ -84,7 +84,7 @@
 		case x < o.Rates.Streams+o.Rates.Feed:
 			a.kind = audit.KindFeed
 		default:
-			a.resend = rng.Float64() < o.Resend
+			a.resend = rng.Float64() < o.ResendShare
 		}
 		out = append(out, a)
 	}
@@ -92,9 +92,9 @@
 
 func (o *LoadOptions) tokens(rng *rand.Rand) int {
 	switch {
-	case o.Short && rng.Float64() < longStreamShare:
+	case o.ShortStreams && rng.Float64() < longStreamShare:
 		return minLongTokens + rng.IntN(maxLongTokens-minLongTokens)
-	case o.Short:
+	case o.ShortStreams:
 		return 1 + rng.IntN(maxShortTokens)
 	case rng.Float64() < draftShare:
 		return minDraftTokens + rng.IntN(maxDraftTokens-minDraftTokens)
@@ -117,7 +117,7 @@
 func Load(ctx context.Context, o LoadOptions, out io.Writer) error {
 	l := &load{options: o, start: time.Now(), enc: json.NewEncoder(out)}
 	for i := range max(len(o.Zones), 1) * callersPerZone {
-		opts := caller.Options{Daemons: o.Callers, Attempts: maxAttempts, Seed: o.Seed + uint64(i)}
+		opts := caller.Options{Daemons: o.Daemons, Attempts: maxAttempts, Seed: o.Seed + uint64(i)}
 		if len(o.Zones) > 0 {
 			opts.Zone = o.Zones[i%len(o.Zones)]
 		}
@@ -143,7 +143,7 @@
 	if err := l.write(o); err != nil {
 		return err
 	}
-	unsure := !o.Whole && !o.NotRun
+	unsure := !o.Complete && !o.NotRun
 	if a.kind != audit.KindOnce || !a.resend && !unsure {
 		return nil
 	}
@@ -165,9 +165,9 @@
 	answer, err := l.clients[client].Do(ctx, r)
 	o := &audit.Outcome{
 		Kind: a.kind, ID: r.ID, Key: r.Key, Resend: again,
-		Code: answer.Code, Status: answer.Status, NotRun: answer.NotRun, Whole: answer.Whole,
-		Asked: a.tokens, Tokens: answer.Tokens, OwnBody: bytes.Equal(answer.Body, r.Body),
-		Attempts: answer.Attempts, Cut: answer.Cut, Faults: answer.Faults, Addr: answer.Addr,
+		Code: answer.Code, Status: answer.Status, NotRun: answer.NotRun, Complete: answer.Whole,
+		RequestedTokens: a.tokens, Tokens: answer.Tokens, BodyMatches: bytes.Equal(answer.Body, r.Body),
+		Attempts: answer.Attempts, CutAttempts: answer.Cut, Faults: answer.Faults, Addr: answer.Addr,
 		StartMs: begin.Sub(l.start).Milliseconds(), TookMs: answer.Total.Milliseconds(),
 		DeadlineMs: r.Deadline.Milliseconds(),
 	}
@@ -189,9 +189,9 @@
 		hash := token.Hash(prefix.Prompt([]prefix.Message{{Role: "user", Content: prompt}}))
 		r.Verify = func(i int, text string) bool { return text == token.At(hash, i) }
 	case audit.KindFeed:
-		r = caller.Request{Path: "/s/" + l.options.Feed, Body: fmt.Appendf(nil, `{"board":%q}`, name), Idempotent: true}
+		r = caller.Request{Path: "/s/" + l.options.FeedService, Body: fmt.Appendf(nil, `{"board":%q}`, name), Idempotent: true}
 	case audit.KindOnce:
-		r = caller.Request{Path: "/s/" + l.options.Once, Body: fmt.Appendf(nil, `{"ticket":%q}`, name), Key: "key-" + name}
+		r = caller.Request{Path: "/s/" + l.options.OnceService, Body: fmt.Appendf(nil, `{"ticket":%q}`, name), Key: "key-" + name}
 	}
 	r.ID = string(a.kind) + "-" + name
 	r.Deadline = l.options.Deadline
--- a/bench/policy/summary.go
+++ b/bench/policy/summary.go
@@ -81,7 +81,7 @@
 	s.FinishRatio /= n
 	s.Share = s.Goodput / s.Bound
 	if s.Changes > 0 {
-		s.LostEach = s.lostWork / float64(s.Changes)
+		s.LostPerChange = s.lostWork / float64(s.Changes)
 	}
 }
 
--- a/cmd/pomelosbench/chaos.go
+++ b/cmd/pomelosbench/chaos.go
@@ -83,17 +83,17 @@
 		return err
 	}
 	err = chaos.Load(ctx, chaos.LoadOptions{
-		Callers:  strings.Split(c.Callers, ","),
-		Zones:    strings.Split(c.Zones, ","),
-		Seed:     c.Seed,
-		Duration: c.Duration,
-		Deadline: c.Deadline,
-		Rates:    chaos.Rates{Streams: c.Streams, Feed: c.FeedRate, Once: c.OnceRate},
-		Model:    c.Model,
-		Feed:     c.Feed,
-		Once:     c.Once,
-		Short:    c.Short,
-		Resend:   c.Resend,
+		Daemons:      strings.Split(c.Callers, ","),
+		Zones:        strings.Split(c.Zones, ","),
+		Seed:         c.Seed,
+		Duration:     c.Duration,
+		Deadline:     c.Deadline,
+		Rates:        chaos.Rates{Streams: c.Streams, Feed: c.FeedRate, Once: c.OnceRate},
+		Model:        c.Model,
+		FeedService:  c.Feed,
+		OnceService:  c.Once,
+		ShortStreams: c.Short,
+		ResendShare:  c.Resend,
 	}, f)
 	return errors.Join(err, f.Close())
 }
@@ -120,13 +120,13 @@
 		return err
 	}
 	rep := audit.Judge(outcomes, records)
-	for _, line := range rep.Bad[:min(len(rep.Bad), maxReportedFaults)] {
+	for _, line := range rep.Findings[:min(len(rep.Findings), maxReportedFaults)] {
 		fmt.Println(line)
 	}
-	if err := rep.Table(os.Stdout); err != nil {
+	if err := rep.WriteTable(os.Stdout); err != nil {
 		return err
 	}
-	if !rep.Good() || c.Planned && !rep.Untouched() {
+	if !rep.Passed() || c.Planned && !rep.Undisturbed() {
 		return errFaultyRun
 	}
 	return nil
@@ -134,11 +134,11 @@
 
 func (c *judgeCommand) records() (audit.Records, error) {
 	var rec audit.Records
-	plain, err := readAll[audit.Plain](filepath.Join(c.Records, "plain-*.json"))
+	plain, err := readAll[audit.PlainRecord](filepath.Join(c.Records, "plain-*.json"))
 	if err != nil {
 		return rec, err
 	}
-	engines, err := readAll[audit.Engine](filepath.Join(c.Records, "engine-*.json"))
+	engines, err := readAll[audit.EngineRecord](filepath.Join(c.Records, "engine-*.json"))
 	rec.Plain, rec.Engines = plain, engines
 	return rec, err
 }
