--- a/bench/chaos/load.go
+++ b/bench/chaos/load.go
@@ -31,7 +31,7 @@
 	FeedService  string  // plain service for idempotent calls
 	OnceService  string  // plain service and path for calls that may run at most once
 	ShortStreams bool    // short streams and a few very long ones, for runs with many requests
-	ResendShare  float64 // share of the calls to Once that are sent again although their result is known
+	ResendShare  float64 // share of the calls to OnceService that are sent again although their result is known
 }
 
 // Rates holds the number of requests per second of each kind.
