--- a/bench/soak/site_test.go
+++ b/bench/soak/site_test.go
@@ -212,14 +212,14 @@
 	defer w.mu.Unlock()
 	for _, p := range w.spots {
 		for _, t := range p.all {
-			for _, a := range t.Arrivals() {
+			for _, a := range t.ReceivedRequests() {
 				if a.Key != "" || a.Organisation != organisation {
 					w.judge.Fault("target %s saw a request of organisation %q with key %q", t.ID, a.Organisation, a.Key)
 				}
 			}
 		}
 	}
-	for _, broken := range w.cloud.Broken() {
+	for _, broken := range w.cloud.Violations() {
 		w.judge.Fault("cloud: %s", broken)
 	}
 }
@@ -259,12 +259,12 @@
 func (w *site) load(seed uint64, callers int) *Load {
 	l := &Load{Seed: seed, Callers: callers, Judge: w.judge, Wire: Wire{
 		Headers:   callerHeaders,
-		Addresses: standin.AskAddresses,
-		NotRun:    standin.SaysNotRun,
+		Addresses: standin.QueryAddresses,
+		NotRun:    standin.ReportsNotRun,
 		Paths:     [...]string{"/p/x", "/i/x", "/s/x"},
 		Host:      standin.Host,
 		Answer:    standin.Answer,
-		Events:    standin.Events(events),
+		Events:    standin.EventStream(events),
 	}}
 	for i := range w.procs {
 		l.Daemons = append(l.Daemons, Daemon{Callers: w.ip(i) + ":17000", Addresses: w.ip(i) + ":17002"})
@@ -296,7 +296,7 @@
 		id := fmt.Sprintf("end-%d-%d-%d", i, class, try)
 		want, prompt := standin.Answer(id), ""
 		if Class(class) == Stream {
-			want, prompt = standin.Events(events), "aa:800,bb:660"
+			want, prompt = standin.EventStream(events), "aa:800,bb:660"
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.ip(i)+":17000"+path, http.NoBody)
--- a/bench/soak/soak_test.go
+++ b/bench/soak/soak_test.go
@@ -191,7 +191,7 @@
 const failReset = 2
 
 func (w *site) failStore(how int, over func()) {
-	modes := [variants]standin.Mode{standin.Busy, standin.Many, failReset: standin.Reset, standin.Silent, standin.Slow, standin.Late}
+	modes := [variants]standin.Mode{standin.Unavailable, standin.RateLimited, failReset: standin.Reset, standin.Hang, standin.Slow, standin.LateEffect}
 	w.store.SetMode(modes[how])
 	w.cloud.SetMode(modes[variants-1-how])
 	over()
@@ -220,15 +220,15 @@
 			case spoilFail:
 				b.Fail = on
 			case spoilMute:
-				b.Mute = on
+				b.NoAnswer = on
 			case spoilGarble:
-				b.Garble = on
+				b.Unsigned = on
 			case spoilExtra:
-				b.Extra, b.LateOrders = on, on
+				b.RepeatPrevious, b.LoseOrderAnswers = on, on
 			case spoilCut:
-				b.Cut = 0
+				b.CutAfter = 0
 				if on {
-					b.Cut = events / 2
+					b.CutAfter = events / 2
 				}
 			}
 		})
--- a/code/code.go
+++ b/code/code.go
@@ -44,8 +44,8 @@
 	return &Error{Code: c, Detail: fmt.Sprintf(format, args...), Err: err}
 }
 
-// After sets when the caller should come back and returns the error.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter sets when the caller should come back and returns the error.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
 }
--- a/operator/caller/send.go
+++ b/operator/caller/send.go
@@ -256,7 +256,7 @@
 
 func (t *try) wire(w wireError) error {
 	t.a.RetryAfter = time.Duration(w.Error.RetryAfterMs) * time.Millisecond
-	return code.New(w.Error.Code, "%s", w.Error.Message).After(t.a.RetryAfter)
+	return code.New(w.Error.Code, "%s", w.Error.Message).WithRetryAfter(t.a.RetryAfter)
 }
 
 // step says what to do after a failed attempt.
--- a/process/daemon/control.go
+++ b/process/daemon/control.go
@@ -167,12 +167,12 @@
 func (d *Daemon) Admit() error {
 	switch d.phase() {
 	case phaseStarting:
-		return code.Wrap(code.NoConfiguration, errNoConfiguration, "").After(time.Second)
+		return code.Wrap(code.NoConfiguration, errNoConfiguration, "").WithRetryAfter(time.Second)
 	case phaseDraining:
-		return code.New(code.Draining, "").After(time.Second)
+		return code.New(code.Draining, "").WithRetryAfter(time.Second)
 	}
 	if d.isolated() {
-		return code.New(code.Isolated, "neither the log nor enough peers for %v", d.s.Control.Isolation).After(d.s.Control.Isolation)
+		return code.New(code.Isolated, "neither the log nor enough peers for %v", d.s.Control.Isolation).WithRetryAfter(d.s.Control.Isolation)
 	}
 	return nil
 }
--- a/process/discovery/registry.go
+++ b/process/discovery/registry.go
@@ -123,7 +123,7 @@
 	if err != nil || !present {
 		return false
 	}
-	old.Cold, e.Cold = 0, 0
+	old.WarmupLeft, e.WarmupLeft = 0, 0
 	return old == e
 }
 
@@ -201,11 +201,11 @@
 		r.removeOrKeep(rec.Key)
 		return
 	}
-	if e.Born < r.lastStart[rec.Key] {
+	if e.StartMs < r.lastStart[rec.Key] {
 		log.WithFields(log.Fields{"target": e.ID, "offset": rec.Offset}).Info("discovery: entry of an earlier start ignored")
 		return
 	}
-	r.lastStart[rec.Key] = e.Born
+	r.lastStart[rec.Key] = e.StartMs
 	old, known := r.entries[rec.Key]
 	if known && (old.ID != e.ID || old.Service != e.Service) {
 		r.remove(rec.Key, old)
--- a/process/discovery/registry_test.go
+++ b/process/discovery/registry_test.go
@@ -142,7 +142,7 @@
 func TestRestartUnderTheSameName(t *testing.T) {
 	decode := func(rec port.KeyedRecord) (port.TargetEntry, bool, error) {
 		born := int64(len(rec.Value))
-		return port.TargetEntry{ID: fmt.Sprint(rec.Key, born), Born: born, Service: "s"}, rec.Value != nil, nil
+		return port.TargetEntry{ID: fmt.Sprint(rec.Key, born), StartMs: born, Service: "s"}, rec.Value != nil, nil
 	}
 	r := New(Options{Decode: decode})
 	r.Reset([]port.KeyedRecord{rec(1, "a", "x"), rec(2, "b", "x")}, 3)
--- a/process/front/duties_test.go
+++ b/process/front/duties_test.go
@@ -40,14 +40,14 @@
 		for _, counts := range cloud.Usage() {
 			total += counts["o1"]
 		}
-		return total == 2*n && len(cloud.Scaled()) > 0
+		return total == 2*n && len(cloud.ScaleOrders()) > 0
 	})
-	for _, order := range cloud.Scaled() {
+	for _, order := range cloud.ScaleOrders() {
 		if order.Service != "llm" {
 			t.Errorf("ordered %+v", order)
 		}
 	}
-	if broken := cloud.Broken(); len(broken) > 0 {
+	if broken := cloud.Violations(); len(broken) > 0 {
 		t.Error(broken)
 	}
 }
--- a/process/front/front.go
+++ b/process/front/front.go
@@ -218,7 +218,7 @@
 		Now:     time.Now,
 	})
 	runner := dispatch.New(dispatch.Options{
-		Wire:    platform.Wire{},
+		Wire:    platform.TargetProtocol{},
 		Pool:    d.pool,
 		Targets: directory{d.registry},
 		Engines: d.engines,
@@ -232,7 +232,7 @@
 		Self:    d.s.VM,
 	})
 	d.metrics = newMetrics(d)
-	d.ingress = ingress.New(ingress.Options{Config: d.config, Wire: platform.Wire{}, Runner: runner, Observe: d.observe,
+	d.ingress = ingress.New(ingress.Options{Config: d.config, Wire: platform.TargetProtocol{}, Runner: runner, Observe: d.observe,
 		TargetsAge: func() (time.Duration, bool) { return d.caches[port.TopicTargets].Age() },
 		ConfigAge:  func() (time.Duration, bool) { return d.caches[port.TopicConfig].Age() }, MaxConfigAge: d.s.Bounds.ApplyConfig, Started: d.countUsage})
 	d.planner = roles.New(roles.Options{
--- a/process/front/front_test.go
+++ b/process/front/front_test.go
@@ -158,7 +158,7 @@
 	if status, body := s.post(d, "/s/x", "r2", "aa:10"); status != 200 || !strings.HasSuffix(body, "data: piece 3\n\n") {
 		t.Errorf("stream: %d %q", status, body)
 	}
-	if n := len(s.prefill.Arrivals()); n != 1 {
+	if n := len(s.prefill.ReceivedRequests()); n != 1 {
 		t.Errorf("%d prefills", n)
 	}
 	s.store.Configure(2, "/q/")
@@ -177,7 +177,7 @@
 // must answer callers with 503, not 404 as for an unknown route.
 func TestStartWhileStoreIsUnavailable(t *testing.T) {
 	s := newTestPlatform(t)
-	s.store.SetMode(standin.Busy)
+	s.store.SetMode(standin.Unavailable)
 	parsed, _ := settings.Parse("test", []byte(strings.ReplaceAll(settingsText, "STORE", s.addr)))
 	d, err := New(parsed)
 	if err != nil {
@@ -206,7 +206,7 @@
 	s.waitFor(func() bool { return len(again.roster.ReadyPeers()) == 1 })
 	text = strings.Replace(text, `peers: "127.0.0.1:0"`, `peers: "`+again.addr("peers")+`"`, 1)
 	again.close()
-	s.store.SetMode(standin.Busy)
+	s.store.SetMode(standin.Unavailable)
 	d := s.launch(text)
 	s.waitFor(func() bool { status, _ := s.post(d, "/p/x", "r1", ""); return status == 200 })
 	if !d.storeLost.Load() {
--- a/process/front/warm.go
+++ b/process/front/warm.go
@@ -60,7 +60,7 @@
 	if pause.For(ctx, rand.N(queryJitter)) != nil {
 		return
 	}
-	parts, err := d.control.Kept(ctx, e.Addr, e.ID)
+	parts, err := d.control.CachedParts(ctx, e.Addr, e.ID)
 	if err != nil {
 		log.WithError(err).WithField("target", e.ID).Info("front: failed to list the prefix cache of an engine")
 		return
--- a/process/roles/planner.go
+++ b/process/roles/planner.go
@@ -386,7 +386,7 @@
 	}
 	return p.o.Control.Order(ctx, port.RoleOrder{
 		Target: e.ID, Addr: e.Addr, Role: role,
-		Holder: p.o.Self, Fence: held.Fence, Accepted: report.Accepted,
+		Holder: p.o.Self, Fence: held.Fence, AcceptedOrders: report.AcceptedOrders,
 	})
 }
 
--- a/request/admission/admission.go
+++ b/request/admission/admission.go
@@ -67,16 +67,16 @@
 		return nil, deadlineError(a)
 	}
 	if wait, late := missesFirstToken(a); late {
-		return nil, code.New(code.Overloaded, "the first token would take about %v", a.Decision.TimeToFirstToken.Round(time.Millisecond)).After(wait)
+		return nil, code.New(code.Overloaded, "the first token would take about %v", a.Decision.TimeToFirstToken.Round(time.Millisecond)).WithRetryAfter(wait)
 	}
 	full := s.fullness(a)
 	if over := full.excessOver(a.Priority); over >= 0 {
 		return nil, code.New(code.Overloaded, "%.0f%% of the room is taken", full.share*100).
-			After(s.retryAfter(over, slotCount(a.Targets)))
+			WithRetryAfter(s.retryAfter(over, slotCount(a.Targets)))
 	}
 	if over := full.excess - 1; over >= 0 && a.Priority <= 0 && s.overShare(a, 1/full.excess, c.now()) {
 		return nil, code.New(code.OrgOverShare, "organisation %.80q", a.Org).
-			After(s.retryAfter(over, slotCount(a.Targets)))
+			WithRetryAfter(s.retryAfter(over, slotCount(a.Targets)))
 	}
 	return c.track(s, a), nil
 }
@@ -88,7 +88,7 @@
 	defer c.mu.Unlock()
 	s := c.service(doc.Service)
 	return code.New(code.Overloaded, "every target is full").
-		After(s.retryAfter(0, slotCount(targets)))
+		WithRetryAfter(s.retryAfter(0, slotCount(targets)))
 }
 
 func (c *Controller) track(s *service, a Request) func() {
@@ -133,7 +133,7 @@
 		return code.New(code.DeadlineTooShort, "an idle target needs about %v", idle.Round(time.Millisecond))
 	}
 	wait := clamp(a.Decision.TimeToCompletion - a.TimeLeft)
-	return code.New(code.Overloaded, "the answer would take about %v", a.Decision.TimeToCompletion.Round(time.Millisecond)).After(wait)
+	return code.New(code.Overloaded, "the answer would take about %v", a.Decision.TimeToCompletion.Round(time.Millisecond)).WithRetryAfter(wait)
 }
 
 // firstTokenMargin is the fraction of the first-token objective that the
--- a/request/answer/answer_test.go
+++ b/request/answer/answer_test.go
@@ -20,7 +20,7 @@
 		err           error
 		notRun, retry string
 	}{
-		{"refused", code.New(code.Overloaded, "full").After(1100 * time.Millisecond), "true", "2"},
+		{"refused", code.New(code.Overloaded, "full").WithRetryAfter(1100 * time.Millisecond), "true", "2"},
 		{"may have run", code.Wrap(code.TargetFailed, secret, "after 1 sends"), "", ""},
 		{"no coded error", secret, "", ""},
 	}
--- a/request/attempt/choose.go
+++ b/request/attempt/choose.go
@@ -68,7 +68,7 @@
 	}
 	var ce *code.Error
 	if errors.As(err, &ce) && ce.Code == code.Overloaded {
-		return code.Wrap(code.CrashSuspect, err, "").After(retryAfter)
+		return code.Wrap(code.CrashSuspect, err, "").WithRetryAfter(retryAfter)
 	}
 	return err
 }
--- a/request/attempt/place.go
+++ b/request/attempt/place.go
@@ -25,7 +25,7 @@
 	for {
 		t, d, err := u.choose()
 		if err != nil && len(u.claimedElsewhere) > 0 {
-			err = code.Wrap(code.CrashSuspect, err, "other suspect content runs at %d targets", len(u.claimedElsewhere)).After(retryAfter)
+			err = code.Wrap(code.CrashSuspect, err, "other suspect content runs at %d targets", len(u.claimedElsewhere)).WithRetryAfter(retryAfter)
 		}
 		if err != nil {
 			return placement{}, err
--- a/request/attempt/run.go
+++ b/request/attempt/run.go
@@ -168,7 +168,7 @@
 		if !u.result.Written {
 			return u.finalError(f)
 		}
-		return code.Wrap(code.RetryBudgetSpent, f, "after %d attempts", u.result.Attempts).After(retryAfter)
+		return code.Wrap(code.RetryBudgetSpent, f, "after %d attempts", u.result.Attempts).WithRetryAfter(retryAfter)
 	}
 	return nil
 }
@@ -183,7 +183,7 @@
 	}
 	e := code.Wrap(c, f, "after %d attempts", u.result.Attempts)
 	if c.Info().NotRun {
-		e.After(retryAfter)
+		e.WithRetryAfter(retryAfter)
 	}
 	return e
 }
@@ -209,10 +209,10 @@
 	u.suspect = u.route.Exclusive || standing == quarantine.SuspectShared
 	switch standing {
 	case quarantine.Convicted:
-		return code.New(code.CrashConvicted, "").After(left)
+		return code.New(code.CrashConvicted, "").WithRetryAfter(left)
 	case quarantine.Suspect, quarantine.SuspectShared:
 		if !u.claim(ctx) {
-			return code.New(code.CrashSuspect, "another run of the content goes on").After(retryAfter)
+			return code.New(code.CrashSuspect, "another run of the content goes on").WithRetryAfter(retryAfter)
 		}
 	}
 	return nil
--- a/request/dispatch/call.go
+++ b/request/dispatch/call.go
@@ -26,7 +26,7 @@
 
 // Call is one request of a caller, read and matched to its route.
 type Call struct {
-	Ask      port.Ask
+	Ask      port.RequestMeta
 	Route    *route.Route
 	Service  *route.Service
 	Version  int64 // of the configuration
@@ -79,7 +79,7 @@
 
 // Options configures a Runner. All fields are required.
 type Options struct {
-	Wire    port.TargetWire
+	Wire    port.TargetProtocol
 	Pool    *h1.Pool
 	Targets Targets
 	Engines *engines.Tracker
--- a/request/dispatch/decode.go
+++ b/request/dispatch/decode.go
@@ -77,7 +77,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), releaseLimit)
 		defer cancel()
-		if err := x.opts.Control.Release(ctx, kv); err != nil {
+		if err := x.opts.Control.ReleaseKV(ctx, kv); err != nil {
 			// The engine releases it by itself after some seconds.
 			log.WithError(err).WithField("addr", kv.Addr).Debug("dispatch: failed to release KV cache")
 		}
@@ -95,7 +95,7 @@
 	done := x.opts.Engines.Decode(to.ID, x.call.Service.Engine.KVTokens, p.parts, predicted)
 	defer done()
 	start := time.Now()
-	s := outgoing{target: to, state: port.Send{Priority: p.priority, KV: from.kv, LastEvent: x.lastID}}
+	s := outgoing{target: to, state: port.DispatchMeta{Priority: p.priority, KV: from.kv, LastEventID: x.lastID}}
 	resp, v, f := x.send(ctx, s)
 	if f != nil {
 		return f
@@ -122,15 +122,15 @@
 	m := &paceMeter{exec: x, target: to.ID, resumed: x.lastID != ""}
 	f = x.relay(ctx, to.ID, resp, v, out, streamHooks{first: first, batch: m.addEvents})
 	m.finish(f == nil)
-	if f == nil && x.call.Ask.Output > 0 {
-		x.opts.Speed.ObserveStream(x.call.Service.Name, x.call.Ask.Output, time.Since(firstAt), time.Since(start), x.mostUrgent())
+	if f == nil && x.call.Ask.MaxOutputTokens > 0 {
+		x.opts.Speed.ObserveStream(x.call.Service.Name, x.call.Ask.MaxOutputTokens, time.Since(firstAt), time.Since(start), x.mostUrgent())
 	}
 	return f
 }
 
 // relayNonStream handles an answer that isn't a stream: a rejection, a
 // failure, or an answer of the target itself, which is relayed.
-func (x *execution) relayNonStream(ctx context.Context, target string, resp *h1.Response, v port.Verdict, out Stream) *sendFailure {
+func (x *execution) relayNonStream(ctx context.Context, target string, resp *h1.Response, v port.ResponseMeta, out Stream) *sendFailure {
 	a, f := x.readAnswer(ctx, target, resp, v)
 	if f != nil {
 		return f
--- a/request/dispatch/engine.go
+++ b/request/dispatch/engine.go
@@ -84,8 +84,8 @@
 }
 
 func (x *execution) prompt() prompt {
-	p := prompt{parts: x.call.Ask.Parts}
-	p.Tokens = x.call.Ask.Prompt
+	p := prompt{parts: x.call.Ask.PromptParts}
+	p.Tokens = x.call.Ask.PromptTokens
 	p.Zone = x.opts.Zone
 	p.Objective = x.call.Route.Objective
 	p.RandomSeed = rand.Uint64()
@@ -106,11 +106,11 @@
 // time.
 func (x *execution) admit(ctx context.Context) (prompt, error) {
 	p := x.prompt()
-	x.answerLength(x.call.Route.Name).addCall(x.call.Ask.Hint, x.call.Ask.Output, time.Until(x.call.Deadline))
+	x.answerLength(x.call.Route.Name).addCall(x.call.Ask.OutputHint, x.call.Ask.MaxOutputTokens, time.Until(x.call.Deadline))
 	f := x.opts.Speed.Estimates(x.call.Service.Name)
 	ch := x.choosePrefill(ctx, p, f)
 	x.admitted = &ch
-	x.trace.PredictedDuration = f.StreamDuration(x.call.Ask.Output)
+	x.trace.PredictedDuration = f.StreamDuration(x.call.Ask.MaxOutputTokens)
 	err := x.checkObjective(&p, f, ch)
 	x.recordDemand(p, f, ch, err != nil)
 	return p, err
@@ -150,7 +150,7 @@
 // at these decoding engines.
 func (x *execution) overloaded(decoders []placement.Candidate, late time.Duration, format string, args ...any) error {
 	after := max(late, x.jitteredDelay())
-	return code.New(code.Overloaded, format, args...).After(x.capRetryDelay(after, decoders))
+	return code.New(code.Overloaded, format, args...).WithRetryAfter(x.capRetryDelay(after, decoders))
 }
 
 // A rejected caller waits a random fraction between these two of its remaining
@@ -169,7 +169,7 @@
 // jitteredDelay returns the least delay after which a rejected caller is
 // asked to retry.
 func (x *execution) jitteredDelay() time.Duration {
-	part := minRetryShare + (maxRetryShare-minRetryShare)*hashFraction(x.call.Ask.ID, "come back")
+	part := minRetryShare + (maxRetryShare-minRetryShare)*hashFraction(x.call.Ask.RequestID, "come back")
 	return min(max(time.Duration(part*float64(time.Until(x.call.Deadline))), minRetryDelay), maxJitteredDelay)
 }
 
@@ -182,7 +182,7 @@
 // the served load.
 func (x *execution) recordDemand(p prompt, f speed.Estimates, ch prefillChoice, rejected bool) {
 	o := demand.Request{
-		Prefill: ch.PrefillTime, StreamDuration: f.StreamDuration(x.call.Ask.Output), Transfer: x.transferTime(p, ch),
+		Prefill: ch.PrefillTime, StreamDuration: f.StreamDuration(x.call.Ask.MaxOutputTokens), Transfer: x.transferTime(p, ch),
 		Objective: x.call.Route.Objective, Priority: x.call.Priority,
 	}
 	if ch.Index < 0 {
@@ -226,12 +226,12 @@
 		}
 	}
 	switch {
-	case free > 0, doubtful > 0 && hashFraction(x.call.Ask.ID, "") < probeShare:
+	case free > 0, doubtful > 0 && hashFraction(x.call.Ask.RequestID, "") < probeShare:
 		return minWait, nil
 	case full > 0:
 		return 0, x.overloaded(cands, minWait, "%d of %d decoding engines are full", full, len(cands))
 	}
-	return 0, code.New(code.NoTarget, "none of %d decoding engines takes requests", len(cands)).After(x.call.Service.Engine.SwitchTime)
+	return 0, code.New(code.NoTarget, "none of %d decoding engines takes requests", len(cands)).WithRetryAfter(x.call.Service.Engine.SwitchTime)
 }
 
 // mostUrgent reports whether no call of the service has a higher priority.
--- a/request/dispatch/engine_test.go
+++ b/request/dispatch/engine_test.go
@@ -30,10 +30,10 @@
 		if err != nil || out.status != 200 || out.text != eventText(1, 3) {
 			t.Fatalf("status %d, text %q, %v", out.status, out.text, err)
 		}
-		if a := p.Arrivals(); len(a) != 1 || !a[0].Prefill || a[0].KV != "" || len(p.Ran()) != 0 {
+		if a := p.ReceivedRequests(); len(a) != 1 || !a[0].Prefill || a[0].KV != "" || len(p.Ran()) != 0 {
 			t.Errorf("prefill saw %+v", a)
 		}
-		if a := d.Arrivals(); len(a) != 1 || a[0].Prefill || a[0].KV != "llm0/h1" || a[0].Expect != "llm1" {
+		if a := d.ReceivedRequests(); len(a) != 1 || a[0].Prefill || a[0].KV != "llm0/h1" || a[0].ExpectedTarget != "llm1" {
 			t.Errorf("decode saw %+v", a)
 		}
 	})
@@ -43,7 +43,7 @@
 func TestDecoderPrefillsWithoutPrefillEngine(t *testing.T) {
 	withHarness(t, 0, func(t *testing.T, h *harness) {
 		d := h.addTarget("llm", port.RoleDecode)
-		if out, _, err := h.runStream(t.Context(), false); err != nil || out.text != eventText(1, 3) || d.Arrivals()[0].KV != "" {
+		if out, _, err := h.runStream(t.Context(), false); err != nil || out.text != eventText(1, 3) || d.ReceivedRequests()[0].KV != "" {
 			t.Errorf("text %q, %v", out.text, err)
 		}
 	})
@@ -57,7 +57,7 @@
 		h.addTarget("llm", port.RolePrefill)
 		a, b := h.addTarget("llm", port.RoleDecode), h.addTarget("llm", port.RoleDecode)
 		for _, d := range []*standin.Target{a, b} {
-			d.Set(func(b *standin.Behaviour) { b.Cut = 2 })
+			d.Set(func(b *standin.Behaviour) { b.CutAfter = 2 })
 		}
 		out, _, err := h.runStream(t.Context(), false)
 		if code.Of(err) != code.TargetFailed || out.text != eventText(1, 2) || runCount(a, b) != 1 {
@@ -73,7 +73,7 @@
 		h.addTarget("llm", port.RolePrefill)
 		a, b := h.addTarget("llm", port.RoleDecode), h.addTarget("llm", port.RoleDecode)
 		cut := func(on int) func(*standin.Behaviour) {
-			return func(b *standin.Behaviour) { b.Events, b.Cut = 5, on }
+			return func(b *standin.Behaviour) { b.Events, b.CutAfter = 5, on }
 		}
 		a.Set(cut(2))
 		b.Set(cut(2))
@@ -86,7 +86,7 @@
 		}
 		last := ""
 		for _, d := range []*standin.Target{a, b} {
-			for _, arrival := range d.Arrivals() {
+			for _, arrival := range d.ReceivedRequests() {
 				last += arrival.LastEvent
 			}
 		}
@@ -140,8 +140,8 @@
 				t.Fatalf("text %q, %v", out.text, err)
 			}
 		}
-		if len(p.Arrivals()) != 3 {
-			t.Errorf("the prompt was prefilled %d times for 3 calls", len(p.Arrivals()))
+		if len(p.ReceivedRequests()) != 3 {
+			t.Errorf("the prompt was prefilled %d times for 3 calls", len(p.ReceivedRequests()))
 		}
 	})
 }
@@ -160,10 +160,10 @@
 		// The first accepted prefill and the first decode of a call aren't extra
 		// sends; all others are.
 		extra := 0
-		if n := len(p.Arrivals()); n > calls {
+		if n := len(p.ReceivedRequests()); n > calls {
 			extra += n - calls
 		}
-		if n := len(d.Arrivals()); n > calls {
+		if n := len(d.ReceivedRequests()); n > calls {
 			extra += n - calls
 		}
 		if extra > 10 {
@@ -177,8 +177,8 @@
 	withHarness(t, 100, func(t *testing.T, h *harness) {
 		p := h.addTarget("llm", port.RolePrefill)
 		_, _, err := h.runStream(t.Context(), false)
-		if code.Of(err) != code.NoTarget || len(p.Arrivals()) != 0 {
-			t.Errorf("%d prompts prefilled, %v", len(p.Arrivals()), err)
+		if code.Of(err) != code.NoTarget || len(p.ReceivedRequests()) != 0 {
+			t.Errorf("%d prompts prefilled, %v", len(p.ReceivedRequests()), err)
 		}
 	})
 }
@@ -190,15 +190,15 @@
 	withHarness(t, 100, func(t *testing.T, h *harness) {
 		a, b := h.addTarget("llm", port.RolePrefill), h.addTarget("llm", port.RolePrefill)
 		h.addTarget("llm", port.RoleDecode)
-		a.Set(func(b *standin.Behaviour) { b.Mute = true })
+		a.Set(func(b *standin.Behaviour) { b.NoAnswer = true })
 		for range 4 {
 			out, _, err := h.runStream(t.Context(), false)
 			if err != nil || out.text != eventText(1, 3) {
 				t.Fatalf("text %q, %v", out.text, err)
 			}
 		}
-		if len(b.Arrivals()) != 4 {
-			t.Errorf("the healthy engine prefilled %d prompts", len(b.Arrivals()))
+		if len(b.ReceivedRequests()) != 4 {
+			t.Errorf("the healthy engine prefilled %d prompts", len(b.ReceivedRequests()))
 		}
 	})
 }
@@ -215,7 +215,7 @@
 			t.Errorf("%d sends, error %v", trace.Sends, err)
 		}
 		done()
-		if _, _, err := h.runStream(t.Context(), false); err != nil || len(p.Arrivals()) != 1 {
+		if _, _, err := h.runStream(t.Context(), false); err != nil || len(p.ReceivedRequests()) != 1 {
 			t.Errorf("error %v", err)
 		}
 	})
@@ -228,11 +228,11 @@
 		p := h.addTarget("llm", port.RolePrefill)
 		h.addTarget("llm", port.RoleDecode)
 		c := h.newCall(route.Stream, 1, 3*time.Second)
-		c.Ask.Prompt = 60_000
+		c.Ask.PromptTokens = 60_000
 		if _, err := h.runner.Streamed(t.Context(), c, &recorder{}); err != nil {
 			t.Fatal(err)
 		}
-		if got := p.Arrivals()[0].Priority; got != "9" {
+		if got := p.ReceivedRequests()[0].Priority; got != "9" {
 			t.Errorf("priority %q", got)
 		}
 	})
@@ -248,20 +248,20 @@
 		var prefillers []*standin.Target
 		for range 3 {
 			p := h.addTarget("llm", port.RolePrefill)
-			p.Set(func(b *standin.Behaviour) { b.Mute = true })
+			p.Set(func(b *standin.Behaviour) { b.NoAnswer = true })
 			prefillers = append(prefillers, p)
 		}
 		h.addTarget("llm", port.RoleDecode)
 		ctx, cancel := context.WithCancel(t.Context())
 		for i := range 30 {
 			c := h.newCall(route.Stream, 1, 3*time.Second)
-			c.Ask.Prompt = 14_600
-			c.Ask.Parts = []port.PromptPart{{ID: uint64(i), Tokens: 14_600}}
+			c.Ask.PromptTokens = 14_600
+			c.Ask.PromptParts = []port.PromptPart{{ID: uint64(i), Tokens: 14_600}}
 			go func() { _, _ = h.runner.Streamed(ctx, c, &recorder{}) }()
 			synctest.Wait()
 		}
 		for i, p := range prefillers {
-			if n := len(p.Arrivals()); n != 10 {
+			if n := len(p.ReceivedRequests()); n != 10 {
 				t.Errorf("engine %d was given %d of 30 prompts", i, n)
 			}
 		}
@@ -280,8 +280,8 @@
 		time.AfterFunc(300*time.Millisecond, cancel)
 		out, _, err := h.runStream(ctx, false)
 		synctest.Wait()
-		if code.Of(err) != code.CallerGone || out.text != eventText(1, 1) || d.Left() != 1 {
-			t.Errorf("text %q, %d runs stopped, %v", out.text, d.Left(), err)
+		if code.Of(err) != code.CallerGone || out.text != eventText(1, 1) || d.Abandoned() != 1 {
+			t.Errorf("text %q, %d runs stopped, %v", out.text, d.Abandoned(), err)
 		}
 	})
 }
@@ -316,8 +316,8 @@
 		h.runner.opts.Engines.Merge("peer-1", down, nil)
 		h.runner.opts.Engines.Merge("peer-2", down, nil)
 		_, _, err := h.runStream(t.Context(), false)
-		if code.Of(err) != code.NoTarget || len(p.Arrivals()) != 0 {
-			t.Errorf("%d prompts prefilled, %v", len(p.Arrivals()), err)
+		if code.Of(err) != code.NoTarget || len(p.ReceivedRequests()) != 0 {
+			t.Errorf("%d prompts prefilled, %v", len(p.ReceivedRequests()), err)
 		}
 	})
 }
--- a/request/dispatch/failure.go
+++ b/request/dispatch/failure.go
@@ -56,7 +56,7 @@
 	case x.possibleRuns > 0:
 		return code.Wrap(code.TargetFailed, f, "after %d sends", x.trace.Sends)
 	}
-	return code.Wrap(code.NoTarget, f, "after %d sends", x.trace.Sends).After(x.retryDelay(f))
+	return code.Wrap(code.NoTarget, f, "after %d sends", x.trace.Sends).WithRetryAfter(x.retryDelay(f))
 }
 
 // Bounds of the delay after which a caller is asked to retry.
--- a/request/dispatch/pace_test.go
+++ b/request/dispatch/pace_test.go
@@ -53,8 +53,8 @@
 	prefiller.Set(func(b *standin.Behaviour) { b.Gap = time.Millisecond })
 	for range 2 {
 		h.addTarget("llm", port.RoleDecode).Set(func(b *standin.Behaviour) {
-			b.Gap, b.Slowing = paceGap, paceSlowing
-			b.Length = func(id string) int { return lengths[id] }
+			b.Gap, b.GapPerStream = paceGap, paceSlowing
+			b.EventCount = func(id string) int { return lengths[id] }
 		})
 	}
 	for i := range h.entries["llm"] {
@@ -99,12 +99,12 @@
 func (h *harness) pacedCall(p *pacedRequest, end time.Time) *Call {
 	c := h.newCall(route.Stream, 1, time.Until(end))
 	header := standin.CallerHeaders(p.id, time.Until(end), "cc:50,dd:40")
-	ask, err := platform.Wire{}.Ask(header)
+	ask, err := platform.TargetProtocol{}.ParseRequest(header)
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	ask.Prompt, ask.Output, ask.Hint = 90, paceLongest*paceTokens, p.hint
-	c.Ask, c.Header, c.Deadline = ask, platform.Wire{}.Forward(header, false), end
+	ask.PromptTokens, ask.MaxOutputTokens, ask.OutputHint = 90, paceLongest*paceTokens, p.hint
+	c.Ask, c.Header, c.Deadline = ask, platform.TargetProtocol{}.ForwardHeaders(header, false), end
 	c.Service.Engine.Slots = paceSlots
 	c.Priority = 1
 	return c
--- a/request/dispatch/plain.go
+++ b/request/dispatch/plain.go
@@ -43,7 +43,7 @@
 func (x *execution) sendPlain(ctx context.Context, to port.TargetEntry) (*Answer, *sendFailure) {
 	done := x.opts.Engines.Decode(to.ID, 0, nil, 0)
 	defer done()
-	s := outgoing{target: to, state: port.Send{Priority: -1}}
+	s := outgoing{target: to, state: port.DispatchMeta{Priority: -1}}
 	if x.call.Route.Idempotent() && x.possibleRuns+1 < x.call.Route.Attempts {
 		s.headerTimeout = max(silenceFactor*x.call.Route.Objective, minSilence)
 	}
@@ -80,7 +80,7 @@
 	if x.lastFailure != nil {
 		return x.finalError(x.lastFailure)
 	}
-	return code.New(code.NoTarget, "service %q has no target", x.call.Service.Name).After(x.retryDelay(nil))
+	return code.New(code.NoTarget, "service %q has no target", x.call.Service.Name).WithRetryAfter(x.retryDelay(nil))
 }
 
 // The weights of the disadvantages of a target, as fractions of its slots.
@@ -105,7 +105,7 @@
 		if !x.opts.Pool.Warm(e.Addr, e.ID, reuse) {
 			cost += dialWeight
 		}
-		cost += zoneWeight / 2 * hashFraction(x.call.Ask.ID, e.ID)
+		cost += zoneWeight / 2 * hashFraction(x.call.Ask.RequestID, e.ID)
 		if bestCost < 0 || cost < bestCost {
 			best, bestCost = *e.TargetEntry, cost
 		}
@@ -141,7 +141,7 @@
 func (x *execution) streamPlain(ctx context.Context, to port.TargetEntry, out Stream) *sendFailure {
 	done := x.opts.Engines.Decode(to.ID, 0, nil, 0)
 	defer done()
-	resp, v, f := x.send(ctx, outgoing{target: to, state: port.Send{Priority: -1, LastEvent: x.lastID}})
+	resp, v, f := x.send(ctx, outgoing{target: to, state: port.DispatchMeta{Priority: -1, LastEventID: x.lastID}})
 	if f != nil {
 		return f
 	}
--- a/request/dispatch/plain_test.go
+++ b/request/dispatch/plain_test.go
@@ -30,8 +30,8 @@
 }{
 	"refuses":          {func(b *standin.Behaviour) { b.Refuse = true }, false},
 	"fails":            {func(b *standin.Behaviour) { b.Fail = true }, true},
-	"never answers":    {func(b *standin.Behaviour) { b.Mute = true }, true},
-	"answers nonsense": {func(b *standin.Behaviour) { b.Garble = true }, true},
+	"never answers":    {func(b *standin.Behaviour) { b.NoAnswer = true }, true},
+	"answers nonsense": {func(b *standin.Behaviour) { b.Unsigned = true }, true},
 }
 
 // Guards against a request that isn't idempotent running at a second target
@@ -162,13 +162,13 @@
 func TestRouteTimeoutEndsTheCall(t *testing.T) {
 	withHarness(t, 100, func(t *testing.T, h *harness) {
 		a := h.addTarget("app", "")
-		a.Set(func(b *standin.Behaviour) { b.Mute = true })
+		a.Set(func(b *standin.Behaviour) { b.NoAnswer = true })
 		start := time.Now()
 		_, _, err := h.runner.Plain(t.Context(), h.newCall(route.Unsafe, 1, 700*time.Millisecond))
 		if code.Of(err) != code.DeadlinePassed || time.Since(start) != 700*time.Millisecond {
 			t.Errorf("%v after %v", err, time.Since(start))
 		}
-		if got := a.Arrivals()[0].Left; got != 700*time.Millisecond {
+		if got := a.ReceivedRequests()[0].Timeout; got != 700*time.Millisecond {
 			t.Errorf("the target may work for %v", got)
 		}
 	})
@@ -207,7 +207,7 @@
 
 func TestCallerThatLeavesStopsTheTarget(t *testing.T) {
 	withHarness(t, 100, func(t *testing.T, h *harness) {
-		h.addTarget("app", "").Set(func(b *standin.Behaviour) { b.Mute = true })
+		h.addTarget("app", "").Set(func(b *standin.Behaviour) { b.NoAnswer = true })
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(100*time.Millisecond, cancel)
 		start := time.Now()
--- a/request/dispatch/prefill.go
+++ b/request/dispatch/prefill.go
@@ -114,7 +114,7 @@
 func (x *execution) candidates(p prompt, role port.Role, zone string) []placement.Candidate {
 	var out []placement.Candidate
 	c := x.sampleTargets(role, &p, zone)
-	reuse := x.connReuse(outgoing{state: port.Send{Prefill: role == port.RolePrefill}})
+	reuse := x.connReuse(outgoing{state: port.DispatchMeta{Prefill: role == port.RolePrefill}})
 	for _, t := range x.usable(c, p.parts) {
 		if t.load.Becomes != "" {
 			continue
@@ -147,7 +147,7 @@
 	start := time.Now()
 	resp, v, f := x.send(ctx, outgoing{
 		target:        to,
-		state:         port.Send{Priority: p.priority, Prefill: true, FetchFrom: ch.fetchAddr},
+		state:         port.DispatchMeta{Priority: p.priority, Prefill: true, FetchFrom: ch.fetchAddr},
 		headerTimeout: x.prefillTimeout(figures, predicted),
 	})
 	if f != nil {
@@ -162,7 +162,7 @@
 		f.retryAfter = v.RetryAfter
 		return prefilled{}, f
 	}
-	handle, err := x.opts.Wire.KVHandle(a.Body)
+	handle, err := x.opts.Wire.ParseKVHandle(a.Body)
 	if err != nil {
 		return prefilled{}, newFailure(failure.NotRun, to.ID, err)
 	}
--- a/request/dispatch/relay.go
+++ b/request/dispatch/relay.go
@@ -25,7 +25,7 @@
 // relay forwards events as they arrive. It forwards only complete events, so
 // a stream that is cut within an event can be resumed after the last
 // complete one.
-func (x *execution) relay(ctx context.Context, target string, resp *h1.Response, v port.Verdict, out Stream, w streamHooks) *sendFailure {
+func (x *execution) relay(ctx context.Context, target string, resp *h1.Response, v port.ResponseMeta, out Stream, w streamHooks) *sendFailure {
 	defer resp.Close(v.KeepAlive)
 	r := &eventReader{src: resp.Body}
 	for {
--- a/request/dispatch/rig_test.go
+++ b/request/dispatch/rig_test.go
@@ -56,10 +56,10 @@
 	return port.RoleReport{}, nil
 }
 func (c recordingControl) Order(context.Context, port.RoleOrder) error { return nil }
-func (recordingControl) Kept(context.Context, string, string) ([]port.PromptPart, error) {
+func (recordingControl) CachedParts(context.Context, string, string) ([]port.PromptPart, error) {
 	return nil, nil
 }
-func (c recordingControl) Release(_ context.Context, s port.KVSource) error {
+func (c recordingControl) ReleaseKV(_ context.Context, s port.KVSource) error {
 	c.h.released <- s
 	return nil
 }
@@ -86,7 +86,7 @@
 	})
 	pool := h1.New(h1.Options{Dial: h.net.Dial})
 	h.runner = New(Options{
-		Wire: platform.Wire{}, Pool: pool, Targets: h,
+		Wire: platform.TargetProtocol{}, Pool: pool, Targets: h,
 		Engines: engines.New(time.Now, func(engines.Work) {}), Health: health.New(time.Now, nil),
 		Budget: h.budget, Control: recordingControl{h}, Zone: "a", Speed: h.speed, Queues: noQueues{}, Demand: demand.New(time.Now),
 	})
@@ -112,14 +112,14 @@
 		prompt = "aa:1000,bb:460"
 	}
 	header := standin.CallerHeaders("req-1", 3*time.Second, prompt)
-	ask, err := platform.Wire{}.Ask(header)
+	ask, err := platform.TargetProtocol{}.ParseRequest(header)
 	if err != nil {
 		h.t.Fatal(err)
 	}
 	now := time.Now()
 	c := &Call{
-		Ask: ask, Service: svc, Arrived: now, Deadline: now.Add(min(timeout, ask.Left)),
-		Method: "POST", URI: "/p/x?y=1", Host: "a.example", Header: platform.Wire{}.Forward(header, false), Body: []byte("body"),
+		Ask: ask, Service: svc, Arrived: now, Deadline: now.Add(min(timeout, ask.Timeout)),
+		Method: "POST", URI: "/p/x?y=1", Host: "a.example", Header: platform.TargetProtocol{}.ForwardHeaders(header, false), Body: []byte("body"),
 		Route: &route.Route{Name: "r", Kind: kind, Attempts: attempts, Objective: 500 * time.Millisecond, Timeout: timeout},
 	}
 	return c
--- a/request/dispatch/send.go
+++ b/request/dispatch/send.go
@@ -20,29 +20,29 @@
 // outgoing describes one send of a call.
 type outgoing struct {
 	target        port.TargetEntry
-	state         port.Send     // request fills in ID, Target, Organisation and Left
-	headerTimeout time.Duration // bounds the wait for the header and the first bytes of the body; 0: only the call's deadline does
+	state         port.DispatchMeta // request fills in ID, Target, Organisation and Left
+	headerTimeout time.Duration     // bounds the wait for the header and the first bytes of the body; 0: only the call's deadline does
 }
 
 // send sends the call and reads the header of the answer. If the failure is
 // nil, the caller must close the response.
-func (x *execution) send(ctx context.Context, s outgoing) (*h1.Response, port.Verdict, *sendFailure) {
+func (x *execution) send(ctx context.Context, s outgoing) (*h1.Response, port.ResponseMeta, *sendFailure) {
 	x.trace.Sends++
 	x.trace.Targets = append(x.trace.Targets, s.target.ID)
 	resp, err := x.opts.Pool.Do(ctx, x.request(s))
 	if err != nil {
-		return nil, port.Verdict{}, &sendFailure{Failure: failure.ClassifySend(ctx, s.target.ID, err)}
+		return nil, port.ResponseMeta{}, &sendFailure{Failure: failure.ClassifySend(ctx, s.target.ID, err)}
 	}
-	return resp, x.opts.Wire.Judge(resp.Status, resp.Header), nil
+	return resp, x.opts.Wire.ParseResponse(resp.Status, resp.Header), nil
 }
 
 func (x *execution) request(s outgoing) *h1.Request {
 	h := maps.Clone(x.call.Header)
-	s.state.ID = x.call.Ask.ID
-	s.state.Target = s.target.ID
+	s.state.RequestID = x.call.Ask.RequestID
+	s.state.TargetID = s.target.ID
 	s.state.Organisation = x.call.Organisation
-	s.state.Left = time.Until(x.call.Deadline)
-	x.opts.Wire.Stamp(h, s.state)
+	s.state.Timeout = time.Until(x.call.Deadline)
+	x.opts.Wire.AddDispatchHeaders(h, s.state)
 	return &h1.Request{
 		Addr:   s.target.Addr,
 		Target: s.target.ID,
@@ -70,15 +70,15 @@
 // answersCall reports whether an answer belongs to this call. A success must
 // carry the call's id; a rejection or an error may lack it.
 func (x *execution) answersCall(status int, h http.Header) bool {
-	id := x.opts.Wire.Judge(status, h).ID
-	return id == x.call.Ask.ID || id == "" && status >= http.StatusMultipleChoices
+	id := x.opts.Wire.ParseResponse(status, h).RequestID
+	return id == x.call.Ask.RequestID || id == "" && status >= http.StatusMultipleChoices
 }
 
 // maxAnswer is the largest answer, in bytes, that is relayed as a whole.
 const maxAnswer = 8 << 20
 
 // readAnswer reads the rest of an answer and closes the response.
-func (x *execution) readAnswer(ctx context.Context, target string, resp *h1.Response, v port.Verdict) (*Answer, *sendFailure) {
+func (x *execution) readAnswer(ctx context.Context, target string, resp *h1.Response, v port.ResponseMeta) (*Answer, *sendFailure) {
 	defer resp.Close(v.KeepAlive)
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
 	if err == nil && len(body) > maxAnswer {
@@ -92,9 +92,9 @@
 
 // answerFailure classifies a complete answer. It returns nil if the answer
 // may be relayed as the call's answer.
-func (x *execution) answerFailure(target string, a *Answer, v port.Verdict) *sendFailure {
+func (x *execution) answerFailure(target string, a *Answer, v port.ResponseMeta) *sendFailure {
 	switch {
-	case v.WrongOne:
+	case v.Misdirected:
 		return newFailure(failure.NotRun, target, errWrongTarget)
 	case v.NotRun:
 		f := newFailure(failure.NotRun, target, errNotRun)
@@ -131,7 +131,7 @@
 		x.opts.Health.Observe(f.Target, o)
 	}
 	log.WithFields(log.Fields{
-		"request": x.call.Ask.ID, "target": f.Target, "class": f.Class.String(), "cause": f.Cause(),
+		"request": x.call.Ask.RequestID, "target": f.Target, "class": f.Class.String(), "cause": f.Cause(),
 		"send": x.trace.Sends, "left_ms": time.Until(x.call.Deadline).Milliseconds(),
 	}).Info("dispatch: send failed")
 }
--- a/request/entry/admit.go
+++ b/request/entry/admit.go
@@ -75,7 +75,7 @@
 		return e.admission.FullError(q.Service.Doc, targets)
 	}
 	if ce.RetryAfter == 0 {
-		return code.Wrap(ce.Code, ce.Err, "%s", ce.Detail).After(retryAfter)
+		return code.Wrap(ce.Code, ce.Err, "%s", ce.Detail).WithRetryAfter(retryAfter)
 	}
 	return err
 }
--- a/request/entry/entry.go
+++ b/request/entry/entry.go
@@ -178,7 +178,7 @@
 
 func (e *Entry) gate() error {
 	if e.draining.Load() {
-		return code.New(code.Draining, "").After(time.Second)
+		return code.New(code.Draining, "").WithRetryAfter(time.Second)
 	}
 	if e.opts.Gate != nil {
 		return e.opts.Gate.Admit()
--- a/request/entry/info.go
+++ b/request/entry/info.go
@@ -63,5 +63,5 @@
 	if s := e.opts.View.Load(); s != nil {
 		return s, nil
 	}
-	return nil, code.New(code.NoConfiguration, "").After(retryAfter)
+	return nil, code.New(code.NoConfiguration, "").WithRetryAfter(retryAfter)
 }
--- a/request/entry/once.go
+++ b/request/entry/once.go
@@ -34,7 +34,7 @@
 	select {
 	case r = <-res:
 	case <-timer.C:
-		r.err = code.New(code.KeyBusy, "the deadline passed while it runs").After(retryAfter)
+		r.err = code.New(code.KeyBusy, "the deadline passed while it runs").WithRetryAfter(retryAfter)
 	case <-req.Context().Done():
 		r.err = code.New(code.CallerGone, "")
 	}
@@ -51,7 +51,7 @@
 func (e *Entry) startOnce(w http.ResponseWriter, req *http.Request, c *plainCall) <-chan onceResult {
 	res := make(chan onceResult, 1)
 	if e.opts.Once == nil {
-		res <- onceResult{err: code.New(code.OnceUnavailable, "").After(retryAfter)}
+		res <- onceResult{err: code.New(code.OnceUnavailable, "").WithRetryAfter(retryAfter)}
 		return res
 	}
 	q := c.request(w.Header().Get(attempt.HeaderID), req, e)
@@ -85,7 +85,7 @@
 	}
 	if time.Now().After(q.Deadline) {
 		ticket.NotRun(code.DeadlineTooShort)
-		return onceResult{err: code.New(code.DeadlineTooShort, "passed before the call was run").After(retryAfter)}
+		return onceResult{err: code.New(code.DeadlineTooShort, "passed before the call was run").WithRetryAfter(retryAfter)}
 	}
 	limit := q.Service.Doc.Limits.MaxDeadline
 	if limit <= 0 {
@@ -104,7 +104,7 @@
 	failed := errors.As(err, &f) && f.Class == failure.Failed && recv.status != 0
 	if (err == nil || failed) && recv.refusedUnrun() {
 		ticket.NotRun(code.NoTarget)
-		return onceResult{err: code.Wrap(code.NoTarget, err, "the target refused the call and didn't run it").After(retryAfter)}
+		return onceResult{err: code.Wrap(code.NoTarget, err, "the target refused the call and didn't run it").WithRetryAfter(retryAfter)}
 	}
 	if err == nil || failed {
 		a := once.Answer{Status: recv.status, Type: recv.header.Get("Content-Type"), Body: recv.held}
@@ -113,7 +113,7 @@
 	}
 	if !result.Written {
 		if !code.Of(err).Info().NotRun {
-			err = code.Wrap(code.TargetUnreachable, err, "").After(retryAfter)
+			err = code.Wrap(code.TargetUnreachable, err, "").WithRetryAfter(retryAfter)
 		}
 		ticket.NotRun(code.Of(err))
 		return onceResult{err: err}
--- a/request/ingress/answer.go
+++ b/request/ingress/answer.go
@@ -68,7 +68,7 @@
 	e := answer.Error(err)
 	x.status = e.Code.Info().Status
 	answer.Write(x.w, e, func(h http.Header) {
-		x.o.Wire.Answer(h, x.ask.ID, e.RetryAfter)
+		x.o.Wire.SetAnswerHeaders(h, x.ask.RequestID, e.RetryAfter)
 		if e.Code == code.Unauthorized {
 			h.Set("WWW-Authenticate", "Bearer")
 		}
--- a/request/ingress/ingress.go
+++ b/request/ingress/ingress.go
@@ -24,7 +24,7 @@
 // Options of an Ingress. All are needed but TargetsAge and ConfigAge.
 type Options struct {
 	Config  *inforce.Holder
-	Wire    port.TargetWire
+	Wire    port.TargetProtocol
 	Runner  *dispatch.Runner
 	Observe func(Observation) // called at the end of each request
 	// TargetsAge is the age of the newest answer on the targets, by which requests
@@ -124,7 +124,7 @@
 	w       http.ResponseWriter
 	req     *http.Request
 	arrived time.Time
-	ask     port.Ask
+	ask     port.RequestMeta
 	trace   dispatch.Trace
 	status  int
 	begun   bool          // the header of a target's answer went out
@@ -133,14 +133,14 @@
 
 // read reads and checks the request.
 func (x *exchange) read() (*dispatch.Call, error) {
-	ask, err := x.o.Wire.Ask(x.req.Header)
+	ask, err := x.o.Wire.ParseRequest(x.req.Header)
 	x.ask = ask
 	if err != nil {
 		return nil, code.Wrap(code.BadRequest, err, "")
 	}
 	cfg := x.o.Config.Load()
 	if cfg == nil {
-		return nil, code.New(code.NoConfiguration, "").After(noConfigurationAfter)
+		return nil, code.New(code.NoConfiguration, "").WithRetryAfter(noConfigurationAfter)
 	}
 	uri := requestURI(x.req)
 	path, _, _ := strings.Cut(uri, "?")
@@ -148,13 +148,13 @@
 	if r == nil {
 		return nil, code.New(code.UnknownRoute, "version %d", cfg.Version)
 	}
-	org := cfg.Organisation(ask.Key)
+	org := cfg.Organisation(ask.APIKey)
 	if org == nil && cfg.Keyed() && !r.Public {
 		return nil, x.unknownKey(cfg)
 	}
-	svc := cfg.Services[r.Service(route.Seed(ask.ID))]
+	svc := cfg.Services[r.Service(route.Seed(ask.RequestID))]
 	if svc == nil {
-		return nil, code.New(code.NoTarget, "route %q names a service that the configuration lacks", r.Name).After(noConfigurationAfter)
+		return nil, code.New(code.NoTarget, "route %q names a service that the configuration lacks", r.Name).WithRetryAfter(noConfigurationAfter)
 	}
 	body, err := limit.ReadBody(x.w, x.req, bodyBytes(cfg.Limits), bodyTime)
 	if err != nil {
@@ -169,7 +169,7 @@
 		Method:  x.req.Method,
 		URI:     uri,
 		Host:    x.req.Host,
-		Header:  x.o.Wire.Forward(x.req.Header, cfg.Keyed()),
+		Header:  x.o.Wire.ForwardHeaders(x.req.Header, cfg.Keyed()),
 		Body:    body,
 
 		Priority: r.Priority,
@@ -185,7 +185,7 @@
 	}
 	c.Deadline = x.arrived.Add(patience(c))
 	if x.leavesBefore(c) {
-		return c, code.New(code.Draining, "the answer would take longer than this daemon stays").After(elsewhereAfter)
+		return c, code.New(code.Draining, "the answer would take longer than this daemon stays").WithRetryAfter(elsewhereAfter)
 	}
 	return c, nil
 }
@@ -195,7 +195,7 @@
 // final.
 func (x *exchange) unknownKey(cfg *route.Config) error {
 	if age, known := x.o.configAge(); known && age > x.o.MaxConfigAge {
-		return code.New(code.StaleConfiguration, "version %d was confirmed %v ago", cfg.Version, age.Round(time.Millisecond)).After(noConfigurationAfter)
+		return code.New(code.StaleConfiguration, "version %d was confirmed %v ago", cfg.Version, age.Round(time.Millisecond)).WithRetryAfter(noConfigurationAfter)
 	}
 	return code.New(code.Unauthorized, "version %d", cfg.Version)
 }
@@ -224,8 +224,8 @@
 	if timeout <= 0 {
 		timeout = defaultTimeout
 	}
-	if c.Ask.Left > 0 {
-		return min(timeout, c.Ask.Left)
+	if c.Ask.Timeout > 0 {
+		return min(timeout, c.Ask.Timeout)
 	}
 	return timeout
 }
@@ -258,7 +258,7 @@
 	whole := time.Since(x.arrived)
 	o := Observation{Code: code.Of(err), Status: x.status, Whole: whole, First: x.trace.TimeToFirst}
 	fields := log.Fields{
-		"request": x.ask.ID,
+		"request": x.ask.RequestID,
 		"code":    int(o.Code),
 		"status":  x.status,
 		"ms":      whole.Milliseconds(),
@@ -272,11 +272,11 @@
 		fields["service"] = c.Service.Name
 		fields["organisation"] = c.Organisation
 		fields["targets"] = strings.Join(x.trace.Targets, " ")
-		fields["left_ms"] = c.Ask.Left.Milliseconds()
+		fields["left_ms"] = c.Ask.Timeout.Milliseconds()
 		fields["timeout_ms"] = c.Route.Timeout.Milliseconds()
-		if c.Ask.Output > 0 {
-			fields["output_tokens"] = c.Ask.Output
-			fields["hint_tokens"] = c.Ask.Hint
+		if c.Ask.MaxOutputTokens > 0 {
+			fields["output_tokens"] = c.Ask.MaxOutputTokens
+			fields["hint_tokens"] = c.Ask.OutputHint
 			fields["last_event"] = x.trace.LastEvent
 			fields["predicted_stream_ms"] = x.trace.PredictedDuration.Milliseconds()
 		}
@@ -310,7 +310,7 @@
 	}
 	entry.Info("ingress: request ended")
 	if err == nil && c != nil {
-		x.lengths.note(c.Route.Name, c.Ask.Output, x.trace.TimeToFirst, whole)
+		x.lengths.note(c.Route.Name, c.Ask.MaxOutputTokens, x.trace.TimeToFirst, whole)
 	}
 	if x.o.Observe != nil {
 		x.o.Observe(o)
--- a/request/ingress/ingress_test.go
+++ b/request/ingress/ingress_test.go
@@ -54,11 +54,11 @@
 func (noControl) Report(context.Context, string, string) (port.RoleReport, error) {
 	return port.RoleReport{}, nil
 }
-func (noControl) Kept(context.Context, string, string) ([]port.PromptPart, error) {
+func (noControl) CachedParts(context.Context, string, string) ([]port.PromptPart, error) {
 	return nil, nil
 }
-func (noControl) Order(context.Context, port.RoleOrder) error  { return nil }
-func (noControl) Release(context.Context, port.KVSource) error { return nil }
+func (noControl) Order(context.Context, port.RoleOrder) error    { return nil }
+func (noControl) ReleaseKV(context.Context, port.KVSource) error { return nil }
 
 func config(version int64) *route.Config { return keyedConfig(version, nil) }
 
@@ -104,9 +104,9 @@
 	pool := h1.New(h1.Options{})
 	t.Cleanup(pool.Close)
 	r.Ingress = New(Options{
-		Config: holder, Wire: platform.Wire{}, Observe: func(o Observation) { r.seen <- o },
+		Config: holder, Wire: platform.TargetProtocol{}, Observe: func(o Observation) { r.seen <- o },
 		Runner: dispatch.New(dispatch.Options{
-			Wire: platform.Wire{}, Pool: pool, Targets: r, Control: noControl{},
+			Wire: platform.TargetProtocol{}, Pool: pool, Targets: r, Control: noControl{},
 			Engines: engines.New(time.Now, func(engines.Work) {}), Health: health.New(time.Now, nil), Speed: speed.NewTracker(), Queues: noQueues{}, Demand: demand.New(time.Now),
 			Budget: budget.NewFleet(budget.FleetOptions{Slack: 10, Window: 10 * time.Second, Daemons: func() int { return 1 }, Now: time.Now}),
 		}),
@@ -203,12 +203,12 @@
 func TestForgedHeadersStopHere(t *testing.T) {
 	r := start(t, true)
 	h := ask("r1")
-	standin.Forge(h)
+	standin.SetForbiddenHeaders(h)
 	if resp, _ := r.do(t, "POST", "/p/", "a.example", h, ""); resp.StatusCode != 200 {
 		t.Fatalf("status %d", resp.StatusCode)
 	}
-	a := r.plain.Arrivals()[0]
-	if a.KV != "" || a.Priority != "" || a.Prefill || a.Expect != "i-plain" || a.Organisation != "" || a.Left <= 0 || a.Left > 30*time.Second {
+	a := r.plain.ReceivedRequests()[0]
+	if a.KV != "" || a.Priority != "" || a.Prefill || a.ExpectedTarget != "i-plain" || a.Organisation != "" || a.Timeout <= 0 || a.Timeout > 30*time.Second {
 		t.Errorf("the target saw %+v", a)
 	}
 }
@@ -230,7 +230,7 @@
 // A stream that breaks off must not look whole to the caller.
 func TestCutStreamBreaksTheConnection(t *testing.T) {
 	r := start(t, true)
-	r.decode.Set(func(b *standin.Behaviour) { b.Cut = 2 })
+	r.decode.Set(func(b *standin.Behaviour) { b.CutAfter = 2 })
 	conn, err := (&http.Transport{}).RoundTrip(mustRequest(t, r))
 	if err != nil {
 		t.Fatal(err)
@@ -289,7 +289,7 @@
 func TestLengthsForesee(t *testing.T) {
 	var l lengths
 	call := func(name string, output int) *dispatch.Call {
-		return &dispatch.Call{Route: &route.Route{Name: name, Timeout: 15 * time.Second}, Ask: port.Ask{Output: output}}
+		return &dispatch.Call{Route: &route.Route{Name: name, Timeout: 15 * time.Second}, Ask: port.RequestMeta{MaxOutputTokens: output}}
 	}
 	if got := l.predict(call("s", 10)); got != 15*time.Second {
 		t.Errorf("unseen: %v", got)
--- a/request/ingress/key_test.go
+++ b/request/ingress/key_test.go
@@ -44,7 +44,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := keyed(t, nil)
 			h := askWith("r1", tc.key)
-			standin.Forge(h)
+			standin.SetForbiddenHeaders(h)
 			resp, _ := r.do(t, "POST", tc.path, "a.example", h, "")
 			if resp.StatusCode != tc.status {
 				t.Fatalf("status %d", resp.StatusCode)
@@ -53,12 +53,12 @@
 				t.Errorf("WWW-Authenticate %q", asks)
 			}
 			if tc.status != 200 {
-				if n := len(r.plain.Arrivals()); n > 0 {
+				if n := len(r.plain.ReceivedRequests()); n > 0 {
 					t.Errorf("%d requests reached the target", n)
 				}
 				return
 			}
-			if a := r.plain.Arrivals()[0]; a.Organisation != tc.organisation || a.Key != "" {
+			if a := r.plain.ReceivedRequests()[0]; a.Organisation != tc.organisation || a.Key != "" {
 				t.Errorf("the target saw %+v", a)
 			}
 		})
@@ -81,7 +81,7 @@
 			if resp, _ := r.do(t, "POST", "/s/x", "a.example", h, ""); resp.StatusCode != 200 {
 				t.Fatalf("status %d", resp.StatusCode)
 			}
-			if got := r.decode.Arrivals()[0].Priority; got != tc.want {
+			if got := r.decode.ReceivedRequests()[0].Priority; got != tc.want {
 				t.Errorf("priority %q, want %q", got, tc.want)
 			}
 		})
--- a/request/ingress/length.go
+++ b/request/ingress/length.go
@@ -67,6 +67,6 @@
 	if one == nil {
 		return patience(c)
 	}
-	most := one.first + one.perToken*time.Duration(c.Ask.Output)
+	most := one.first + one.perToken*time.Duration(c.Ask.MaxOutputTokens)
 	return min(time.Duration(lengthMargin*float64(most)), patience(c))
 }
--- a/request/limit/limit.go
+++ b/request/limit/limit.go
@@ -31,7 +31,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if max > 0 && s.open[caller] >= max {
-		return nil, code.New(code.TooManyStreams, "%d are open", s.open[caller]).After(time.Second)
+		return nil, code.New(code.TooManyStreams, "%d are open", s.open[caller]).WithRetryAfter(time.Second)
 	}
 	s.open[caller]++
 	return func() { s.leave(caller) }, nil
--- a/request/once/keeper.go
+++ b/request/once/keeper.go
@@ -242,7 +242,7 @@
 	if otherSeen {
 		return busy()
 	}
-	return code.Wrap(code.OnceUnavailable, err, "").After(retryAfter)
+	return code.Wrap(code.OnceUnavailable, err, "").WithRetryAfter(retryAfter)
 }
 
 // queueResult queues a result to be written to the log.
--- a/request/once/resolve.go
+++ b/request/once/resolve.go
@@ -36,7 +36,7 @@
 func (l *LogDeduplicator) closedAnswer(ctx context.Context, a *attempt, o *peerpb.Outcome) (*Answer, error) {
 	var r record.Result
 	if json.Unmarshal(o.Result, &r) != nil {
-		return nil, code.New(code.KeyBusy, "its result can't be read now").After(retryAfter)
+		return nil, code.New(code.KeyBusy, "its result can't be read now").WithRetryAfter(retryAfter)
 	}
 	if r.Code != code.OK {
 		return nil, code.New(code.OutcomeUnknown, "")
@@ -74,7 +74,7 @@
 	return nil, false, busy()
 }
 
-func busy() error { return code.New(code.KeyBusy, "").After(retryAfter) }
+func busy() error { return code.New(code.KeyBusy, "").WithRetryAfter(retryAfter) }
 
 // finishedAnswer handles the result that the process of the winning attempt
 // returned.
--- a/request/routing/policy.go
+++ b/request/routing/policy.go
@@ -158,7 +158,7 @@
 	est := env.estimate(full)
 	wait := est.finish / float64(max(full.Limit, 1))
 	after := max(minRetryAfter, seconds(wait))
-	return code.New(code.Overloaded, "every target of service %q is full", r.Service).After(after)
+	return code.New(code.Overloaded, "every target of service %q is full", r.Service).WithRetryAfter(after)
 }
 
 // role returns the target's role. A target without a role is a mixed one.
