--- a/port/contract/lists_test.go
+++ b/port/contract/lists_test.go
@@ -10,7 +10,7 @@
 	"github.com/pomelospool/pomelospool/standin/weights"
 )
 
-func ids(t *testing.T, vms port.VMs) string {
+func listVMs(t *testing.T, vms port.VMs) string {
 	t.Helper()
 	list, err := vms.List(t.Context())
 	wantErr(t, err, nil)
@@ -26,8 +26,8 @@
 }
 
 func TestVMs(t *testing.T) {
-	for _, wire := range []string{"in process", "http"} {
-		t.Run(wire, func(t *testing.T) {
+	for _, transport := range []string{"in process", "http"} {
+		t.Run(transport, func(t *testing.T) {
 			clk := &clock{}
 			svc := vmlist.New(vmlist.Options{
 				VMs: []port.VM{{ID: "b", Zone: "2"}, {ID: "a", Zone: "1"}},
@@ -35,32 +35,32 @@
 				Now: clk.now,
 			})
 			var vms port.VMs = svc
-			if wire == "http" {
-				serve(t, svc)
+			if transport == "http" {
+				startServer(t, svc)
 				vms = httpapi.NewVMs(svc.URL(), httpapi.Options{})
 			}
 			svc.Put(port.VM{ID: "c", Zone: "3"})
 			svc.Put(port.VM{ID: "a", Zone: "1", Leaving: true})
 			svc.Delete("b")
-			want(t, "before the lag", ids(t, vms), "a@1 b@2 ")
+			want(t, "before the lag", listVMs(t, vms), "a@1 b@2 ")
 			clk.advance(time.Minute)
-			want(t, "after the lag", ids(t, vms), "a@1- c@3 ")
+			want(t, "after the lag", listVMs(t, vms), "a@1- c@3 ")
 			svc.SetDown(true)
 			_, err := vms.List(t.Context())
 			wantErr(t, err, port.ErrUnavailable)
 			svc.SetDown(false)
-			want(t, "after the outage", ids(t, vms), "a@1- c@3 ")
+			want(t, "after the outage", listVMs(t, vms), "a@1- c@3 ")
 		})
 	}
 }
 
 func TestWeightStore(t *testing.T) {
-	for _, wire := range []string{"in process", "http"} {
-		t.Run(wire, func(t *testing.T) {
+	for _, transport := range []string{"in process", "http"} {
+		t.Run(transport, func(t *testing.T) {
 			svc := weights.New(weights.Options{Rate: 5e9, Size: 7, Sizes: map[string]int64{"m/v 2": 9}})
 			var store port.WeightStore = svc
-			if wire == "http" {
-				serve(t, svc)
+			if transport == "http" {
+				startServer(t, svc)
 				store = httpapi.NewWeights(svc.URL(), httpapi.Options{})
 			}
 			for version, size := range map[string]int64{"v1": 7, "v 2": 9} {
--- a/port/contract/log_test.go
+++ b/port/contract/log_test.go
@@ -1,5 +1,6 @@
-// Package contract holds one contract per port of package platform, run over
-// the stand-in in process and over the HTTP adapter.
+// Package contract holds contract tests for the interfaces Log, VMs, Engine and
+// WeightStore of package port. Each runs against the stand-in, in process and
+// through the HTTP adapter.
 package contract
 
 import (
@@ -15,16 +16,16 @@
 	"github.com/pomelospool/pomelospool/standin/logsvc"
 )
 
-// long is a wait that no passing case uses up.
-const long = 30 * time.Second
+// longWait is a wait that doesn't run out in a passing case.
+const longWait = 30 * time.Second
 
-// clock is an injected clock.
+// clock is a manually advanced clock.
 type clock struct{ ns atomic.Int64 }
 
 func (c *clock) now() time.Time          { return time.Unix(1e9, c.ns.Load()) }
 func (c *clock) advance(d time.Duration) { c.ns.Add(int64(d)) }
 
-// logEnv is one log under contract and the levers of its stand-in.
+// logEnv is the log under test and the controls of its stand-in.
 type logEnv struct {
 	port.Log
 	svc   *logsvc.Log
@@ -85,7 +86,7 @@
 		l.append(t, 1)
 		read := make(chan int64, 1)
 		go func() {
-			got, _, err := l.Read(t.Context(), "s", 2, 10, long)
+			got, _, err := l.Read(t.Context(), "s", 2, 10, longWait)
 			if err != nil || len(got) != 1 {
 				read <- 0
 				return
@@ -104,7 +105,7 @@
 	}},
 	{name: "expired by count", opts: logsvc.Options{MaxRecords: 2}, run: func(t *testing.T, l logEnv) {
 		l.append(t, 5)
-		_, _, err := l.Read(t.Context(), "s", 3, 10, long)
+		_, _, err := l.Read(t.Context(), "s", 3, 10, longWait)
 		wantErr(t, err, port.ErrExpired)
 		earliest, err := l.Earliest(t.Context(), "s")
 		wantErr(t, err, nil)
@@ -146,7 +147,7 @@
 	{name: "an outage ends a long poll", run: func(t *testing.T, l logEnv) {
 		done := make(chan error, 1)
 		go func() {
-			_, _, err := l.Read(t.Context(), "s", 1, 1, long)
+			_, _, err := l.Read(t.Context(), "s", 1, 1, longWait)
 			done <- err
 		}()
 		l.svc.SetOutage(logsvc.Refuse)
@@ -160,14 +161,14 @@
 		wantErr(t, err, port.ErrUnavailable)
 		wantErr(t, err, context.DeadlineExceeded)
 	}},
-	// A user sees one confirmation sent twice: the append of its record took
-	// effect, the answer was lost, and the writer appended it again because
-	// the failure looked like nothing had happened.
+	// Guards against a confirmation that is sent twice: the append of its record
+	// takes effect, the answer is lost, and the writer appends the record again
+	// because it takes the error for an append without effect.
 	{name: "answer lost after the append", run: func(t *testing.T, l logEnv) {
 		l.svc.LoseAnswers(1)
 		_, err := l.Append(t.Context(), "s", []byte("once"))
 		wantErr(t, err, port.ErrUnavailable)
-		got, newest, err := l.Read(t.Context(), "s", 1, 10, long)
+		got, newest, err := l.Read(t.Context(), "s", 1, 10, longWait)
 		wantErr(t, err, nil)
 		want(t, "newest", newest, 1)
 		want(t, "data", string(got[0].Data), "once")
@@ -177,25 +178,25 @@
 		l.svc.DelayAppends(1, time.Millisecond)
 		_, err := l.Append(t.Context(), "s", []byte("late"))
 		wantErr(t, err, port.ErrUnavailable)
-		got, _, err := l.Read(t.Context(), "s", 1, 10, long)
+		got, _, err := l.Read(t.Context(), "s", 1, 10, longWait)
 		wantErr(t, err, nil)
 		want(t, "data", string(got[0].Data), "late")
 	}},
 }
 
-// The log is away, hangs, expires records, loses an answer after the append or
-// carries an append out after it failed. What is built on the port must meet
-// the same in process and over HTTP.
+// Guards against different behaviour of the log in process and over HTTP when it
+// is unavailable, hangs, expires records, loses the answer to an append, or
+// executes an append after it has returned an error.
 func TestLog(t *testing.T) {
 	for _, c := range logCases {
-		for _, wire := range []string{"in process", "http"} {
-			t.Run(c.name+"/"+wire, func(t *testing.T) {
+		for _, transport := range []string{"in process", "http"} {
+			t.Run(c.name+"/"+transport, func(t *testing.T) {
 				clk := &clock{}
 				c.opts.Now = clk.now
 				svc := logsvc.New(c.opts)
 				env := logEnv{Log: svc, svc: svc, clock: clk}
-				if wire == "http" {
-					serve(t, svc)
+				if transport == "http" {
+					startServer(t, svc)
 					adapter := httpapi.NewLog(svc.URL(), httpapi.Options{})
 					defer adapter.Close()
 					env.Log = adapter
@@ -206,13 +207,13 @@
 	}
 }
 
-// server is what every stand-in offers.
+// server is implemented by every stand-in.
 type server interface {
 	Run(addr string) error
 	Close() error
 }
 
-func serve(t *testing.T, s server) {
+func startServer(t *testing.T, s server) {
 	t.Helper()
 	if err := s.Run("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
--- a/port/duties.go
+++ b/port/duties.go
@@ -5,36 +5,40 @@
 	"errors"
 )
 
-// ErrInvalid means that a call was rejected for what it says: it would be again.
+// ErrInvalid means that a call was rejected for its content. A retry would be
+// rejected too.
 var ErrInvalid = errors.New("call rejected as invalid")
 
-// DutyCall says who calls for a duty that one daemon at a time has.
+// DutyCall identifies the caller of Duties: the VM of the daemon that holds the
+// duty, and its fencing number.
 type DutyCall struct {
 	Holder string // VM
-	Fence  int64  // fencing number, rises from holder to holder
+	Fence  int64  // fencing number; increases with each new holder
 }
 
-// Duties are the calls to the platform that one daemon at a time makes for the
-// whole fleet. ErrFenced: a newer holder has called. ErrInvalid: the call can't
-// be carried out. After any other error it may be carried out later.
+// Duties are the calls to the platform that one daemon at a time makes on
+// behalf of the whole fleet. ErrFenced means that a newer holder has called,
+// ErrInvalid that the call can't be carried out. After any other error the call
+// may still be carried out later.
 type Duties interface {
-	// ReportUsage states how many requests of each organisation began to run in
-	// a window of time, by its number.
+	// ReportUsage reports how many requests of each organisation began to run
+	// in the time window with this number.
 	ReportUsage(ctx context.Context, c DutyCall, window int64, counts map[string]uint32) error
-	// Scale orders that a service has a number of targets of a kind in an
-	// availability zone. ErrRefused: a newer holder has called, or no more
-	// targets are to be had there now.
+	// Scale sets the number of targets of one kind, spot or not, that a service
+	// is to have in an availability zone. ErrRefused means that a newer holder
+	// has called, or that no more targets are available there at the moment.
 	Scale(ctx context.Context, c DutyCall, o ScaleOrder) error
 }
 
-// ErrRefused means that an order for targets was refused, for the moment or for
-// good.
+// ErrRefused means that an order for targets was refused, temporarily or
+// permanently.
 var ErrRefused = errors.New("order refused")
 
-// ScaleOrder is the number of targets that a service is to have.
+// ScaleOrder is the desired number of targets of a service in an availability
+// zone.
 type ScaleOrder struct {
 	Service string
 	Zone    string // availability zone
-	Spot    bool   // of reclaimable targets, which are counted by themselves
+	Spot    bool   // spot targets, which are counted separately from the others
 	Desired int
 }
--- a/port/httpapi/client.go
+++ b/port/httpapi/client.go
@@ -1,6 +1,6 @@
-// Package httpapi holds the adapters that speak the wire protocol of
-// docs/design/0-frame.md to the log service, the VM list, the weight store
-// and the control side of the engines.
+// Package httpapi implements the ports to the log service, the VM list, the
+// weight store and the engines' control interface over HTTP. The wire protocol
+// is described in docs/design/0-frame.md.
 package httpapi
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// The values that stand for a zero in Options.
+// Defaults for zero values in Options.
 const (
 	DefaultTimeout     = 2 * time.Second
 	DefaultMaxConns    = 8
@@ -29,21 +29,23 @@
 
 const (
 	idleTimeout = 30 * time.Second
-	maxAnswer   = 64 << 20 // bytes read of one answer
-	maxError    = 4 << 10  // bytes read of an error answer
+	maxAnswer   = 64 << 20 // limit of an answer's body, in bytes
+	maxError    = 4 << 10  // bytes of an error answer that the error quotes
 )
 
 // Options are the settings of an adapter.
 type Options struct {
-	// Timeout bounds one call, without the time that a read may wait.
+	// Timeout bounds one call. The time that a read may wait for records is
+	// added to it.
 	Timeout time.Duration
 	// MaxConns bounds the connections to the service.
 	MaxConns int
-	// UserTimeout bounds how long sent bytes may stand unacknowledged before
-	// the kernel drops the connection (TCP_USER_TIMEOUT).
+	// UserTimeout bounds how long sent bytes may stay unacknowledged before
+	// the kernel closes the connection (TCP_USER_TIMEOUT).
 	UserTimeout time.Duration
-	// Dial replaces the TCP dialer: lease.Dialer's connections ask for the
-	// lease before each write. UserTimeout is then the dialer's own matter.
+	// Dial replaces the TCP dialer, for example by lease.Dialer, whose
+	// connections check the lease before each write. UserTimeout doesn't apply
+	// to it.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
@@ -64,23 +66,23 @@
 	return o
 }
 
-// client makes the calls of one adapter over connections of its own.
+// client makes the calls of one adapter over its own connections.
 type client struct {
-	what string // prefix of the errors
-	base string
-	opts Options
-	http *http.Client
+	service string // prefix of error messages
+	base    string
+	opts    Options
+	http    *http.Client
 
 	mu     sync.Mutex
 	conns  map[net.Conn]bool
 	closed bool
 }
 
-func newClient(what, base string, o Options) *client {
+func newClient(service, base string, o Options) *client {
 	if !strings.Contains(base, "://") {
 		base = "http://" + base
 	}
-	c := &client{what: what, base: strings.TrimSuffix(base, "/"), opts: o.withDefaults()}
+	c := &client{service: service, base: strings.TrimSuffix(base, "/"), opts: o.withDefaults()}
 	c.conns = make(map[net.Conn]bool)
 	c.http = &http.Client{Transport: &http.Transport{
 		DialContext:         c.dial,
@@ -91,20 +93,21 @@
 	return c
 }
 
-// answer is a status with the whole body.
+// answer is an HTTP status with the complete body.
 type answer struct {
 	status int
 	body   []byte
 }
 
-// call sends one request and reads the whole answer. Its errors wrap
-// port.ErrUnavailable; then the call may have had its effect.
-func (c *client) call(ctx context.Context, method, path string, body []byte, extra time.Duration) (answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.opts.Timeout+extra)
+// call sends one request and reads the complete answer. The time wait is added
+// to the timeout. When it returns port.ErrUnavailable, the call may still have
+// taken effect.
+func (c *client) call(ctx context.Context, method, path string, body []byte, wait time.Duration) (answer, error) {
+	ctx, cancel := context.WithTimeout(ctx, c.opts.Timeout+wait)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
-		return answer{}, fmt.Errorf("%s: %w", c.what, err)
+		return answer{}, fmt.Errorf("%s: %w", c.service, err)
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
@@ -127,7 +130,8 @@
 	return c.decode(a, v)
 }
 
-// decode gives an error for every status but 200. 5xx count as unavailable.
+// decode decodes the body of an answer with status 200 into v. Any other status
+// is an error, and a 5xx status is reported as port.ErrUnavailable.
 func (c *client) decode(a answer, v any) error {
 	if a.status != http.StatusOK {
 		return c.statusError(a)
@@ -144,20 +148,20 @@
 	if a.status >= http.StatusInternalServerError {
 		return c.unavailable(err)
 	}
-	return fmt.Errorf("%s: %w", c.what, err)
+	return fmt.Errorf("%s: %w", c.service, err)
 }
 
 func (c *client) unavailable(err error) error {
-	return fmt.Errorf("%s: %w: %w", c.what, port.ErrUnavailable, err)
+	return fmt.Errorf("%s: %w: %w", c.service, port.ErrUnavailable, err)
 }
 
 var errClosed = errors.New("adapter closed")
 
-// dial opens a connection that the adapter can cut. Guard against bytes that
-// outlive the call: on a connection that lost its peer, the kernel goes on
-// sending what a call wrote minutes after the call failed, so that an old
-// order arrives late. TCP_USER_TIMEOUT bounds that time while the connection
-// is open, and a linger of 0 makes closing drop the bytes at once.
+// dial opens a connection that close can close. It guards against bytes that
+// outlive the call: on a connection that has lost its peer, the kernel retransmits
+// the bytes of a call for minutes after the call has failed, so that an old order
+// may arrive late. TCP_USER_TIMEOUT bounds this time while the connection is open,
+// and a linger of 0 discards the bytes as soon as it is closed.
 func (c *client) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	raw, err := c.opts.Dial(ctx, network, addr)
 	if err != nil {
@@ -166,7 +170,7 @@
 	if l, ok := raw.(lingerer); ok {
 		_ = l.SetLinger(0)
 	}
-	conn := &tracked{Conn: raw, c: c}
+	conn := &trackedConn{Conn: raw, client: c}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -177,7 +181,8 @@
 	return conn, nil
 }
 
-// close cuts every connection, also those in use, for good.
+// close closes all connections, including those in use. The client opens no new
+// ones.
 func (c *client) close() {
 	c.mu.Lock()
 	c.closed = true
@@ -191,20 +196,21 @@
 	}
 }
 
-// lingerer is a connection that can drop unsent bytes when it is closed, as
-// net.TCPConn and what wraps it do.
+// lingerer is a connection that can discard unsent bytes when it is closed, such
+// as net.TCPConn and its wrappers.
 type lingerer interface{ SetLinger(sec int) error }
 
-// tracked is a connection that its client knows until it is closed.
-type tracked struct {
+// trackedConn is a connection that is registered with its client until it is
+// closed.
+type trackedConn struct {
 	net.Conn
-	c *client
+	client *client
 }
 
-// Close ends the connection.
-func (t *tracked) Close() error {
-	t.c.mu.Lock()
-	delete(t.c.conns, t)
-	t.c.mu.Unlock()
+// Close closes the connection and removes it from its client.
+func (t *trackedConn) Close() error {
+	t.client.mu.Lock()
+	delete(t.client.conns, t)
+	t.client.mu.Unlock()
 	return t.Conn.Close()
 }
--- a/port/httpapi/client_linux_test.go
+++ b/port/httpapi/client_linux_test.go
@@ -19,9 +19,9 @@
 	"github.com/pomelospool/pomelospool/process/lease"
 )
 
-// slowReader listens with a small receive buffer, so that most of a request
-// stays in the sender's kernel until the test reads it.
-func slowReader(t *testing.T) net.Listener {
+// listenWithSmallBuffer listens with a small receive buffer, so that most of a
+// request stays in the sender's kernel until the test reads it.
+func listenWithSmallBuffer(t *testing.T) net.Listener {
 	t.Helper()
 	lc := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
@@ -36,27 +36,27 @@
 	return lis
 }
 
-// A user sees an engine change to a role that the present holder never
-// ordered. The former holder had written an order to a connection whose peer
-// didn't read; its lease ended and it closed the adapter, but its kernel went
-// on and delivered the order after the new holder's. Orders go over
-// lease.Dialer, whose connections must drop their bytes as plain ones do.
-func TestCloseDropsBytesOfAnOrder(t *testing.T) {
-	held := func() error { return nil }
+// Guards against an old order that reaches an engine after the order of a new
+// lease holder. The former holder has written the order to a connection whose
+// peer doesn't read. When its lease ends, it closes the adapter, but its kernel
+// would still deliver the bytes. Orders are sent over lease.Dialer, so its
+// connections must discard unsent bytes like plain ones.
+func TestCloseDropsUnsentOrderBytes(t *testing.T) {
+	leaseHeld := func() error { return nil }
 	for _, c := range []struct {
 		name string
 		opts Options
 	}{
 		{"plain", Options{Timeout: time.Minute}},
-		{"lease", Options{Timeout: time.Minute, Dial: lease.Dialer(held, time.Minute)}},
+		{"lease", Options{Timeout: time.Minute, Dial: lease.Dialer(leaseHeld, time.Minute)}},
 	} {
-		t.Run(c.name, func(t *testing.T) { closeUnderOrder(t, c.opts) })
+		t.Run(c.name, func(t *testing.T) { testCloseDuringOrder(t, c.opts) })
 	}
 }
 
-func closeUnderOrder(t *testing.T, o Options) {
+func testCloseDuringOrder(t *testing.T, o Options) {
 	t.Helper()
-	lis := slowReader(t)
+	lis := listenWithSmallBuffer(t)
 	e := NewEngine(lis.Addr().String(), o)
 	written := make(chan struct{})
 	ctx := httptrace.WithClientTrace(t.Context(), &httptrace.ClientTrace{
@@ -77,7 +77,7 @@
 	}
 	got, err := io.ReadAll(conn)
 	if err == nil || len(got) >= len(model) {
-		t.Fatalf("the engine got %d bytes and then %v: the whole order", len(got), err)
+		t.Fatalf("the engine received %d bytes and then %v: the complete order", len(got), err)
 	}
 }
 
@@ -89,7 +89,7 @@
 	e.Close()
 	err := e.Order(t.Context(), port.Order{ID: "o"})
 	if !errors.Is(err, port.ErrUnavailable) || hits != 0 {
-		t.Fatalf("error %v, %d requests came", err, hits)
+		t.Fatalf("error %v, %d requests arrived", err, hits)
 	}
 }
 
@@ -102,7 +102,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw, err := conn.(*tracked).Conn.(*net.TCPConn).SyscallConn()
+	raw, err := conn.(*trackedConn).Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -115,10 +115,9 @@
 	}
 }
 
-// A user sees publishing stall for as long as a quiet control stream is quiet:
-// every connection to the log was taken by long polls, and the appends waited
-// for one of them.
-func TestLongPollsDontHoldUpAppends(t *testing.T) {
+// Guards against appends that wait for a long poll to end, because long polls of
+// an idle stream use all connections to the log.
+func TestLongPollsDontBlockAppends(t *testing.T) {
 	polls := make(chan struct{}, 1)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
@@ -140,7 +139,7 @@
 	}
 }
 
-func TestErrorsOfAnswers(t *testing.T) {
+func TestAnswerErrors(t *testing.T) {
 	cases := []struct {
 		name        string
 		status      int
--- a/port/httpapi/log.go
+++ b/port/httpapi/log.go
@@ -11,8 +11,8 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// Log is the adapter to the log service. Appends and reads have connections
-// of their own, so that long polls never hold up an append.
+// Log is the adapter to the log service. Appends and reads use separate
+// connections, so that long polls never block an append.
 type Log struct {
 	appends *client
 	reads   *client
@@ -25,14 +25,14 @@
 	return &Log{appends: newClient("log", baseURL, o), reads: newClient("log", baseURL, o)}
 }
 
-// Close cuts the connections.
+// Close closes the connections.
 func (l *Log) Close() error {
 	l.appends.close()
 	l.reads.close()
 	return nil
 }
 
-// Append adds data to a stream. It never tries twice by itself.
+// Append adds data to a stream. It never retries.
 func (l *Log) Append(ctx context.Context, stream string, data []byte) (int64, error) {
 	a, err := l.appends.call(ctx, http.MethodPost, streamPath(stream), data, 0)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return p.Records, p.Newest, err
 }
 
-// Earliest returns the lowest offset still kept.
+// Earliest returns the lowest offset that is still kept.
 func (l *Log) Earliest(ctx context.Context, stream string) (int64, error) {
 	var p page
 	err := l.read(ctx, stream, url.Values{"max": {"0"}}, 0, &p)
--- a/port/loadheader.go
+++ b/port/loadheader.go
@@ -8,19 +8,20 @@
 )
 
 // LoadHeader is the answer header in which an engine reports its load at the
-// time of the answer: an ORCA load report in JSON. Reports on answers cost no
-// call, and at hundreds of daemons they are the only fresh ones.
+// time of the answer, as an ORCA load report in JSON. These reports need no
+// extra call. With hundreds of daemons, calls are too rare to give recent
+// reports, so that only these are.
 const LoadHeader = "Endpoint-Load-Metrics"
 
-// loadFormat goes before the JSON of a report in a header.
-const loadFormat = "JSON "
+// jsonPrefix precedes the JSON of a report in a header.
+const jsonPrefix = "JSON "
 
-// loadReport is the part of an ORCA load report that is read.
+// loadReport is the subset of an ORCA load report that is used.
 type loadReport struct {
 	Metrics loadMetrics `json:"named_metrics"`
 }
 
-// loadMetrics has the fields of Load that a report may carry, as numbers.
+// loadMetrics holds the fields of Load that a report may include.
 type loadMetrics struct {
 	Running         float64 `json:"running"`
 	Waiting         float64 `json:"waiting"`
@@ -32,7 +33,8 @@
 	DecodeRate      float64 `json:"decode_rate"`
 }
 
-// FormatLoad writes l as the value of LoadHeader.
+// FormatLoad returns l as a value of LoadHeader, or an empty string if l can't
+// be encoded.
 func FormatLoad(l Load) string {
 	r := loadReport{Metrics: loadMetrics{
 		Running:         float64(l.Running),
@@ -46,15 +48,15 @@
 	}}
 	data, err := json.Marshal(r)
 	if err != nil {
-		return "" // a rate that is no number
+		return "" // a rate is NaN or infinite
 	}
-	return loadFormat + string(data)
+	return jsonPrefix + string(data)
 }
 
-// ParseLoad reads the value of LoadHeader from an answer that came at the
-// given time. Name and incarnation stay empty: a report has neither.
+// ParseLoad parses a value of LoadHeader from an answer that arrived at the
+// given time. Engine and Incarnation stay empty, since a report has neither.
 func ParseLoad(value string, at time.Time) (Load, error) {
-	text, ok := strings.CutPrefix(value, loadFormat)
+	text, ok := strings.CutPrefix(value, jsonPrefix)
 	if !ok {
 		return Load{}, fmt.Errorf("load report: not in JSON")
 	}
--- a/port/loadheader_test.go
+++ b/port/loadheader_test.go
@@ -14,7 +14,7 @@
 	}
 	for _, bad := range []string{"", "TEXT running=1", "JSON {", `JSON {"named_metrics":{"running":"x"}}`} {
 		if _, err := ParseLoad(bad, at); err == nil {
-			t.Errorf("%q passes for a report", bad)
+			t.Errorf("%q is accepted as a report", bad)
 		}
 	}
 }
--- a/port/store.go
+++ b/port/store.go
@@ -6,54 +6,58 @@
 	"time"
 )
 
-// ErrConflict means that a conditional write found another end than expected.
-var ErrConflict = errors.New("the topic has moved on")
+// ErrConflict means that a conditional write failed because the topic ends at
+// another offset than expected.
+var ErrConflict = errors.New("topic ends at another offset")
 
-// Topic names a keyed topic of the store: the newest record of each key stays.
+// Topic identifies a keyed topic of the store. The store keeps at least the
+// newest record of each key.
 type Topic int
 
 // The topics.
 const (
 	TopicConfig  Topic = iota // operators' configuration; read only
-	TopicTargets              // targets announce themselves; read only
-	TopicDaemons              // daemons announce themselves
-	TopicClaims               // claims to act, one key a subject
-	TopicUsage                // what is reported of organisations' use
-	TopicScale                // the capacity that each service is to have
+	TopicTargets              // entries of the targets; read only
+	TopicDaemons              // entries of the daemons
+	TopicClaims               // claims to a subject, keyed by subject
+	TopicUsage                // organisations' usage as reported
+	TopicScale                // desired capacity of each service
 )
 
 // KeyedRecord is one record of a keyed topic.
 type KeyedRecord struct {
 	Key    string
-	Value  []byte // nil: the key is dropped
+	Value  []byte // nil: the key is deleted
 	Offset int64
 }
 
-// KeyedPage is a part of a topic's newest records. Pages are no snapshot:
-// records may change between two of them.
+// KeyedPage is a page of a topic's newest records. The pages of a listing
+// aren't a snapshot: records may change between two of them.
 type KeyedPage struct {
 	Records []KeyedRecord
 	More    bool
 	End     int64 // offset after the newest record when the page was made
-	Relayed bool  // another daemon gave it, since the store couldn't be read
+	Relayed bool  // read from another daemon, because the store couldn't be read
 }
 
-// KeyedBatch is what a read of a topic returns.
+// KeyedBatch is the result of a read of a topic.
 type KeyedBatch struct {
-	Records []KeyedRecord // by rising offset; records that change nothing may be left out
+	Records []KeyedRecord // by ascending offset; records that change nothing may be omitted
 	Next    int64         // offset to read from next
 }
 
-// Store keeps what must outlast every process. Its writes may have had an
-// effect although they returned an error, unless that is ErrConflict.
+// Store keeps state that must outlive every process. A write that returns an
+// error other than ErrConflict may still have taken effect.
 type Store interface {
-	// Newest returns newest records whose keys come after the given one.
+	// Newest returns a page of newest records whose keys sort after the given
+	// key.
 	Newest(ctx context.Context, t Topic, after string) (KeyedPage, error)
-	// Read returns the records from an offset on. With none to return it waits
-	// up to wait. ErrExpired: they are no longer kept.
+	// Read returns the records from an offset on. If there is none, it waits up
+	// to wait for one. It returns ErrExpired if they are no longer kept.
 	Read(ctx context.Context, t Topic, from int64, wait time.Duration) (KeyedBatch, error)
 	// Put writes a record and returns its offset.
 	Put(ctx context.Context, t Topic, key string, value []byte) (int64, error)
-	// PutAt writes a record only if it gets this offset, else ErrConflict.
+	// PutAt writes a record if it would get the offset at, and returns
+	// ErrConflict otherwise.
 	PutAt(ctx context.Context, t Topic, key string, value []byte, at int64) (int64, error)
 }
--- a/port/target.go
+++ b/port/target.go
@@ -6,67 +6,68 @@
 	"time"
 )
 
-// TargetEntry is a target as it announces itself.
+// TargetEntry is the entry that a target publishes about itself.
 type TargetEntry struct {
-	ID         string // of this start of the target; a restart has another one
-	StartMs    int64  // Unix milliseconds of the start; 0: not known
+	ID         string // of this start of the target; each restart gets a new one
+	StartMs    int64  // start time in Unix milliseconds; 0: unknown
 	Service    string
-	Addr       string // host:port; used again by others after the target's end
-	Zone       string // availability zone
-	Software   string // version of its software
-	Slots      int    // requests that it runs at a time
-	Leaving    bool   // takes no new work
-	WarmupLeft time.Duration
-	Role       Role // of an engine, else empty
-	Spot       bool // the platform may reclaim it at short notice
+	Addr       string        // host:port; another target may reuse it after this one has ended
+	Zone       string        // availability zone
+	Software   string        // software version
+	Slots      int           // concurrent requests that it runs
+	Leaving    bool          // accepts no new requests
+	WarmupLeft time.Duration // time for which it is still slow after its start
+	Role       Role          // of an engine; empty for other targets
+	Spot       bool          // the platform may reclaim it at short notice
 }
 
-// PromptPart is a run of prompt tokens that other requests may begin with too.
+// PromptPart is a sequence of prompt tokens that other requests may share as
+// part of their prefix.
 type PromptPart struct {
 	_      struct{} `cbor:",toarray"`
 	ID     uint64
 	Tokens int
 }
 
-// RequestMeta is what a caller states about its request beside method, path and body.
+// RequestMeta is the metadata that a caller sends in the headers of a request.
 type RequestMeta struct {
-	RequestID       string        // of this attempt of the caller; empty: none
-	Timeout         time.Duration // how long the caller waits; 0: not stated
+	RequestID       string        // of this attempt of the caller; empty: not stated
+	Timeout         time.Duration // how long the caller waits for the answer; 0: not stated
 	Model           string
-	PromptTokens    int          // prompt tokens
-	MaxOutputTokens int          // most output tokens
-	OutputHint      int          // the caller's guess of its output tokens; 0: none
-	PromptParts     []PromptPart // of the prompt, in order
-	LastEventID     string       // id of the last event that the caller has
-	APIKey          string       // the caller's API key; empty: none that can be read
+	PromptTokens    int
+	MaxOutputTokens int          // upper limit
+	OutputHint      int          // the caller's estimate of the output tokens; 0: none
+	PromptParts     []PromptPart // parts of the prompt, in order
+	LastEventID     string       // of the last event that the caller has received
+	APIKey          string       // empty: missing or unreadable
 }
 
-// KVSource is KV cache that an engine keeps for its reader.
+// KVSource identifies KV cache that an engine keeps for one reader.
 type KVSource struct {
-	Addr   string // of the engine that computed it
+	Addr   string // address of the engine that computed it
 	Handle string
 }
 
-// DispatchMeta is what a daemon adds to a request for one target.
+// DispatchMeta is the metadata that a daemon adds to a request to one target.
 type DispatchMeta struct {
-	RequestID   string        // as the caller stated it
-	TargetID    string        // id that the target must have to run it
-	Timeout     time.Duration // after which the target may stop
-	Priority    int           // 0 is the most urgent; below 0: not stated
+	RequestID   string        // as stated by the caller
+	TargetID    string        // a target with another id must not run the request
+	Timeout     time.Duration // the target may stop after this time
+	Priority    int           // 0 is the most urgent; negative: not stated
 	Prefill     bool          // compute the KV cache only
-	KV          *KVSource     // go on from this cache
-	FetchFrom   string        // address of an engine that keeps more of the prompt
-	LastEventID string        // go on after this event; empty: as the caller stated it
-	// Organisation holds the caller's key; empty: not stated.
+	KV          *KVSource     // KV cache to continue from
+	FetchFrom   string        // address of an engine that has more of the prompt cached
+	LastEventID string        // resume after this event; empty: as stated by the caller
+	// Organisation is the owner of the caller's API key; empty: not stated.
 	Organisation string
 }
 
-// ResponseMeta is what a target's answer says beside its status and body.
+// ResponseMeta is the metadata of a target's answer.
 type ResponseMeta struct {
-	RequestID   string // request that it answers; empty: not said
-	NotRun      bool   // it says itself that it ran nothing
-	Misdirected bool   // another target has the address now
-	Signed      bool   // it is the target's own answer
+	RequestID   string // of the answered request; empty: not stated
+	NotRun      bool   // the target states that it didn't run the request
+	Misdirected bool   // the address now belongs to another target
+	Signed      bool   // the target itself produced the answer
 	KeepAlive   time.Duration
 	RetryAfter  time.Duration
 }
@@ -76,47 +77,52 @@
 	Target         string // id that the engine must have
 	Addr           string
 	Role           Role
-	Holder         string // who gives it
+	Holder         string // VM that holds the claim to give orders
 	Fence          int64  // fencing number
-	AcceptedOrders int64  // orders that the engine has accepted so far
+	AcceptedOrders int64  // number of orders that the engine has accepted so far
 }
 
-// TargetProtocol is the form that requests and answers have between callers,
-// daemons and targets.
+// TargetProtocol encodes and decodes the metadata of requests and answers
+// between callers, daemons and targets.
 type TargetProtocol interface {
-	// RequestMeta reads what a caller states. The error says which header is wrong.
+	// ParseRequest reads the metadata of a caller's request. The error names
+	// the invalid header.
 	ParseRequest(h http.Header) (RequestMeta, error)
-	// ForwardHeaders returns the headers that go on to a target as they came, without
-	// the caller's key if callers have keys.
+	// ForwardHeaders returns the headers that are forwarded to a target
+	// unchanged. If keyed, they don't include the caller's API key.
 	ForwardHeaders(h http.Header, keyed bool) http.Header
-	// AddDispatchHeaders adds what the daemon states to headers that ForwardHeaders returned.
-	AddDispatchHeaders(h http.Header, s DispatchMeta)
-	// ParseResponse reads a target's answer.
+	// AddDispatchHeaders adds the daemon's metadata to headers that
+	// ForwardHeaders returned.
+	AddDispatchHeaders(h http.Header, m DispatchMeta)
+	// ParseResponse reads the metadata of a target's answer.
 	ParseResponse(status int, h http.Header) ResponseMeta
-	// SetAnswerHeaders states the request's id, and when to come back (0: not stated),
-	// in an answer of the daemon's own.
+	// SetAnswerHeaders sets the headers of an answer that the daemon itself
+	// produces: the request's id, and when to retry (0: not stated).
 	SetAnswerHeaders(h http.Header, id string, after time.Duration)
-	// ParseKVHandle reads the answer to a request that was sent with Prefill.
+	// ParseKVHandle reads the KV cache handle from the answer to a request that
+	// was sent with Prefill.
 	ParseKVHandle(body []byte) (string, error)
 }
 
-// RoleReport is an engine's own word about its role. It lags by some hundred
+// RoleReport is an engine's report of its role. It lags by a few hundred
 // milliseconds.
 type RoleReport struct {
 	Role           Role
 	Changing       bool  // an order is being carried out
-	AcceptedOrders int64 // orders accepted since its start
+	AcceptedOrders int64 // number of orders accepted since its start
 }
 
-// EngineControl gives orders to engines, and takes back what isn't needed.
+// EngineControl sends control calls to engines.
 type EngineControl interface {
-	// Report asks the engine that has this id at this address.
+	// Report returns the report of the engine with this id at this address.
 	Report(ctx context.Context, addr, id string) (RoleReport, error)
-	// Order sends o. Nil: it is carried out or holds already. ErrFenced and
-	// ErrBusy are refusals; any other error says nothing about its effect.
+	// Order sends o. It returns nil if the engine accepted the order or already
+	// has the role. ErrFenced and ErrBusy are refusals. After any other error
+	// the order may have taken effect or not.
 	Order(ctx context.Context, o RoleOrder) error
-	// CachedParts returns the prompt parts that the engine keeps, in no order.
+	// CachedParts returns the prompt parts in the engine's cache, in no
+	// particular order.
 	CachedParts(ctx context.Context, addr, id string) ([]PromptPart, error)
-	// ReleaseKV frees KV cache that will have no reader.
+	// ReleaseKV frees KV cache that no engine will read.
 	ReleaseKV(ctx context.Context, s KVSource) error
 }
