--- a/code/code.go
+++ b/code/code.go
@@ -1,6 +1,6 @@
-// Package code holds the numbered result codes that every part of pomelospool
-// reports to callers, operators and logs. docs/CODES.md is generated from the
-// table here, so a code can't exist without its meaning.
+// Package code defines the numbered result codes that pomelospool reports to
+// callers, operators and logs. docs/CODES.md is generated from the table in this
+// package, so that every code is documented.
 package code
 
 import (
@@ -10,8 +10,7 @@
 	"time"
 )
 
-// Code is a numbered result. Thousands group the codes by the part that
-// reports them: 1xxx admission, 2xxx attempts, 3xxx at-most-once, 4xxx the
+// Code is the number of a result. Codes are grouped by thousands: 1xxx admission, 2xxx attempts, 3xxx at-most-once, 4xxx the
 // service document and settings, 5xxx agreement, 6xxx peers and operators.
 type Code int
 
@@ -19,14 +18,14 @@
 type Info struct {
 	Code    Code
 	Name    string // stable, in upper snake case
-	Status  int    // HTTP status with which the code travels
-	NotRun  bool   // true only when nothing was written to a target, or it said itself that it ran nothing
+	Status  int    // HTTP status of an answer with the code
+	NotRun  bool   // true only if nothing was written to a target, or the target stated that it ran nothing
 	Meaning string // one sentence: what happened
-	Action  string // one sentence: what the reader of the code does next
+	Action  string // one sentence: what to do about it
 }
 
-// Error is an error with a code. RetryAfter tells the caller when to come
-// back; zero means that the code gives no such time.
+// Error is an error with a code. RetryAfter is the time after which the caller
+// may retry; zero means not stated.
 type Error struct {
 	Code       Code
 	Detail     string
@@ -39,18 +38,19 @@
 	return &Error{Code: c, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Wrap returns an Error around err, which errors.Is and errors.As still find.
+// Wrap returns an Error that wraps err and has a formatted detail.
 func Wrap(c Code, err error, format string, args ...any) *Error {
 	return &Error{Code: c, Detail: fmt.Sprintf(format, args...), Err: err}
 }
 
-// WithRetryAfter sets when the caller should come back and returns the error.
+// WithRetryAfter sets RetryAfter and returns e.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
 }
 
-// Error gives the number, the name and the detail in one line.
+// Error returns the number, the name, the detail and the wrapped error in one
+// line.
 func (e *Error) Error() string {
 	s := fmt.Sprintf("%d %s", int(e.Code), e.Code.Info().Name)
 	if e.Detail != "" {
@@ -65,7 +65,8 @@
 // Unwrap returns the wrapped error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Of returns the code of err, Internal for an error without one, OK for nil.
+// Of returns the code of err. It returns OK for nil, and Internal for an error
+// without a code.
 func Of(err error) Code {
 	if err == nil {
 		return OK
@@ -77,7 +78,7 @@
 	return Internal
 }
 
-// Info returns the table entry of c. An unknown code gives the entry of Internal.
+// Info returns the table entry of c, or that of Internal if c is unknown.
 func (c Code) Info() Info {
 	if i, ok := byCode[c]; ok {
 		return i
@@ -85,13 +86,13 @@
 	return byCode[Internal]
 }
 
-// Known reports whether c stands in the table.
+// Known reports whether the table contains c.
 func Known(c Code) bool {
 	_, ok := byCode[c]
 	return ok
 }
 
-// All returns the table in the order of the numbers.
+// All returns a copy of the table, ordered by code.
 func All() []Info { return append([]Info(nil), table...) }
 
 var byCode = func() map[Code]Info {
@@ -105,5 +106,6 @@
 	return m
 }()
 
-// statusUnknown is the HTTP status for an outcome that nobody can know.
+// statusUnknown is the HTTP status of results that leave the outcome of the
+// request unknown.
 const statusUnknown = http.StatusBadGateway
--- a/code/code_test.go
+++ b/code/code_test.go
@@ -10,11 +10,11 @@
 	last := Code(-1)
 	for _, i := range All() {
 		if i.Code <= last {
-			t.Errorf("code %d stands after %d", i.Code, last)
+			t.Errorf("code %d is listed after %d", i.Code, last)
 		}
 		last = i.Code
 		if i.Name == "" || i.Meaning == "" || i.Action == "" || i.Status == 0 {
-			t.Errorf("code %d lacks a field: %+v", i.Code, i)
+			t.Errorf("code %d has an empty field: %+v", i.Code, i)
 		}
 	}
 }
@@ -26,7 +26,7 @@
 		t.Errorf("Of = %d, want %d", got, TargetUnreachable)
 	}
 	if !errors.Is(err, cause) {
-		t.Error("the cause got lost")
+		t.Error("errors.Is doesn't find the wrapped error")
 	}
 	if got := Of(cause); got != Internal {
 		t.Errorf("Of an error without code = %d, want Internal", got)
