--- a/port/httpapi/client.go
+++ b/port/httpapi/client.go
@@ -157,8 +157,8 @@
 
 var errClosed = errors.New("adapter closed")
 
-// dial opens a connection that close can close. It guards against bytes that
-// outlive the call: on a connection that has lost its peer, the kernel retransmits
+// dial opens a connection and registers it, so that close can close it. It guards
+// against bytes that outlive the call: on a connection that has lost its peer, the kernel retransmits
 // the bytes of a call for minutes after the call has failed, so that an old order
 // may arrive late. TCP_USER_TIMEOUT bounds this time while the connection is open,
 // and a linger of 0 discards the bytes as soon as it is closed.
--- a/port/loadheader.go
+++ b/port/loadheader.go
@@ -9,8 +9,8 @@
 
 // LoadHeader is the answer header in which an engine reports its load at the
 // time of the answer, as an ORCA load report in JSON. These reports need no
-// extra call. With hundreds of daemons, calls are too rare to give recent
-// reports, so that only these are.
+// extra call. With hundreds of daemons, each of them can call an engine so rarely
+// that only reports on answers are recent.
 const LoadHeader = "Endpoint-Load-Metrics"
 
 // jsonPrefix precedes the JSON of a report in a header.
--- a/port/store.go
+++ b/port/store.go
@@ -19,7 +19,7 @@
 	TopicConfig  Topic = iota // operators' configuration; read only
 	TopicTargets              // entries of the targets; read only
 	TopicDaemons              // entries of the daemons
-	TopicClaims               // claims to a subject, keyed by subject
+	TopicClaims               // claims to act on a subject, keyed by subject
 	TopicUsage                // organisations' usage as reported
 	TopicScale                // desired capacity of each service
 )
