--- a/bench/soak/site_test.go
+++ b/bench/soak/site_test.go
@@ -213,14 +213,14 @@
 	defer env.mu.Unlock()
 	for _, p := range env.slots {
 		for _, t := range p.targets {
-			for _, a := range t.Arrivals() {
+			for _, a := range t.ReceivedRequests() {
 				if a.Key != "" || a.Organisation != organisation {
 					env.judge.ReportFault("target %s saw a request of organisation %q with key %q", t.ID, a.Organisation, a.Key)
 				}
 			}
 		}
 	}
-	for _, broken := range env.cloud.Broken() {
+	for _, broken := range env.cloud.Violations() {
 		env.judge.ReportFault("cloud: %s", broken)
 	}
 }
@@ -260,12 +260,12 @@
 func (env *environment) newLoad(seed uint64, callers int) *Load {
 	l := &Load{Seed: seed, Callers: callers, Judge: env.judge, Protocol: CallerProtocol{
 		Headers:          callerHeaders,
-		ResolveAddresses: standin.AskAddresses,
-		NotRun:           standin.SaysNotRun,
+		ResolveAddresses: standin.QueryAddresses,
+		NotRun:           standin.ReportsNotRun,
 		Paths:            [...]string{"/p/x", "/i/x", "/s/x"},
 		Host:             standin.Host,
 		Answer:           standin.Answer,
-		Events:           standin.Events(events),
+		Events:           standin.EventStream(events),
 	}}
 	for i := range env.daemons {
 		l.Daemons = append(l.Daemons, Daemon{Callers: env.ip(i) + ":17000", Addresses: env.ip(i) + ":17002"})
@@ -297,7 +297,7 @@
 		id := fmt.Sprintf("end-%d-%d-%d", i, class, try)
 		want, prompt := standin.Answer(id), ""
 		if Class(class) == Stream {
-			want, prompt = standin.Events(events), "aa:800,bb:660"
+			want, prompt = standin.EventStream(events), "aa:800,bb:660"
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+env.ip(i)+":17000"+path, http.NoBody)
--- a/bench/soak/soak_test.go
+++ b/bench/soak/soak_test.go
@@ -192,7 +192,7 @@
 const storeReset = 2
 
 func (env *environment) failStore(how int, waitEnd func()) {
-	modes := [variantCount]standin.Mode{standin.Busy, standin.Many, storeReset: standin.Reset, standin.Silent, standin.Slow, standin.Late}
+	modes := [variantCount]standin.Mode{standin.Unavailable, standin.RateLimited, storeReset: standin.Reset, standin.Hang, standin.Slow, standin.LateEffect}
 	env.store.SetMode(modes[how])
 	env.cloud.SetMode(modes[variantCount-1-how])
 	waitEnd()
@@ -221,15 +221,15 @@
 			case degradeFail:
 				b.Fail = on
 			case degradeMute:
-				b.Mute = on
+				b.NoAnswer = on
 			case degradeGarble:
-				b.Garble = on
+				b.Unsigned = on
 			case degradeExtra:
-				b.Extra, b.LateOrders = on, on
+				b.RepeatPrevious, b.LoseOrderAnswers = on, on
 			case degradeCut:
-				b.Cut = 0
+				b.CutAfter = 0
 				if on {
-					b.Cut = events / 2
+					b.CutAfter = events / 2
 				}
 			}
 		})
--- a/operator/caller/send.go
+++ b/operator/caller/send.go
@@ -261,7 +261,7 @@
 // retry delay.
 func (at *attempt) daemonError(body errorBody) error {
 	at.a.RetryAfter = time.Duration(body.Error.RetryAfterMs) * time.Millisecond
-	return code.New(body.Error.Code, "%s", body.Error.Message).After(at.a.RetryAfter)
+	return code.New(body.Error.Code, "%s", body.Error.Message).WithRetryAfter(at.a.RetryAfter)
 }
 
 // retryDecision says whether, where and when to retry after a failed attempt.
--- a/request/entry/entry.go
+++ b/request/entry/entry.go
@@ -180,7 +180,7 @@
 // checkAccepting returns an error if the daemon doesn't accept requests.
 func (e *Entry) checkAccepting() error {
 	if e.draining.Load() {
-		return code.New(code.Draining, "").After(time.Second)
+		return code.New(code.Draining, "").WithRetryAfter(time.Second)
 	}
 	if e.opts.Gate != nil {
 		return e.opts.Gate.Admit()
--- a/request/ingress/ingress.go
+++ b/request/ingress/ingress.go
@@ -26,7 +26,7 @@
 // ConfigAge and OnStart.
 type Options struct {
 	Config  *inforce.Holder
-	Wire    port.TargetWire
+	Wire    port.TargetProtocol
 	Runner  *dispatch.Runner
 	Observe func(Observation) // called at the end of each request
 	// TargetsAge returns the age of the latest list of targets, by which
@@ -130,7 +130,7 @@
 	w          http.ResponseWriter
 	req        *http.Request
 	arrived    time.Time
-	ask        port.Ask
+	ask        port.RequestMeta
 	trace      dispatch.Trace
 	status     int
 	headerSent bool          // the header of a target's answer was sent
@@ -139,14 +139,14 @@
 
 // read parses and validates the request.
 func (x *exchange) read() (*dispatch.Call, error) {
-	ask, err := x.o.Wire.Ask(x.req.Header)
+	ask, err := x.o.Wire.ParseRequest(x.req.Header)
 	x.ask = ask
 	if err != nil {
 		return nil, code.Wrap(code.BadRequest, err, "")
 	}
 	cfg := x.o.Config.Load()
 	if cfg == nil {
-		return nil, code.New(code.NoConfiguration, "").After(noConfigurationRetryAfter)
+		return nil, code.New(code.NoConfiguration, "").WithRetryAfter(noConfigurationRetryAfter)
 	}
 	uri := requestURI(x.req)
 	path, _, _ := strings.Cut(uri, "?")
@@ -154,13 +154,13 @@
 	if r == nil {
 		return nil, code.New(code.UnknownRoute, "version %d", cfg.Version)
 	}
-	org := cfg.Organisation(ask.Key)
+	org := cfg.Organisation(ask.APIKey)
 	if org == nil && cfg.RequiresKeys() && !r.Public {
 		return nil, x.unknownKey(cfg)
 	}
-	svc := cfg.Services[r.Service(route.Seed(ask.ID))]
+	svc := cfg.Services[r.Service(route.Seed(ask.RequestID))]
 	if svc == nil {
-		return nil, code.New(code.NoTarget, "route %q names a service that the configuration lacks", r.Name).After(noConfigurationRetryAfter)
+		return nil, code.New(code.NoTarget, "route %q names a service that the configuration lacks", r.Name).WithRetryAfter(noConfigurationRetryAfter)
 	}
 	body, err := limit.ReadBody(x.w, x.req, maxBodyBytes(cfg.Limits), bodyReadTimeout)
 	if err != nil {
@@ -175,7 +175,7 @@
 		Method:  x.req.Method,
 		URI:     uri,
 		Host:    x.req.Host,
-		Header:  x.o.Wire.Forward(x.req.Header, cfg.RequiresKeys()),
+		Header:  x.o.Wire.ForwardHeaders(x.req.Header, cfg.RequiresKeys()),
 		Body:    body,
 
 		Priority: r.Priority,
@@ -191,7 +191,7 @@
 	}
 	c.Deadline = x.arrived.Add(callTimeout(c))
 	if x.stopsBefore(c) {
-		return c, code.New(code.Draining, "the answer would take longer than this daemon stays").After(stoppingRetryAfter)
+		return c, code.New(code.Draining, "the answer would take longer than this daemon stays").WithRetryAfter(stoppingRetryAfter)
 	}
 	return c, nil
 }
@@ -201,7 +201,7 @@
 // returns a retryable error instead.
 func (x *exchange) unknownKey(cfg *route.Config) error {
 	if age, known := x.o.configAge(); known && age > x.o.MaxConfigAge {
-		return code.New(code.StaleConfiguration, "version %d was confirmed %v ago", cfg.Version, age.Round(time.Millisecond)).After(noConfigurationRetryAfter)
+		return code.New(code.StaleConfiguration, "version %d was confirmed %v ago", cfg.Version, age.Round(time.Millisecond)).WithRetryAfter(noConfigurationRetryAfter)
 	}
 	return code.New(code.Unauthorized, "version %d", cfg.Version)
 }
@@ -232,8 +232,8 @@
 	if timeout <= 0 {
 		timeout = defaultTimeout
 	}
-	if c.Ask.Left > 0 {
-		return min(timeout, c.Ask.Left)
+	if c.Ask.Timeout > 0 {
+		return min(timeout, c.Ask.Timeout)
 	}
 	return timeout
 }
@@ -267,7 +267,7 @@
 	duration := time.Since(x.arrived)
 	o := Observation{Code: code.Of(err), Status: x.status, Duration: duration, TimeToFirst: x.trace.TimeToFirst}
 	fields := log.Fields{
-		"request": x.ask.ID,
+		"request": x.ask.RequestID,
 		"code":    int(o.Code),
 		"status":  x.status,
 		"ms":      duration.Milliseconds(),
@@ -281,11 +281,11 @@
 		fields["service"] = c.Service.Name
 		fields["organisation"] = c.Organisation
 		fields["targets"] = strings.Join(x.trace.Targets, " ")
-		fields["left_ms"] = c.Ask.Left.Milliseconds()
+		fields["left_ms"] = c.Ask.Timeout.Milliseconds()
 		fields["timeout_ms"] = c.Route.Timeout.Milliseconds()
-		if c.Ask.Output > 0 {
-			fields["output_tokens"] = c.Ask.Output
-			fields["hint_tokens"] = c.Ask.Hint
+		if c.Ask.MaxOutputTokens > 0 {
+			fields["output_tokens"] = c.Ask.MaxOutputTokens
+			fields["hint_tokens"] = c.Ask.OutputHint
 			fields["last_event"] = x.trace.LastEvent
 			fields["predicted_stream_ms"] = x.trace.PredictedDuration.Milliseconds()
 		}
@@ -319,7 +319,7 @@
 	}
 	entry.Info("ingress: request ended")
 	if err == nil && c != nil {
-		x.durations.observe(c.Route.Name, c.Ask.Output, x.trace.TimeToFirst, duration)
+		x.durations.observe(c.Route.Name, c.Ask.MaxOutputTokens, x.trace.TimeToFirst, duration)
 	}
 	if x.o.Observe != nil {
 		x.o.Observe(o)
