--- a/request/quarantine/claim.go
+++ b/request/quarantine/claim.go
@@ -19,13 +19,13 @@
 	maxSharedRuns = 1
 )
 
-// precedes reports whether k takes precedence over other. A confirmed claim
+// precedes reports whether cl takes precedence over other. A confirmed claim
 // does, otherwise the one of the lower incarnation.
-func (k claim) precedes(other claim) bool {
-	if k.confirmed != other.confirmed {
-		return k.confirmed
+func (cl claim) precedes(other claim) bool {
+	if cl.confirmed != other.confirmed {
+		return cl.confirmed
 	}
-	return k.by < other.by
+	return cl.by < other.by
 }
 
 // Claim implements Claimer.
@@ -59,10 +59,10 @@
 // content is already in flight here, sent before any crash was known.
 //
 // It guards against the loss of a third target: the content runs on two targets,
-// one dies, and the daemon of that target would run the content again alone
-// while the other target is still about to die.
-func (t *CrashTracker) counterClaim(c *content, k claim, now time.Time) bool {
-	if k.by == t.o.Self || !now.Before(k.until) || c.claim.local && now.Before(c.claim.until) || !t.isRunning(c.fp) {
+// one crashes, and the daemon of that target would run the content again alone
+// while the other target is still about to crash.
+func (t *CrashTracker) counterClaim(c *content, cl claim, now time.Time) bool {
+	if cl.by == t.o.Self || !now.Before(cl.until) || c.claim.local && now.Before(c.claim.until) || !t.isRunning(c.fp) {
 		return false
 	}
 	t.claimSeq++
@@ -96,7 +96,7 @@
 
 // encode returns the claim in the form used as the target of an update.
 // parseClaim is the inverse.
-func (k claim) encode() string { return claimPrefix + k.by + "#" + strconv.FormatUint(k.seq, 10) }
+func (cl claim) encode() string { return claimPrefix + cl.by + "#" + strconv.FormatUint(cl.seq, 10) }
 
 func parseClaim(target string) (claim, bool) {
 	name, ok := strings.CutPrefix(target, claimPrefix)
--- a/request/quarantine/content.go
+++ b/request/quarantine/content.go
@@ -16,7 +16,7 @@
 	shortConviction = 2 * time.Minute
 )
 
-// crash is the death of a target while the content was in flight there.
+// crash is a target's crash while the content was in flight there.
 type crash struct {
 	target    string
 	at        time.Time
@@ -63,8 +63,8 @@
 // crashCount returns the number of crashes that have not been dismissed.
 func (c *content) crashCount() int {
 	n := 0
-	for _, k := range c.crashes {
-		if !k.dismissed {
+	for _, cr := range c.crashes {
+		if !cr.dismissed {
 			n++
 		}
 	}
@@ -72,30 +72,30 @@
 }
 
 func (c *content) hasLocalCrash() bool {
-	return slices.ContainsFunc(c.crashes, func(k crash) bool { return k.local && !k.dismissed })
+	return slices.ContainsFunc(c.crashes, func(cr crash) bool { return cr.local && !cr.dismissed })
 }
 
 // addCrash records a crash and reports whether it is new. Several daemons report
-// the same death; counting it twice would convict harmless content after one
+// the same crash; counting it twice would convict harmless content after one
 // crash.
-func (c *content) addCrash(k crash) bool {
+func (c *content) addCrash(cr crash) bool {
 	for i, old := range c.crashes {
-		if old.target == k.target && k.at.Sub(old.at).Abs() < sameCrashWindow {
-			c.crashes[i].local = old.local || k.local
+		if old.target == cr.target && cr.at.Sub(old.at).Abs() < sameCrashWindow {
+			c.crashes[i].local = old.local || cr.local
 			return false
 		}
 	}
-	c.appendCrash(k)
+	c.appendCrash(cr)
 	return true
 }
 
-func (c *content) appendCrash(k crash) {
+func (c *content) appendCrash(cr crash) {
 	if len(c.crashes) >= maxCrashes {
 		c.crashes = slices.Delete(c.crashes, 0, 1)
 	}
-	c.crashes = append(c.crashes, k)
+	c.crashes = append(c.crashes, cr)
 	c.firstTry = time.Time{}
-	if until := k.at.Add(suspectTTL); until.After(c.suspectUntil) {
+	if until := cr.at.Add(suspectTTL); until.After(c.suspectUntil) {
 		c.suspectUntil = until
 	}
 }
@@ -106,16 +106,16 @@
 	return c.claim.local && !c.claim.running && now.Before(c.claim.until)
 }
 
-// addLocalCrash records a death that this process saw and reports whether it is
-// new. A death during an exclusive run of the content is always new, even if the
-// same target died with it a moment ago and was restarted.
-func (c *content) addLocalCrash(d death) bool {
+// addLocalCrash records a crash that this process saw and reports whether it is
+// new. A crash during an exclusive run of the content is always new, even if the
+// same target crashed with it a moment ago and was restarted.
+func (c *content) addLocalCrash(tc targetCrash) bool {
 	c.clearAt = time.Time{}
-	k := crash{target: d.target, at: d.at, local: true}
-	if !c.runsExclusively(d.at) {
-		return c.addCrash(k)
+	cr := crash{target: tc.target, at: tc.at, local: true}
+	if !c.runsExclusively(tc.at) {
+		return c.addCrash(cr)
 	}
-	c.appendCrash(k)
+	c.appendCrash(cr)
 	return true
 }
 
--- a/request/quarantine/news.go
+++ b/request/quarantine/news.go
@@ -40,13 +40,13 @@
 		}}
 	}
 	var out []*peerpb.Conviction
-	for _, k := range c.crashes {
-		n := &peerpb.Conviction{Fingerprint: c.fp, Suspect: true, Crashes: 1, Target: k.target}
-		n.TtlMs = k.at.Add(suspectTTL).Sub(now).Milliseconds()
-		if k.dismissed {
-			n.Crashes = 0
+	for _, cr := range c.crashes {
+		u := &peerpb.Conviction{Fingerprint: c.fp, Suspect: true, Crashes: 1, Target: cr.target}
+		u.TtlMs = cr.at.Add(suspectTTL).Sub(now).Milliseconds()
+		if cr.dismissed {
+			u.Crashes = 0
 		}
-		out = append(out, n)
+		out = append(out, u)
 	}
 	if c.claim.by != "" {
 		out = append(out, claimUpdate(c, now))
@@ -57,12 +57,12 @@
 // claimUpdate returns the update about a claim. Its Crashes field is 1 once the
 // claim is confirmed, and its TtlMs field is 0 after the claim was released.
 func claimUpdate(c *content, now time.Time) *peerpb.Conviction {
-	n := &peerpb.Conviction{Fingerprint: c.fp, Suspect: true, Target: c.claim.encode()}
-	n.TtlMs = max(0, c.claim.until.Sub(now).Milliseconds())
+	u := &peerpb.Conviction{Fingerprint: c.fp, Suspect: true, Target: c.claim.encode()}
+	u.TtlMs = max(0, c.claim.until.Sub(now).Milliseconds())
 	if c.claim.confirmed {
-		n.Crashes = 1
+		u.Crashes = 1
 	}
-	return n
+	return u
 }
 
 // Outgoing implements membership.Convictions. It returns the updates about the
@@ -88,57 +88,57 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.tick()
-	for _, n := range updates {
-		if strings.HasPrefix(n.Target, targetClaimPrefix) {
-			t.mergeTarget(n, now)
+	for _, u := range updates {
+		if strings.HasPrefix(u.Target, targetClaimPrefix) {
+			t.mergeTarget(u, now)
 			continue
 		}
-		c := t.getOrCreate(n.Fingerprint, now)
+		c := t.getOrCreate(u.Fingerprint, now)
 		if c == nil {
 			continue
 		}
-		t.merge(c, n, now)
+		t.merge(c, u, now)
 	}
 }
 
-func (t *CrashTracker) merge(c *content, n *peerpb.Conviction, now time.Time) {
-	ttl := time.Duration(n.TtlMs) * time.Millisecond
+func (t *CrashTracker) merge(c *content, u *peerpb.Conviction, now time.Time) {
+	ttl := time.Duration(u.TtlMs) * time.Millisecond
 	switch {
-	case !n.Suspect:
-		c.mergeConviction(n, now, min(ttl, maxConviction))
-	case strings.HasPrefix(n.Target, claimPrefix):
-		k, ok := parseClaim(n.Target)
-		k.until = now.Add(min(ttl, claimTTL))
-		k.confirmed = n.Crashes > 0
-		if ok && !t.counterClaim(c, k, now) {
-			c.mergeClaim(k, now)
+	case !u.Suspect:
+		c.mergeConviction(u, now, min(ttl, maxConviction))
+	case strings.HasPrefix(u.Target, claimPrefix):
+		cl, ok := parseClaim(u.Target)
+		cl.until = now.Add(min(ttl, claimTTL))
+		cl.confirmed = u.Crashes > 0
+		if ok && !t.counterClaim(c, cl, now) {
+			c.mergeClaim(cl, now)
 		}
-	case n.Crashes == 0:
-		c.mergeDismissed(n.Target, now.Add(ttl-suspectTTL))
+	case u.Crashes == 0:
+		c.mergeDismissed(u.Target, now.Add(ttl-suspectTTL))
 	default:
-		t.mergeCrash(c, crash{target: n.Target, at: now.Add(min(ttl, suspectTTL) - suspectTTL)}, now)
+		t.mergeCrash(c, crash{target: u.Target, at: now.Add(min(ttl, suspectTTL) - suspectTTL)}, now)
 	}
 }
 
 // mergeConviction applies a peer's conviction. The number of convictions is
 // included so that the next conviction doubles on whichever daemon makes it.
-func (c *content) mergeConviction(n *peerpb.Conviction, now time.Time, ttl time.Duration) {
-	c.convictions = max(c.convictions, int(n.Crashes)-1)
+func (c *content) mergeConviction(u *peerpb.Conviction, now time.Time, ttl time.Duration) {
+	c.convictions = max(c.convictions, int(u.Crashes)-1)
 	if now.Add(ttl).After(c.convictedUntil.Add(maxUpdateDelay)) {
 		c.refuseFor(now, ttl)
 	}
-	c.addCrash(crash{target: n.Target, at: now})
+	c.addCrash(crash{target: u.Target, at: now})
 }
 
 // mergeClaim applies a peer's update about a claim. A released claim is kept
 // with its end, so that an older update cannot restore it.
-func (c *content) mergeClaim(k claim, now time.Time) {
-	if c.claim.by == k.by {
-		c.claim.refresh(k)
+func (c *content) mergeClaim(cl claim, now time.Time) {
+	if c.claim.by == cl.by {
+		c.claim.refresh(cl)
 		return
 	}
-	if c.claim.replacedBy(k, now) {
-		c.claim = k
+	if c.claim.replacedBy(cl, now) {
+		c.claim = cl
 	}
 }
 
@@ -149,34 +149,34 @@
 // just after the winner released its claim, and replace it. The winner would
 // then no longer send the end of its claim, and a peer that missed the broadcast
 // would refuse the content, or the target, for two minutes.
-func (k claim) replacedBy(other claim, now time.Time) bool {
-	ended := !now.Before(k.until)
+func (cl claim) replacedBy(other claim, now time.Time) bool {
+	ended := !now.Before(cl.until)
 	if !now.Before(other.until) {
-		return ended && !k.local
+		return ended && !cl.local
 	}
-	return ended || other.precedes(k)
+	return ended || other.precedes(cl)
 }
 
 // refresh applies an update about a claim of the same process. A newer claim
 // replaces this one; the same claim can only end sooner.
-func (k *claim) refresh(other claim) {
+func (cl *claim) refresh(other claim) {
 	switch {
-	case k.local || other.seq < k.seq:
-	case other.seq > k.seq:
-		*k = other
+	case cl.local || other.seq < cl.seq:
+	case other.seq > cl.seq:
+		*cl = other
 	default:
-		if other.until.Before(k.until) {
-			k.until = other.until
+		if other.until.Before(cl.until) {
+			cl.until = other.until
 		}
-		k.confirmed = k.confirmed || other.confirmed
+		cl.confirmed = cl.confirmed || other.confirmed
 	}
 }
 
 // mergeDismissed applies an update that a crash has been dismissed.
 func (c *content) mergeDismissed(target string, at time.Time) {
 	c.addCrash(crash{target: target, at: at, dismissed: true})
-	for i, k := range c.crashes {
-		if k.target == target && k.at.Sub(at).Abs() < sameCrashWindow {
+	for i, cr := range c.crashes {
+		if cr.target == target && cr.at.Sub(at).Abs() < sameCrashWindow {
 			c.crashes[i].dismissed = true
 		}
 	}
@@ -185,8 +185,8 @@
 // mergeCrash applies a crash that a peer saw. It leads to a conviction only
 // together with a crash that this process saw, because only then does this
 // process know whether the content has completed in the meantime.
-func (t *CrashTracker) mergeCrash(c *content, k crash, now time.Time) {
-	if !c.addCrash(k) || now.Before(c.convictedUntil) {
+func (t *CrashTracker) mergeCrash(c *content, cr crash, now time.Time) {
+	if !c.addCrash(cr) || now.Before(c.convictedUntil) {
 		return
 	}
 	if c.crashCount() >= 2 && c.hasLocalCrash() && t.canConvict(c, now) {
--- a/request/quarantine/outage.go
+++ b/request/quarantine/outage.go
@@ -1,18 +1,18 @@
 package quarantine
 
-// addRecentDeath adds a death to the recent ones and drops those older than
+// addRecentCrash adds a crash to the recent ones and drops those older than
 // burstWindow.
-func (t *CrashTracker) addRecentDeath(d death) {
-	kept := t.recentDeaths[:0]
-	for _, old := range t.recentDeaths {
-		if d.at.Sub(old.at) < burstWindow {
+func (t *CrashTracker) addRecentCrash(tc targetCrash) {
+	kept := t.recentCrashes[:0]
+	for _, old := range t.recentCrashes {
+		if tc.at.Sub(old.at) < burstWindow {
 			kept = append(kept, old)
 		}
 	}
-	t.recentDeaths = append(kept, d)
+	t.recentCrashes = append(kept, tc)
 }
 
-// isOutage reports whether so many targets died at once that no content is the
+// isOutage reports whether so many targets crashed at once that no content is the
 // cause.
 //
 // It guards against the failure or disconnection of an availability zone:
@@ -20,17 +20,17 @@
 // requests would wait to run alone.
 func (t *CrashTracker) isOutage() bool {
 	names := make(map[string]bool)
-	for _, d := range t.recentDeaths {
-		names[d.target] = true
+	for _, tc := range t.recentCrashes {
+		names[tc.target] = true
 	}
 	return len(names) >= burstTargets
 }
 
-// deathsOf returns the number of recent deaths with the content in flight.
-func (t *CrashTracker) deathsOf(fp uint64) int {
+// recentCrashesOf returns the number of recent crashes with the content in flight.
+func (t *CrashTracker) recentCrashesOf(fp uint64) int {
 	n := 0
-	for _, d := range t.recentDeaths {
-		for _, f := range d.fps {
+	for _, tc := range t.recentCrashes {
+		for _, f := range tc.fps {
 			if f == fp {
 				n++
 			}
@@ -43,10 +43,10 @@
 // only one of the targets of an outage.
 func (t *CrashTracker) dismissOutageCrashes() {
 	counts.Add("outages", 1)
-	for _, d := range t.recentDeaths {
-		for _, fp := range d.fps {
+	for _, tc := range t.recentCrashes {
+		for _, fp := range tc.fps {
 			c := t.contents[fp]
-			if c == nil || d.at.Before(c.convictedUntil) || t.deathsOf(fp) >= 2 {
+			if c == nil || tc.at.Before(c.convictedUntil) || t.recentCrashesOf(fp) >= 2 {
 				continue
 			}
 			c.dismissCrashes()
--- a/request/quarantine/quarantine_test.go
+++ b/request/quarantine/quarantine_test.go
@@ -85,7 +85,7 @@
 				r := newRig(t, tc.poison...)
 				defer r.stop()
 				tc.play(r)
-				r.expectLostAtMost(tc.most)
+				r.expectMaxCrashes(tc.most)
 				for i := range daemons {
 					r.expectVerdict(i, bad, tc.want)
 				}
@@ -133,7 +133,7 @@
 		for i := range harmless {
 			r.expectVerdict(i%daemons, uint64(i+1), Clear)
 		}
-		r.expectLostAtMost(2)
+		r.expectMaxCrashes(2)
 	})
 }
 
@@ -223,7 +223,7 @@
 			r.expectVerdict(1, bad, Suspect)
 			r.send(1, bad)
 		}
-		r.expectLostAtMost(5)
+		r.expectMaxCrashes(5)
 	})
 }
 
--- a/request/quarantine/rig_test.go
+++ b/request/quarantine/rig_test.go
@@ -88,18 +88,18 @@
 }
 
 // Heartbeat implements peerpb.PeerClient.
-func (k *peerClient) Heartbeat(ctx context.Context, h *peerpb.HeartbeatRequest, _ ...grpc.CallOption) (*peerpb.HeartbeatReply, error) {
-	k.r.mu.Lock()
-	deaf := k.r.dropBroadcasts
-	k.r.mu.Unlock()
-	if deaf {
+func (c *peerClient) Heartbeat(ctx context.Context, h *peerpb.HeartbeatRequest, _ ...grpc.CallOption) (*peerpb.HeartbeatReply, error) {
+	c.r.mu.Lock()
+	dropped := c.r.dropBroadcasts
+	c.r.mu.Unlock()
+	if dropped {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	to, _ := strconv.Atoi(k.to)
+	to, _ := strconv.Atoi(c.to)
 	<-time.After(hopDelay)
-	k.r.trackers[to].Incoming(h.Convictions)
-	reply := k.r.trackers[to].Outgoing()
+	c.r.trackers[to].Incoming(h.Convictions)
+	reply := c.r.trackers[to].Outgoing()
 	<-time.After(hopDelay)
 	return &peerpb.HeartbeatReply{Convictions: reply}, nil
 }
@@ -250,8 +250,8 @@
 	wg.Wait()
 }
 
-// expectLostAtMost checks the number of crashed engines.
-func (r *rig) expectLostAtMost(lost int) {
+// expectMaxCrashes fails the test if more engines crashed.
+func (r *rig) expectMaxCrashes(lost int) {
 	r.t.Helper()
 	r.t.Logf("engines lost: %d", r.enginesLost)
 	if r.enginesLost > lost {
--- a/request/quarantine/tracker.go
+++ b/request/quarantine/tracker.go
@@ -26,7 +26,7 @@
 	maxAtTarget       = 1024 // contents tracked per target
 	maxSuspects       = 256  // per crash
 	burstWindow       = 2 * time.Second
-	burstTargets      = 3 // deaths within burstWindow that indicate an outage
+	burstTargets      = 3 // crashed targets within burstWindow that indicate an outage
 )
 
 // Options configures a CrashTracker. The zero value is valid for a process
@@ -52,15 +52,15 @@
 	contents      map[uint64]*content
 	targets       map[string]map[uint64]int // contents in flight, by target
 	ended         endedRuns
-	recentDeaths  []death
+	recentCrashes []targetCrash
 	claimSeq      uint64                 // sequence number of the last claim of this process
 	targetClaims  map[uint64]targetClaim // by targetKey
 	sharedRuns    int                    // SuspectShared contents that this process is running
 	pendingClears []uint64               // contents whose exclusive run has finished, cleared after settleTime
 }
 
-// death is a crash of a target seen by this process.
-type death struct {
+// targetCrash is a crash of a target that this process saw.
+type targetCrash struct {
 	target string
 	at     time.Time
 	fps    []uint64
@@ -137,11 +137,11 @@
 	if c == nil {
 		return Clear, 0
 	}
-	s, until := c.verdict(now)
-	if s == Suspect && c.firstTry.IsZero() {
+	v, until := c.verdict(now)
+	if v == Suspect && c.firstTry.IsZero() {
 		c.firstTry = now
 	}
-	return s, until.Sub(now)
+	return v, until.Sub(now)
 }
 
 // Begin implements Tracker.
@@ -195,12 +195,12 @@
 func (t *CrashTracker) Crashed(target string) {
 	t.mu.Lock()
 	now := t.tick()
-	d := death{target: target, at: now, fps: t.inFlight(target)}
-	t.addRecentDeath(d)
-	updates := t.recordDeath(d)
+	tc := targetCrash{target: target, at: now, fps: t.inFlight(target)}
+	t.addRecentCrash(tc)
+	updates := t.recordCrash(tc)
 	t.mu.Unlock()
 	counts.Add("crashes", 1)
-	log.WithFields(log.Fields{"target": target, "contents": len(d.fps)}).Warn("quarantine: target died")
+	log.WithFields(log.Fields{"target": target, "contents": len(tc.fps)}).Warn("quarantine: target crashed")
 	if len(updates) > 0 {
 		t.broadcast(updates)
 	}
@@ -232,29 +232,29 @@
 	return fps
 }
 
-// recordDeath adds a death to the crashes of its contents and returns the
-// updates about it.
-func (t *CrashTracker) recordDeath(d death) []*peerpb.Conviction {
+// recordCrash adds a crash to the state of the contents that were in flight, and
+// returns the updates about it.
+func (t *CrashTracker) recordCrash(tc targetCrash) []*peerpb.Conviction {
 	outage := t.isOutage()
 	var convicted, changed []*content
-	for _, fp := range d.fps {
-		c := t.getOrCreate(fp, d.at)
-		if c == nil || outage && t.deathsOf(fp) < 2 && !c.runsExclusively(d.at) {
+	for _, fp := range tc.fps {
+		c := t.getOrCreate(fp, tc.at)
+		if c == nil || outage && t.recentCrashesOf(fp) < 2 && !c.runsExclusively(tc.at) {
 			continue
 		}
-		if !c.addLocalCrash(d) {
+		if !c.addLocalCrash(tc) {
 			continue
 		}
 		changed = append(changed, c)
-		if c.crashCount() >= 2 && t.canConvict(c, d.at) && !t.explainedByOther(fp, d) {
+		if c.crashCount() >= 2 && t.canConvict(c, tc.at) && !t.explainedByOther(fp, tc) {
 			convicted = append(convicted, c)
 		}
 	}
 	if outage {
 		t.dismissOutageCrashes()
 	}
-	t.convict(convicted, d.at)
-	return t.updatesOf(changed, d.at)
+	t.convict(convicted, tc.at)
+	return t.updatesOf(changed, tc.at)
 }
 
 // canConvict reports whether two crashes are enough for a conviction. They are
--- a/request/quarantine/types.go
+++ b/request/quarantine/types.go
@@ -27,7 +27,7 @@
 	Begin(fingerprint uint64, target string)
 	// End records that the content is no longer in flight at the target.
 	End(fingerprint uint64, target string)
-	// Crashed records that a target died. Content in flight there becomes
+	// Crashed records that a target crashed. Content in flight there becomes
 	// suspect.
 	Crashed(target string)
 }
