--- a/connection/address/address.go
+++ b/connection/address/address.go
@@ -53,18 +53,18 @@
 // Different seeds give different orders, which spreads the callers. The same
 // seed keeps its order while members come and go, so that the caller's
 // connections stay in use.
-func (b *Selector) Answer(zone string, seed uint64) Answer {
-	var stay []ranked
-	for _, m := range b.members() {
+func (s *Selector) Answer(zone string, seed uint64) Answer {
+	var available []ranked
+	for _, m := range s.members() {
 		if !m.Leaving {
-			stay = append(stay, ranked{Entry: Entry{Addr: m.Addr, Zone: m.Zone}, rank: weightedRank(Rank(seed, m.Addr), m.Weight)})
+			available = append(available, ranked{Entry: Entry{Addr: m.Addr, Zone: m.Zone}, rank: weightedRank(Rank(seed, m.Addr), m.Weight)})
 		}
 	}
-	slices.SortFunc(stay, func(x, y ranked) int {
+	slices.SortFunc(available, func(x, y ranked) int {
 		return cmp.Or(x.zoneDistance(zone)-y.zoneDistance(zone), cmp.Compare(x.rank, y.rank))
 	})
-	a := Answer{Addresses: make([]Entry, 0, len(stay)), TTLMs: b.ttl.Milliseconds()}
-	for _, m := range stay {
+	a := Answer{Addresses: make([]Entry, 0, len(available)), TTLMs: s.ttl.Milliseconds()}
+	for _, m := range available {
 		a.Addresses = append(a.Addresses, m.Entry)
 	}
 	return a
--- a/connection/demand/demand.go
+++ b/connection/demand/demand.go
@@ -81,7 +81,7 @@
 }
 
 // Observe adds one request.
-func (t *Tracker) Observe(service string, o Request) {
+func (t *Tracker) Observe(service string, req Request) {
 	now := t.now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,7 +90,7 @@
 		r = newRing(now)
 		t.local[engines.Hash(service)] = r
 	}
-	r.add(now, o)
+	r.add(now, req)
 }
 
 // MostUrgent reports whether no request of the service so far was more urgent than
--- a/connection/demand/ring.go
+++ b/connection/demand/ring.go
@@ -31,24 +31,24 @@
 
 func bucketNumber(now time.Time) int64 { return now.UnixNano() / int64(bucketDuration) }
 
-func (r *ring) add(now time.Time, o Request) {
+func (r *ring) add(now time.Time, req Request) {
 	r.advance(now)
 	s := &r.buckets[r.current%int64(bucketCount)]
-	s.prefill += o.Prefill
-	s.streams += o.StreamDuration
-	s.transfer += o.Transfer
-	if o.Objective > 0 {
-		s.weightedPrefill += float64(o.Prefill) * float64(o.Prefill) / float64(o.Objective)
+	s.prefill += req.Prefill
+	s.streams += req.StreamDuration
+	s.transfer += req.Transfer
+	if req.Objective > 0 {
+		s.weightedPrefill += float64(req.Prefill) * float64(req.Prefill) / float64(req.Objective)
 	}
-	if o.Priority < r.mostUrgent {
+	if req.Priority < r.mostUrgent {
 		// The earlier requests are no longer the most urgent.
-		r.mostUrgent = o.Priority
+		r.mostUrgent = req.Priority
 		for i := range r.buckets {
 			r.buckets[i].urgent = 0
 		}
 	}
-	if o.Priority == r.mostUrgent {
-		s.urgent += o.StreamDuration
+	if req.Priority == r.mostUrgent {
+		s.urgent += req.StreamDuration
 	}
 }
 
--- a/connection/engines/aggregate.go
+++ b/connection/engines/aggregate.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Count returns the number of engines for which b has state.
+// Count returns the number of engines that the Tracker has state for.
 func (t *Tracker) Count() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/connection/engines/book.go
+++ b/connection/engines/book.go
@@ -93,7 +93,7 @@
 
 	mu           sync.Mutex
 	engines      map[uint64]*engine
-	holders      map[uint64][]uint64 // hashes of the engines that last read a prompt part, by the part's id
+	holders      map[uint64][]uint64 // hashes of the engines that last cached a prompt part, by the part's id
 	peers        map[string]*peerWork
 	oldestReport time.Time // no report in peers is older
 	pendingReads []Read    // of this process, not yet reported
@@ -103,7 +103,7 @@
 	own          Work
 	peers        workSum // sum of the reports of other daemons
 	cache        *prefixCache
-	readingSince time.Time // estimated start of the current prefill
+	prefillSince time.Time // estimated start of the current prefill
 	downUntil    time.Time // this process considers it down until then
 	oldPrompts   uint32    // prompts in the report that is being replaced
 }
@@ -151,25 +151,25 @@
 // Prefill records that a prompt is sent to an engine with the given KV memory.
 // wait and reading are the expected time until the prefill starts and its
 // duration. The caller calls done when the prefill has ended or failed.
-func (t *Tracker) Prefill(target string, memory int, parts []port.PromptPart, wait, reading time.Duration) (done func()) {
+func (t *Tracker) Prefill(target string, memory int, parts []port.PromptPart, wait, prefill time.Duration) (done func()) {
 	hash := Hash(target)
-	cost := uint32(reading.Microseconds())
+	cost := uint32(prefill.Microseconds())
 	t.mu.Lock()
 	e := t.engine(hash, memory)
 	t.expire(t.now())
 	if e.own.Prompts+e.peers.Prompts == 0 {
-		e.readingSince = t.now()
+		e.prefillSince = t.now()
 	}
 	e.own.Reading += cost
 	e.own.Prompts++
-	t.recordRead(hash, e, parts, t.now().Add(wait+reading))
+	t.recordRead(hash, e, parts, t.now().Add(wait+prefill))
 	t.unlockChanged(e)
 	return sync.OnceFunc(func() {
 		t.mu.Lock()
 		e.own.Reading -= cost
 		e.own.Prompts--
-		e.readingSince = t.now()
-		e.cache.markReady(parts, e.readingSince)
+		e.prefillSince = t.now()
+		e.cache.markReady(parts, e.prefillSince)
 		t.unlockChanged(e)
 	})
 }
@@ -211,12 +211,12 @@
 // Decode records that a request is sent to an engine for decoding. moving is the
 // time until the engine has received its KV cache. The caller calls done when the
 // request has ended.
-func (t *Tracker) Decode(target string, memory int, parts []port.PromptPart, moving time.Duration) (done func()) {
+func (t *Tracker) Decode(target string, memory int, parts []port.PromptPart, transfer time.Duration) (done func()) {
 	hash := Hash(target)
 	t.mu.Lock()
 	e := t.engine(hash, memory)
 	e.own.Streams++
-	t.recordRead(hash, e, parts, t.now().Add(moving))
+	t.recordRead(hash, e, parts, t.now().Add(transfer))
 	t.unlockChanged(e)
 	return sync.OnceFunc(func() {
 		t.mu.Lock()
@@ -278,7 +278,7 @@
 // prompt makes no further progress.
 func (e *engine) progress(now time.Time, w *Work) time.Duration {
 	average := time.Duration(w.Reading/w.Prompts) * time.Microsecond
-	return min(max(now.Sub(e.readingSince), 0), average)
+	return min(max(now.Sub(e.prefillSince), 0), average)
 }
 
 // sum returns the sum of all daemons' work at the engine.
--- a/connection/engines/cache.go
+++ b/connection/engines/cache.go
@@ -8,12 +8,12 @@
 )
 
 // prefixCache is an estimate of an engine's prefix cache. It holds the parts of
-// prompts that the engine has read or will read, and evicts the least recently
-// used parts first. It isn't safe for concurrent use.
+// prompts that the engine has prefilled or will prefill, and evicts the least
+// recently used parts first. It isn't safe for concurrent use.
 type prefixCache struct {
 	limit  int // tokens
 	tokens int
-	byID   map[uint64]*list.Element // of keptPart
+	byID   map[uint64]*list.Element // of *cachedPart
 	lru    *list.List               // the most recently used first
 }
 
@@ -32,7 +32,7 @@
 // parts before it.
 //
 // Only ready parts may be fetched from another engine. An engine that has just
-// started to read a part can't supply it, and the requesting engine has to
+// started to prefill a part can't supply it, and the requesting engine has to
 // prefill it after all. Of 78 prompts that were to fetch a part, this delayed
 // half by 120 ms and a quarter by 347 ms.
 func (p *prefixCache) cached(parts []port.PromptPart, now time.Time) (all, ready int) {
--- a/connection/engines/engines_test.go
+++ b/connection/engines/engines_test.go
@@ -42,7 +42,7 @@
 		}
 	}
 	if got := tr.Load("other", parts(1)).Cached; got != 0 {
-		t.Errorf("an engine that read nothing has %d tokens cached", got)
+		t.Errorf("an engine without prompts has %d tokens cached", got)
 	}
 }
 
@@ -78,11 +78,11 @@
 	}
 }
 
-// TestWaitShrinksWhileAnEngineReads checks that the wait of an engine shrinks as it
+// TestWaitShrinksDuringPrefill checks that the wait of an engine shrinks as it
 // processes a prompt. Otherwise the engine would look as busy at the end of a
 // prefill as at its start, and prompts that it has cached would be sent to other
 // engines, which have to prefill them completely.
-func TestWaitShrinksWhileAnEngineReads(t *testing.T) {
+func TestWaitShrinksDuringPrefill(t *testing.T) {
 	tr, c := newTestTracker()
 	tr.Prefill("e", 1000, parts(1), 0, 100*time.Millisecond)
 	second := tr.Prefill("e", 1000, parts(2), 0, 300*time.Millisecond)
@@ -116,15 +116,15 @@
 	}
 	report(1, 100_000)
 	if got := tr.Load("e", nil).Wait; got != 100*time.Millisecond {
-		t.Errorf("wait %v after one was read", got)
+		t.Errorf("wait %v after one was prefilled", got)
 	}
 	tr.Merge("peer", nil, nil)
 	if got := tr.Load("e", nil).Wait; got != 0 {
-		t.Errorf("wait %v after all were read", got)
+		t.Errorf("wait %v after all were prefilled", got)
 	}
 }
 
-func TestLocalReportsReadsOnce(t *testing.T) {
+func TestLocalReportReturnsReadsOnce(t *testing.T) {
 	tr, _ := newTestTracker()
 	end := tr.Decode("e", 1000, parts(1), 0)
 	work, reads := tr.LocalReport()
@@ -173,34 +173,34 @@
 	}
 }
 
-// TestPartsAreReadyOnceRead checks that a part counts as cached for later requests
+// TestPartsAreReadyAfterPrefill checks that a part counts as cached for later requests
 // to the same engine as soon as its prefill is scheduled, but as ready for other
 // engines only after it, on this daemon and on others. If it were fetched too
 // early, the other engine would have to prefill it again.
-func TestPartsAreReadyOnceRead(t *testing.T) {
+func TestPartsAreReadyAfterPrefill(t *testing.T) {
 	tr, c := newTestTracker()
 	other, oc := newTestTracker()
-	look := func(tr *Tracker, cached, ready int) {
+	check := func(tr *Tracker, cached, ready int) {
 		t.Helper()
 		if l := tr.Load("e", parts(1, 2)); l.Cached != cached || l.Ready != ready {
 			t.Errorf("%d tokens cached, %d ready, want %d and %d", l.Cached, l.Ready, cached, ready)
 		}
 	}
 	done := tr.Prefill("e", 1000, parts(1, 2), 100*time.Millisecond, 200*time.Millisecond)
-	look(tr, 200, 0)
+	check(tr, 200, 0)
 	c.t = c.t.Add(50 * time.Millisecond)
 	_, reads := tr.LocalReport()
 	if len(reads) != 1 || reads[0].LeftMs != 250 {
 		t.Errorf("reported %+v", reads)
 	}
 	fresh := other.Merge("peer", nil, reads)
-	look(other, 200, 0)
+	check(other, 200, 0)
 	oc.t = oc.t.Add(100 * time.Millisecond)
-	if again := fresh[0].At(oc.t); again.LeftMs != 150 {
-		t.Errorf("forwarded with %d ms left", again.LeftMs)
+	if updated := fresh[0].At(oc.t); updated.LeftMs != 150 {
+		t.Errorf("forwarded with %d ms left", updated.LeftMs)
 	}
 	oc.t = oc.t.Add(150 * time.Millisecond)
-	look(other, 200, 200)
+	check(other, 200, 200)
 	done()
-	look(tr, 200, 200)
+	check(tr, 200, 200)
 }
--- a/connection/engines/holders.go
+++ b/connection/engines/holders.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// Holders returns the hashes of the engines known to have read the longest prefix
-// of parts. They may have evicted it since.
+// Holders returns the hashes of the engines that are known to have cached the
+// longest prefix of parts. They may have evicted it since.
 func (t *Tracker) Holders(parts []port.PromptPart) []uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/connection/engines/reports.go
+++ b/connection/engines/reports.go
@@ -59,14 +59,14 @@
 		e.peers.include(&work[i])
 		begins := e.oldPrompts == 0 && work[i].Prompts > 0 && e.own.Prompts+e.peers.Prompts == work[i].Prompts
 		if work[i].Prompts < e.oldPrompts || begins {
-			e.readingSince = now
+			e.prefillSince = now
 		}
 		e.oldPrompts = 0
 	}
 	for i := range old {
 		// The previous report had prompts at this engine, the new one doesn't.
 		if e := t.engine(old[i].Target, 0); e.oldPrompts > 0 {
-			e.readingSince, e.oldPrompts = now, 0
+			e.prefillSince, e.oldPrompts = now, 0
 		}
 	}
 	return t.mergeReads(reads)
--- a/connection/health/health_test.go
+++ b/connection/health/health_test.go
@@ -14,15 +14,15 @@
 
 type clock struct{ t time.Time }
 
-func (c *clock) now() time.Time       { return c.t }
-func (c *clock) pass(d time.Duration) { c.t = c.t.Add(d) }
-func newTracker() (*Tracker, *clock)  { c := &clock{time.Unix(1000, 0)}; return New(c.now, nil), c }
-func note(tr *Tracker, o Outcome, times int) {
+func (c *clock) now() time.Time          { return c.t }
+func (c *clock) advance(d time.Duration) { c.t = c.t.Add(d) }
+func newTracker() (*Tracker, *clock)     { c := &clock{time.Unix(1000, 0)}; return New(c.now, nil), c }
+func observe(tr *Tracker, o Outcome, times int) {
 	for range times {
 		tr.Observe("t", o)
 	}
 }
-func pace(tr *Tracker, r float64, times int) {
+func observePace(tr *Tracker, r float64, times int) {
 	for range times {
 		tr.ObservePace("t", r)
 	}
@@ -33,27 +33,27 @@
 // and wait in vain.
 func TestEjectionTimeDoubles(t *testing.T) {
 	tr, c := newTracker()
-	note(tr, Unreachable, 1)
+	observe(tr, Unreachable, 1)
 	if !tr.Ejected("t") {
 		t.Fatal("not ejected")
 	}
-	c.pass(minEjection)
+	c.advance(minEjection)
 	if tr.Ejected("t") {
 		t.Error("ejected for longer than the first time")
 	}
-	note(tr, Unreachable, 1)
-	c.pass(minEjection)
+	observe(tr, Unreachable, 1)
+	c.advance(minEjection)
 	if !tr.Ejected("t") {
 		t.Error("the second time is no longer than the first")
 	}
-	note(tr, Unreachable, 20)
-	c.pass(maxEjection)
+	observe(tr, Unreachable, 20)
+	c.advance(maxEjection)
 	if tr.Ejected("t") {
 		t.Error("ejected beyond the longest time")
 	}
-	note(tr, OK, 1)
-	note(tr, Unreachable, 1)
-	c.pass(minEjection)
+	observe(tr, OK, 1)
+	observe(tr, Unreachable, 1)
+	c.advance(minEjection)
 	if tr.Ejected("t") {
 		t.Error("a success between failures doesn't reset the ejection time")
 	}
@@ -63,14 +63,14 @@
 // requests, which a health check may not detect.
 func TestFailureRateRisesAndDecays(t *testing.T) {
 	tr, c := newTracker()
-	note(tr, Failed, 15)
+	observe(tr, Failed, 15)
 	if r := tr.FailureRate("t"); r < 0.7 {
 		t.Errorf("rate %.2f after failures only", r)
 	}
 	if !tr.Impaired("t") || tr.Ejected("t") {
 		t.Error("a failing target is impaired, not ejected")
 	}
-	c.pass(4*halfLife + time.Second)
+	c.advance(4*halfLife + time.Second)
 	if r := tr.FailureRate("t"); r > 0.1 {
 		t.Errorf("rate %.2f long after the last request", r)
 	}
@@ -81,15 +81,15 @@
 
 func TestPace(t *testing.T) {
 	tr, c := newTracker()
-	pace(tr, 100, 1)
+	observePace(tr, 100, 1)
 	if p := tr.Pace("t"); p > 1+paceSmoothing*maxPace {
 		t.Errorf("pace %.1f after a single slow one", p)
 	}
-	pace(tr, 8, 20)
+	observePace(tr, 8, 20)
 	if p := tr.Pace("t"); p < 7 || !tr.Impaired("t") {
 		t.Errorf("pace %.1f of a slow target", p)
 	}
-	c.pass(6 * halfLife)
+	c.advance(6 * halfLife)
 	if p := tr.Pace("t"); p > 1.5 {
 		t.Errorf("pace %.1f long after", p)
 	}
@@ -97,7 +97,7 @@
 
 func TestRetain(t *testing.T) {
 	tr, _ := newTracker()
-	note(tr, Failed, 5)
+	observe(tr, Failed, 5)
 	tr.Retain(func(string) bool { return false })
 	if tr.FailureRate("t") != 0 {
 		t.Error("the state of a removed target is retained")
--- a/connection/load/engine.go
+++ b/connection/load/engine.go
@@ -59,7 +59,7 @@
 }
 
 // Answered stores the load report in the header of an answer from the target at
-// addr, if there is one. It is the callback for pool.Options.Answered.
+// addr, if there is one. It is the callback for pool.Options.OnResponse.
 func (w *Watcher) Answered(addr string, h http.Header) {
 	value := h.Get(port.LoadHeader)
 	if value == "" {
--- a/connection/load/watcher.go
+++ b/connection/load/watcher.go
@@ -167,17 +167,17 @@
 	snap := w.opts.View.Load()
 	w.mu.RLock()
 	defer w.mu.RUnlock()
-	c, ok := w.services[svc.Doc.Service]
-	if !ok || c.version != svc.Version {
+	watched, ok := w.services[svc.Doc.Service]
+	if !ok || watched.version != svc.Version {
 		// Until the requested sync has processed the new version, its targets
 		// are selected for each request.
 		w.requestSync()
-		c.targets = w.choose(svc.Doc, len(svc.Doc.Targets))
+		watched.targets = w.choose(svc.Doc, len(svc.Doc.Targets))
 	}
-	out := make([]routing.Target, 0, len(c.targets))
+	out := make([]routing.Target, 0, len(watched.targets))
 	available := 0
-	refusing := make([]bool, 0, len(c.targets))
-	for _, t := range c.targets {
+	refusing := make([]bool, 0, len(watched.targets))
+	for _, t := range watched.targets {
 		status := w.opts.Pool.Status(t.Addr)
 		r := w.target(svc.Doc, t, status, snap, now)
 		out = append(out, r)
--- a/connection/speed/speed.go
+++ b/connection/speed/speed.go
@@ -11,8 +11,8 @@
 	"github.com/pomelospool/pomelospool/connection/engines"
 )
 
-// Estimates predict an engine's times. The zero value predicts nothing; it stands for
-// engines without samples.
+// Estimates predict an engine's times. Without samples they are the zero value, which
+// predicts nothing.
 type Estimates struct {
 	PerToken           float64       // nanoseconds of prefill per prompt token
 	PerPair            float64       // nanoseconds per thousand pairs of a token and an earlier one
--- a/connection/speed/speed_test.go
+++ b/connection/speed/speed_test.go
@@ -11,7 +11,7 @@
 // engine holds the times of an emulated engine, in milliseconds.
 type engine struct{ perToken, perPairM, start float64 }
 
-func (e engine) read(prompt, missing int) time.Duration {
+func (e engine) prefillTime(prompt, missing int) time.Duration {
 	ms := e.start + float64(missing)*e.perToken + pairs(prompt, missing)/1e3*e.perPairM
 	return time.Duration(ms * float64(time.Millisecond))
 }
@@ -22,9 +22,9 @@
 	for range n {
 		prompt := 200 + r.IntN(17_000)
 		missing := max(prompt/(1+r.IntN(4)), 20)
-		took := float64(e.read(prompt, missing)) * (0.9 + 0.2*r.Float64())
+		took := float64(e.prefillTime(prompt, missing)) * (0.9 + 0.2*r.Float64())
 		if r.IntN(10) == 0 {
-			took += float64(e.read(9000, 3000))
+			took += float64(e.prefillTime(9000, 3000))
 		}
 		tr.ObservePrompt("llm", Sample{Prompt: prompt, Missing: missing, Duration: time.Duration(took)})
 	}
@@ -32,11 +32,11 @@
 
 // maxRelativeError returns the largest relative error of the predictions for some
 // prompts.
-func maxRelativeError(f Estimates, e engine) float64 {
+func maxRelativeError(est Estimates, e engine) float64 {
 	worst := 0.0
 	for _, p := range [][2]int{{1000, 1000}, {9000, 3000}, {17_000, 4000}, {17_000, 17_000}} {
-		want := float64(e.read(p[0], p[1]))
-		worst = max(worst, math.Abs(float64(f.PromptOverhead+f.PrefillTime(p[0], p[1]))-want)/want)
+		want := float64(e.prefillTime(p[0], p[1]))
+		worst = max(worst, math.Abs(float64(est.PromptOverhead+est.PrefillTime(p[0], p[1]))-want)/want)
 	}
 	return worst
 }
@@ -49,8 +49,8 @@
 		t.Run(fmt.Sprint(x), func(t *testing.T) {
 			e := engine{perToken: 0.02 * x, perPairM: 0.25 * x, start: 30 * x}
 			tr := NewTracker()
-			if f := tr.Estimates("llm"); f.Known() || f.PrefillTime(1000, 1000) != 0 {
-				t.Errorf("before any prompt: %+v", f)
+			if est := tr.Estimates("llm"); est.Known() || est.PrefillTime(1000, 1000) != 0 {
+				t.Errorf("before any prompt: %+v", est)
 			}
 			feedPrompts(tr, e, rand.New(rand.NewPCG(uint64(x*10), 1)), 40)
 			if got := maxRelativeError(tr.Estimates("llm"), e); got > 0.25 {
@@ -83,10 +83,10 @@
 	for range 50 {
 		tr.ObservePrompt("llm", Sample{Prompt: 1000, Missing: 500, Duration: 20 * time.Millisecond})
 	}
-	f := tr.Estimates("llm")
-	got := f.PromptOverhead + f.PrefillTime(1000, 500)
-	if d := (got - 20*time.Millisecond).Abs(); d > time.Millisecond || f.PerToken < 0 || f.PerPair < 0 || f.PromptOverhead < 0 {
-		t.Errorf("%v of %+v", got, f)
+	est := tr.Estimates("llm")
+	got := est.PromptOverhead + est.PrefillTime(1000, 500)
+	if d := (got - 20*time.Millisecond).Abs(); d > time.Millisecond || est.PerToken < 0 || est.PerPair < 0 || est.PromptOverhead < 0 {
+		t.Errorf("%v of %+v", got, est)
 	}
 }
 
@@ -99,9 +99,9 @@
 	feedPrompts(old, e, rand.New(rand.NewPCG(3, 1)), 200)
 	old.ObserveFirstEvent("llm", 40*time.Millisecond)
 	fresh.Merge(old.Report())
-	f := fresh.Estimates("llm")
-	if !f.Known() || maxRelativeError(f, e) > 0.25 || f.FirstEvent.Round(time.Millisecond) != 40*time.Millisecond {
-		t.Errorf("estimates after the update: %+v", f)
+	est := fresh.Estimates("llm")
+	if !est.Known() || maxRelativeError(est, e) > 0.25 || est.FirstEvent.Round(time.Millisecond) != 40*time.Millisecond {
+		t.Errorf("estimates after the update: %+v", est)
 	}
 	if report := fresh.Report(); len(report) != 0 {
 		t.Errorf("reports the estimates of another daemon: %+v", report)
