--- a/request/attempt/attempt.go
+++ b/request/attempt/attempt.go
@@ -96,14 +96,14 @@
 	resp, err := r.opts.Pool.Send(ctx, req)
 	if err != nil {
 		f := r.sendFailure(ctx, t, err)
-		r.cancelSilent(f, q, t, id)
+		r.cancelStalled(f, q, t, id)
 		return f, false
 	}
 	defer resp.Close(0)
 	if err := receive(resp, id, t, q.ToEngine, p.handover, recv); err != nil {
 		f = failure.ClassifyRead(ctx, t.Name, err)
-		r.noteSilent(f, t)
-		r.cancelSilent(f, q, t, id)
+		r.reportStall(f, t)
+		r.cancelStalled(f, q, t, id)
 	}
 	if f != nil && f.Class == failure.NotRun {
 		r.opts.Pool.ReportRefusal(t.Addr)
@@ -112,13 +112,13 @@
 	return f, false
 }
 
-func (r *Runner) noteSilent(f *failure.Failure, t routing.Target) {
+func (r *Runner) reportStall(f *failure.Failure, t routing.Target) {
 	if f.Class == failure.Silent {
 		r.opts.Pool.ReportStall(t.Addr)
 	}
 }
 
-func (r *Runner) cancelSilent(f *failure.Failure, q *Request, t routing.Target, id string) {
+func (r *Runner) cancelStalled(f *failure.Failure, q *Request, t routing.Target, id string) {
 	if f.Class == failure.Silent && q.ToEngine {
 		r.opts.Pool.Cancel(t.Addr, id)
 	}
--- a/request/attempt/attempt_test.go
+++ b/request/attempt/attempt_test.go
@@ -108,7 +108,7 @@
 // fakeTracker is a Tracker that records its calls.
 type fakeTracker struct {
 	mu       sync.Mutex
-	standing quarantine.Verdict
+	verdict  quarantine.Verdict
 	inFlight int
 	events   []string
 }
@@ -116,16 +116,16 @@
 func (tr *fakeTracker) Check(uint64) (quarantine.Verdict, time.Duration) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	return tr.standing, time.Minute
+	return tr.verdict, time.Minute
 }
 func (tr *fakeTracker) Begin(uint64, string) { tr.record(1, "begin") }
 func (tr *fakeTracker) End(uint64, string)   { tr.record(-1, "end") }
 func (tr *fakeTracker) Crashed(string)       { tr.record(0, "crashed") }
 
-func (tr *fakeTracker) set(s quarantine.Verdict) {
+func (tr *fakeTracker) set(v quarantine.Verdict) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	tr.standing = s
+	tr.verdict = v
 }
 
 func (tr *fakeTracker) record(n int, what string) {
@@ -137,7 +137,7 @@
 
 // TestCrashIsRecordedInFlight checks that the crash of a target is recorded while
 // the request is still tracked as in flight there, and that the next attempt
-// uses the new standing. Otherwise a request that causes crashes would be
+// uses the new verdict. Otherwise a request that causes crashes would be
 // retried on one target after another.
 func TestCrashIsRecordedInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -174,13 +174,13 @@
 
 // busyUntilThirdTry returns code.Overloaded for the first two requests that must
 // run alone.
-type busyUntilThirdTry struct{ asked int }
+type busyUntilThirdTry struct{ calls int }
 
 func (b *busyUntilThirdTry) Route(r routing.Request, targets []routing.Target) (routing.Decision, error) {
 	if !r.Exclusive {
 		return firstAvailable{}.Route(r, targets)
 	}
-	if b.asked++; b.asked < 3 {
+	if b.calls++; b.calls < 3 {
 		return routing.Decision{}, code.New(code.Overloaded, "")
 	}
 	return routing.Decision{Target: "b"}, nil
@@ -238,12 +238,12 @@
 // that it releases its own target also when that crashes.
 func TestSuspectsShareNoTarget(t *testing.T) {
 	cases := []struct {
-		name     string
-		standing quarantine.Verdict
-		taken    []string
-		crashes  bool // target a crashes
-		want     string
-		err      code.Code
+		name    string
+		verdict quarantine.Verdict
+		taken   []string
+		crashes bool // target a crashes
+		want    string
+		err     code.Code
 	}{
 		{"clear", quarantine.Clear, []string{"a", "b"}, false, "[begin end]", code.OK},
 		{"free", quarantine.Suspect, nil, false, "[claim a begin end release a true]", code.OK},
@@ -266,7 +266,7 @@
 					answer = func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 				}
 				net.Serve("a:1", http.HandlerFunc(answer))
-				c := &targetClaimer{fakeTracker: fakeTracker{standing: tc.standing}, taken: map[string]bool{}}
+				c := &targetClaimer{fakeTracker: fakeTracker{verdict: tc.verdict}, taken: map[string]bool{}}
 				for _, name := range tc.taken {
 					c.taken[name] = true
 				}
--- a/request/attempt/claim_test.go
+++ b/request/attempt/claim_test.go
@@ -47,8 +47,8 @@
 // claimCase is a test case of TestSuspectContentIsClaimed.
 type claimCase struct {
 	name       string
-	standing   quarantine.Verdict // standing at the first check
-	after      quarantine.Verdict // standing after a broken connection
+	verdict    quarantine.Verdict // at the first check
+	after      quarantine.Verdict // after a broken connection
 	refuse     int                // number of refused claims
 	aCrashes   bool               // the first target crashes
 	idempotent bool
@@ -63,16 +63,16 @@
 // each lose an engine before any could inform the others. If the claim is
 // refused, the error has to say that nothing ran and when to retry.
 func TestSuspectContentIsClaimed(t *testing.T) {
-	const clean, suspect, watched = quarantine.Clear, quarantine.Suspect, quarantine.SuspectShared
+	const unsuspected, suspect, shared = quarantine.Clear, quarantine.Suspect, quarantine.SuspectShared
 	cases := []claimCase{
-		{"clear", clean, clean, 0, false, true, "[begin end]", "[false]", code.OK},
+		{"clear", unsuspected, unsuspected, 0, false, true, "[begin end]", "[false]", code.OK},
 		{"suspect", suspect, suspect, 0, false, true, "[claim begin end release true]", "[true]", code.OK},
-		{"watched", watched, watched, 0, false, true, "[claim begin end release true]", "[false]", code.OK},
+		{"watched", shared, shared, 0, false, true, "[claim begin end release true]", "[false]", code.OK},
 		{"tried twice", suspect, suspect, 0, true, true, "[claim begin end begin end release true]", "[true true]", code.OK},
 		{"no whole answer", suspect, suspect, 0, true, false, "[claim begin end release false]", "[true]", code.TargetFailed},
 		{"not got", suspect, suspect, 1, false, true, "[claim]", "[]", code.CrashSuspect},
-		{"not got, watched", watched, watched, 1, false, true, "[claim]", "[]", code.CrashSuspect},
-		{"suspect since its first try, then not got for a while", clean, suspect, 2, true, true,
+		{"not got, watched", shared, shared, 1, false, true, "[claim]", "[]", code.CrashSuspect},
+		{"suspect since its first try, then not got for a while", unsuspected, suspect, 2, true, true,
 			"[begin end claim claim claim begin end release true]", "[false true]", code.OK},
 	}
 	for _, tc := range cases {
@@ -97,7 +97,7 @@
 		}
 		answer(w, r)
 	}))
-	claims := &contentClaimer{fakeTracker: fakeTracker{standing: tc.standing}, refuse: tc.refuse}
+	claims := &contentClaimer{fakeTracker: fakeTracker{verdict: tc.verdict}, refuse: tc.refuse}
 	router := &exclusiveRecorder{}
 	p := pool.New(pool.Options{Dial: net.Dial})
 	r := NewRunner(Options{
--- a/request/attempt/run.go
+++ b/request/attempt/run.go
@@ -204,10 +204,10 @@
 	if u.opts.Quarantine == nil || u.q.Fingerprint == 0 {
 		return nil
 	}
-	standing, left := u.opts.Quarantine.Check(u.q.Fingerprint)
-	u.route.Exclusive = standing == quarantine.Suspect
-	u.suspect = u.route.Exclusive || standing == quarantine.SuspectShared
-	switch standing {
+	verdict, left := u.opts.Quarantine.Check(u.q.Fingerprint)
+	u.route.Exclusive = verdict == quarantine.Suspect
+	u.suspect = u.route.Exclusive || verdict == quarantine.SuspectShared
+	switch verdict {
 	case quarantine.Convicted:
 		return code.New(code.CrashConvicted, "").After(left)
 	case quarantine.Suspect, quarantine.SuspectShared:
--- a/request/dispatch/answer_length.go
+++ b/request/dispatch/answer_length.go
@@ -65,14 +65,14 @@
 	}
 }
 
-// addStream records the events of a stream. whole means that the stream
-// wasn't cut.
-func (l *answerLength) addStream(hint, events int, whole bool) {
+// addStream records the events of a stream. complete means that the
+// stream wasn't cut.
+func (l *answerLength) addStream(hint, events int, complete bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := float64(events)
 	l.maxEvents = decayingMax(l.maxEvents, n)
-	if whole && hint > 0 && events > 0 {
+	if complete && hint > 0 && events > 0 {
 		l.ratios.add(float64(hint)/n, maxRatios, ratioQuantile)
 	}
 }
--- a/request/dispatch/call.go
+++ b/request/dispatch/call.go
@@ -57,7 +57,7 @@
 type Stream interface {
 	// Begin sends the status and the headers.
 	Begin(status int, h http.Header)
-	// Write sends complete events. An error means that the caller is gone.
+	// Write sends complete events. An error means that the caller has disconnected.
 	Write(events []byte) error
 }
 
@@ -203,8 +203,8 @@
 }
 
 // provesStart reports whether a failed send shows that the target started
-// the call. It doesn't if the caller left or the target was silent: the call
-// may still have been queued.
+// the call. It doesn't if the caller left or the target didn't answer in time:
+// the call may still have been queued.
 func provesStart(f *sendFailure) bool {
 	switch f.Class {
 	case failure.NoAnswer, failure.Cut, failure.Mismatch, failure.Failed:
--- a/request/dispatch/engine.go
+++ b/request/dispatch/engine.go
@@ -107,33 +107,33 @@
 func (x *execution) admit(ctx context.Context) (prompt, error) {
 	p := x.prompt()
 	x.answerLength(x.call.Route.Name).addCall(x.call.Ask.Hint, x.call.Ask.Output, time.Until(x.call.Deadline))
-	f := x.opts.Speed.Estimates(x.call.Service.Name)
-	ch := x.choosePrefill(ctx, p, f)
+	est := x.opts.Speed.Estimates(x.call.Service.Name)
+	ch := x.choosePrefill(ctx, p, est)
 	x.admitted = &ch
-	x.trace.PredictedDuration = f.StreamDuration(x.call.Ask.Output)
-	err := x.checkObjective(&p, f, ch)
-	x.recordDemand(p, f, ch, err != nil)
+	x.trace.PredictedDuration = est.StreamDuration(x.call.Ask.Output)
+	err := x.checkObjective(&p, est, ch)
+	x.recordDemand(p, est, ch, err != nil)
 	return p, err
 }
 
 // checkObjective rejects a call whose first event would miss the objective
 // because of the queues. It lowers the priority of a call that would miss it
 // at an idle engine too.
-func (x *execution) checkObjective(p *prompt, f speed.Estimates, ch prefillChoice) error {
-	slotWait, err := x.predictSlotWait(f, ch.decoders)
+func (x *execution) checkObjective(p *prompt, est speed.Estimates, ch prefillChoice) error {
+	slotWait, err := x.predictSlotWait(est, ch.decoders)
 	if err != nil {
 		return err
 	}
 	if ch.Index < 0 {
 		return nil // a decoding engine prefills it, or none can; that is decided later
 	}
-	unqueuedTime := f.PromptOverhead + ch.PrefillTime + f.FirstEvent
+	unqueuedTime := est.PromptOverhead + ch.PrefillTime + est.FirstEvent
 	wait := ch.PredictedWait + slotWait
 	x.trace.PredictedFirst = wait + unqueuedTime
 	objective := x.call.Route.Objective
 	stats := x.promptStats(x.call.Service.Name)
 	stats.Record(p.Tokens, ch.PrefillTime)
-	if objective <= 0 || stats.EffectiveWait(wait, p.Tokens, ch.PrefillTime, f.QueuedError)+unqueuedTime <= objective {
+	if objective <= 0 || stats.EffectiveWait(wait, p.Tokens, ch.PrefillTime, est.QueuedError)+unqueuedTime <= objective {
 		return nil
 	}
 	if unqueuedTime > objective {
@@ -180,18 +180,18 @@
 // recordDemand records the load that the call asks for, whether it is
 // admitted or not, since engine roles are planned for the demand and not for
 // the served load.
-func (x *execution) recordDemand(p prompt, f speed.Estimates, ch prefillChoice, rejected bool) {
-	o := demand.Request{
-		Prefill: ch.PrefillTime, StreamDuration: f.StreamDuration(x.call.Ask.Output), Transfer: x.transferTime(p, ch),
+func (x *execution) recordDemand(p prompt, est speed.Estimates, ch prefillChoice, rejected bool) {
+	req := demand.Request{
+		Prefill: ch.PrefillTime, StreamDuration: est.StreamDuration(x.call.Ask.Output), Transfer: x.transferTime(p, ch),
 		Objective: x.call.Route.Objective, Priority: x.call.Priority,
 	}
 	if ch.Index < 0 {
-		o.Prefill = f.PrefillTime(p.Tokens, p.Tokens)
+		req.Prefill = est.PrefillTime(p.Tokens, p.Tokens)
 	}
 	if rejected {
-		o.Prefill, o.StreamDuration, o.Transfer = o.Prefill/triesIfRejected, o.StreamDuration/triesIfRejected, o.Transfer/triesIfRejected
+		req.Prefill, req.StreamDuration, req.Transfer = req.Prefill/triesIfRejected, req.StreamDuration/triesIfRejected, req.Transfer/triesIfRejected
 	}
-	x.opts.Demand.Observe(x.call.Service.Name, o)
+	x.opts.Demand.Observe(x.call.Service.Name, req)
 }
 
 // transferTime predicts how long the transfer of the prompt's KV cache to a
@@ -206,8 +206,8 @@
 // engine. It rejects a call that no engine would take, to save the prefill.
 // Engines with a high failure rate get a share of the calls, so that their
 // recovery is noticed.
-func (x *execution) predictSlotWait(f speed.Estimates, cands []placement.Candidate) (time.Duration, error) {
-	policy := x.slotPolicy(f, cands)
+func (x *execution) predictSlotWait(est speed.Estimates, cands []placement.Candidate) (time.Duration, error) {
+	policy := x.slotPolicy(est, cands)
 	free, full, doubtful := 0, 0, 0
 	minWait := maxRetryDelay
 	for i := range cands {
@@ -241,17 +241,17 @@
 
 // slotPolicy returns the policy by which the call may use the slots of
 // decoding engines.
-func (x *execution) slotPolicy(f speed.Estimates, cands []placement.Candidate) placement.SlotPolicy {
-	r := placement.SlotPolicy{StreamTime: f.SlotTime, CanRetry: x.canRetry(cands)}
+func (x *execution) slotPolicy(est speed.Estimates, cands []placement.Candidate) placement.SlotPolicy {
+	policy := placement.SlotPolicy{StreamTime: est.SlotTime, CanRetry: x.canRetry(cands)}
 	if len(cands) == 0 || x.mostUrgent() {
-		return r
+		return policy
 	}
 	// Slots freed by more urgent requests are taken by other urgent requests, so
 	// only streams of this priority or lower free slots for the call.
-	r.StreamTime = f.LessUrgentSlotTime
+	policy.StreamTime = est.LessUrgentSlotTime
 	urgent := x.opts.Demand.Total(x.call.Service.Name).Urgent
-	r.Reserved = placement.ReservedSlots(urgent, x.decoderCount(cands), cands[0].Entry.Slots)
-	return r
+	policy.Reserved = placement.ReservedSlots(urgent, x.decoderCount(cands), cands[0].Entry.Slots)
+	return policy
 }
 
 // decoderCount returns the number of the service's decoding engines, of
--- a/request/dispatch/engine_test.go
+++ b/request/dispatch/engine_test.go
@@ -183,10 +183,10 @@
 	})
 }
 
-// An engine that lost power or its network only shows it by silence. The
+// An engine that lost power or its network is detected only by a timeout. The
 // prefill is repeated on another engine, since a prefill doesn't run the
 // request.
-func TestSilentPrefillIsRetriedOnAnotherEngine(t *testing.T) {
+func TestStalledPrefillIsRetriedOnAnotherEngine(t *testing.T) {
 	withHarness(t, 100, func(t *testing.T, h *harness) {
 		a, b := h.addTarget("llm", port.RolePrefill), h.addTarget("llm", port.RolePrefill)
 		h.addTarget("llm", port.RoleDecode)
--- a/request/dispatch/pace.go
+++ b/request/dispatch/pace.go
@@ -100,9 +100,9 @@
 
 // finish records the length of the answer. A resumed stream is ignored,
 // since it holds only a part of the answer.
-func (m *paceMeter) finish(whole bool) {
+func (m *paceMeter) finish(complete bool) {
 	if m.resumed {
 		return
 	}
-	m.exec.answerLength(m.exec.call.Route.Name).addStream(m.exec.call.Ask.Hint, m.events, whole)
+	m.exec.answerLength(m.exec.call.Route.Name).addStream(m.exec.call.Ask.Hint, m.events, complete)
 }
--- a/request/dispatch/plain.go
+++ b/request/dispatch/plain.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// silenceFactor times the objective is how long an idempotent call
-	// waits for one target before it is sent to another one. Without this
+	// answerWaitFactor times the objective is how long an idempotent call
+	// waits for the answer of one target before it is sent to another one. Without this
 	// bound a target that hangs would hold the call until its deadline.
-	silenceFactor = 2
-	// minSilence is the lower bound of that wait.
-	minSilence = 150 * time.Millisecond
+	answerWaitFactor = 2
+	// minAnswerWait is the lower bound of that wait.
+	minAnswerWait = 150 * time.Millisecond
 )
 
 // runPlain sends the call until there is an answer to relay.
@@ -45,7 +45,7 @@
 	defer done()
 	s := outgoing{target: to, state: port.Send{Priority: -1}}
 	if x.call.Route.Idempotent() && x.possibleRuns+1 < x.call.Route.Attempts {
-		s.headerTimeout = max(silenceFactor*x.call.Route.Objective, minSilence)
+		s.headerTimeout = max(answerWaitFactor*x.call.Route.Objective, minAnswerWait)
 	}
 	sent := time.Now()
 	resp, v, f := x.send(ctx, s)
--- a/request/dispatch/prefill.go
+++ b/request/dispatch/prefill.go
@@ -42,14 +42,14 @@
 	decoders []placement.Candidate // engines that may decode
 }
 
-// takePrefillChoice returns the choice made at admission the first time, and
-// a new one after that.
-func (x *execution) takePrefillChoice(ctx context.Context, p prompt, f speed.Estimates) prefillChoice {
+// nextPrefillChoice returns the choice made at admission on its first call,
+// and a new one on later calls.
+func (x *execution) nextPrefillChoice(ctx context.Context, p prompt, est speed.Estimates) prefillChoice {
 	if ch := x.admitted; ch != nil {
 		x.admitted = nil
 		return *ch
 	}
-	return x.choosePrefill(ctx, p, f)
+	return x.choosePrefill(ctx, p, est)
 }
 
 // choosePrefill chooses the engine that prefills the prompt.
@@ -59,7 +59,7 @@
 // counted as no work, all engines would look alike when a fleet starts or
 // recovers from a power loss: some engines had 2.7 s of prompts queued while
 // others were idle, and no cached prefix was fetched from another engine.
-func (x *execution) choosePrefill(ctx context.Context, p prompt, f speed.Estimates) prefillChoice {
+func (x *execution) choosePrefill(ctx context.Context, p prompt, est speed.Estimates) prefillChoice {
 	cands := x.candidates(p, port.RolePrefill, x.opts.Zone)
 	for i := range cands {
 		cands[i].FailureRate += x.opts.Health.FailureRate(kvHealthKey(cands[i].Entry.ID))
@@ -68,9 +68,9 @@
 	// Among engines that hold equally much, prefill engines come first: running
 	// requests fill the memory of decoding engines, which evicts cached prefixes.
 	sources := slices.Concat(cands, decoders)
-	ch := prefillChoice{decoders: decoders, Choice: x.choose(ctx, p, cands, sources, f.OrDefault())}
+	ch := prefillChoice{decoders: decoders, Choice: x.choose(ctx, p, cands, sources, est.OrDefault())}
 	ch.reportedPrefill, ch.reportedWait = ch.PrefillTime, ch.PredictedWait
-	if !f.Known() {
+	if !est.Known() {
 		ch.PrefillTime, ch.PredictedWait = 0, 0
 	}
 	if ch.Index >= 0 {
@@ -84,19 +84,19 @@
 
 // choose chooses among the candidates by the tracked load, or by queried
 // queues where these are more accurate.
-func (x *execution) choose(ctx context.Context, p prompt, cands, sources []placement.Candidate, f speed.Estimates) placement.Choice {
+func (x *execution) choose(ctx context.Context, p prompt, cands, sources []placement.Candidate, est speed.Estimates) placement.Choice {
 	e := x.call.Service.Engine
 	if !x.opts.Queues.CanQueryQueues() {
-		return placement.Prefill(p.Prompt, cands, sources, e, f)
+		return placement.Prefill(p.Prompt, cands, sources, e, est)
 	}
-	shortlist := placement.Shortlist(p.Prompt, cands, sources, e, f)
+	shortlist := placement.Shortlist(p.Prompt, cands, sources, e, est)
 	ids := make([]string, 0, len(shortlist))
 	for _, ch := range shortlist {
 		ids = append(ids, cands[ch.Index].Entry.ID)
 	}
 	waits := x.opts.Queues.Queues(ctx, ids)
 	if waits == nil {
-		return placement.Prefill(p.Prompt, cands, sources, e, f)
+		return placement.Prefill(p.Prompt, cands, sources, e, est)
 	}
 	return placement.SelectByWait(shortlist, cands, waits)
 }
@@ -113,9 +113,9 @@
 // and include some in the given one.
 func (x *execution) candidates(p prompt, role port.Role, zone string) []placement.Candidate {
 	var out []placement.Candidate
-	c := x.sampleTargets(role, &p, zone)
+	sample := x.sampleTargets(role, &p, zone)
 	reuse := x.connReuse(outgoing{state: port.Send{Prefill: role == port.RolePrefill}})
-	for _, t := range x.usable(c, p.parts) {
+	for _, t := range x.usable(sample, p.parts) {
 		if t.load.Becomes != "" {
 			continue
 		}
@@ -134,21 +134,21 @@
 // prefill runs the prefill of the prompt. If there is no engine for it, the
 // decoding engine prefills the prompt itself, at half the speed.
 func (x *execution) prefill(ctx context.Context, p prompt) (prefilled, *sendFailure) {
-	figures := x.opts.Speed.Estimates(x.call.Service.Name)
-	ch := x.takePrefillChoice(ctx, p, figures)
+	est := x.opts.Speed.Estimates(x.call.Service.Name)
+	ch := x.nextPrefillChoice(ctx, p, est)
 	if ch.Index < 0 {
 		return prefilled{}, nil
 	}
 	to := ch.engine
-	done := x.opts.Engines.Prefill(to.ID, x.call.Service.Engine.KVTokens, p.parts, figures.PromptOverhead+ch.reportedWait, ch.reportedPrefill)
+	done := x.opts.Engines.Prefill(to.ID, x.call.Service.Engine.KVTokens, p.parts, est.PromptOverhead+ch.reportedWait, ch.reportedPrefill)
 	defer done()
-	predicted := figures.PromptOverhead + ch.PredictedWait + ch.PrefillTime
+	predicted := est.PromptOverhead + ch.PredictedWait + ch.PrefillTime
 	x.trace.Prefill = Prefill{PromptTokens: p.Tokens, SharedTokens: p.SharedTokens, MissingTokens: ch.MissingTokens, FetchedTokens: ch.FetchedTokens, Speculative: ch.Speculative, PredictedWait: ch.PredictedWait, PredictedPrefill: ch.PrefillTime}
 	start := time.Now()
 	resp, v, f := x.send(ctx, outgoing{
 		target:        to,
 		state:         port.Send{Priority: p.priority, Prefill: true, FetchFrom: ch.fetchAddr},
-		headerTimeout: x.prefillTimeout(figures, predicted),
+		headerTimeout: x.prefillTimeout(est, predicted),
 	})
 	if f != nil {
 		return prefilled{}, x.asNotRun(f)
@@ -174,7 +174,7 @@
 		x.opts.Speed.ObservePrompt(x.call.Service.Name, speed.Sample{
 			Prompt: p.Tokens, Missing: ch.MissingTokens, PredictedWait: ch.PredictedWait + ch.FetchTime, Duration: took,
 		})
-		if figures.Known() {
+		if est.Known() {
 			x.opts.Health.ObservePace(to.ID, x.slowdown(predicted, took))
 		}
 	}
@@ -183,8 +183,8 @@
 }
 
 // prefillTimeout returns how long an engine may take for a prefill.
-func (x *execution) prefillTimeout(f speed.Estimates, predicted time.Duration) time.Duration {
-	if !f.Known() {
+func (x *execution) prefillTimeout(est speed.Estimates, predicted time.Duration) time.Duration {
+	if !est.Known() {
 		return time.Duration(unpredictedTimeoutShare * float64(time.Until(x.call.Deadline)))
 	}
 	return prefillTimeoutFactor*predicted + prefillTimeoutExtra
--- a/request/dispatch/relay.go
+++ b/request/dispatch/relay.go
@@ -25,13 +25,13 @@
 // relay forwards events as they arrive. It forwards only complete events, so
 // a stream that is cut within an event can be resumed after the last
 // complete one.
-func (x *execution) relay(ctx context.Context, target string, resp *h1.Response, v port.Verdict, out Stream, w streamHooks) *sendFailure {
+func (x *execution) relay(ctx context.Context, target string, resp *h1.Response, v port.Verdict, out Stream, hooks streamHooks) *sendFailure {
 	defer resp.Close(v.KeepAlive)
 	r := &eventReader{src: resp.Body}
 	for {
 		events, err := r.next()
 		if len(events) > 0 {
-			if f := x.forward(target, resp, events, out, w); f != nil {
+			if f := x.forward(target, resp, events, out, hooks); f != nil {
 				return f
 			}
 		}
@@ -45,15 +45,15 @@
 }
 
 // forward sends the caller those events that it doesn't have yet.
-func (x *execution) forward(target string, resp *h1.Response, events []byte, out Stream, w streamHooks) *sendFailure {
+func (x *execution) forward(target string, resp *h1.Response, events []byte, out Stream, hooks streamHooks) *sendFailure {
 	fresh, last, n := eventsAfter(events, x.lastID)
-	w.batch(n)
+	hooks.batch(n)
 	x.markStarted(0)
 	if !x.trace.AnswerStarted {
 		x.trace.AnswerStarted = true
 		x.trace.TimeToFirst = time.Since(x.call.Arrived)
 		out.Begin(resp.Status, resp.Header)
-		w.first()
+		hooks.first()
 	}
 	if len(fresh) == 0 {
 		return nil
--- a/request/dispatch/rig_test.go
+++ b/request/dispatch/rig_test.go
@@ -153,7 +153,7 @@
 	return out
 }
 
-// noQueues stands for a small fleet, in which the tracked load is accurate.
+// noQueues represents a small fleet, in which the tracked load is accurate.
 type noQueues struct{}
 
 func (noQueues) CanQueryQueues() bool                             { return false }
--- a/request/dispatch/send.go
+++ b/request/dispatch/send.go
@@ -168,10 +168,10 @@
 // usable returns the sampled targets except those that failed this call, are
 // ejected or are unreachable. If no others are left, it returns those. parts
 // are the parts of the call's prompt.
-func (x *execution) usable(c *targetSample, parts []port.PromptPart) []loadedTarget {
+func (x *execution) usable(s *targetSample, parts []port.PromptPart) []loadedTarget {
 	var good, excluded []loadedTarget
-	for i, e := range c.entries {
-		t := loadedTarget{TargetEntry: e, load: x.opts.Engines.Load(e.ID, parts), localOnly: i >= c.shared}
+	for i, e := range s.entries {
+		t := loadedTarget{TargetEntry: e, load: x.opts.Engines.Load(e.ID, parts), localOnly: i >= s.shared}
 		if x.hasFailed(e.ID) || x.opts.Health.Ejected(e.ID) || t.load.Unreachable() {
 			excluded = append(excluded, t)
 			continue
--- a/request/entry/fault_test.go
+++ b/request/entry/fault_test.go
@@ -19,10 +19,10 @@
 func TestModelFaults(t *testing.T) {
 	long := strings.Repeat("x", 300<<10)
 	cases := []struct {
-		name  string
-		play  func(c *call)
-		other int // requests that the second engine gets
-		kept  int // tokens of the first engine that aren't generated again
+		name      string
+		play      func(c *call)
+		other     int // requests that the second engine gets
+		forwarded int // tokens that the first engine delivered, which aren't generated again
 	}{
 		{"well", func(c *call) { c.head().tokens(0, 1, 2, 3, 4).finish(5) }, 0, 0},
 		{"crossed chunk", func(c *call) { c.head().tokens(0, 1).token("other", 2, false).tokens(2, 3, 4).finish(5) }, 0, 0},
@@ -71,14 +71,14 @@
 			if n := len(good.Record().Requests); n != tc.other {
 				t.Errorf("second engine got %d requests, want %d", n, tc.other)
 			}
-			if n := good.Record().Tokens; tc.other > 0 && n != answerTokens-tc.kept {
-				t.Errorf("second engine made %d tokens, want %d", n, answerTokens-tc.kept)
+			if n := good.Record().Tokens; tc.other > 0 && n != answerTokens-tc.forwarded {
+				t.Errorf("second engine made %d tokens, want %d", n, answerTokens-tc.forwarded)
 			}
 			if n := bad.count(); n != 1 {
 				t.Errorf("first engine got %d requests, want 1", n)
 			}
-			// An engine doesn't see a silent connection being closed. It has to
-			// be told to stop over a new connection.
+			// An engine doesn't notice that a stalled connection is closed. It
+			// must get a cancel request over a new connection.
 			if strings.HasPrefix(tc.name, "silent") {
 				if id := <-bad.cancels; id != bad.firstRequestID() {
 					t.Errorf("%q was cancelled, want %q", id, bad.firstRequestID())
@@ -128,11 +128,11 @@
 	}
 }
 
-// TestSilentConnections covers a middlebox that drops the state of all
+// TestStalledConnections covers a middlebox that drops the state of all
 // connections to the engine, idle ones too, while new connections work. The
 // stream must continue over a new connection, and later requests must not use
 // an old one.
-func TestSilentConnections(t *testing.T) {
+func TestStalledConnections(t *testing.T) {
 	e := startEngine(t)
 	f := newFixture(t, []string{e.Addr()}, nil, nil)
 	for range 3 {
--- a/request/entry/logs_test.go
+++ b/request/entry/logs_test.go
@@ -112,7 +112,7 @@
 		t.Run(name, func(t *testing.T) {
 			l := captureLog(t, noWrap)
 			s := newScriptedTarget(t, play)
-			f := newFixture(t, []string{s.addr()}, []string{s.addr()}, withKeeper(newFakeKeeper()))
+			f := newFixture(t, []string{s.addr()}, []string{s.addr()}, withDeduplicator(newFakeDeduplicator()))
 			secret := []string{"Authorization", "Bearer " + markToken, "Idempotency-Key", markKey}
 			f.complete(markPrompt, 3, secret...)
 			f.do("POST", "/v1/completions", `{"model":"`+markPrompt, secret...)
@@ -173,7 +173,7 @@
 // can be found by the caller's id, including an at-most-once call.
 func TestRequestIDReachesTargets(t *testing.T) {
 	e, p := startEngine(t), startPlain(t)
-	f := newFixture(t, []string{e.Addr()}, []string{p.Addr()}, withKeeper(newFakeKeeper()))
+	f := newFixture(t, []string{e.Addr()}, []string{p.Addr()}, withDeduplicator(newFakeDeduplicator()))
 	f.complete("p", 1, "X-Request-Id", "model-8")
 	f.do("GET", "/s/app/x", "", "X-Request-Id", "plain-8")
 	f.do("POST", "/s/app/holds", "", "X-Request-Id", "once-8", "Idempotency-Key", "k")
--- a/request/entry/once_test.go
+++ b/request/entry/once_test.go
@@ -13,34 +13,36 @@
 	"github.com/pomelospool/pomelospool/version/document"
 )
 
-// fakeKeeper is a Keeper that lets every call run, except one with the key
-// "known", and records the outcomes.
-type fakeKeeper struct {
+// fakeDeduplicator is a Deduplicator that lets every call run, except one with
+// the key "known", and records the outcomes.
+type fakeDeduplicator struct {
 	beginAllowed chan struct{} // if not nil, Begin waits for it
 	outcomes     chan string
 }
 
-func newFakeKeeper() *fakeKeeper { return &fakeKeeper{outcomes: make(chan string, 10)} }
+func newFakeDeduplicator() *fakeDeduplicator {
+	return &fakeDeduplicator{outcomes: make(chan string, 10)}
+}
 
-func (k *fakeKeeper) Begin(ctx context.Context, c once.Call) (once.Ticket, *once.Answer, error) {
-	if k.beginAllowed != nil {
-		<-k.beginAllowed
+func (d *fakeDeduplicator) Begin(ctx context.Context, c once.Call) (once.Ticket, *once.Answer, error) {
+	if d.beginAllowed != nil {
+		<-d.beginAllowed
 	}
 	if c.Key == "known" {
 		return nil, &once.Answer{Status: 201, Body: []byte("first")}, nil
 	}
-	return k, nil, nil
+	return d, nil, nil
 }
 
-func (k *fakeKeeper) Done(a once.Answer) { k.outcomes <- "done " + string(a.Body) }
-func (k *fakeKeeper) NotRun(c code.Code) { k.outcomes <- "not run" }
-func (k *fakeKeeper) Unknown()           { k.outcomes <- "unknown" }
-func withKeeper(k *fakeKeeper) func(*Options, *document.Document) {
-	return func(o *Options, _ *document.Document) { o.Once = k }
+func (d *fakeDeduplicator) Done(a once.Answer) { d.outcomes <- "done " + string(a.Body) }
+func (d *fakeDeduplicator) NotRun(c code.Code) { d.outcomes <- "not run" }
+func (d *fakeDeduplicator) Unknown()           { d.outcomes <- "unknown" }
+func withDeduplicator(d *fakeDeduplicator) func(*Options, *document.Document) {
+	return func(o *Options, _ *document.Document) { o.Once = d }
 }
 
 // TestOnceFaults covers non-idempotent calls to targets that fail in different
-// ways. The call must reach a target at most once. The caller must be told
+// ways. The call must reach a target at most once. The answer must state
 // correctly whether it ran, and the ticket must be closed accordingly.
 func TestOnceFaults(t *testing.T) {
 	answers := func(c *call) { c.w.Header().Set("X-Request-Id", c.id); c.raw("held") }
@@ -80,13 +82,13 @@
 				a.Close()
 				b.Close()
 			}
-			keeper := newFakeKeeper()
-			f := newFixture(t, nil, []string{a.addr(), b.addr()}, withKeeper(keeper))
+			dedup := newFakeDeduplicator()
+			f := newFixture(t, nil, []string{a.addr(), b.addr()}, withDeduplicator(dedup))
 			r := f.do("POST", "/s/app/holds/7", "seat", "Idempotency-Key", "k")
 			if r.code() != tc.code || r.header.Get(answer.HeaderNotRun) != tc.notRun {
 				t.Errorf("caller saw %+v", r)
 			}
-			if got := <-keeper.outcomes; got != tc.ticket {
+			if got := <-dedup.outcomes; got != tc.ticket {
 				t.Errorf("ticket: %s, want %s", got, tc.ticket)
 			}
 			if n := a.count() + b.count(); n != tc.runs {
@@ -108,8 +110,8 @@
 		c.w.Header().Set("X-Request-Id", c.id)
 		c.raw("ok")
 	})
-	keeper := newFakeKeeper()
-	f := newFixture(t, nil, []string{s.addr()}, withKeeper(keeper))
+	dedup := newFakeDeduplicator()
+	f := newFixture(t, nil, []string{s.addr()}, withDeduplicator(dedup))
 	f.do("POST", "/s/app/read", "warm")
 	for _, body := range []string{`{"prompt":"break"}`, ""} {
 		before := s.count()
@@ -134,9 +136,9 @@
 		c.w.Header().Set("X-Request-Id", c.id)
 		c.raw("held")
 	})
-	keeper := newFakeKeeper()
+	dedup := newFakeDeduplicator()
 	f := newFixture(t, nil, []string{s.addr()}, func(o *Options, d *document.Document) {
-		o.Once = keeper
+		o.Once = dedup
 		o.MinHeaderTimeout = time.Minute
 	})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -156,7 +158,7 @@
 		t.Errorf("%d requests count as open, want 1: a drain would cut the call", n)
 	}
 	close(proceed)
-	if got := <-keeper.outcomes; got != "done held" {
+	if got := <-dedup.outcomes; got != "done held" {
 		t.Errorf("ticket: %s", got)
 	}
 }
@@ -164,7 +166,7 @@
 // TestOnceRejectsInvalidRequests covers calls that must not reach a target.
 func TestOnceRejectsInvalidRequests(t *testing.T) {
 	s := newScriptedTarget(t, func(c *call) { c.w.Header().Set("X-Request-Id", c.id); c.raw("ran") })
-	f := newFixture(t, nil, []string{s.addr()}, withKeeper(newFakeKeeper()))
+	f := newFixture(t, nil, []string{s.addr()}, withDeduplicator(newFakeDeduplicator()))
 	cases := []struct{ name, path, key, code, body string }{
 		{"no key", "/s/app/holds/7", "", "3001", ""},
 		{"escaped", "/s/app/%68olds/7", "", "3001", ""},
--- a/request/entry/path_test.go
+++ b/request/entry/path_test.go
@@ -39,8 +39,8 @@
 
 // TestEngineLost loses two of three engines under load, one after the other.
 // Each engine stops gracefully (it announces that it leaves, gets no new
-// requests and finishes the open ones), crashes, or all its connections go
-// silent. Every caller must get its complete answer.
+// requests and finishes the open ones), crashes, or all its connections
+// stall. Every caller must get its complete answer.
 func TestEngineLost(t *testing.T) {
 	fault := func(kind string) func(*testing.T, *fixture, *load.Watcher, *engine.Engine, int) {
 		return func(t *testing.T, _ *fixture, _ *load.Watcher, e *engine.Engine, _ int) {
--- a/request/entry/plain.go
+++ b/request/entry/plain.go
@@ -203,9 +203,9 @@
 	_, _ = r.w.Write(r.buffered)
 }
 
-// isTargetAnswer reports whether err stands for a complete error answer of the
-// target. Such an answer is forwarded, since it tells the caller of a plain
-// service more than an answer of this daemon.
+// isTargetAnswer reports whether err represents a complete error answer of the
+// target. Such an answer is forwarded, since it is more informative to the
+// caller of a plain service than an answer of this daemon.
 func (r *plainReceiver) isTargetAnswer(err error) bool {
 	var f *failure.Failure
 	return errors.As(err, &f) && f.Class == failure.Failed && r.status != 0
--- a/request/ingress/ingress_test.go
+++ b/request/ingress/ingress_test.go
@@ -46,7 +46,7 @@
 }
 
 // Targets implements dispatch.Targets.
-func (r *fixture) Targets(service string) *targets.Set { return targets.NewSet(r.entries[service]) }
+func (f *fixture) Targets(service string) *targets.Set { return targets.NewSet(f.entries[service]) }
 
 // noControl is an engine control that does nothing.
 type noControl struct{}
@@ -83,7 +83,7 @@
 
 // startWith starts a fixture with a configuration; nil means none.
 func startWith(t *testing.T, cfg *route.Config) *fixture {
-	r := &fixture{
+	f := &fixture{
 		plain:        standin.NewTarget("i-plain", ""),
 		decode:       standin.NewTarget("i-decode", "decode"),
 		observations: make(chan Observation, 100),
@@ -93,9 +93,9 @@
 		t.Cleanup(srv.Close)
 		return strings.TrimPrefix(srv.URL, "http://")
 	}
-	r.entries = map[string][]port.TargetEntry{
-		"app": {{ID: "i-plain", Addr: addr(r.plain), Slots: 4}},
-		"llm": {{ID: "i-decode", Addr: addr(r.decode), Slots: 4, Role: port.RoleDecode}},
+	f.entries = map[string][]port.TargetEntry{
+		"app": {{ID: "i-plain", Addr: addr(f.plain), Slots: 4}},
+		"llm": {{ID: "i-decode", Addr: addr(f.decode), Slots: 4, Role: port.RoleDecode}},
 	}
 	holder := inforce.New(func(port.KeyedRecord) (*route.Config, bool, error) { return cfg, true, nil })
 	if cfg != nil {
@@ -103,22 +103,22 @@
 	}
 	pool := h1.New(h1.Options{})
 	t.Cleanup(pool.Close)
-	r.Ingress = New(Options{
-		Config: holder, Wire: platform.Wire{}, Observe: func(o Observation) { r.observations <- o },
+	f.Ingress = New(Options{
+		Config: holder, Wire: platform.Wire{}, Observe: func(o Observation) { f.observations <- o },
 		Runner: dispatch.New(dispatch.Options{
-			Wire: platform.Wire{}, Pool: pool, Targets: r, Control: noControl{},
+			Wire: platform.Wire{}, Pool: pool, Targets: f, Control: noControl{},
 			Engines: engines.New(time.Now, func(engines.Work) {}), Health: health.New(time.Now, nil), Speed: speed.NewTracker(), Queues: noQueues{}, Demand: demand.New(time.Now),
 			Budget: budget.NewFleet(budget.FleetOptions{Slack: 10, Window: 10 * time.Second, Daemons: func() int { return 1 }, Now: time.Now}),
 		}),
 	})
-	r.srv = httptest.NewServer(r.Ingress)
-	t.Cleanup(r.srv.Close)
-	return r
+	f.srv = httptest.NewServer(f.Ingress)
+	t.Cleanup(f.srv.Close)
+	return f
 }
 
-func (r *fixture) do(t *testing.T, method, path, host string, h http.Header, body string) (*http.Response, string) {
+func (f *fixture) do(t *testing.T, method, path, host string, h http.Header, body string) (*http.Response, string) {
 	t.Helper()
-	req, err := http.NewRequestWithContext(t.Context(), method, r.srv.URL+path, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(t.Context(), method, f.srv.URL+path, strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -263,8 +263,8 @@
 }
 
 // Guards against a stream that is cut because the daemon stops: the daemon
-// accepted the request on a kept-alive connection after it was told to stop,
-// and stopped before the answer was complete. It must refuse such requests as
+// accepted the request on a kept-alive connection after it was signalled to
+// stop, and stopped before the answer was complete. It must refuse such requests as
 // not run, and still answer short ones.
 func TestStoppingRefusesLongAnswers(t *testing.T) {
 	r := start(t, true)
@@ -305,7 +305,7 @@
 	}
 }
 
-// noQueues stands for a small fleet, in which daemons exchange their load
+// noQueues represents a small fleet, in which daemons exchange their load
 // directly and don't query each other's queues.
 type noQueues struct{}
 
--- a/request/once/fleet_test.go
+++ b/request/once/fleet_test.go
@@ -179,18 +179,18 @@
 	to *daemon
 }
 
-func (k *peerClient) Propose(ctx context.Context, r *peerpb.ProposeRequest, _ ...grpc.CallOption) (*peerpb.ProposeReply, error) {
-	if err := k.to.waitWhilePaused(ctx); err != nil {
+func (c *peerClient) Propose(ctx context.Context, r *peerpb.ProposeRequest, _ ...grpc.CallOption) (*peerpb.ProposeReply, error) {
+	if err := c.to.waitWhilePaused(ctx); err != nil {
 		return nil, err
 	}
-	return k.to.l.HandlePropose(ctx, r)
+	return c.to.l.HandlePropose(ctx, r)
 }
 
-func (k *peerClient) Lookup(ctx context.Context, r *peerpb.LookupRequest, _ ...grpc.CallOption) (*peerpb.LookupReply, error) {
-	if err := k.to.waitWhilePaused(ctx); err != nil {
+func (c *peerClient) Lookup(ctx context.Context, r *peerpb.LookupRequest, _ ...grpc.CallOption) (*peerpb.LookupReply, error) {
+	if err := c.to.waitWhilePaused(ctx); err != nil {
 		return nil, err
 	}
-	return k.to.l.HandleLookup(ctx, r)
+	return c.to.l.HandleLookup(ctx, r)
 }
 
 // call returns the call that the tests send for a key.
--- a/request/once/handlers.go
+++ b/request/once/handlers.go
@@ -12,7 +12,7 @@
 )
 
 // lookupWait is how long a lookup waits for a running attempt. It is short so
-// that the requester soon notices when the process it queries has died.
+// that the requester soon notices when the process it queries has exited.
 const lookupWait = time.Second
 
 // HandlePropose handles the Propose call of a peer. A reply without outcomes
--- a/request/placement/home.go
+++ b/request/placement/home.go
@@ -12,10 +12,10 @@
 	// a home. In fleets of this size daemons learn of each other's prompts
 	// too late: reports take some 0.7 s to reach all of 90 daemons.
 	minEnginesForHome = 16
-	// awayCostShare is the cost of an engine other than the home, as a
+	// nonHomeCostShare is the cost of an engine other than the home, as a
 	// fraction of the time to prefill the shared tokens that no engine is
 	// known to hold.
-	awayCostShare = 0.5
+	nonHomeCostShare = 0.5
 )
 
 // home is the engine that all daemons prefer for prompts with equal leading
@@ -33,12 +33,12 @@
 	uncachedTokens int // shared prompt tokens that no engine is known to hold
 }
 
-func newHome(p Prompt, cands, sources []Candidate, holder int, f speed.Estimates) home {
+func newHome(p Prompt, cands, sources []Candidate, holder int, est speed.Estimates) home {
 	h := home{p: &p, index: -1, source: -1, uncachedTokens: p.SharedTokens}
 	if holder >= 0 {
 		h.uncachedTokens -= sources[holder].Load.Ready
 	}
-	if len(cands) < minEnginesForHome || f.PrefillTime(p.Tokens, h.uncachedTokens) < minFetchSaving.duration(&p) {
+	if len(cands) < minEnginesForHome || est.PrefillTime(p.Tokens, h.uncachedTokens) < minFetchSaving.duration(&p) {
 		return h
 	}
 	minHash := 0.0
@@ -67,11 +67,11 @@
 }
 
 // cost returns the cost of a prefill at candidate i if it isn't the home.
-func (h *home) cost(i int, f speed.Estimates) time.Duration {
+func (h *home) cost(i int, est speed.Estimates) time.Duration {
 	if h.index < 0 || i == h.index {
 		return 0
 	}
-	return time.Duration(awayCostShare * float64(f.PrefillTime(h.p.Tokens, h.uncachedTokens)))
+	return time.Duration(nonHomeCostShare * float64(est.PrefillTime(h.p.Tokens, h.uncachedTokens)))
 }
 
 // addSpeculativeFetch lets an engine other than the home fetch from the
--- a/request/placement/home_test.go
+++ b/request/placement/home_test.go
@@ -32,7 +32,7 @@
 		engineCounts := make(map[string]int)
 		for range 10 {
 			cands := randomEngines(r, 50)
-			engineCounts[cands[Prefill(p, cands, cands, e, figures).Index].Entry.ID]++
+			engineCounts[cands[Prefill(p, cands, cands, e, estimates).Index].Entry.ID]++
 		}
 		if len(engineCounts) != 1 {
 			t.Errorf("seed %d: prefilled by %v", seed, engineCounts)
@@ -47,14 +47,14 @@
 	p := Prompt{Tokens: 17_000, SharedTokens: 13_300, Seed: 7}
 	cands := randomEngines(r, 50)
 	sources := append([]Candidate{newCandidate("decodes", "a", engines.Load{})}, cands...)
-	home := Prefill(p, cands, sources, nil, figures).Index
+	home := Prefill(p, cands, sources, nil, estimates).Index
 	cands[home].Load.Wait = 2 * time.Second
-	got := Prefill(p, cands, sources, nil, figures)
+	got := Prefill(p, cands, sources, nil, estimates)
 	if got.Index == home || !got.Speculative || got.Source != home+1 || got.FetchedTokens != 0 || got.MissingTokens != p.Tokens {
 		t.Errorf("%+v, home %d", got, home)
 	}
 	cands[home].Load.Wait, cands[home].FailureRate = 0, 0.9
-	if got := Prefill(p, cands, sources, nil, figures); got.Index == home {
+	if got := Prefill(p, cands, sources, nil, estimates); got.Index == home {
 		t.Error("went to a failing home")
 	}
 }
@@ -69,7 +69,7 @@
 		cands[i].Load.Wait = time.Second
 	}
 	cands[3].Load.Cached, cands[3].Load.Ready, cands[4].Load.Wait = 13_300, 13_300, 0
-	if got := Prefill(p, cands, cands, e, figures); got.Index != 4 || got.Source != 3 || got.Speculative {
+	if got := Prefill(p, cands, cands, e, estimates); got.Index != 4 || got.Source != 3 || got.Speculative {
 		t.Errorf("%+v", got)
 	}
 }
@@ -86,7 +86,7 @@
 		connected := int(seed) % len(cands)
 		cands[connected].HasIdleConn = true
 		p := Prompt{Tokens: 1460, Seed: seed}
-		if got := Prefill(p, cands, cands, e, figures); got.Index != connected {
+		if got := Prefill(p, cands, cands, e, estimates); got.Index != connected {
 			t.Errorf("seed %d: prefill at %d, connected to %d", seed, got.Index, connected)
 		}
 		if got := Decode(p, cands, e, "a"); got != connected {
--- a/request/placement/placement_test.go
+++ b/request/placement/placement_test.go
@@ -10,9 +10,9 @@
 	"github.com/pomelospool/pomelospool/version/route"
 )
 
-// figures are the estimates for an engine with 70 billion parameters, fitted
+// estimates are the estimates for an engine with 70 billion parameters, fitted
 // by least squares to 1,300 prompts.
-var figures = speed.Estimates{PerToken: 23e3, PerPair: 257, PromptOverhead: 50 * time.Millisecond, FirstEvent: 40 * time.Millisecond, Prompts: 1300}
+var estimates = speed.Estimates{PerToken: 23e3, PerPair: 257, PromptOverhead: 50 * time.Millisecond, FirstEvent: 40 * time.Millisecond, Prompts: 1300}
 
 func newCandidate(id, zone string, load engines.Load) Candidate {
 	return Candidate{Entry: port.TargetEntry{ID: id, Zone: zone, Slots: 64}, Load: load, Slowdown: 1}
@@ -40,13 +40,13 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			got := Prefill(tc.p, tc.cands, nil, nil, figures)
+			got := Prefill(tc.p, tc.cands, nil, nil, estimates)
 			if id := tc.cands[got.Index].Entry.ID; id != tc.want {
 				t.Errorf("chose %s", id)
 			}
 		})
 	}
-	if got := Prefill(prompt, nil, nil, nil, figures); got.Index != -1 {
+	if got := Prefill(prompt, nil, nil, nil, estimates); got.Index != -1 {
 		t.Errorf("chose %d of none", got.Index)
 	}
 }
@@ -58,12 +58,12 @@
 	p := Prompt{Tokens: 17_000}
 	keeps := newCandidate("keeps", "a", engines.Load{Cached: 13_000, Ready: 13_000, Wait: 200 * time.Millisecond})
 	idle := newCandidate("idle", "b", engines.Load{})
-	got := Prefill(p, []Candidate{keeps, idle}, []Candidate{idle, keeps}, e, figures)
+	got := Prefill(p, []Candidate{keeps, idle}, []Candidate{idle, keeps}, e, estimates)
 	if got.Index != 1 || got.Source != 1 || got.FetchedTokens != 13_000 || got.MissingTokens != 4000 {
 		t.Errorf("choice %+v", got)
 	}
 	keeps.Load.Wait = 0
-	if got := Prefill(p, []Candidate{keeps, idle}, []Candidate{idle, keeps}, e, figures); got.Index != 0 || got.Source != -1 {
+	if got := Prefill(p, []Candidate{keeps, idle}, []Candidate{idle, keeps}, e, estimates); got.Index != 0 || got.Source != -1 {
 		t.Errorf("fetches from itself: %+v", got)
 	}
 	keeps.FailureRate = 0.9
@@ -71,10 +71,10 @@
 	// would return nothing, and the other engine would compute all of it, which
 	// the prediction wouldn't include.
 	begins := newCandidate("begins", "a", engines.Load{Cached: 13_000, Wait: 200 * time.Millisecond})
-	if got := Prefill(p, []Candidate{begins, idle}, []Candidate{idle, begins}, e, figures); got.Source != -1 {
+	if got := Prefill(p, []Candidate{begins, idle}, []Candidate{idle, begins}, e, estimates); got.Source != -1 {
 		t.Errorf("fetches what isn't cached yet: %+v", got)
 	}
-	if got := Prefill(p, []Candidate{idle}, []Candidate{keeps}, e, figures); got.Source != -1 {
+	if got := Prefill(p, []Candidate{idle}, []Candidate{keeps}, e, estimates); got.Source != -1 {
 		t.Errorf("fetches from a failing engine: %+v", got)
 	}
 }
@@ -88,8 +88,8 @@
 	used := map[string]bool{}
 	for seed := range uint64(50) {
 		p := Prompt{Tokens: 5000, Seed: seed * 0x9e3779b97f4a7c15}
-		one := cands[Prefill(p, cands, nil, nil, figures).Index].Entry.ID
-		if other := reversed[Prefill(p, reversed, nil, nil, figures).Index].Entry.ID; other != one {
+		one := cands[Prefill(p, cands, nil, nil, estimates).Index].Entry.ID
+		if other := reversed[Prefill(p, reversed, nil, nil, estimates).Index].Entry.ID; other != one {
 			t.Fatalf("seed %d: %s and %s", seed, one, other)
 		}
 		used[one] = true
--- a/request/placement/prefill.go
+++ b/request/placement/prefill.go
@@ -84,8 +84,8 @@
 // cache that it lacks and another engine holds: 13,000 tokens take 10 to 20
 // ms to fetch and 300 ms to compute. sources are the engines that can be
 // fetched from.
-func Prefill(p Prompt, cands, sources []Candidate, e *route.Engine, f speed.Estimates) Choice {
-	ev := newEvaluation(p, cands, sources, e, f)
+func Prefill(p Prompt, cands, sources []Candidate, e *route.Engine, est speed.Estimates) Choice {
+	ev := newEvaluation(p, cands, sources, e, est)
 	best := Choice{Index: -1, Source: -1}
 	for i := range cands {
 		if ch := ev.choice(i); best.Index < 0 || ch.Cost < best.Cost {
@@ -101,46 +101,46 @@
 	p              Prompt
 	cands, sources []Candidate
 	engine         *route.Engine
-	figures        speed.Estimates
+	estimates      speed.Estimates
 	holder         int // index of the source that holds the most tokens, -1: none
 	inZone         int // number of candidates in the daemon's zone
 	home           home
 }
 
-func newEvaluation(p Prompt, cands, sources []Candidate, e *route.Engine, f speed.Estimates) *evaluation {
-	ev := &evaluation{p: p, cands: cands, sources: sources, engine: e, figures: f, holder: largestHolder(sources), inZone: countInZone(cands, p.Zone)}
-	ev.home = newHome(ev.p, cands, sources, ev.holder, f)
+func newEvaluation(p Prompt, cands, sources []Candidate, e *route.Engine, est speed.Estimates) *evaluation {
+	ev := &evaluation{p: p, cands: cands, sources: sources, engine: e, estimates: est, holder: largestHolder(sources), inZone: countInZone(cands, p.Zone)}
+	ev.home = newHome(ev.p, cands, sources, ev.holder, est)
 	return ev
 }
 
 // choice returns the choice of candidate i with its total cost.
 func (ev *evaluation) choice(i int) Choice {
 	c := &ev.cands[i]
-	ch := ev.p.evaluate(c, ev.sources, ev.holder, ev.engine, ev.figures)
+	ch := ev.p.evaluate(c, ev.sources, ev.holder, ev.engine, ev.estimates)
 	ch.Index = i
 	if ev.inZone >= minInZone && c.Entry.Zone != ev.p.Zone {
 		ch.Cost += otherZoneCost.duration(&ev.p)
 	}
 	ch.Cost += time.Duration(c.FailureRate * float64(failureCost.duration(&ev.p)))
 	ch.Cost += time.Duration(hashFraction(ev.p.Seed^engines.Hash(c.Entry.ID)) * float64(prefillTieCost.duration(&ev.p)))
-	ch.Cost += ev.home.cost(i, ev.figures)
+	ch.Cost += ev.home.cost(i, ev.estimates)
 	ch.Cost += c.connCost(&ev.p)
 	return ch
 }
 
 // evaluate returns the choice of an engine with the cost of its queue,
 // prefill and fetch.
-func (p *Prompt) evaluate(c *Candidate, sources []Candidate, holder int, e *route.Engine, f speed.Estimates) Choice {
+func (p *Prompt) evaluate(c *Candidate, sources []Candidate, holder int, e *route.Engine, est speed.Estimates) Choice {
 	ch := Choice{Source: -1, PredictedWait: c.adjusted(c.Load.Wait)}
 	cached := c.Load.Cached
-	if holder >= 0 && worthFetch(p, f, cached, sources[holder].Load.Ready) {
+	if holder >= 0 && worthFetch(p, est, cached, sources[holder].Load.Ready) {
 		src := &sources[holder]
 		ch.Source, ch.FetchedTokens = holder, src.Load.Ready-cached
 		cached = src.Load.Ready
 		ch.FetchTime = TransferTime(e, ch.FetchedTokens, src.Entry.Zone == c.Entry.Zone)
 	}
 	ch.MissingTokens = max(p.Tokens-cached, 1)
-	prefill := c.adjusted(f.PrefillTime(p.Tokens, ch.MissingTokens))
+	prefill := c.adjusted(est.PrefillTime(p.Tokens, ch.MissingTokens))
 	ch.PrefillTime = prefill + ch.FetchTime
 	ch.Cost = ch.PredictedWait + prefill + time.Duration(recomputeWeight*float64(prefill)) + fetchWeight*ch.FetchTime
 	return ch
@@ -180,11 +180,11 @@
 
 // worthFetch reports whether fetching the tokens that another engine holds
 // beyond the cached ones saves enough prefill time.
-func worthFetch(p *Prompt, f speed.Estimates, cached, elsewhere int) bool {
+func worthFetch(p *Prompt, est speed.Estimates, cached, elsewhere int) bool {
 	if elsewhere <= cached {
 		return false
 	}
-	saved := f.PrefillTime(p.Tokens, p.Tokens-cached) - f.PrefillTime(p.Tokens, p.Tokens-elsewhere)
+	saved := est.PrefillTime(p.Tokens, p.Tokens-cached) - est.PrefillTime(p.Tokens, p.Tokens-elsewhere)
 	return saved >= minFetchSaving.duration(p)
 }
 
--- a/request/placement/shortlist.go
+++ b/request/placement/shortlist.go
@@ -25,11 +25,11 @@
 // load. All choose the engine that was idle when it was reported, and none
 // chooses one that became idle since. Random engines differ from daemon to
 // daemon, and the queried queues then decide.
-func Shortlist(p Prompt, cands, sources []Candidate, e *route.Engine, f speed.Estimates) []Choice {
+func Shortlist(p Prompt, cands, sources []Candidate, e *route.Engine, est speed.Estimates) []Choice {
 	if len(cands) == 0 {
 		return nil
 	}
-	ev := newEvaluation(p, cands, sources, e, f)
+	ev := newEvaluation(p, cands, sources, e, est)
 	all := make([]Choice, len(cands))
 	for i := range cands {
 		all[i] = ev.choice(i)
--- a/request/placement/shortlist_test.go
+++ b/request/placement/shortlist_test.go
@@ -29,7 +29,7 @@
 // choose returns.
 func (sim *queueSim) meanWait(choose func(now time.Duration, p Prompt, cands []Candidate) int) time.Duration {
 	p := Prompt{Tokens: 8000, Objective: 800 * time.Millisecond}
-	read := figures.PrefillTime(p.Tokens, p.Tokens)
+	read := estimates.PrefillTime(p.Tokens, p.Tokens)
 	gap := time.Duration(float64(read) / utilization / float64(len(sim.ids)))
 	var sum, now, nextReport time.Duration
 	n := 0
@@ -66,13 +66,13 @@
 // of engines.
 func TestQueriedQueuesAvoidHerding(t *testing.T) {
 	for _, n := range []int{6, 60, 171, 700} {
-		read := figures.PrefillTime(8000, 8000)
+		read := estimates.PrefillTime(8000, 8000)
 		byReports := newQueueSim(n).meanWait(func(_ time.Duration, p Prompt, cands []Candidate) int {
-			return Prefill(p, cands, nil, nil, figures).Index
+			return Prefill(p, cands, nil, nil, estimates).Index
 		})
 		sim := newQueueSim(n)
 		queried := sim.meanWait(func(now time.Duration, p Prompt, cands []Candidate) int {
-			list := Shortlist(p, cands, nil, nil, figures)
+			list := Shortlist(p, cands, nil, nil, estimates)
 			waits := make([]time.Duration, len(list))
 			for i := range list {
 				waits[i] = max(sim.busyUntil[list[i].Index]-now, 0)
@@ -101,7 +101,7 @@
 		for i := range cands {
 			cands[i].HasIdleConn = lastUse[i] > 0 && now-lastUse[i] < idle
 		}
-		list := Shortlist(p, cands, nil, nil, figures)
+		list := Shortlist(p, cands, nil, nil, estimates)
 		waits := make([]time.Duration, len(list))
 		for i := range list {
 			waits[i] = max(sim.busyUntil[list[i].Index]-now, 0)
@@ -118,7 +118,7 @@
 	if opened > prompts/3 {
 		t.Errorf("%d connections opened for %d prompts", opened, prompts)
 	}
-	if read := figures.PrefillTime(8000, 8000); wait > read/4 {
+	if read := estimates.PrefillTime(8000, 8000); wait > read/4 {
 		t.Errorf("a prompt waits %v of %v", wait, read)
 	}
 }
@@ -127,7 +127,7 @@
 // reported. The predicted wait is used instead.
 func TestSelectByWaitKeepsEstimateWithoutAnAnswer(t *testing.T) {
 	cands := []Candidate{newCandidate("a", "", waitOf(300)), newCandidate("b", "", waitOf(100)), newCandidate("c", "", waitOf(0))}
-	list := Shortlist(Prompt{Tokens: 8000}, cands, nil, nil, figures)
+	list := Shortlist(Prompt{Tokens: 8000}, cands, nil, nil, estimates)
 	waits := make([]time.Duration, len(list))
 	for i := range list {
 		waits[i] = -1
