--- a/connection/load/load_test.go
+++ b/connection/load/load_test.go
@@ -158,14 +158,14 @@
 		want int
 	}{
 		{"none", func(*Watcher, *fakeEngine) {}, 0},
-		{"refused", func(w *Watcher, _ *fakeEngine) { w.Down("e:1", refused) }, 1},
-		{"refused twice", func(w *Watcher, _ *fakeEngine) { w.Down("e:1", refused); w.Down("e:1", refused) }, 1},
+		{"refused", func(w *Watcher, _ *fakeEngine) { w.HandleDown("e:1", refused) }, 1},
+		{"refused twice", func(w *Watcher, _ *fakeEngine) { w.HandleDown("e:1", refused); w.HandleDown("e:1", refused) }, 1},
 		{"restart", func(_ *Watcher, f *fakeEngine) { f.set(func(f *fakeEngine) { f.load.Incarnation = "2" }) }, 1},
 		{"both", func(w *Watcher, f *fakeEngine) {
-			w.Down("e:1", refused)
+			w.HandleDown("e:1", refused)
 			f.set(func(f *fakeEngine) { f.load.Incarnation = "2" })
 		}, 1},
-		{"partition", func(w *Watcher, _ *fakeEngine) { w.Down("e:1", syscall.ETIMEDOUT) }, 0},
+		{"partition", func(w *Watcher, _ *fakeEngine) { w.HandleDown("e:1", syscall.ETIMEDOUT) }, 0},
 	}
 	for _, tc := range cases {
 		f := &fakeEngine{load: port.Load{Incarnation: "1"}}
@@ -283,7 +283,7 @@
 		p := pool.New(pool.Options{})
 		w := New(Options{View: h, Pool: p, Engine: func(string) port.Engine { return f }, CallRate: reads})
 		<-time.After(seconds * time.Second)
-		w.Answered("e7:1", http.Header{port.LoadHeader: {port.FormatLoad(port.Load{Running: 41})}})
+		w.HandleResponse("e7:1", http.Header{port.LoadHeader: {port.FormatLoad(port.Load{Running: 41})}})
 		got := w.Targets(svc)[7]
 		if got.Load.Running != 41 || got.LoadAge != 0 {
 			t.Errorf("after an answer: %+v", got)
--- a/connection/load/verify_test.go
+++ b/connection/load/verify_test.go
@@ -24,7 +24,7 @@
 		name  string
 		first func(w *Watcher, f *fakeEngine)
 	}{
-		{"refused", func(w *Watcher, _ *fakeEngine) { w.Down("e:1", syscall.ECONNREFUSED) }},
+		{"refused", func(w *Watcher, _ *fakeEngine) { w.HandleDown("e:1", syscall.ECONNREFUSED) }},
 		{"restarted", func(w *Watcher, f *fakeEngine) {
 			f.set(func(f *fakeEngine) { f.load.Incarnation = "2" })
 			w.Verify(ended, target)
--- a/connection/load/watcher.go
+++ b/connection/load/watcher.go
@@ -226,11 +226,11 @@
 	return r
 }
 
-// Down handles the pool's report that a connection to addr failed with err. Only
+// HandleDown handles the pool's report that a connection to addr failed with err. Only
 // a refused connection counts as a crash: an unreachable address may be behind a
 // network partition, and the content in flight there would wrongly become
 // suspect.
-func (w *Watcher) Down(addr string, err error) {
+func (w *Watcher) HandleDown(addr string, err error) {
 	if !errors.Is(err, syscall.ECONNREFUSED) {
 		return
 	}
--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -278,8 +278,8 @@
 
 func (d *Daemon) wireRequests() {
 	d.pool = pool.New(pool.Options{
-		OnDown:     func(addr string, err error) { d.watcher.Down(addr, err) },
-		OnResponse: func(addr string, h http.Header) { d.watcher.Answered(addr, h) },
+		OnDown:     func(addr string, err error) { d.watcher.HandleDown(addr, err) },
+		OnResponse: func(addr string, h http.Header) { d.watcher.HandleResponse(addr, h) },
 	})
 	d.watcher = load.New(load.Options{
 		View:         d.view,
--- a/request/attempt/attempt.go
+++ b/request/attempt/attempt.go
@@ -113,13 +113,13 @@
 }
 
 func (r *Runner) reportStall(f *failure.Failure, t routing.Target) {
-	if f.Class == failure.Silent {
+	if f.Class == failure.Stalled {
 		r.opts.Pool.ReportStall(t.Addr)
 	}
 }
 
 func (r *Runner) cancelStalled(f *failure.Failure, q *Request, t routing.Target, id string) {
-	if f.Class == failure.Silent && q.ToEngine {
+	if f.Class == failure.Stalled && q.ToEngine {
 		r.opts.Pool.Cancel(t.Addr, id)
 	}
 }
--- a/request/attempt/failure.go
+++ b/request/attempt/failure.go
@@ -10,7 +10,7 @@
 var classCodes = [...]code.Code{
 	failure.NotWritten: code.TargetUnreachable,
 	failure.NoAnswer:   code.TargetFailed,
-	failure.Silent:     code.TargetFailed,
+	failure.Stalled:    code.TargetFailed,
 	failure.Cut:        code.StreamCut,
 	failure.Mismatch:   code.AnswerMismatch,
 	failure.NotRun:     code.TargetFailed,
--- a/request/dispatch/failure.go
+++ b/request/dispatch/failure.go
@@ -28,7 +28,7 @@
 	switch {
 	case f.Final():
 		return health.OK, false
-	case f.Unwritten || f.Class == failure.Silent:
+	case f.Unwritten || f.Class == failure.Stalled:
 		return health.Unreachable, true
 	case f.Class == failure.NotRun:
 		return health.Refused, true
--- a/request/entry/path_test.go
+++ b/request/entry/path_test.go
@@ -21,7 +21,7 @@
 // watcher.
 func useRealRouting(t testing.TB, o *Options) *load.Watcher {
 	var w *load.Watcher
-	o.Pool = pool.New(pool.Options{OnDown: func(addr string, err error) { w.Down(addr, err) }})
+	o.Pool = pool.New(pool.Options{OnDown: func(addr string, err error) { w.HandleDown(addr, err) }})
 	w = load.New(load.Options{
 		View:         o.View,
 		Pool:         o.Pool,
--- a/request/failure/failure.go
+++ b/request/failure/failure.go
@@ -19,7 +19,7 @@
 const (
 	NotWritten Class = iota // no byte of the request was written
 	NoAnswer                // the connection broke after the request was written, before an answer
-	Silent                  // the request was written, and the progress timeout expired
+	Stalled                 // the request was written, and the progress timeout expired
 	Cut                     // the answer ended early
 	Mismatch                // the answer belongs to another request or isn't from the target
 	NotRun                  // the target answered that it didn't run the request
@@ -111,7 +111,7 @@
 func (f *Failure) refineClass(ctx context.Context) {
 	switch {
 	case errors.Is(f.Err, h1.ErrNoProgress):
-		f.Class = Silent
+		f.Class = Stalled
 	case ctx.Err() == nil:
 	case errors.Is(context.Cause(ctx), context.DeadlineExceeded):
 		f.Class = Late
--- a/request/failure/failure_test.go
+++ b/request/failure/failure_test.go
@@ -32,7 +32,7 @@
 	}{
 		{"no connection", live, &h1.Error{Err: h1.ErrConnect}, NotWritten, false, false},
 		{"reset after the request", live, &h1.Error{Err: reset, Written: true}, NoAnswer, true, false},
-		{"silent after the request", live, &h1.Error{Err: h1.ErrNoProgress, Written: true}, Silent, true, false},
+		{"silent after the request", live, &h1.Error{Err: h1.ErrNoProgress, Written: true}, Stalled, true, false},
 		{"silent before the request", live, &h1.Error{Err: h1.ErrNoProgress}, NotWritten, false, false},
 		{"caller left", gone, &h1.Error{Err: context.Canceled, Written: true}, CallerGone, true, true},
 		{"caller left before", gone, &h1.Error{Err: context.Canceled}, CallerGone, false, true},
