--- a/connection/demand/ring.go
+++ b/connection/demand/ring.go
@@ -33,12 +33,12 @@
 
 func (r *ring) add(now time.Time, req Request) {
 	r.advance(now)
-	s := &r.buckets[r.current%int64(bucketCount)]
-	s.prefill += req.Prefill
-	s.streams += req.StreamDuration
-	s.transfer += req.Transfer
+	b := &r.buckets[r.current%int64(bucketCount)]
+	b.prefill += req.Prefill
+	b.streams += req.StreamDuration
+	b.transfer += req.Transfer
 	if req.Objective > 0 {
-		s.weightedPrefill += float64(req.Prefill) * float64(req.Prefill) / float64(req.Objective)
+		b.weightedPrefill += float64(req.Prefill) * float64(req.Prefill) / float64(req.Objective)
 	}
 	if req.Priority < r.mostUrgent {
 		// The earlier requests are no longer the most urgent.
@@ -48,7 +48,7 @@
 		}
 	}
 	if req.Priority == r.mostUrgent {
-		s.urgent += req.StreamDuration
+		b.urgent += req.StreamDuration
 	}
 }
 
@@ -70,12 +70,12 @@
 func (r *ring) load(now time.Time) Load {
 	r.advance(now)
 	var all bucket
-	for _, s := range r.buckets {
-		all.prefill += s.prefill
-		all.streams += s.streams
-		all.urgent += s.urgent
-		all.transfer += s.transfer
-		all.weightedPrefill += s.weightedPrefill
+	for _, b := range r.buckets {
+		all.prefill += b.prefill
+		all.streams += b.streams
+		all.urgent += b.urgent
+		all.transfer += b.transfer
+		all.weightedPrefill += b.weightedPrefill
 	}
 	covered := min(max(r.current-r.first, 1), int64(bucketCount))
 	seconds := (bucketDuration*time.Duration(covered) - bucketDuration/2).Seconds() // the current bucket is half over on average
--- a/connection/engines/tally.go
+++ b/connection/engines/tally.go
@@ -14,37 +14,37 @@
 	decode, prefill int // number of daemons that ordered the change to this role
 }
 
-func (t *workSum) include(w *Work) {
-	t.add(w)
-	t.countRole(w.Becomes, 1)
+func (s *workSum) include(w *Work) {
+	s.add(w)
+	s.countRole(w.Becomes, 1)
 }
 
-func (t *workSum) exclude(w *Work) {
-	t.Reading -= w.Reading
-	t.Prompts -= w.Prompts
-	t.Streams -= w.Streams
-	t.Down -= w.Down
-	t.countRole(w.Becomes, -1)
+func (s *workSum) exclude(w *Work) {
+	s.Reading -= w.Reading
+	s.Prompts -= w.Prompts
+	s.Streams -= w.Streams
+	s.Down -= w.Down
+	s.countRole(w.Becomes, -1)
 }
 
 // countRole adds n to the number of daemons that ordered the role r, and updates
 // Becomes.
-func (t *workSum) countRole(r port.Role, n int) {
+func (s *workSum) countRole(r port.Role, n int) {
 	switch r {
 	case port.RoleDecode:
-		t.decode += n
+		s.decode += n
 	case port.RolePrefill:
-		t.prefill += n
+		s.prefill += n
 	default:
 		return
 	}
 	switch {
-	case t.decode > 0:
-		t.Becomes = port.RoleDecode
-	case t.prefill > 0:
-		t.Becomes = port.RolePrefill
+	case s.decode > 0:
+		s.Becomes = port.RoleDecode
+	case s.prefill > 0:
+		s.Becomes = port.RolePrefill
 	default:
-		t.Becomes = ""
+		s.Becomes = ""
 	}
 }
 
--- a/connection/load/engine.go
+++ b/connection/load/engine.go
@@ -58,8 +58,9 @@
 	return max(w.opts.PollInterval, budget)
 }
 
-// HandleResponse stores the load report in the header of an answer from the target at
-// addr, if there is one. It is the callback for pool.Options.OnResponse.
+// HandleResponse stores the load report in the header of an answer from the
+// target at addr, if there is one. It is the callback for
+// pool.Options.OnResponse.
 func (w *Watcher) HandleResponse(addr string, h http.Header) {
 	value := h.Get(port.LoadHeader)
 	if value == "" {
--- a/connection/load/watcher.go
+++ b/connection/load/watcher.go
@@ -226,10 +226,10 @@
 	return r
 }
 
-// HandleDown handles the pool's report that a connection to addr failed with err. Only
-// a refused connection counts as a crash: an unreachable address may be behind a
-// network partition, and the content in flight there would wrongly become
-// suspect.
+// HandleDown is the callback for pool.Options.OnDown: the target at addr accepts
+// no connections, and a dial failed with err. Only a refused connection counts
+// as a crash: an unreachable address may be behind a network partition, and the
+// content in flight there would wrongly become suspect.
 func (w *Watcher) HandleDown(addr string, err error) {
 	if !errors.Is(err, syscall.ECONNREFUSED) {
 		return
--- a/request/admission/fullness.go
+++ b/request/admission/fullness.go
@@ -126,8 +126,8 @@
 	}
 	longest := float64(a.TimeLeft-idle) * usableSlack
 	wait := float64(a.Decision.TimeToCompletion - idle)
-	calm := float64(idle) + waitContention*longest
-	return fullness{share: wait / longest, excess: float64(a.Decision.TimeToCompletion) / calm}
+	threshold := float64(idle) + waitContention*longest
+	return fullness{share: wait / longest, excess: float64(a.Decision.TimeToCompletion) / threshold}
 }
 
 // slotCount returns the number of slots of the live targets.
--- a/request/attempt/attempt_test.go
+++ b/request/attempt/attempt_test.go
@@ -50,11 +50,11 @@
 // bodyReceiver stores the body of an answer.
 type bodyReceiver struct{ body string }
 
-func (w *bodyReceiver) Progress() int   { return 0 }
-func (w *bodyReceiver) Committed() bool { return false }
-func (w *bodyReceiver) Receive(a Answer) error {
+func (r *bodyReceiver) Progress() int   { return 0 }
+func (r *bodyReceiver) Committed() bool { return false }
+func (r *bodyReceiver) Receive(a Answer) error {
 	body, err := io.ReadAll(a.Body)
-	w.body = string(body)
+	r.body = string(body)
 	return err
 }
 
--- a/request/attempt/claim_test.go
+++ b/request/attempt/claim_test.go
@@ -23,24 +23,24 @@
 	refuse int
 }
 
-func (r *contentClaimer) Claim(context.Context, uint64) (func(bool), bool) {
-	r.record(0, "claim")
-	if r.refuse > 0 {
-		r.refuse--
+func (c *contentClaimer) Claim(context.Context, uint64) (func(bool), bool) {
+	c.record(0, "claim")
+	if c.refuse > 0 {
+		c.refuse--
 		return nil, false
 	}
-	return func(finished bool) { r.record(0, fmt.Sprint("release ", finished)) }, true
+	return func(finished bool) { c.record(0, fmt.Sprint("release ", finished)) }, true
 }
 
-func (r *contentClaimer) ClaimTarget(context.Context, uint64, string) (func(bool), bool) {
+func (c *contentClaimer) ClaimTarget(context.Context, uint64, string) (func(bool), bool) {
 	return func(bool) {}, true
 }
 
 // exclusiveRecorder routes like firstAvailable and records Request.Exclusive of each call.
 type exclusiveRecorder struct{ exclusive []bool }
 
-func (a *exclusiveRecorder) Route(r routing.Request, targets []routing.Target) (routing.Decision, error) {
-	a.exclusive = append(a.exclusive, r.Exclusive)
+func (e *exclusiveRecorder) Route(r routing.Request, targets []routing.Target) (routing.Decision, error) {
+	e.exclusive = append(e.exclusive, r.Exclusive)
 	return firstAvailable{}.Route(r, targets)
 }
 
--- a/request/dispatch/consider_test.go
+++ b/request/dispatch/consider_test.go
@@ -124,11 +124,11 @@
 			h.manyEngines(n)
 			x := h.newExecution("vm1")
 			p := x.prompt()
-			f := h.speed.Estimates("llm")
+			est := h.speed.Estimates("llm")
 			b.ReportAllocs()
 			for b.Loop() {
 				cands := x.candidates(p, port.RolePrefill, "a")
-				placement.Shortlist(p.Prompt, cands, cands, x.call.Service.Engine, f)
+				placement.Shortlist(p.Prompt, cands, cands, x.call.Service.Engine, est)
 			}
 		})
 	}
--- a/request/dispatch/engine_test.go
+++ b/request/dispatch/engine_test.go
@@ -105,10 +105,10 @@
 }
 
 // Write implements Stream.
-func (m *repairingRecorder) Write(events []byte) error {
-	err := m.recorder.Write(events)
-	if strings.Count(m.text, "\n\n") == m.after {
-		m.repair()
+func (r *repairingRecorder) Write(events []byte) error {
+	err := r.recorder.Write(events)
+	if strings.Count(r.text, "\n\n") == r.after {
+		r.repair()
 	}
 	return err
 }
--- a/request/dispatch/pace_test.go
+++ b/request/dispatch/pace_test.go
@@ -129,11 +129,11 @@
 				all := h.runLoad(t.Context(), seed)
 				slices.SortFunc(all, func(a, b *pacedRequest) int { return cmp.Compare(b.events, a.events) })
 				served := func(p *pacedRequest) bool { return p.served }
-				largest, whole := fractionOf(all[:len(all)/10], served), fractionOf(all, served)
+				largest, overall := fractionOf(all[:len(all)/10], served), fractionOf(all, served)
 				cut := fractionOf(all, func(p *pacedRequest) bool { return p.cut })
-				t.Logf("served %.2f of the largest tenth, %.2f of all; %.3f were cut", largest, whole, cut)
-				if largest < whole/2 {
-					t.Errorf("served %.2f of the largest tenth, %.2f of all", largest, whole)
+				t.Logf("served %.2f of the largest tenth, %.2f of all; %.3f were cut", largest, overall, cut)
+				if largest < overall/2 {
+					t.Errorf("served %.2f of the largest tenth, %.2f of all", largest, overall)
 				}
 			})
 		})
--- a/request/dispatch/rig_test.go
+++ b/request/dispatch/rig_test.go
@@ -133,14 +133,14 @@
 }
 
 // Begin implements Stream.
-func (s *recorder) Begin(status int, _ http.Header) { s.status = status }
+func (r *recorder) Begin(status int, _ http.Header) { r.status = status }
 
 // Write implements Stream.
-func (s *recorder) Write(events []byte) error {
-	if s.callerGone {
+func (r *recorder) Write(events []byte) error {
+	if r.callerGone {
 		return context.Canceled
 	}
-	s.text += string(events)
+	r.text += string(events)
 	return nil
 }
 
--- a/request/limit/limit.go
+++ b/request/limit/limit.go
@@ -61,10 +61,10 @@
 	}
 	// Setting a deadline only fails on writers without a connection, as in tests.
 	ctl := http.NewResponseController(w)
-	dog := watchdog.New(func() { _ = ctl.SetReadDeadline(expiredDeadline) })
-	dog.Arm(wait)
+	wd := watchdog.New(func() { _ = ctl.SetReadDeadline(expiredDeadline) })
+	wd.Arm(wait)
 	body, err := readAll(http.MaxBytesReader(w, req.Body, max), req.ContentLength)
-	expired := dog.Disarm()
+	expired := wd.Disarm()
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return nil, code.New(code.BodyTooLarge, "at most %d bytes", max)
--- a/request/once/attempts.go
+++ b/request/once/attempts.go
@@ -131,23 +131,23 @@
 	if r.Code.Info().NotRun {
 		t.dropKey(a.key, a.seq)
 	}
-	k := &finishedAttempt{seq: a.seq, key: a.key, at: t.now(), size: len(r.Body) + len(r.Key) + 256, r: r}
-	t.answers[a.seq] = t.order.PushBack(k)
-	t.bytes += k.size
+	f := &finishedAttempt{seq: a.seq, key: a.key, at: t.now(), size: len(r.Body) + len(r.Key) + 256, r: r}
+	t.answers[a.seq] = t.order.PushBack(f)
+	t.bytes += f.size
 	t.evict()
 }
 
 // evict removes the oldest answers that exceed the limits on age and size.
 func (t *attemptTable) evict() {
 	for e := t.order.Front(); e != nil; e = t.order.Front() {
-		k := e.Value.(*finishedAttempt)
-		if t.bytes <= maxAnswerBytes && t.now().Sub(k.at) < answerRetention {
+		f := e.Value.(*finishedAttempt)
+		if t.bytes <= maxAnswerBytes && t.now().Sub(f.at) < answerRetention {
 			return
 		}
 		t.order.Remove(e)
-		delete(t.answers, k.seq)
-		t.dropKey(k.key, k.seq)
-		t.bytes -= k.size
+		delete(t.answers, f.seq)
+		t.dropKey(f.key, f.seq)
+		t.bytes -= f.size
 	}
 }
 
--- a/request/placement/shortlist_test.go
+++ b/request/placement/shortlist_test.go
@@ -29,8 +29,8 @@
 // choose returns.
 func (sim *queueSim) meanWait(choose func(now time.Duration, p Prompt, cands []Candidate) int) time.Duration {
 	p := Prompt{Tokens: 8000, Objective: 800 * time.Millisecond}
-	read := estimates.PrefillTime(p.Tokens, p.Tokens)
-	gap := time.Duration(float64(read) / utilization / float64(len(sim.ids)))
+	prefill := estimates.PrefillTime(p.Tokens, p.Tokens)
+	gap := time.Duration(float64(prefill) / utilization / float64(len(sim.ids)))
 	var sum, now, nextReport time.Duration
 	n := 0
 	for ; now < sim.duration; now += time.Duration(sim.rnd.ExpFloat64() * float64(gap)) {
@@ -45,7 +45,7 @@
 		}
 		at := choose(now, p, cands)
 		sum += max(sim.busyUntil[at]-now, 0)
-		sim.busyUntil[at] = max(sim.busyUntil[at], now) + read
+		sim.busyUntil[at] = max(sim.busyUntil[at], now) + prefill
 		n++
 	}
 	return sum / time.Duration(n)
@@ -66,7 +66,7 @@
 // of engines.
 func TestQueriedQueuesAvoidHerding(t *testing.T) {
 	for _, n := range []int{6, 60, 171, 700} {
-		read := estimates.PrefillTime(8000, 8000)
+		prefill := estimates.PrefillTime(8000, 8000)
 		byReports := newQueueSim(n).meanWait(func(_ time.Duration, p Prompt, cands []Candidate) int {
 			return Prefill(p, cands, nil, nil, estimates).Index
 		})
@@ -79,9 +79,9 @@
 			}
 			return SelectByWait(list, cands, waits).Index
 		})
-		t.Logf("%d engines: a prompt with a prefill of %v waits %v by reports, %v by queried queues", n, read, byReports, queried)
-		if queried > read/4 {
-			t.Errorf("%d engines: a prompt waits %v of %v", n, queried, read)
+		t.Logf("%d engines: a prompt with a prefill of %v waits %v by reports, %v by queried queues", n, prefill, byReports, queried)
+		if queried > prefill/4 {
+			t.Errorf("%d engines: a prompt waits %v of %v", n, queried, prefill)
 		}
 	}
 }
@@ -118,8 +118,8 @@
 	if opened > prompts/3 {
 		t.Errorf("%d connections opened for %d prompts", opened, prompts)
 	}
-	if read := estimates.PrefillTime(8000, 8000); wait > read/4 {
-		t.Errorf("a prompt waits %v of %v", wait, read)
+	if prefill := estimates.PrefillTime(8000, 8000); wait > prefill/4 {
+		t.Errorf("a prompt waits %v of %v", wait, prefill)
 	}
 }
 
--- a/request/quarantine/broadcast.go
+++ b/request/quarantine/broadcast.go
@@ -22,12 +22,12 @@
 // updates in the replies to incoming. It returns when all peers have replied or
 // ctx ends. It is meant for Options.Broadcast. A peer that does not reply is
 // ignored here; membership decides whether it is alive.
-func (f *Broadcaster) Broadcast(ctx context.Context, updates []*peerpb.Conviction, incoming func([]*peerpb.Conviction)) {
+func (b *Broadcaster) Broadcast(ctx context.Context, updates []*peerpb.Conviction, incoming func([]*peerpb.Conviction)) {
 	var g errgroup.Group
 	g.SetLimit(maxConcurrentCalls)
-	for _, addr := range f.Addrs() {
+	for _, addr := range b.Addrs() {
 		g.Go(func() error {
-			if reply := f.sendHeartbeat(ctx, addr, updates); reply != nil {
+			if reply := b.sendHeartbeat(ctx, addr, updates); reply != nil {
 				incoming(reply.Convictions)
 			}
 			return nil
@@ -36,12 +36,12 @@
 	_ = g.Wait()
 }
 
-func (f *Broadcaster) sendHeartbeat(ctx context.Context, addr string, updates []*peerpb.Conviction) *peerpb.HeartbeatReply {
-	client, err := f.Client(addr)
+func (b *Broadcaster) sendHeartbeat(ctx context.Context, addr string, updates []*peerpb.Conviction) *peerpb.HeartbeatReply {
+	client, err := b.Client(addr)
 	if err != nil {
 		return nil
 	}
-	reply, err := client.Heartbeat(ctx, &peerpb.HeartbeatRequest{From: f.Self(), Convictions: updates})
+	reply, err := client.Heartbeat(ctx, &peerpb.HeartbeatRequest{From: b.Self(), Convictions: updates})
 	if err != nil {
 		counts.Add("broadcast_failed", 1)
 		return nil
--- a/request/quarantine/rig_test.go
+++ b/request/quarantine/rig_test.go
@@ -68,8 +68,8 @@
 
 // broadcast implements Options.Broadcast over connections that can be cut.
 func (r *rig) broadcast(ctx context.Context, from int, updates []*peerpb.Conviction) {
-	fleet := Broadcaster{Self: func() *peerpb.Member { return nil }}
-	fleet.Addrs = func() (addrs []string) {
+	b := Broadcaster{Self: func() *peerpb.Member { return nil }}
+	b.Addrs = func() (addrs []string) {
 		for i := range r.trackers {
 			if i != from {
 				addrs = append(addrs, strconv.Itoa(i))
@@ -77,8 +77,8 @@
 		}
 		return addrs
 	}
-	fleet.Client = func(addr string) (peerpb.PeerClient, error) { return &peerClient{r: r, to: addr}, nil }
-	fleet.Broadcast(ctx, updates, r.trackers[from].Incoming)
+	b.Client = func(addr string) (peerpb.PeerClient, error) { return &peerClient{r: r, to: addr}, nil }
+	b.Broadcast(ctx, updates, r.trackers[from].Incoming)
 }
 
 type peerClient struct {
