--- a/connection/address/address_test.go
+++ b/connection/address/address_test.go
@@ -14,11 +14,11 @@
 	for i, w := range weights {
 		members = append(members, Member{Addr: fmt.Sprint("10.0.0.", i), Weight: w})
 	}
-	b := NewSelector(func() []Member { return members }, time.Second)
+	s := NewSelector(func() []Member { return members }, time.Second)
 	first := make(map[string]int)
 	const callers = 16_000
 	for seed := range uint64(callers) {
-		first[b.Answer("", seed).Addresses[0].Addr]++
+		first[s.Answer("", seed).Addresses[0].Addr]++
 	}
 	for i, w := range weights {
 		want := callers * w / 16
@@ -35,10 +35,10 @@
 	for i := range 8 {
 		members = append(members, Member{Addr: fmt.Sprint("10.0.0.", i), Zone: fmt.Sprint("z", i%2), Leaving: i >= 6})
 	}
-	b := NewSelector(func() []Member { return members }, 5*time.Second)
+	s := NewSelector(func() []Member { return members }, 5*time.Second)
 	first := make(map[string]int)
 	for seed := range uint64(3000) {
-		a := b.Answer("z1", seed)
+		a := s.Answer("z1", seed)
 		if len(a.Addresses) != 6 || a.TTLMs != 5000 {
 			t.Fatalf("got %+v", a)
 		}
@@ -54,9 +54,9 @@
 			t.Errorf("%s is first for %d of 3000 callers", addr, n)
 		}
 	}
-	before := b.Answer("z1", 7).Addresses[0]
+	before := s.Answer("z1", 7).Addresses[0]
 	members[0].Leaving = true
-	if after := b.Answer("z1", 7).Addresses[0]; after != before {
+	if after := s.Answer("z1", 7).Addresses[0]; after != before {
 		t.Errorf("a caller was moved from %v to %v without need", before, after)
 	}
 	if a := NewSelector(func() []Member { return nil }, 0).Answer("", 0); a.Addresses == nil {
--- a/connection/demand/demand_test.go
+++ b/connection/demand/demand_test.go
@@ -19,21 +19,21 @@
 // Steady arrivals must show as prefill and as the streams that would run.
 func TestSteadyArrivals(t *testing.T) {
 	c := newClock()
-	b := New(c.now)
+	tr := New(c.now)
 	for range 500 {
-		b.Observe("llm", Request{Prefill: 30 * time.Millisecond, StreamDuration: 2 * time.Second, Priority: 1})
-		b.Observe("llm", Request{StreamDuration: 400 * time.Millisecond, Priority: 2})
+		tr.Observe("llm", Request{Prefill: 30 * time.Millisecond, StreamDuration: 2 * time.Second, Priority: 1})
+		tr.Observe("llm", Request{StreamDuration: 400 * time.Millisecond, Priority: 2})
 		c.advance(10 * time.Millisecond)
 	}
-	l := b.Total("llm")
+	l := tr.Total("llm")
 	if !near(l.Prefill, 3, 0.1) || !near(l.Streams, 240, 6) || !near(l.Urgent, 200, 5) {
 		t.Errorf("%+v", l)
 	}
 	c.advance(time.Minute)
-	if !b.MostUrgent("llm", 1) || b.MostUrgent("llm", 2) {
+	if !tr.MostUrgent("llm", 1) || tr.MostUrgent("llm", 2) {
 		t.Error("wrong most urgent priority")
 	}
-	if l := b.Total("llm"); l != (Load{}) {
+	if l := tr.Total("llm"); l != (Load{}) {
 		t.Errorf("a minute later: %+v", l)
 	}
 }
@@ -64,11 +64,11 @@
 // Guards against wrong demand after the system clock of a VM was set back.
 func TestClockSetBack(t *testing.T) {
 	c := newClock()
-	b := New(c.now)
-	b.Observe("llm", Request{Prefill: time.Second, StreamDuration: 10 * time.Second})
+	tr := New(c.now)
+	tr.Observe("llm", Request{Prefill: time.Second, StreamDuration: 10 * time.Second})
 	c.advance(-5 * time.Second)
-	b.Observe("llm", Request{StreamDuration: time.Second})
-	if l := b.Total("llm"); l.Streams == 0 || l.Prefill != 0 {
+	tr.Observe("llm", Request{StreamDuration: time.Second})
+	if l := tr.Total("llm"); l.Streams == 0 || l.Prefill != 0 {
 		t.Errorf("%+v", l)
 	}
 }
--- a/connection/engines/bench_test.go
+++ b/connection/engines/bench_test.go
@@ -12,15 +12,15 @@
 // newLoadedTracker returns a Tracker with a report of each daemon on its work at a
 // few engines.
 func newLoadedTracker(daemons, engines int) (*Tracker, []string) {
-	b := New(func() time.Time { return time.Unix(1000, 0) }, func(Work) {})
+	tr := New(func() time.Time { return time.Unix(1000, 0) }, func(Work) {})
 	var ids []string
 	for i := range engines {
 		ids = append(ids, fmt.Sprint("engine", i))
 	}
 	for d := range daemons {
-		b.Merge(fmt.Sprint("daemon", d), workOf(d, ids), nil)
+		tr.Merge(fmt.Sprint("daemon", d), workOf(d, ids), nil)
 	}
-	return b, ids
+	return tr, ids
 }
 
 func workOf(daemon int, ids []string) []Work {
--- a/connection/load/load_test.go
+++ b/connection/load/load_test.go
@@ -186,7 +186,7 @@
 	add := func(seq int64, blocks ...uint64) port.CacheEvent {
 		return port.CacheEvent{Seq: seq, Added: blocks}
 	}
-	gone := func(seq int64, blocks ...uint64) port.CacheEvent {
+	remove := func(seq int64, blocks ...uint64) port.CacheEvent {
 		return port.CacheEvent{Seq: seq, Gone: blocks}
 	}
 	cases := []struct {
@@ -195,9 +195,9 @@
 		want   int
 	}{
 		{"in order", []port.CacheEvent{add(1, 1, 2), add(2, 3)}, 3},
-		{"gone", []port.CacheEvent{add(1, 1, 2, 3), gone(2, 2)}, 1},
+		{"gone", []port.CacheEvent{add(1, 1, 2, 3), remove(2, 2)}, 1},
 		{"gap", []port.CacheEvent{add(1, 1, 2, 3), add(3, 1)}, 1},
-		{"repeated", []port.CacheEvent{add(1, 1, 2), gone(2, 1), add(1, 1)}, 0},
+		{"repeated", []port.CacheEvent{add(1, 1, 2), remove(2, 1), add(1, 1)}, 0},
 		{"reset", []port.CacheEvent{add(1, 1, 2), {Seq: 2, Reset: true}}, 0},
 	}
 	for _, tc := range cases {
--- a/connection/pool/pool_test.go
+++ b/connection/pool/pool_test.go
@@ -152,14 +152,14 @@
 // Checks that the error of a failed request reports whether bytes were written.
 func TestErrorReportsWritten(t *testing.T) {
 	reset := newCountingServer(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
-	gone := newCountingServer(t, echo)
-	gone.Close()
+	stopped := newCountingServer(t, echo)
+	stopped.Close()
 	p := New(Options{})
 	defer p.Close()
 	for _, tc := range []struct {
 		name, addr string
 		want       bool
-	}{{"refused connection", gone.addr(), false}, {"reset after reading", reset.addr(), true}} {
+	}{{"refused connection", stopped.addr(), false}, {"reset after reading", reset.addr(), true}} {
 		err := send(t, p, tc.addr, h1.ReuseNever)
 		var he *h1.Error
 		if !errors.As(err, &he) || he.Written != tc.want {
--- a/connection/speed/speed.go
+++ b/connection/speed/speed.go
@@ -129,15 +129,15 @@
 // those of another process if these come from more. A process that has just started
 // can thus predict at once.
 func (s *service) estimates() Estimates {
-	f := s.local
+	est := s.local
 	if s.local.Prompts < minLocalSamples && s.remote.Prompts > s.local.Prompts {
-		f = s.remote
+		est = s.remote
 		if s.firstEvent.n > 0 {
-			f.FirstEvent = s.firstEvent.value
+			est.FirstEvent = s.firstEvent.value
 		}
 	}
-	f.QueuedError = s.queuedError
-	return f
+	est.QueuedError = s.queuedError
+	return est
 }
 
 // updateLocal updates the local estimates from the samples.
@@ -167,11 +167,11 @@
 
 // recordError adds the error of the prediction for a prompt.
 func (s *service) recordError(p Sample) {
-	f := s.estimates()
-	if !f.Known() || p.Duration <= 0 {
+	est := s.estimates()
+	if !est.Known() || p.Duration <= 0 {
 		return
 	}
-	predicted := p.PredictedWait + f.PromptOverhead + f.PrefillTime(p.Prompt, p.Missing)
+	predicted := p.PredictedWait + est.PromptOverhead + est.PrefillTime(p.Prompt, p.Missing)
 	if p.PredictedWait > 0 {
 		s.queuedError += time.Duration(errorWeight * float64((predicted-p.Duration).Abs()-s.queuedError))
 	}
@@ -282,15 +282,15 @@
 	defer t.mu.Unlock()
 	var out []Update
 	for key, s := range t.services {
-		f := which(s)
-		if !f.Known() {
+		est := which(s)
+		if !est.Known() {
 			continue
 		}
 		out = append(out, Update{
-			Service: key, PerToken: float32(f.PerToken), PerPair: float32(f.PerPair),
-			PromptOverheadUs: uint32(f.PromptOverhead.Microseconds()), FirstEventUs: uint32(f.FirstEvent.Microseconds()),
-			PerOutputTokenUs: uint32(f.PerOutputToken.Microseconds()), SlotTimeUs: uint32(f.SlotTime.Microseconds()), LessUrgentSlotTimeUs: uint32(f.LessUrgentSlotTime.Microseconds()),
-			Prompts: uint32(min(f.Prompts, maxReportedCount)), Streams: uint32(min(f.Streams, maxReportedCount)),
+			Service: key, PerToken: float32(est.PerToken), PerPair: float32(est.PerPair),
+			PromptOverheadUs: uint32(est.PromptOverhead.Microseconds()), FirstEventUs: uint32(est.FirstEvent.Microseconds()),
+			PerOutputTokenUs: uint32(est.PerOutputToken.Microseconds()), SlotTimeUs: uint32(est.SlotTime.Microseconds()), LessUrgentSlotTimeUs: uint32(est.LessUrgentSlotTime.Microseconds()),
+			Prompts: uint32(min(est.Prompts, maxReportedCount)), Streams: uint32(min(est.Streams, maxReportedCount)),
 		})
 	}
 	return out
--- a/request/ingress/ingress_test.go
+++ b/request/ingress/ingress_test.go
@@ -138,15 +138,15 @@
 func headers(id string) http.Header { return standin.CallerHeaders(id, 30*time.Second, "") }
 
 func TestAnswersAreForwardedUnchanged(t *testing.T) {
-	r := start(t, true)
-	resp, body := r.do(t, "POST", "/p/x?y=%20", "a.example", headers("r1"), "hello")
+	f := start(t, true)
+	resp, body := f.do(t, "POST", "/p/x?y=%20", "a.example", headers("r1"), "hello")
 	if resp.StatusCode != 200 || body != "answer to r1" || resp.Header.Get(answer.HeaderCode) != "" {
 		t.Errorf("status %d, body %q", resp.StatusCode, body)
 	}
-	if o := <-r.observations; o.Route != "plain" || o.Code != code.OK {
+	if o := <-f.observations; o.Route != "plain" || o.Code != code.OK {
 		t.Errorf("observed %+v", o)
 	}
-	resp, body = r.do(t, "POST", "/s/x", "a.example", standin.CallerHeaders("r2", 30*time.Second, "aa:10"), "")
+	resp, body = f.do(t, "POST", "/s/x", "a.example", standin.CallerHeaders("r2", 30*time.Second, "aa:10"), "")
 	if resp.StatusCode != 200 || !strings.HasSuffix(body, "data: piece 3\n\n") {
 		t.Errorf("status %d, body %q", resp.StatusCode, body)
 	}
@@ -169,8 +169,8 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := start(t, true)
-			resp, body := r.do(t, "POST", tc.path, tc.host, tc.h, tc.body)
+			f := start(t, true)
+			resp, body := f.do(t, "POST", tc.path, tc.host, tc.h, tc.body)
 			var e struct {
 				Error struct {
 					Code   int  `json:"code"`
@@ -183,7 +183,7 @@
 			if resp.StatusCode != tc.status || e.Error.Code != int(tc.code) || !e.Error.NotRun {
 				t.Errorf("status %d, %s", resp.StatusCode, body)
 			}
-			if len(r.plain.Ran()) != 0 {
+			if len(f.plain.Ran()) != 0 {
 				t.Error("the request ran")
 			}
 		})
@@ -193,8 +193,8 @@
 // Guards against a daemon that has just started and answers "no such route" for
 // an existing route: callers don't retry that error.
 func TestMissingConfigurationIsRetryable(t *testing.T) {
-	r := start(t, false)
-	resp, _ := r.do(t, "POST", "/p/", "a.example", headers("r1"), "")
+	f := start(t, false)
+	resp, _ := f.do(t, "POST", "/p/", "a.example", headers("r1"), "")
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("status %d, headers %v", resp.StatusCode, resp.Header)
 	}
@@ -202,13 +202,13 @@
 
 // Headers that only daemons may set are not forwarded from callers.
 func TestForgedHeadersAreDropped(t *testing.T) {
-	r := start(t, true)
+	f := start(t, true)
 	h := headers("r1")
 	standin.Forge(h)
-	if resp, _ := r.do(t, "POST", "/p/", "a.example", h, ""); resp.StatusCode != 200 {
+	if resp, _ := f.do(t, "POST", "/p/", "a.example", h, ""); resp.StatusCode != 200 {
 		t.Fatalf("status %d", resp.StatusCode)
 	}
-	a := r.plain.Arrivals()[0]
+	a := f.plain.Arrivals()[0]
 	if a.KV != "" || a.Priority != "" || a.Prefill || a.Expect != "i-plain" || a.Organisation != "" || a.Left <= 0 || a.Left > 30*time.Second {
 		t.Errorf("the target saw %+v", a)
 	}
@@ -217,22 +217,22 @@
 // Guards against request smuggling: a request hidden in the body of another one
 // must not run. The body is forwarded with the length that was read here.
 func TestSmuggledRequestDoesNotRun(t *testing.T) {
-	r := start(t, true)
+	f := start(t, true)
 	hidden := "POST /p/hidden HTTP/1.1\r\nHost: a.example\r\nContent-Length: 0\r\n\r\n"
 	h := headers("r1")
-	if resp, _ := r.do(t, "POST", "/p/", "a.example", h, hidden); resp.StatusCode != 200 {
+	if resp, _ := f.do(t, "POST", "/p/", "a.example", h, hidden); resp.StatusCode != 200 {
 		t.Fatalf("status %d", resp.StatusCode)
 	}
-	if ran := r.plain.Ran(); len(ran) != 1 {
+	if ran := f.plain.Ran(); len(ran) != 1 {
 		t.Errorf("ran %v", ran)
 	}
 }
 
 // A stream that is cut must not look complete to the caller.
 func TestCutStreamAbortsConnection(t *testing.T) {
-	r := start(t, true)
-	r.decode.Set(func(b *standin.Behaviour) { b.Cut = 2 })
-	conn, err := (&http.Transport{}).RoundTrip(mustRequest(t, r))
+	f := start(t, true)
+	f.decode.Set(func(b *standin.Behaviour) { b.Cut = 2 })
+	conn, err := (&http.Transport{}).RoundTrip(mustRequest(t, f))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -243,8 +243,8 @@
 	}
 }
 
-func mustRequest(t *testing.T, r *fixture) *http.Request {
-	req, err := http.NewRequestWithContext(t.Context(), "POST", r.srv.URL+"/s/x", nil)
+func mustRequest(t *testing.T, f *fixture) *http.Request {
+	req, err := http.NewRequestWithContext(t.Context(), "POST", f.srv.URL+"/s/x", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -254,9 +254,9 @@
 
 // While the daemon stops, every answer asks its caller to close the connection.
 func TestStoppingClosesCallerConnections(t *testing.T) {
-	r := start(t, true)
-	r.StopAt(time.Now().Add(time.Hour))
-	resp, _ := r.do(t, "POST", "/p/", "a.example", headers("r1"), "")
+	f := start(t, true)
+	f.StopAt(time.Now().Add(time.Hour))
+	resp, _ := f.do(t, "POST", "/p/", "a.example", headers("r1"), "")
 	if resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("status %d, close %v", resp.StatusCode, resp.Close)
 	}
@@ -267,20 +267,20 @@
 // stop, and stopped before the answer was complete. It must refuse such requests as
 // not run, and still answer short ones.
 func TestStoppingRefusesLongAnswers(t *testing.T) {
-	r := start(t, true)
+	f := start(t, true)
 	for range 100 {
-		r.durations.observe("stream", 80, 50*time.Millisecond, 4*time.Second)
-		r.durations.observe("plain", 0, 0, 60*time.Millisecond)
+		f.durations.observe("stream", 80, 50*time.Millisecond, 4*time.Second)
+		f.durations.observe("plain", 0, 0, 60*time.Millisecond)
 	}
-	r.StopAt(time.Now().Add(2 * time.Second))
-	resp, _ := r.do(t, "POST", "/s/x", "a.example", standin.CallerHeaders("r1", 30*time.Second, "aa:10"), "")
+	f.StopAt(time.Now().Add(2 * time.Second))
+	resp, _ := f.do(t, "POST", "/s/x", "a.example", standin.CallerHeaders("r1", 30*time.Second, "aa:10"), "")
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("long stream: status %d, headers %v", resp.StatusCode, resp.Header)
 	}
-	if ran := r.decode.Ran(); len(ran) > 0 {
+	if ran := f.decode.Ran(); len(ran) > 0 {
 		t.Errorf("ran %v", ran)
 	}
-	if resp, _ := r.do(t, "POST", "/p/", "a.example", headers("r2"), ""); resp.StatusCode != http.StatusOK {
+	if resp, _ := f.do(t, "POST", "/p/", "a.example", headers("r2"), ""); resp.StatusCode != http.StatusOK {
 		t.Errorf("short answer: status %d", resp.StatusCode)
 	}
 }
--- a/request/ingress/key_test.go
+++ b/request/ingress/key_test.go
@@ -43,23 +43,23 @@
 		"no route":                {"/none/x", "k2", 404, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := startKeyed(t, nil)
+			f := startKeyed(t, nil)
 			h := headersWithKey("r1", tc.key)
 			standin.Forge(h)
-			resp, _ := r.do(t, "POST", tc.path, "a.example", h, "")
+			resp, _ := f.do(t, "POST", tc.path, "a.example", h, "")
 			if resp.StatusCode != tc.status {
 				t.Fatalf("status %d", resp.StatusCode)
 			}
-			if asks := resp.Header.Get("WWW-Authenticate"); (asks != "") != (tc.status == 401) {
-				t.Errorf("WWW-Authenticate %q", asks)
+			if challenge := resp.Header.Get("WWW-Authenticate"); (challenge != "") != (tc.status == 401) {
+				t.Errorf("WWW-Authenticate %q", challenge)
 			}
 			if tc.status != 200 {
-				if n := len(r.plain.Arrivals()); n > 0 {
+				if n := len(f.plain.Arrivals()); n > 0 {
 					t.Errorf("%d requests reached the target", n)
 				}
 				return
 			}
-			if a := r.plain.Arrivals()[0]; a.Organisation != tc.organisation || a.Key != "" {
+			if a := f.plain.Arrivals()[0]; a.Organisation != tc.organisation || a.Key != "" {
 				t.Errorf("the target saw %+v", a)
 			}
 		})
@@ -76,13 +76,13 @@
 		"the route's":        {nil, "3"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := startKeyed(t, tc.priority)
+			f := startKeyed(t, tc.priority)
 			h := standin.CallerHeaders("r1", 30*time.Second, "aa:10")
 			standin.SetKey(h, "k1")
-			if resp, _ := r.do(t, "POST", "/s/x", "a.example", h, ""); resp.StatusCode != 200 {
+			if resp, _ := f.do(t, "POST", "/s/x", "a.example", h, ""); resp.StatusCode != 200 {
 				t.Fatalf("status %d", resp.StatusCode)
 			}
-			if got := r.decode.Arrivals()[0].Priority; got != tc.want {
+			if got := f.decode.Arrivals()[0].Priority; got != tc.want {
 				t.Errorf("priority %q, want %q", got, tc.want)
 			}
 		})
@@ -93,15 +93,15 @@
 // configuration rejects its new key as unknown.
 func TestUnknownKeyAtStaleDaemon(t *testing.T) {
 	age := 3 * time.Second
-	r := startKeyed(t, nil)
-	r.o.ConfigAge = func() (time.Duration, bool) { return age, true }
-	r.o.MaxConfigAge = 2 * time.Second
-	resp, _ := r.do(t, "POST", "/p/x", "a.example", headersWithKey("r1", "k2"), "")
-	if o := <-r.observations; resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || o.Code != code.StaleConfiguration {
+	f := startKeyed(t, nil)
+	f.o.ConfigAge = func() (time.Duration, bool) { return age, true }
+	f.o.MaxConfigAge = 2 * time.Second
+	resp, _ := f.do(t, "POST", "/p/x", "a.example", headersWithKey("r1", "k2"), "")
+	if o := <-f.observations; resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || o.Code != code.StaleConfiguration {
 		t.Errorf("stale: status %d, code %d", resp.StatusCode, o.Code)
 	}
 	age = time.Second
-	if resp, _ := r.do(t, "POST", "/p/x", "a.example", headersWithKey("r2", "k2"), ""); resp.StatusCode != 401 {
+	if resp, _ := f.do(t, "POST", "/p/x", "a.example", headersWithKey("r2", "k2"), ""); resp.StatusCode != 401 {
 		t.Errorf("current: status %d", resp.StatusCode)
 	}
 }
--- a/request/once/handlers.go
+++ b/request/once/handlers.go
@@ -40,26 +40,26 @@
 // HandleLookup handles the Lookup call of a peer and returns the status of an
 // attempt of this process. It waits up to lookupWait for a running attempt.
 func (l *LogDeduplicator) HandleLookup(ctx context.Context, r *peerpb.LookupRequest) (*peerpb.LookupReply, error) {
-	f := l.attempts.find(r.Attempt)
-	if f.running != nil {
-		f = l.waitForAttempt(ctx, f, r.Attempt)
+	status := l.attempts.find(r.Attempt)
+	if status.running != nil {
+		status = l.waitForAttempt(ctx, status, r.Attempt)
 	}
 	switch {
-	case f.running != nil:
+	case status.running != nil:
 		return &peerpb.LookupReply{Known: true, Running: true}, nil
-	case f.result != nil:
-		return &peerpb.LookupReply{Known: true, Result: marshalResult(f.result)}, nil
-	case f.neverRan:
+	case status.result != nil:
+		return &peerpb.LookupReply{Known: true, Result: marshalResult(status.result)}, nil
+	case status.neverRan:
 		return l.replyNeverRan(r), nil
 	}
 	return &peerpb.LookupReply{}, nil
 }
 
-func (l *LogDeduplicator) waitForAttempt(ctx context.Context, f attemptStatus, attempt string) attemptStatus {
+func (l *LogDeduplicator) waitForAttempt(ctx context.Context, status attemptStatus, attempt string) attemptStatus {
 	t := time.NewTimer(lookupWait)
 	defer t.Stop()
 	select {
-	case <-f.running.finished:
+	case <-status.running.finished:
 	case <-t.C:
 	case <-ctx.Done():
 	}
--- a/request/once/rapid_test.go
+++ b/request/once/rapid_test.go
@@ -108,47 +108,47 @@
 // applyDecision asks a batcher for the outcome of an attempt and runs the call
 // if it has won.
 func (h *history) applyDecision() {
-	t := h.anyAttempt()
-	if t == nil || t.gaveUp || t.ran {
+	a := h.anyAttempt()
+	if a == nil || a.gaveUp || a.ran {
 		return
 	}
-	d, ok := h.anyBatcher().decide(&t.it)
+	d, ok := h.anyBatcher().decide(&a.it)
 	if !ok {
 		return
 	}
 	if d.kind != peerpb.Outcome_WON {
-		t.gaveUp = true
+		a.gaveUp = true
 		return
 	}
-	t.ran = true
-	h.runs[t.it.intent.Key]++
+	a.ran = true
+	h.runs[a.it.intent.Key]++
 }
 
 // giveUp abandons an attempt without a decision and writes that it never runs.
 func (h *history) giveUp() {
-	if t := h.anyAttempt(); t != nil && !t.ran {
-		t.gaveUp = true
-		h.send(result(t.it, code.OnceUnavailable))
+	if a := h.anyAttempt(); a != nil && !a.ran {
+		a.gaveUp = true
+		h.send(result(a.it, code.OnceUnavailable))
 	}
 }
 
 func (h *history) finish() {
-	if t := h.anyAttempt(); t != nil && t.ran && !t.finished {
-		t.finished = true
-		h.send(result(t.it, rapid.SampledFrom([]code.Code{code.OK, code.OutcomeUnknown}).Draw(h.t, "code")))
+	if a := h.anyAttempt(); a != nil && a.ran && !a.finished {
+		a.finished = true
+		h.send(result(a.it, rapid.SampledFrom([]code.Code{code.OK, code.OutcomeUnknown}).Draw(h.t, "code")))
 	}
 }
 
 // declareUnknown closes the key of an attempt that a batcher sees as the holder,
 // as a daemon does when it considers the process of the attempt dead.
 func (h *history) declareUnknown() {
-	t := h.anyAttempt()
-	if t == nil {
+	a := h.anyAttempt()
+	if a == nil {
 		return
 	}
-	d, ok := h.anyBatcher().decide(&t.it)
+	d, ok := h.anyBatcher().decide(&a.it)
 	if ok && d.kind == peerpb.Outcome_WON {
-		env := result(t.it, code.OutcomeUnknown)
+		env := result(a.it, code.OutcomeUnknown)
 		env.Writer = "another"
 		h.send(env)
 	}
--- a/request/once/resolve.go
+++ b/request/once/resolve.go
@@ -42,11 +42,11 @@
 		return nil, code.New(code.OutcomeUnknown, "")
 	}
 	if !r.Kept {
-		whole, reached := l.lookup(ctx, a.call, o)
+		reply, reached := l.lookup(ctx, a.call, o)
 		if !reached && l.mayBeAlive(o.Writer) {
 			return nil, busy()
 		}
-		if !reached || whole.Result == nil || json.Unmarshal(whole.Result, &r) != nil || !r.Kept {
+		if !reached || reply.Result == nil || json.Unmarshal(reply.Result, &r) != nil || !r.Kept {
 			return nil, code.New(code.AnswerNotKept, "status %d", r.Status)
 		}
 	}
--- a/request/placement/usual_test.go
+++ b/request/placement/usual_test.go
@@ -15,7 +15,7 @@
 func TestCostlyPromptsAreRejectedFirst(t *testing.T) {
 	var stats PromptStats
 	if got := stats.EffectiveWait(100*ms, 9000, 20*ms, 0); got != 100*ms {
-		t.Errorf("before anything is usual: %v", got)
+		t.Errorf("before any prompt: %v", got)
 	}
 	for range 200 {
 		stats.Record(9000, 15*ms)
@@ -24,7 +24,7 @@
 		name            string
 		wait            time.Duration
 		tokens          int
-		read            time.Duration
+		prefill         time.Duration
 		predictionError time.Duration
 		want            time.Duration
 	}{
@@ -37,7 +37,7 @@
 		{"the same in a short queue", 40 * ms, 9000, 15 * ms, 20 * ms, 40 * ms},
 		{"nothing to read", 145 * ms, 9000, 0, 0, 145 * ms},
 	} {
-		if got := stats.EffectiveWait(tc.wait, tc.tokens, tc.read, tc.predictionError); (got - tc.want).Abs() > ms {
+		if got := stats.EffectiveWait(tc.wait, tc.tokens, tc.prefill, tc.predictionError); (got - tc.want).Abs() > ms {
 			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
 		}
 	}
@@ -59,21 +59,21 @@
 				gap = 9 * ms
 			}
 			now += time.Duration(r.ExpFloat64() * float64(gap))
-			read := 10 * ms
+			prefill := 10 * ms
 			if r.IntN(2) == 0 {
-				read = 26 * ms
+				prefill = 26 * ms
 			}
 			wait := max(free-now, 0)
-			stats.Record(9000, read)
+			stats.Record(9000, prefill)
 			assumed := wait
 			if effective {
-				assumed = stats.EffectiveWait(wait, 9000, read, 0)
+				assumed = stats.EffectiveWait(wait, 9000, prefill, 0)
 			}
-			if assumed+read > bound {
+			if assumed+prefill > bound {
 				continue
 			}
-			free = max(free, now) + read
-			if served++; read > 10*ms {
+			free = max(free, now) + prefill
+			if served++; prefill > 10*ms {
 				costly++
 			} else {
 				cheap++
--- a/request/quarantine/quarantine_test.go
+++ b/request/quarantine/quarantine_test.go
@@ -14,11 +14,11 @@
 // an engine. The fleet may lose two engines per such content.
 func TestEnginesLost(t *testing.T) {
 	cases := []struct {
-		name   string
-		poison []uint64
-		most   int
-		want   Verdict
-		play   func(r *rig)
+		name       string
+		poison     []uint64
+		maxCrashes int
+		want       Verdict
+		play       func(r *rig)
 	}{
 		{"to one daemon after another", []uint64{bad}, 2, Convicted, func(r *rig) {
 			for i := range 4 * daemons {
@@ -85,7 +85,7 @@
 				r := newRig(t, tc.poison...)
 				defer r.stop()
 				tc.play(r)
-				r.expectMaxCrashes(tc.most)
+				r.expectMaxCrashes(tc.maxCrashes)
 				for i := range daemons {
 					r.expectVerdict(i, bad, tc.want)
 				}
--- a/request/quarantine/target_test.go
+++ b/request/quarantine/target_test.go
@@ -128,8 +128,8 @@
 			{Fingerprint: bad, Suspect: true, Target: claimPrefix + "daemon-1#1"},
 		})
 		ttls := make(map[string]int64)
-		for _, n := range tr.Outgoing() {
-			ttls[n.Target] = n.TtlMs
+		for _, u := range tr.Outgoing() {
+			ttls[u.Target] = u.TtlMs
 		}
 		for _, claim := range []string{targetClaimPrefix + "daemon-0#2", claimPrefix + "daemon-0#1"} {
 			if ttl, ok := ttls[claim]; !ok || ttl != 0 {
--- a/request/stream/stream_test.go
+++ b/request/stream/stream_test.go
@@ -142,8 +142,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		const limit, size = 1000, 92
 		b := &blockedCaller{release: make(chan struct{})}
-		var gone error
-		w := NewWriter(b, limit, time.Second, func(err error) { gone = err })
+		var writeErr error
+		w := NewWriter(b, limit, time.Second, func(err error) { writeErr = err })
 		taken := 0
 		result := make(chan error, 1)
 		go func() {
@@ -163,8 +163,8 @@
 		if err := <-result; !errors.Is(err, http.ErrHandlerTimeout) {
 			t.Error(err)
 		}
-		if err := w.Close(); err == nil || gone == nil {
-			t.Errorf("close: %v, gone: %v", err, gone)
+		if err := w.Close(); err == nil || writeErr == nil {
+			t.Errorf("close: %v, write error: %v", err, writeErr)
 		}
 	})
 }
