--- a/connection/demand/ring.go
+++ b/connection/demand/ring.go
@@ -31,24 +31,24 @@
 
 func bucketNumber(now time.Time) int64 { return now.UnixNano() / int64(bucketDuration) }
 
-func (r *ring) add(now time.Time, o Request) {
+func (r *ring) add(now time.Time, req Request) {
 	r.advance(now)
-	s := &r.buckets[r.current%int64(bucketCount)]
-	s.prefill += o.Prefill
-	s.streams += o.StreamDuration
-	s.transfer += o.Transfer
-	if o.Objective > 0 {
-		s.weightedPrefill += float64(o.Prefill) * float64(o.Prefill) / float64(o.Objective)
+	b := &r.buckets[r.current%int64(bucketCount)]
+	b.prefill += req.Prefill
+	b.streams += req.StreamDuration
+	b.transfer += req.Transfer
+	if req.Objective > 0 {
+		b.weightedPrefill += float64(req.Prefill) * float64(req.Prefill) / float64(req.Objective)
 	}
-	if o.Priority < r.mostUrgent {
+	if req.Priority < r.mostUrgent {
 		// The earlier requests are no longer the most urgent.
-		r.mostUrgent = o.Priority
+		r.mostUrgent = req.Priority
 		for i := range r.buckets {
 			r.buckets[i].urgent = 0
 		}
 	}
-	if o.Priority == r.mostUrgent {
-		s.urgent += o.StreamDuration
+	if req.Priority == r.mostUrgent {
+		b.urgent += req.StreamDuration
 	}
 }
 
@@ -70,12 +70,12 @@
 func (r *ring) load(now time.Time) Load {
 	r.advance(now)
 	var all bucket
-	for _, s := range r.buckets {
-		all.prefill += s.prefill
-		all.streams += s.streams
-		all.urgent += s.urgent
-		all.transfer += s.transfer
-		all.weightedPrefill += s.weightedPrefill
+	for _, b := range r.buckets {
+		all.prefill += b.prefill
+		all.streams += b.streams
+		all.urgent += b.urgent
+		all.transfer += b.transfer
+		all.weightedPrefill += b.weightedPrefill
 	}
 	covered := min(max(r.current-r.first, 1), int64(bucketCount))
 	seconds := (bucketDuration*time.Duration(covered) - bucketDuration/2).Seconds() // the current bucket is half over on average
--- a/connection/load/watcher.go
+++ b/connection/load/watcher.go
@@ -167,17 +167,17 @@
 	snap := w.opts.View.Load()
 	w.mu.RLock()
 	defer w.mu.RUnlock()
-	c, ok := w.services[svc.Doc.Service]
-	if !ok || c.version != svc.Version {
+	watched, ok := w.services[svc.Doc.Service]
+	if !ok || watched.version != svc.Version {
 		// Until the requested sync has processed the new version, its targets
 		// are selected for each request.
 		w.requestSync()
-		c.targets = w.choose(svc.Doc, len(svc.Doc.Targets))
+		watched.targets = w.choose(svc.Doc, len(svc.Doc.Targets))
 	}
-	out := make([]routing.Target, 0, len(c.targets))
+	out := make([]routing.Target, 0, len(watched.targets))
 	available := 0
-	refusing := make([]bool, 0, len(c.targets))
-	for _, t := range c.targets {
+	refusing := make([]bool, 0, len(watched.targets))
+	for _, t := range watched.targets {
 		status := w.opts.Pool.Status(t.Addr)
 		r := w.target(svc.Doc, t, status, snap, now)
 		out = append(out, r)
@@ -226,11 +226,11 @@
 	return r
 }
 
-// Down handles the pool's report that a connection to addr failed with err. Only
-// a refused connection counts as a crash: an unreachable address may be behind a
-// network partition, and the content in flight there would wrongly become
-// suspect.
-func (w *Watcher) Down(addr string, err error) {
+// HandleDown is the callback for pool.Options.OnDown: the target at addr accepts
+// no connections, and a dial failed with err. Only a refused connection counts
+// as a crash: an unreachable address may be behind a network partition, and the
+// content in flight there would wrongly become suspect.
+func (w *Watcher) HandleDown(addr string, err error) {
 	if !errors.Is(err, syscall.ECONNREFUSED) {
 		return
 	}
--- a/request/dispatch/rig_test.go
+++ b/request/dispatch/rig_test.go
@@ -133,14 +133,14 @@
 }
 
 // Begin implements Stream.
-func (s *recorder) Begin(status int, _ http.Header) { s.status = status }
+func (r *recorder) Begin(status int, _ http.Header) { r.status = status }
 
 // Write implements Stream.
-func (s *recorder) Write(events []byte) error {
-	if s.callerGone {
+func (r *recorder) Write(events []byte) error {
+	if r.callerGone {
 		return context.Canceled
 	}
-	s.text += string(events)
+	r.text += string(events)
 	return nil
 }
 
@@ -153,7 +153,7 @@
 	return out
 }
 
-// noQueues stands for a small fleet, in which the tracked load is accurate.
+// noQueues represents a small fleet, in which the tracked load is accurate.
 type noQueues struct{}
 
 func (noQueues) CanQueryQueues() bool                             { return false }
--- a/request/entry/path_test.go
+++ b/request/entry/path_test.go
@@ -21,7 +21,7 @@
 // watcher.
 func useRealRouting(t testing.TB, o *Options) *load.Watcher {
 	var w *load.Watcher
-	o.Pool = pool.New(pool.Options{OnDown: func(addr string, err error) { w.Down(addr, err) }})
+	o.Pool = pool.New(pool.Options{OnDown: func(addr string, err error) { w.HandleDown(addr, err) }})
 	w = load.New(load.Options{
 		View:         o.View,
 		Pool:         o.Pool,
@@ -39,8 +39,8 @@
 
 // TestEngineLost loses two of three engines under load, one after the other.
 // Each engine stops gracefully (it announces that it leaves, gets no new
-// requests and finishes the open ones), crashes, or all its connections go
-// silent. Every caller must get its complete answer.
+// requests and finishes the open ones), crashes, or all its connections
+// stall. Every caller must get its complete answer.
 func TestEngineLost(t *testing.T) {
 	fault := func(kind string) func(*testing.T, *fixture, *load.Watcher, *engine.Engine, int) {
 		return func(t *testing.T, _ *fixture, _ *load.Watcher, e *engine.Engine, _ int) {
--- a/request/quarantine/rig_test.go
+++ b/request/quarantine/rig_test.go
@@ -68,8 +68,8 @@
 
 // broadcast implements Options.Broadcast over connections that can be cut.
 func (r *rig) broadcast(ctx context.Context, from int, updates []*peerpb.Conviction) {
-	fleet := Broadcaster{Self: func() *peerpb.Member { return nil }}
-	fleet.Addrs = func() (addrs []string) {
+	b := Broadcaster{Self: func() *peerpb.Member { return nil }}
+	b.Addrs = func() (addrs []string) {
 		for i := range r.trackers {
 			if i != from {
 				addrs = append(addrs, strconv.Itoa(i))
@@ -77,8 +77,8 @@
 		}
 		return addrs
 	}
-	fleet.Client = func(addr string) (peerpb.PeerClient, error) { return &peerClient{r: r, to: addr}, nil }
-	fleet.Broadcast(ctx, updates, r.trackers[from].Incoming)
+	b.Client = func(addr string) (peerpb.PeerClient, error) { return &peerClient{r: r, to: addr}, nil }
+	b.Broadcast(ctx, updates, r.trackers[from].Incoming)
 }
 
 type peerClient struct {
@@ -88,18 +88,18 @@
 }
 
 // Heartbeat implements peerpb.PeerClient.
-func (k *peerClient) Heartbeat(ctx context.Context, h *peerpb.HeartbeatRequest, _ ...grpc.CallOption) (*peerpb.HeartbeatReply, error) {
-	k.r.mu.Lock()
-	deaf := k.r.dropBroadcasts
-	k.r.mu.Unlock()
-	if deaf {
+func (c *peerClient) Heartbeat(ctx context.Context, h *peerpb.HeartbeatRequest, _ ...grpc.CallOption) (*peerpb.HeartbeatReply, error) {
+	c.r.mu.Lock()
+	dropped := c.r.dropBroadcasts
+	c.r.mu.Unlock()
+	if dropped {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	to, _ := strconv.Atoi(k.to)
+	to, _ := strconv.Atoi(c.to)
 	<-time.After(hopDelay)
-	k.r.trackers[to].Incoming(h.Convictions)
-	reply := k.r.trackers[to].Outgoing()
+	c.r.trackers[to].Incoming(h.Convictions)
+	reply := c.r.trackers[to].Outgoing()
 	<-time.After(hopDelay)
 	return &peerpb.HeartbeatReply{Convictions: reply}, nil
 }
@@ -250,8 +250,8 @@
 	wg.Wait()
 }
 
-// expectLostAtMost checks the number of crashed engines.
-func (r *rig) expectLostAtMost(lost int) {
+// expectMaxCrashes fails the test if more engines crashed.
+func (r *rig) expectMaxCrashes(lost int) {
 	r.t.Helper()
 	r.t.Logf("engines lost: %d", r.enginesLost)
 	if r.enginesLost > lost {
