--- a/operator/ctl/status.go
+++ b/operator/ctl/status.go
@@ -34,7 +34,7 @@
 		c.print(fleet)
 	}
 	if err == nil {
-		err = missing(fleet.Asked-fleet.Answered, fleet.Asked)
+		err = missing(fleet.Queried-fleet.Answered, fleet.Queried)
 	}
 	return err
 }
--- a/process/clock/fleet.go
+++ b/process/clock/fleet.go
@@ -20,11 +20,11 @@
 	minStep = 50 * time.Millisecond
 )
 
-// Fleet estimates the time of day from the clocks of many VMs, using samples
+// Estimator estimates the time of day from the clocks of many VMs, using samples
 // that other daemons send. The estimate is the median, so that stepped clocks
 // affect it only if they are at least half of all clocks. Fleet is safe for
 // concurrent use.
-type Fleet struct {
+type Estimator struct {
 	monotonic   Clock
 	wall        func() time.Time
 	startOffset time.Duration // offset of this VM's clock when the Fleet was created
@@ -42,25 +42,25 @@
 	at     time.Duration
 }
 
-// NewFleet returns a Fleet that uses a monotonic clock and this VM's time of
+// NewEstimator returns a Estimator that uses a monotonic clock and this VM's time of
 // day.
-func NewFleet(monotonic Clock, wall func() time.Time) *Fleet {
-	f := &Fleet{monotonic: monotonic, wall: wall, samples: make(map[string]sample), estimatedAt: -estimateInterval}
+func NewEstimator(monotonic Clock, wall func() time.Time) *Estimator {
+	f := &Estimator{monotonic: monotonic, wall: wall, samples: make(map[string]sample), estimatedAt: -estimateInterval}
 	f.startOffset = f.ownOffset(monotonic.Now())
 	return f
 }
 
 // ownOffset returns the offset of this VM's clock at now.
-func (f *Fleet) ownOffset(now time.Duration) time.Duration {
+func (f *Estimator) ownOffset(now time.Duration) time.Duration {
 	return time.Duration(f.wall().UnixNano()) - now
 }
 
 // Wall returns this VM's own time of day, which is sent to other daemons.
-func (f *Fleet) Wall() time.Time { return f.wall() }
+func (f *Estimator) Wall() time.Time { return f.wall() }
 
 // Observe records the time of day in a message that was just received from
 // sender.
-func (f *Fleet) Observe(sender string, wall time.Time) {
+func (f *Estimator) Observe(sender string, wall time.Time) {
 	now := f.monotonic.Now()
 	s := sample{offset: time.Duration(wall.UnixNano()) - now, at: now}
 	f.mu.Lock()
@@ -73,7 +73,7 @@
 }
 
 // Now returns the estimated time of day.
-func (f *Fleet) Now() time.Time {
+func (f *Estimator) Now() time.Time {
 	now := f.monotonic.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -84,7 +84,7 @@
 }
 
 // estimate returns the median offset at now. The caller holds f.mu.
-func (f *Fleet) estimate(now time.Duration) time.Duration {
+func (f *Estimator) estimate(now time.Duration) time.Duration {
 	own := f.ownOffset(now)
 	offsets := []time.Duration{own}
 	if (own - f.startOffset).Abs() > minStep {
--- a/process/clock/fleet_test.go
+++ b/process/clock/fleet_test.go
@@ -8,7 +8,7 @@
 
 // vm is a VM whose time of day can be stepped.
 type vm struct {
-	*Fleet
+	*Estimator
 	step time.Duration // added to its time of day
 }
 
@@ -17,7 +17,7 @@
 	var out []*vm
 	for range n {
 		v := &vm{}
-		v.Fleet = NewFleet(monotonic, func() time.Time { return begin.Add(monotonic.Now() + v.step) })
+		v.Estimator = NewEstimator(monotonic, func() time.Time { return begin.Add(monotonic.Now() + v.step) })
 		out = append(out, v)
 	}
 	return out
--- a/process/front/front.go
+++ b/process/front/front.go
@@ -81,7 +81,7 @@
 	control     port.EngineControl
 	roster      *roster.Roster
 	planner     *roles.Planner
-	clock       *clock.Fleet
+	clock       *clock.Estimator
 	incarnation uint64          // of this process
 	usage       *usage.Reporter // nil: usage isn't reported
 	scaler      *scale.Scaler   // nil: engines aren't ordered
@@ -116,7 +116,7 @@
 		rate:   newRateMeter(time.Now),
 	}
 	d.incarnation = uint64(time.Now().UnixNano())
-	d.clock = clock.NewFleet(clock.Boot{}, time.Now)
+	d.clock = clock.NewEstimator(clock.Boot{}, time.Now)
 	d.registry = discovery.New(discovery.Options{Decode: platform.DecodeTarget})
 	d.engines = engines.New(time.Now, func(w engines.Work) {
 		if d.roster != nil {
@@ -186,7 +186,7 @@
 			Millicores:  d.s.Processor.Millicores(),
 		},
 		Store:            d.store,
-		Book:             d.engines,
+		Engines:          d.engines,
 		Claims:           d.claims,
 		Speeds:           d.speed,
 		Demand:           d.demand,
@@ -247,7 +247,7 @@
 		Demand:  d.demand,
 		Speed:   d.speed,
 		Lease:   d.s.Bounds.Lease,
-		Seen:    d.claims,
+		Ages:    d.claims,
 	})
 }
 
--- a/process/relay/fleet_test.go
+++ b/process/relay/fleet_test.go
@@ -268,8 +268,8 @@
 			CallerAddr: d.addr, PeerAddr: d.addr, LinkMbps: link,
 		},
 		Claims: noClaims{}, Speeds: speed.NewTracker(), Demand: demand.New(time.Now),
-		Book:  engines.New(time.Now, func(engines.Work) {}),
-		Store: f.store, TTL: time.Second, Conn: d.end, SingleReader: true,
+		Engines: engines.New(time.Now, func(engines.Work) {}),
+		Store:   f.store, TTL: time.Second, Conn: d.end, SingleReader: true,
 		StoreUnavailable: func() bool { return d.isStoreLost() || reach.Unavailable() },
 		StoreFails:       func() bool { return d.isStoreLost() && s.HasNoReader() || s.UsesFallback() || reach.Unavailable() },
 	})
--- a/process/roles/planner.go
+++ b/process/roles/planner.go
@@ -76,7 +76,7 @@
 	Speed   *speed.Tracker
 	Lease   time.Duration
 	Clock   clock.Clock // default: clock.Boot
-	Seen    *claim.AgeTracker
+	Ages    *claim.AgeTracker
 }
 
 // Planner sends role orders while this daemon is the leader.
@@ -111,7 +111,7 @@
 	}
 	return &Planner{
 		o:            o,
-		claims:       claim.New(claim.Options{Self: o.Self, Store: o.Store, Lease: o.Lease, Clock: o.Clock, Ages: o.Seen}),
+		claims:       claim.New(claim.Options{Self: o.Self, Store: o.Store, Lease: o.Lease, Clock: o.Clock, Ages: o.Ages}),
 		claimRead:    make(map[string]bool),
 		changing:     make(map[string]change),
 		refusedUntil: make(map[string]time.Duration),
--- a/process/roster/aggregate.go
+++ b/process/roster/aggregate.go
@@ -199,7 +199,7 @@
 		// An earlier aggregator may not have sent the last changes.
 		p.repeatsLeft = changeRepeats
 	}
-	r.o.Book.RemovePeers()
+	r.o.Engines.RemovePeers()
 	r.o.Demand.RemovePeers()
 	log.WithFields(log.Fields{"zone": r.self.Zone, "on": on, "daemons": 1 + len(r.peers)}).Info("roster: zone aggregation switched on or off")
 }
--- a/process/roster/digest.go
+++ b/process/roster/digest.go
@@ -147,7 +147,7 @@
 	if d.Asked {
 		r.o.Demand.Merge(summaryName(d.Zone), demand.Subtract(d.Demand, own.demand))
 	}
-	if fresh := r.o.Book.MergeReads(d.Reads); otherZone {
+	if fresh := r.o.Engines.MergeReads(d.Reads); otherZone {
 		r.relayReads(fresh, false)
 	}
 }
@@ -223,8 +223,8 @@
 	r.mu.Unlock()
 	if before != d.Parts {
 		for part := range before {
-			r.o.Book.Merge(partName(d.Zone, part), nil, nil)
+			r.o.Engines.Merge(partName(d.Zone, part), nil, nil)
 		}
 	}
-	r.o.Book.Merge(partName(d.Zone, d.Part), engines.Subtract(d.Work, own.work), nil)
+	r.o.Engines.Merge(partName(d.Zone, d.Part), engines.Subtract(d.Work, own.work), nil)
 }
--- a/process/roster/heartbeat.go
+++ b/process/roster/heartbeat.go
@@ -112,7 +112,7 @@
 // known daemon, else to the aggregators.
 func (r *Roster) sendHeartbeat(all bool) {
 	hb := heartbeat{Claims: r.o.Claims.Report(), Speeds: r.o.Speeds.Report(), Demand: r.o.Demand.Report(), Clock: r.ownClock()}
-	hb.Work, hb.Reads = r.o.Book.LocalReport()
+	hb.Work, hb.Reads = r.o.Engines.LocalReport()
 	now := time.Now()
 	r.mu.Lock()
 	r.paused.recordActivity(now)
@@ -301,13 +301,13 @@
 	r.o.Speeds.Merge(hb.Speeds)
 	switch {
 	case small:
-		r.o.Book.Merge(key, hb.Work, hb.Reads)
+		r.o.Engines.Merge(key, hb.Work, hb.Reads)
 		r.o.Demand.Merge(key, hb.Demand)
 		if fresh {
 			r.Notify()
 		}
 	case aggregates:
-		r.relayReads(r.o.Book.Merge(key, hb.Work, hb.Reads), true)
+		r.relayReads(r.o.Engines.Merge(key, hb.Work, hb.Reads), true)
 		r.o.Demand.Merge(key, hb.Demand)
 		if fresh {
 			r.sendMembers(from)
--- a/process/roster/publish.go
+++ b/process/roster/publish.go
@@ -216,8 +216,8 @@
 func (r *Roster) fillSummaries(s *round) {
 	local := func(name string) bool { return s.local[name] }
 	all := func(string) bool { return true }
-	s.toMembers.Work = engines.Busiest(r.o.Book.Sum(), maxWorkPerDigest)
-	s.toOthers.Work = engines.Busiest(r.o.Book.SumOf(local), maxWorkPerDigest)
+	s.toMembers.Work = engines.Busiest(r.o.Engines.Sum(), maxWorkPerDigest)
+	s.toOthers.Work = engines.Busiest(r.o.Engines.SumOf(local), maxWorkPerDigest)
 	s.toMembers.Demand, s.toOthers.Demand = r.o.Demand.SumOf(all), r.o.Demand.SumOf(local)
 	claims, speeds := r.o.Claims.Report(), r.o.Speeds.Best()
 	s.toMembers.Claims, s.toOthers.Claims = claims, claims
@@ -230,7 +230,7 @@
 	if len(to) == 0 {
 		return
 	}
-	for _, part := range splitDigest(d, rows, whole, min(r.o.Book.Count(), maxWorkPerDigest)) {
+	for _, part := range splitDigest(d, rows, whole, min(r.o.Engines.Count(), maxWorkPerDigest)) {
 		data, err := part.encode()
 		if err != nil {
 			log.WithError(err).Error("roster: can't encode digest")
--- a/process/roster/roster.go
+++ b/process/roster/roster.go
@@ -83,13 +83,13 @@
 
 // Options configures a Roster.
 type Options struct {
-	Self   Member
-	Store  port.Store
-	Book   *engines.Tracker
-	Claims Claims        // claims that the daemons exchange
-	Speeds Speeds        // measured speeds of engines
-	Demand Demand        // demand of callers
-	TTL    time.Duration // how long callers may cache addresses
+	Self    Member
+	Store   port.Store
+	Engines *engines.Tracker
+	Claims  Claims        // claims that the daemons exchange
+	Speeds  Speeds        // measured speeds of engines
+	Demand  Demand        // demand of callers
+	TTL     time.Duration // how long callers may cache addresses
 	// StoreUnavailable reports whether this daemon has no current data of the store.
 	StoreUnavailable func() bool
 	// StoreFails reports whether this daemon's own calls to the store fail. If nil,
--- a/process/roster/roster_test.go
+++ b/process/roster/roster_test.go
@@ -105,7 +105,7 @@
 			CallerAddr: fmt.Sprintf("10.0.%d.%d:80", vm/250, vm%250), PeerAddr: addr, LinkMbps: linkMbps,
 		},
 		Claims: claims, Speeds: speed.NewTracker(), Demand: demand.New(time.Now),
-		Store: d.store, Book: book, TTL: time.Second, StoreUnavailable: d.storeAway.Load, Conn: end,
+		Store: d.store, Engines: book, TTL: time.Second, StoreUnavailable: d.storeAway.Load, Conn: end,
 	})
 	if err != nil {
 		panic(err)
@@ -341,7 +341,7 @@
 	}
 	book := &fakeClaims{}
 	r := &Roster{
-		o:     Options{Book: engines.New(time.Now, func(engines.Work) {}), Claims: book, Speeds: speed.NewTracker(), Demand: demand.New(time.Now)},
+		o:     Options{Engines: engines.New(time.Now, func(engines.Work) {}), Claims: book, Speeds: speed.NewTracker(), Demand: demand.New(time.Now)},
 		peers: map[string]*peer{}, tokens: map[uint32]string{}, updates: make(chan struct{}, 1),
 	}
 	if err := r.handleDatagram(data, &net.UDPAddr{}); err != nil {
--- a/process/status/status.go
+++ b/process/status/status.go
@@ -69,7 +69,7 @@
 
 // Fleet is the combined view of all queried daemons.
 type Fleet struct {
-	Asked    int        `json:"asked"`
+	Queried  int        `json:"asked"`
 	Answered int        `json:"answered"`
 	Daemons  []Answer   `json:"daemons"` // in the order of the queried addresses
 	Services []Coverage `json:"services"`
@@ -94,7 +94,7 @@
 
 // NewFleet combines the answers.
 func NewFleet(answers []Answer) Fleet {
-	f := Fleet{Asked: len(answers), Daemons: answers}
+	f := Fleet{Queried: len(answers), Daemons: answers}
 	versions := make(map[string]map[int64]int)
 	for _, a := range answers {
 		if a.Status == nil {
--- a/process/usage/usage_test.go
+++ b/process/usage/usage_test.go
@@ -71,7 +71,7 @@
 	d := &daemon{f: f, name: name, incarnation: uint64(time.Now().UnixNano()), alive: true}
 	d.Reporter = New(Options{
 		Self: Source{VM: name, Incarnation: d.incarnation}, Period: period, ReportDeadline: late,
-		Clock: clock.NewFleet(f.runtimeClock, time.Now), Roster: d, Store: f.store, Duties: f.duties,
+		Clock: clock.NewEstimator(f.runtimeClock, time.Now), Roster: d, Store: f.store, Duties: f.duties,
 		Claims: claim.New(claim.Options{Self: name, Store: f.store, Lease: lease, Clock: f.runtimeClock, Ages: claim.NewAgeTracker(f.runtimeClock)}),
 	})
 	f.mu.Lock()
