--- a/cmd/pomelosbench/added.go
+++ b/cmd/pomelosbench/added.go
@@ -51,16 +51,16 @@
 // latencies are the durations of complete answers.
 type latencies []time.Duration
 
-func (t *latencies) add(c *caller.Client, r caller.Request) error {
+func (l *latencies) add(c *caller.Client, r caller.Request) error {
 	a, err := c.Do(context.Background(), r)
 	if err == nil {
-		*t = append(*t, a.Total)
+		*l = append(*l, a.Total)
 	}
 	return err
 }
 
 // quantile returns the latency at quantile q.
-func (t latencies) quantile(q float64) time.Duration {
-	sorted := slices.Sorted(slices.Values(t))
+func (l latencies) quantile(q float64) time.Duration {
+	sorted := slices.Sorted(slices.Values(l))
 	return sorted[int(q*float64(len(sorted)-1))].Round(10 * time.Microsecond)
 }
--- a/cmd/pomelostandin/main.go
+++ b/cmd/pomelostandin/main.go
@@ -13,7 +13,7 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// exitCrash is the exit status of a stand-in that was told to crash.
+// exitCrash is the exit status of a stand-in that crashes on a fault command.
 const exitCrash = 3
 
 // options has one field for each sub-command.
--- a/process/agreecheck/check_test.go
+++ b/process/agreecheck/check_test.go
@@ -217,9 +217,9 @@
 }
 
 // TestResidualRisk runs the kind of engine that can't be protected from every
-// stale order, with a pause in every sixth write. The engine may receive an order that is not open,
-// but only from a sender that was paused between check and write. The test logs
-// how often this happens.
+// stale order, with a pause in every sixth write. The engine may receive an order
+// that is not open, but only from a sender that was paused between check and
+// write. The test logs how often this happens.
 func TestResidualRisk(t *testing.T) {
 	t.Parallel()
 	var total stats
--- a/process/agreecheck/world_test.go
+++ b/process/agreecheck/world_test.go
@@ -36,7 +36,7 @@
 )
 
 // groupOf returns an engine's group according to a document. The last character
-// of the document stands for its list of targets.
+// of the document represents its list of targets.
 func groupOf(yaml string, engine int) string {
 	if yaml[len(yaml)-1] <= '1' {
 		engine++ // a fifth of the documents swap the groups
--- a/process/burn/burn_test.go
+++ b/process/burn/burn_test.go
@@ -27,7 +27,7 @@
 
 func newClock() *clock { return &clock{time.Date(2026, 5, 4, 8, 0, 10, 0, time.UTC)} }
 
-func (c *clock) burn(daemon string) *Tracker {
+func (c *clock) newTracker(daemon string) *Tracker {
 	return New(Options{
 		Daemon:     daemon,
 		Now:        func() time.Time { return c.now },
@@ -41,7 +41,7 @@
 
 func goodSample() Sample { return sample(code.OK, 1, 1, 1) }
 
-func TestJudge(t *testing.T) {
+func TestGradeSample(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
 	tests := []struct {
 		name string
@@ -71,7 +71,7 @@
 // must end the alert soon, while the spent budget stays visible for three days.
 func TestAlertStartsAndEnds(t *testing.T) {
 	c := newClock()
-	b := c.burn("a")
+	b := c.newTracker("a")
 	run := func(d time.Duration, x Sample) {
 		for range int(d / time.Minute) {
 			c.now = c.now.Add(time.Minute)
@@ -148,8 +148,8 @@
 // observed all samples.
 func TestMergeIsExact(t *testing.T) {
 	c := newClock()
-	parts := []*Tracker{c.burn("a"), c.burn("b"), c.burn("c")}
-	whole := c.burn("all")
+	parts := []*Tracker{c.newTracker("a"), c.newTracker("b"), c.newTracker("c")}
+	whole := c.newTracker("all")
 	for i, x := range randomSamples(5000) {
 		c.now = c.now.Add(2 * time.Second)
 		parts[(i*7)%3].Observe(x)
@@ -180,7 +180,7 @@
 // busiest must have groups of their own, and the sum must include every request.
 func TestOrganisationsAreBounded(t *testing.T) {
 	c := newClock()
-	b := c.burn("a")
+	b := c.newTracker("a")
 	const n = 20000
 	for i := range n {
 		c.now = c.now.Add(100 * time.Millisecond)
@@ -209,7 +209,7 @@
 // snapshot must fit its size limit even with three full days of every service.
 func TestRestoreAfterRestart(t *testing.T) {
 	c := newClock()
-	before := c.burn("a")
+	before := c.newTracker("a")
 	for i, x := range randomSamples(9000) {
 		c.now = c.now.Add(29 * time.Second)
 		if i%3 == 0 {
@@ -221,7 +221,7 @@
 	if err != nil || len(data) > MaxSnapshot {
 		t.Fatalf("%d bytes, %v", len(data), err)
 	}
-	after := c.burn("a")
+	after := c.newTracker("a")
 	if err := after.Restore(data); err != nil {
 		t.Fatal(err)
 	}
@@ -235,10 +235,10 @@
 			t.Errorf("%s: got %+v, want %+v", name, got, want)
 		}
 	}
-	if err := c.burn("b").Restore(data); err == nil {
+	if err := c.newTracker("b").Restore(data); err == nil {
 		t.Error("another daemon restored the snapshot, so its counts would be merged twice")
 	}
-	early := c.burn("a")
+	early := c.newTracker("a")
 	c.now = c.now.Add(-100 * time.Hour)
 	if err := early.Restore(data); err != nil || len(early.services["s0"].all.coarse.save(time.Time{})) > 0 {
 		t.Errorf("buckets with a future time were restored: %v", err)
@@ -256,7 +256,7 @@
 	log := logsvc.New(logsvc.Options{})
 	defer log.Close()
 	run := func(n int) *Tracker {
-		b := c.burn("a")
+		b := c.newTracker("a")
 		for range n {
 			b.Observe(goodSample())
 		}
@@ -293,7 +293,7 @@
 }
 
 func BenchmarkObserve(b *testing.B) {
-	burn := newClock().burn("a")
+	burn := newClock().newTracker("a")
 	x := goodSample()
 	x.Total = time.Second
 	b.ReportAllocs()
@@ -315,7 +315,7 @@
 func BenchmarkService(b *testing.B) {
 	b.ReportAllocs()
 	for range b.N {
-		burn := newClock().burn("a")
+		burn := newClock().newTracker("a")
 		for i := range orgNames {
 			x := goodSample()
 			x.Org = orgNames[i]
--- a/process/burn/orgs.go
+++ b/process/burn/orgs.go
@@ -78,14 +78,14 @@
 		return
 	}
 	best := o.highestRanked()
-	behind := o.demoted(best)
+	demoted := o.demoted(best)
 	for _, name := range best {
 		if o.top[name] != nil {
 			continue
 		}
 		if len(o.top) >= maxOrgs {
-			o.mergeIntoOthers(behind[0])
-			behind = behind[1:]
+			o.mergeIntoOthers(demoted[0])
+			demoted = demoted[1:]
 		}
 		o.top[name] = newGroup()
 	}
--- a/process/clock/clock.go
+++ b/process/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock provides the clocks by which leases are judged, and an estimate of
-// the time of day. Unlike Go's monotonic clock, the lease clock includes the time
+// Package clock provides the clocks that measure the validity of leases, and an
+// estimate of the time of day. Unlike Go's monotonic clock, the lease clock includes the time
 // for which a VM is suspended.
 package clock
 
--- a/process/clock/fleet.go
+++ b/process/clock/fleet.go
@@ -42,7 +42,7 @@
 	at     time.Duration
 }
 
-// NewEstimator returns a Estimator that uses a monotonic clock and this VM's time of
+// NewEstimator returns an Estimator that uses a monotonic clock and this VM's time of
 // day.
 func NewEstimator(monotonic Clock, wall func() time.Time) *Estimator {
 	f := &Estimator{monotonic: monotonic, wall: wall, samples: make(map[string]sample), estimatedAt: -estimateInterval}
--- a/process/daemon/control.go
+++ b/process/daemon/control.go
@@ -38,7 +38,7 @@
 // services returns the parsed services in force. A version that this binary
 // can't parse was accepted by an older binary and stays in force there. Here
 // its service is left out.
-func (c *documents) services(s *fold.State) []*view.Service {
+func (d *documents) services(s *fold.State) []*view.Service {
 	next := make(map[int64]*view.Service, len(s.Services))
 	var out []*view.Service
 	for _, name := range slices.Sorted(maps.Keys(s.Services)) {
@@ -46,7 +46,7 @@
 		if svc.Version == 0 || svc.Removed {
 			continue
 		}
-		v := c.byVersion[svc.Version]
+		v := d.byVersion[svc.Version]
 		if v == nil {
 			v = parseService(name, svc)
 		}
@@ -56,7 +56,7 @@
 		next[svc.Version] = v
 		out = append(out, v)
 	}
-	c.byVersion = next
+	d.byVersion = next
 	return out
 }
 
@@ -95,7 +95,7 @@
 	}
 }
 
-// updateRouterCount tells the router how many processes send to the same
+// updateRouterCount sets the router's number of processes that send to the same
 // targets, so that they don't all choose the same best target.
 func (d *Daemon) updateRouterCount() {
 	_, daemons := d.members.View().Rank()
--- a/process/daemon/fleet_test.go
+++ b/process/daemon/fleet_test.go
@@ -81,18 +81,18 @@
 	return g
 }
 
-func (g *logProxy) context() context.Context {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.ctx
+func (p *logProxy) context() context.Context {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.ctx
 }
 
-func (g *logProxy) cut() { g.cancel() }
+func (p *logProxy) cut() { p.cancel() }
 
-func (g *logProxy) restore() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.ctx, g.cancel = context.WithCancel(context.Background())
+func (p *logProxy) restore() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.ctx, p.cancel = context.WithCancel(context.Background())
 }
 
 // fleet is a set of daemons with stand-ins of the platform. Each daemon has its
--- a/process/daemon/parts.go
+++ b/process/daemon/parts.go
@@ -49,19 +49,19 @@
 // newCrashTracker returns the quarantine. A crash is reported to all live peers
 // immediately, before the caller has its answer and can send the request again.
 func (d *Daemon) newCrashTracker() *quarantine.CrashTracker {
-	fleet := &quarantine.Broadcaster{
+	broadcaster := &quarantine.Broadcaster{
 		Self:   func() *peerpb.Member { return d.members.View().Self },
 		Addrs:  d.livePeers,
 		Client: d.dialer.Client,
 	}
-	var book *quarantine.CrashTracker
-	book = quarantine.New(quarantine.Options{
+	var tracker *quarantine.CrashTracker
+	tracker = quarantine.New(quarantine.Options{
 		Self: d.self,
 		Broadcast: func(ctx context.Context, convictions []*peerpb.Conviction) {
-			fleet.Broadcast(ctx, convictions, book.Incoming)
+			broadcaster.Broadcast(ctx, convictions, tracker.Incoming)
 		},
 	})
-	return book
+	return tracker
 }
 
 // livePeers returns the peer addresses of the other responsive daemons.
--- a/process/follow/follow_test.go
+++ b/process/follow/follow_test.go
@@ -29,9 +29,9 @@
 	staleNewest atomic.Int64
 }
 
-func (b *laggingLog) Read(ctx context.Context, s string, from int64, n int, wait time.Duration) ([]port.Record, int64, error) {
-	recs, newest, err := b.Log.Read(ctx, s, from, n, wait)
-	if n := b.staleNewest.Load(); n > 0 && err == nil {
+func (l *laggingLog) Read(ctx context.Context, s string, from int64, n int, wait time.Duration) ([]port.Record, int64, error) {
+	recs, newest, err := l.Log.Read(ctx, s, from, n, wait)
+	if n := l.staleNewest.Load(); n > 0 && err == nil {
 		return nil, n, nil
 	}
 	return recs, newest, err
--- a/process/follow/follower.go
+++ b/process/follow/follower.go
@@ -48,7 +48,7 @@
 	Peers    Peers      // optional source of records while the log is unavailable
 	Rank     func() int // position among the live daemons, from 0; nil means 0
 
-	HolderPollWait    time.Duration // long poll while holding a lease, below lease.Rule.T / 2; default 750ms
+	HolderPollWait    time.Duration // long poll while holding a lease, below lease.Rule.Duration / 2; default 750ms
 	IdlePollWait      time.Duration // long poll otherwise; default 3s
 	Stagger           time.Duration // delay per rank of verdicts and checkpoints; default 1s
 	CheckpointRecords int           // records between checkpoints; default 500
--- a/process/follow/offer.go
+++ b/process/follow/offer.go
@@ -26,7 +26,7 @@
 	pending            map[string]pendingDocument
 	checkpointDueSince time.Duration // 0 if no checkpoint is due
 	lastCheckpoint     fold.CheckpointPosition
-	lastCheckpointSeen time.Duration
+	lastCheckpointAt   time.Duration
 	earliest           int64         // earliest offset in the log at the last query
 	nextEarliestRead   time.Duration // time of the next query for it
 }
@@ -46,7 +46,7 @@
 	case <-f.t.Dying():
 		return nil
 	}
-	d := &dueWrites{pending: map[string]pendingDocument{}, lastCheckpointSeen: f.o.Clock.Now()}
+	d := &dueWrites{pending: map[string]pendingDocument{}, lastCheckpointAt: f.o.Clock.Now()}
 	tick := time.NewTicker(writeInterval)
 	defer tick.Stop()
 	for {
@@ -121,10 +121,10 @@
 // therefore repeated well before that, even without any change.
 func (d *dueWrites) checkpointDue(s *fold.State, now, wait time.Duration, every int, maxAge time.Duration) bool {
 	if s.Checkpoint != d.lastCheckpoint {
-		d.lastCheckpoint, d.lastCheckpointSeen, d.checkpointDueSince = s.Checkpoint, now, 0
+		d.lastCheckpoint, d.lastCheckpointAt, d.checkpointDueSince = s.Checkpoint, now, 0
 	}
 	manyRecords := s.Applied-s.Checkpoint.Covers >= int64(every)
-	tooOld := s.Applied > 0 && now >= d.lastCheckpointSeen+maxAge
+	tooOld := s.Applied > 0 && now >= d.lastCheckpointAt+maxAge
 	olderHalf := d.earliest > 1 && s.Checkpoint.At < d.earliest+(s.Applied-d.earliest)/2
 	if !manyRecords && !tooOld && !olderHalf {
 		return false
--- a/process/front/duties.go
+++ b/process/front/duties.go
@@ -44,7 +44,7 @@
 
 // newClaims returns a set of claims for use by one goroutine.
 func (d *Daemon) newClaims() *claim.Claims {
-	return claim.New(claim.Options{Self: d.s.VM, Store: d.monitored, Lease: d.s.Bounds.Lease, Clock: clock.Boot{}, Ages: d.claims})
+	return claim.New(claim.Options{Self: d.s.VM, Store: d.monitored, Lease: d.s.Bounds.Lease, Clock: clock.Boot{}, Ages: d.claimAges})
 }
 
 func (d *Daemon) startDuties() {
--- a/process/front/front.go
+++ b/process/front/front.go
@@ -85,7 +85,7 @@
 	incarnation uint64          // of this process
 	usage       *usage.Reporter // nil: usage isn't reported
 	scaler      *scale.Scaler   // nil: engines aren't ordered
-	claims      *claim.AgeTracker
+	claimAges   *claim.AgeTracker
 	ingress     *ingress.Ingress
 	metrics     *metrics
 	rate        *rateMeter // of callers' requests
@@ -107,13 +107,13 @@
 // New opens the daemon's ports and wires its parts. It starts nothing.
 func New(s *settings.Settings) (*Daemon, error) {
 	d := &Daemon{
-		s:      s,
-		config: inforce.New(platform.DecodeConfig),
-		pool:   h1.New(h1.Options{}),
-		claims: claim.NewAgeTracker(clock.Boot{}),
-		speed:  speed.NewTracker(),
-		demand: demand.New(time.Now),
-		rate:   newRateMeter(time.Now),
+		s:         s,
+		config:    inforce.New(platform.DecodeConfig),
+		pool:      h1.New(h1.Options{}),
+		claimAges: claim.NewAgeTracker(clock.Boot{}),
+		speed:     speed.NewTracker(),
+		demand:    demand.New(time.Now),
+		rate:      newRateMeter(time.Now),
 	}
 	d.incarnation = uint64(time.Now().UnixNano())
 	d.clock = clock.NewEstimator(clock.Boot{}, time.Now)
@@ -187,7 +187,7 @@
 		},
 		Store:            d.store,
 		Engines:          d.engines,
-		Claims:           d.claims,
+		Claims:           d.claimAges,
 		Speeds:           d.speed,
 		Demand:           d.demand,
 		TTL:              min(addressTTL, d.s.Bounds.AddressTTL),
@@ -247,7 +247,7 @@
 		Demand:  d.demand,
 		Speed:   d.speed,
 		Lease:   d.s.Bounds.Lease,
-		Ages:    d.claims,
+		Ages:    d.claimAges,
 	})
 }
 
--- a/process/front/front_test.go
+++ b/process/front/front_test.go
@@ -46,9 +46,9 @@
 	return s
 }
 
-func (s *testPlatform) serve(h http.Handler) string {
+func (p *testPlatform) serve(h http.Handler) string {
 	srv := httptest.NewServer(h)
-	s.t.Cleanup(srv.Close)
+	p.t.Cleanup(srv.Close)
 	return strings.TrimPrefix(srv.URL, "http://")
 }
 
@@ -61,45 +61,45 @@
 `
 
 // withCloud returns settings with duties at the cloud c.
-func (s *testPlatform) withCloud(c *standin.Cloud) string {
-	return strings.ReplaceAll(dutiesText, "CLOUD", s.serve(c))
+func (p *testPlatform) withCloud(c *standin.Cloud) string {
+	return strings.ReplaceAll(dutiesText, "CLOUD", p.serve(c))
 }
 
 func replaceVM(text, vm string) string { return strings.Replace(text, "vm: vm-1", "vm: "+vm, 1) }
 
-func (s *testPlatform) start() *Daemon { return s.startWith(settingsText) }
+func (p *testPlatform) start() *Daemon { return p.startWith(settingsText) }
 
-func (s *testPlatform) startWith(text string) *Daemon {
-	d := s.launch(text)
-	s.waitFor(func() bool { return s.status(d, "ready", standin.ReadyPath) == http.StatusOK })
+func (p *testPlatform) startWith(text string) *Daemon {
+	d := p.launch(text)
+	p.waitFor(func() bool { return p.status(d, "ready", standin.ReadyPath) == http.StatusOK })
 	return d
 }
 
 // launch starts a daemon without waiting for it to be ready.
-func (s *testPlatform) launch(text string) *Daemon {
-	parsed, problems := settings.Parse("test", []byte(strings.ReplaceAll(text, "STORE", s.addr)))
+func (p *testPlatform) launch(text string) *Daemon {
+	parsed, problems := settings.Parse("test", []byte(strings.ReplaceAll(text, "STORE", p.addr)))
 	if len(problems) > 0 {
-		s.t.Fatal(problems)
+		p.t.Fatal(problems)
 	}
 	d, err := New(parsed)
 	if err != nil {
-		s.t.Fatal(err)
+		p.t.Fatal(err)
 	}
 	d.Start()
-	s.t.Cleanup(d.close)
+	p.t.Cleanup(d.close)
 	return d
 }
 
 // waitFor polls until the condition holds. Only the test's own time limit ends
 // the wait.
-func (s *testPlatform) waitFor(holds func() bool) {
+func (p *testPlatform) waitFor(holds func() bool) {
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
 	for !holds() {
 		select {
 		case <-tick.C:
-		case <-s.t.Context().Done():
-			s.t.Fatal("the test ended before the condition held")
+		case <-p.t.Context().Done():
+			p.t.Fatal("the test ended before the condition held")
 		}
 	}
 }
@@ -113,7 +113,7 @@
 	return ""
 }
 
-func (s *testPlatform) status(d *Daemon, port, path string) int {
+func (p *testPlatform) status(d *Daemon, port, path string) int {
 	resp, err := http.Get("http://" + d.addr(port) + path)
 	if err != nil {
 		return 0
@@ -122,16 +122,16 @@
 	return resp.StatusCode
 }
 
-func (s *testPlatform) post(d *Daemon, path, id, prompt string) (int, string) {
-	s.t.Helper()
-	return s.postWithHeaders(d, path, standin.CallerHeaders(id, 5*time.Second, prompt))
+func (p *testPlatform) post(d *Daemon, path, id, prompt string) (int, string) {
+	p.t.Helper()
+	return p.postWithHeaders(d, path, standin.CallerHeaders(id, 5*time.Second, prompt))
 }
 
 // postWithHeaders sends a request with the given headers.
-func (s *testPlatform) postWithHeaders(d *Daemon, path string, h http.Header) (int, string) {
+func (p *testPlatform) postWithHeaders(d *Daemon, path string, h http.Header) (int, string) {
 	req, err := http.NewRequest("POST", "http://"+d.addr("callers")+path, strings.NewReader("body"))
 	if err != nil {
-		s.t.Fatal(err)
+		p.t.Fatal(err)
 	}
 	req.Host, req.Header = "a.example", h
 	resp, err := http.DefaultTransport.RoundTrip(req)
@@ -202,10 +202,10 @@
 	s := newTestPlatform(t)
 	s.start()
 	text := strings.Replace(settingsText, "vm: vm-1", "vm: vm-2", 1)
-	again := s.startWith(text)
-	s.waitFor(func() bool { return len(again.roster.ReadyPeers()) == 1 })
-	text = strings.Replace(text, `peers: "127.0.0.1:0"`, `peers: "`+again.addr("peers")+`"`, 1)
-	again.close()
+	second := s.startWith(text)
+	s.waitFor(func() bool { return len(second.roster.ReadyPeers()) == 1 })
+	text = strings.Replace(text, `peers: "127.0.0.1:0"`, `peers: "`+second.addr("peers")+`"`, 1)
+	second.close()
 	s.store.SetMode(standin.Busy)
 	d := s.launch(text)
 	s.waitFor(func() bool { status, _ := s.post(d, "/p/x", "r1", ""); return status == 200 })
@@ -264,8 +264,8 @@
 // reads the store itself. Together this must take less than the bound.
 func TestUnresponsiveReaderIsReplacedWithinBounds(t *testing.T) {
 	deepest := map[time.Duration]int{2 * time.Second: 1, 3 * time.Second: 2, 4 * time.Second: 4, 5 * time.Second: 5}
-	for bound, most := range deepest {
-		for depth := 1; depth <= most; depth++ {
+	for bound, maxDepth := range deepest {
+		for depth := 1; depth <= maxDepth; depth++ {
 			wait := relayedWait(bound, depth)
 			if got := relay.MaxAge(wait, depth) + minTargetsInterval + slowStoreLatency; got > bound {
 				t.Errorf("through %d daemons a change may take %v, bound %v", depth, got, bound)
--- a/process/front/metrics.go
+++ b/process/front/metrics.go
@@ -92,13 +92,13 @@
 
 // setEstimates exports the estimated prefill time per token of each service's
 // engines and the estimate's error.
-func (m *metrics) setEstimates(c *route.Config, b *speed.Tracker) {
+func (m *metrics) setEstimates(c *route.Config, t *speed.Tracker) {
 	for name, svc := range c.Services {
 		if svc.Engine == nil {
 			continue
 		}
-		m.perToken.WithLabelValues(name).Set(b.Estimates(name).PerToken / float64(time.Second))
-		m.predictionError.WithLabelValues(name).Set(b.PredictionError(name))
+		m.perToken.WithLabelValues(name).Set(t.Estimates(name).PerToken / float64(time.Second))
+		m.predictionError.WithLabelValues(name).Set(t.PredictionError(name))
 	}
 }
 
--- a/process/front/store.go
+++ b/process/front/store.go
@@ -145,13 +145,13 @@
 }
 
 // StoreLost implements topic.Sink.
-func (w *storeLossSink) StoreLost(err error) {
-	w.lost.Store(true)
-	w.Sink.StoreLost(err)
+func (s *storeLossSink) StoreLost(err error) {
+	s.lost.Store(true)
+	s.Sink.StoreLost(err)
 }
 
 // StoreRecovered implements topic.Sink.
-func (w *storeLossSink) StoreRecovered() {
-	w.lost.Store(false)
-	w.Sink.StoreRecovered()
+func (s *storeLossSink) StoreRecovered() {
+	s.lost.Store(false)
+	s.Sink.StoreRecovered()
 }
--- a/process/lease/lease_test.go
+++ b/process/lease/lease_test.go
@@ -17,8 +17,8 @@
 // deadSet is a Membership in which the listed incarnations are dead.
 type deadSet map[string]bool
 
-func (v deadSet) Gone(i string) bool      { return v[i] }
-func (v deadSet) Rank(string) (int, bool) { return 1, true }
+func (d deadSet) Gone(i string) bool      { return d[i] }
+func (d deadSet) Rank(string) (int, bool) { return 1, true }
 
 func newTail(l fold.Lease, readStart time.Duration) Tail {
 	s := fold.New()
--- a/process/lease/rule.go
+++ b/process/lease/rule.go
@@ -65,7 +65,7 @@
 // The wait prevents two holders at once. The old holder's last read without
 // this claim started before the claim was appended, so its authority ends
 // within Duration of the append. Guard covers its clock drift and its data in
-// flight. After a clean release only data in flight remains.
+// flight. If the previous lease was released, only data in flight remains.
 func (r Rule) ValidFrom(l fold.Lease, observedAt time.Duration) time.Duration {
 	if l.PreviousReleased {
 		return observedAt + r.Guard
--- a/process/logging/async_test.go
+++ b/process/logging/async_test.go
@@ -15,10 +15,10 @@
 	buf bytes.Buffer
 }
 
-func (s *blockedWriter) Write(p []byte) (int, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.buf.Write(p)
+func (w *blockedWriter) Write(p []byte) (int, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.buf.Write(p)
 }
 
 // Guards against requests that block on their log lines, because the reader of
--- a/process/logging/library.go
+++ b/process/logging/library.go
@@ -20,9 +20,9 @@
 type StdlibWriter struct{ Next log.Handler }
 
 // Write logs p as one line, truncated to maxLibraryText.
-func (l StdlibWriter) Write(p []byte) (int, error) {
+func (w StdlibWriter) Write(p []byte) (int, error) {
 	text := strings.TrimSpace(string(p[:min(len(p), maxLibraryText)]))
-	_ = l.Next.HandleLog(&log.Entry{
+	_ = w.Next.HandleLog(&log.Entry{
 		Level:     log.WarnLevel,
 		Timestamp: time.Now(),
 		Message:   "library: wrote a line",
--- a/process/membership/contact.go
+++ b/process/membership/contact.go
@@ -15,15 +15,15 @@
 	contactChecksPerPeriod = 20
 )
 
-// TimeSinceContact returns the time since the last answer or request of any peer, pauses of this
-// process included.
+// TimeSinceContact returns the time since the last answer or request of any peer, pauses
+// of this process included.
 func (m *Membership) TimeSinceContact() time.Duration { return m.o.Now() - m.view.Load().LastContact }
 
 // AwaitContact returns once a peer answered or sent a request after the last pause of this
 // process, or had enough time to do so. Without a recent pause it returns at once.
 //
-// After a pause TimeSinceContact is large even if all peers are reachable, because messages sent
-// during the pause are unread and no probe has been sent yet.
+// After a pause TimeSinceContact is large even if all peers are reachable, because messages
+// sent during the pause are unread and no probe has been sent yet.
 func (m *Membership) AwaitContact(ctx context.Context) {
 	for range maxContactWaitPeriods * contactChecksPerPeriod {
 		if !m.resuming() || pause.For(ctx, m.o.Period/contactChecksPerPeriod) != nil {
--- a/process/membership/exchange.go
+++ b/process/membership/exchange.go
@@ -44,8 +44,8 @@
 }
 
 // check probes a member directly, then through relays, outside of the loop goroutine. The
-// result is passed to done on the loop goroutine. conclusive is false if this process was paused
-// since the check began, so that a missing answer proves nothing.
+// result is passed to done on the loop goroutine. conclusive is false if this process was
+// paused since the check began, so that a missing answer proves nothing.
 func (m *Membership) check(e *tableEntry, done func(reached, conclusive bool)) {
 	addr := e.member.PeerAddr
 	req := m.request()
--- a/process/membership/membership_test.go
+++ b/process/membership/membership_test.go
@@ -18,8 +18,8 @@
 	period    = 500 * time.Millisecond
 	deadAfter = 3 * time.Second
 
-	targetHost = "target"
-	lossOf     = 10
+	targetHost  = "target"
+	lossDivisor = 10
 )
 
 var errCut = errors.New("link is cut")
@@ -34,7 +34,7 @@
 	starts  uint64
 	updates int // number of members in all answers
 
-	loss *rand.Rand // when set, one call in lossOf is lost
+	loss *rand.Rand // when set, one call in lossDivisor is lost
 }
 
 type testDaemon struct {
@@ -156,7 +156,7 @@
 	l.f.mu.Lock()
 	to := l.f.daemons[addr]
 	bad := l.f.cut[[2]string{l.from, addr}] || l.f.cut[[2]string{addr, l.from}] || to == nil || to.killed
-	lost := l.f.loss != nil && l.f.loss.IntN(lossOf) == 0
+	lost := l.f.loss != nil && l.f.loss.IntN(lossDivisor) == 0
 	l.f.mu.Unlock()
 	if bad || lost {
 		<-ctx.Done()
--- a/process/membership/view.go
+++ b/process/membership/view.go
@@ -25,7 +25,7 @@
 }
 
 // Usable reports whether the member is live and not leaving.
-func (s MemberView) Usable() bool { return s.Member.State == peerpb.Member_LIVE && !s.Leaving }
+func (m MemberView) Usable() bool { return m.Member.State == peerpb.Member_LIVE && !m.Leaving }
 
 // View returns the current snapshot.
 func (m *Membership) View() *View { return m.view.Load() }
--- a/process/planner/plan_test.go
+++ b/process/planner/plan_test.go
@@ -196,13 +196,13 @@
 		sim.outcome = reaction
 		sim.run(60, 2.5, 4.0)
 		sim.run(600, 5.5, 2.0)
-		asked := map[string]int{}
+		orders := map[string]int{}
 		for _, c := range sim.changes {
-			asked[c.Engine]++
+			orders[c.Engine]++
 		}
-		for name, n := range asked {
+		for name, n := range orders {
 			if n > 5 { // 30 s, then doubling: five orders in 600 s
-				t.Errorf("outcome %d: %s asked %d times", reaction, name, n)
+				t.Errorf("outcome %d: %s got %d orders", reaction, name, n)
 			}
 		}
 		if len(sim.changes) < 2 {
@@ -281,7 +281,7 @@
 	}
 }
 
-func TestLearnsRates(t *testing.T) {
+func TestEstimatesRates(t *testing.T) {
 	sim := newSimulation(3, 2, 4)
 	for i := range sim.obs.Engines {
 		l := &sim.obs.Engines[i].Load
--- a/process/reconcile/engine.go
+++ b/process/reconcile/engine.go
@@ -179,8 +179,8 @@
 // open.
 //
 // Errors other than these, transport errors, a lost lease and an ended context
-// are permanent rejections. Otherwise an order for a version that doesn't exist would stay open forever, and
-// the corrected document could never be ordered.
+// are permanent rejections. Otherwise an order for a version that doesn't exist
+// would stay open forever, and the corrected document could never be ordered.
 func classifyResponse(err error) (responded bool, refused string) {
 	switch {
 	case err == nil, errors.Is(err, port.ErrBusy), errors.Is(err, port.ErrFenced):
--- a/process/reconcile/harness_test.go
+++ b/process/reconcile/harness_test.go
@@ -305,11 +305,11 @@
 	check lease.Check
 }
 
-func (g checkedEngine) Order(ctx context.Context, o port.Order) error {
-	if err := g.check(); err != nil {
+func (e checkedEngine) Order(ctx context.Context, o port.Order) error {
+	if err := e.check(); err != nil {
 		return err
 	}
-	return g.fakeEngine.Order(ctx, o)
+	return e.fakeEngine.Order(ctx, o)
 }
 
 // advance advances the virtual clock of the synctest bubble by d.
--- a/process/relay/cutoff_test.go
+++ b/process/relay/cutoff_test.go
@@ -15,16 +15,16 @@
 // Guards against a daemon that reads the store itself, loses it, and continues
 // to serve with outdated targets and routes although its peers have newer ones.
 func TestReaderWithoutTheStoreFollowsItsPeers(t *testing.T) {
-	for name, beats := range map[string]time.Duration{"records all the time": beatEvery, "few records": time.Hour} {
+	for name, interval := range map[string]time.Duration{"records all the time": heartbeatInterval, "few records": time.Hour} {
 		for after := time.Duration(0); after <= readWait; after += readWait / 4 {
 			t.Run(fmt.Sprint(name, " ", after), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { followsPeers(t, beats, after) })
+				synctest.Test(t, func(t *testing.T) { followsPeers(t, interval, after) })
 			})
 		}
 	}
 }
 
-func followsPeers(t *testing.T, beats, after time.Duration) {
+func followsPeers(t *testing.T, interval, after time.Duration) {
 	s := &sharedStore{changed: make(chan struct{}), silent: make(map[string]bool)}
 	net, now := memoryTransport{}, clock.NewRuntime().Now
 	noReader := func() string { return "" }
@@ -34,7 +34,7 @@
 	sound := newFollower("sound", s, net, now, func() string { return "reader" })
 	ctx, stop := context.WithCancel(t.Context())
 	go func() {
-		for pause.For(ctx, beats) == nil {
+		for pause.For(ctx, interval) == nil {
 			s.add("stays")
 		}
 	}()
@@ -46,7 +46,7 @@
 	for _, key := range []string{"leaves first", "leaves second", "leaves third"} {
 		s.add(key)
 		_ = pause.For(ctx, leaveBound)
-		if !cut.knows(key) {
+		if !cut.hasKey(key) {
 			t.Errorf("target %q isn't known after %v", key, leaveBound)
 		}
 		if age := now() - cut.store.AsOf(port.TopicTargets); age > leaveBound {
--- a/process/relay/fleet_test.go
+++ b/process/relay/fleet_test.go
@@ -24,17 +24,17 @@
 
 const (
 	fleetZones = 5
-	// fleetWait and fleetPace are the wait and the interval of reads of the
+	// fleetWait and fleetReadInterval are the wait and the interval of reads of the
 	// targets.
-	fleetWait = 900 * time.Millisecond
-	fleetPace = MaxReadInterval
+	fleetWait         = 900 * time.Millisecond
+	fleetReadInterval = MaxReadInterval
 	// storeLatency is the time that the store takes for an answer. appendTime
 	// is the time it takes for each write; writes are serialized.
 	storeLatency = 4 * time.Millisecond
 	appendTime   = 2 * time.Millisecond
-	// targetBeat is the time between two heartbeats of a target.
-	targetBeat = 5 * time.Second
-	pageSize   = 500
+	// targetHeartbeatInterval is the time between two heartbeats of a target.
+	targetHeartbeatInterval = 5 * time.Second
+	pageSize                = 500
 )
 
 // fleetStore is a store of a large fleet that counts the calls to it.
@@ -217,10 +217,10 @@
 	bytes map[string]int // by the answering daemon
 }
 
-func (n *countingTransport) RoundTrip(req *http.Request) (*http.Response, error) {
-	n.mu.Lock()
-	h := n.to[req.URL.Host]
-	n.mu.Unlock()
+func (t *countingTransport) RoundTrip(req *http.Request) (*http.Response, error) {
+	t.mu.Lock()
+	h := t.to[req.URL.Host]
+	t.mu.Unlock()
 	rec := httptest.NewRecorder()
 	done := make(chan struct{})
 	go func() {
@@ -229,9 +229,9 @@
 	}()
 	select {
 	case <-done:
-		n.mu.Lock()
-		n.bytes[req.URL.Host] += rec.Body.Len()
-		n.mu.Unlock()
+		t.mu.Lock()
+		t.bytes[req.URL.Host] += rec.Body.Len()
+		t.mu.Unlock()
 		return rec.Result(), nil
 	case <-req.Context().Done():
 		return nil, req.Context().Err()
@@ -246,8 +246,8 @@
 	return port.TargetEntry{ID: r.Key, Service: "llm", Leaving: r.Value[0] == 'l'}, true, nil
 }
 
-func targetRecord(n, beat int, state byte) port.KeyedRecord {
-	return port.KeyedRecord{Key: fmt.Sprintf("t-%06d", n), Value: fmt.Appendf(nil, "%c %d", state, beat)}
+func targetRecord(n, heartbeat int, state byte) port.KeyedRecord {
+	return port.KeyedRecord{Key: fmt.Sprintf("t-%06d", n), Value: fmt.Appendf(nil, "%c %d", state, heartbeat)}
 }
 
 func (f *fleet) add(n int) {
@@ -258,10 +258,10 @@
 		link = 1000
 	}
 	var s *Store
-	var reach *MonitoredStore
+	var monitored *MonitoredStore
 	s = NewStore(f.store, func() []string { return d.roster.Upstream().Peers }, func() []string { return d.roster.ReadyPeers() }, port.TopicTargets)
 	s.now, s.client = f.now, &http.Client{Transport: f.http}
-	reach = NewMonitoredStore(s)
+	monitored = NewMonitoredStore(s)
 	r, err := roster.New(roster.Options{
 		Self: roster.Member{
 			VM: fmt.Sprintf("vm%05d", n), Incarnation: 1, Zone: fmt.Sprint("z", n%fleetZones),
@@ -270,31 +270,31 @@
 		Claims: noClaims{}, Speeds: speed.NewTracker(), Demand: demand.New(time.Now),
 		Engines: engines.New(time.Now, func(engines.Work) {}),
 		Store:   f.store, TTL: time.Second, Conn: d.end, SingleReader: true,
-		StoreUnavailable: func() bool { return d.isStoreLost() || reach.Unavailable() },
-		StoreFails:       func() bool { return d.isStoreLost() && s.HasNoReader() || s.UsesFallback() || reach.Unavailable() },
+		StoreUnavailable: func() bool { return d.isStoreLost() || monitored.Unavailable() },
+		StoreFails:       func() bool { return d.isStoreLost() && s.HasNoReader() || s.UsesFallback() || monitored.Unavailable() },
 	})
 	if err != nil {
 		panic(err)
 	}
 	d.roster = r
-	s.ReadersKnown, s.OnReadError, s.PeersWithStore = r.ContactsListed(), reach.ReportError, r.PeersWithStore
+	s.ReadersKnown, s.OnReadError, s.PeersWithStore = r.ContactsListed(), monitored.ReportError, r.PeersWithStore
 	s.Depth = func() int { return r.Upstream().Depth }
 	s.RetryDelay = func(answer bool) time.Duration {
 		if answer {
-			return fleetPace * time.Duration(r.KnownDaemons()) / 16
+			return fleetReadInterval * time.Duration(r.KnownDaemons()) / 16
 		}
 		return 2 * time.Second
 	}
 	d.registry = discovery.New(discovery.Options{Decode: decodeFleetTarget})
-	tail := NewTopicCache(&fleetSink{Sink: d.registry, d: d}, d.registry.Same)
-	tail.now = f.now
+	cache := NewTopicCache(&fleetSink{Sink: d.registry, d: d}, d.registry.Same)
+	cache.now = f.now
 	d.follower = topic.New(topic.Options{
-		Store: s, Topic: port.TopicTargets, Name: "targets", Sink: tail,
-		Wait: func() time.Duration { return fleetWait }, ReadInterval: func() time.Duration { return fleetPace },
-		OnCurrent: func(next int64) { tail.Confirm(s.AsOf(port.TopicTargets), next) },
+		Store: s, Topic: port.TopicTargets, Name: "targets", Sink: cache,
+		Wait: func() time.Duration { return fleetWait }, ReadInterval: func() time.Duration { return fleetReadInterval },
+		OnCurrent: func(next int64) { cache.Confirm(s.AsOf(port.TopicTargets), next) },
 	})
 	f.http.mu.Lock()
-	f.http.to[d.addr] = Handler(map[port.Topic]*TopicCache{port.TopicTargets: tail})
+	f.http.to[d.addr] = Handler(map[port.Topic]*TopicCache{port.TopicTargets: cache})
 	f.http.mu.Unlock()
 	r.Start()
 	r.SetState(roster.Ready)
@@ -307,13 +307,13 @@
 func (noClaims) Report() []roster.Claim { return nil }
 func (noClaims) Merge([]roster.Claim)   {}
 
-// heartbeats rewrites the entry of each target every targetBeat.
+// heartbeats rewrites the entry of each target every targetHeartbeatInterval.
 func (f *fleet) heartbeats(ctx context.Context) {
 	const step = 100 * time.Millisecond
-	for beat := 0; pause.For(ctx, step) == nil; beat++ {
+	for heartbeat := 0; pause.For(ctx, step) == nil; heartbeat++ {
 		var records []port.KeyedRecord
-		for n := beat % int(targetBeat/step); n < f.targets; n += int(targetBeat / step) {
-			records = append(records, targetRecord(n, beat, 'r'))
+		for n := heartbeat % int(targetHeartbeatInterval/step); n < f.targets; n += int(targetHeartbeatInterval / step) {
+			records = append(records, targetRecord(n, heartbeat, 'r'))
 		}
 		f.store.write(port.TopicTargets, records...)
 	}
@@ -379,10 +379,10 @@
 		const rest = 10 * time.Second
 		_ = pause.For(ctx, rest)
 		ended, all := f.store.count()
-		if most := 2 * int(rest/fleetPace); ended-begun > most {
+		if most := 2 * int(rest/fleetReadInterval); ended-begun > most {
 			t.Errorf("%d calls in %v, want %d", ended-begun, rest, most)
 		}
-		if most := 2 * targets * int(rest/targetBeat); all-read > most {
+		if most := 2 * targets * int(rest/targetHeartbeatInterval); all-read > most {
 			t.Errorf("%d records read in %v, want %d", all-read, rest, most)
 		}
 	})
--- a/process/relay/listing.go
+++ b/process/relay/listing.go
@@ -68,7 +68,7 @@
 	}()
 	first, soon := awaitListing(peerListingDelay, answered)
 	if soon && first.err == nil {
-		return s.noteListing(t, begun, first)
+		return s.recordListing(t, begun, first)
 	}
 	if page, ok := s.listFromPeers(ctx, t); ok {
 		return page, nil
@@ -76,7 +76,7 @@
 	if !soon {
 		first = <-answered
 	}
-	return s.noteListing(t, begun, first)
+	return s.recordListing(t, begun, first)
 }
 
 // listFrom returns the listing of the first reader that has a sufficiently
@@ -90,7 +90,7 @@
 	for _, addr := range readers {
 		page, err := s.listFromOne(ctx, addr, t)
 		if err == nil {
-			s.noteAnswer()
+			s.recordAnswer()
 			return page, nil
 		}
 		failures = append(failures, fmt.Errorf("reader %s: %w", addr, err))
@@ -110,9 +110,9 @@
 	return port.KeyedPage{Records: r.Records, End: r.Next}, nil
 }
 
-// noteListing records the freshness of a listing from the store: it contains
+// recordListing records the freshness of a listing from the store: it contains
 // everything that was written before the call began.
-func (s *Store) noteListing(t port.Topic, begun time.Duration, l storeListing) (port.KeyedPage, error) {
+func (s *Store) recordListing(t port.Topic, begun time.Duration, l storeListing) (port.KeyedPage, error) {
 	if l.err == nil {
 		s.advanceAsOf(t, begun)
 	}
--- a/process/relay/reach_test.go
+++ b/process/relay/reach_test.go
@@ -48,14 +48,14 @@
 	return 0, f.answer(ctx, true)
 }
 
-func withReach(t *testing.T, test func(t *testing.T, r *MonitoredStore, f *flakyStore)) {
+func withMonitoredStore(t *testing.T, test func(t *testing.T, m *MonitoredStore, f *flakyStore)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &flakyStore{}
-		r := NewMonitoredStore(f)
+		m := NewMonitoredStore(f)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
-		go func() { defer close(done); r.Run(ctx) }()
-		test(t, r, f)
+		go func() { defer close(done); m.Run(ctx) }()
+		test(t, m, f)
 		cancel()
 		<-done
 	})
@@ -64,22 +64,22 @@
 // Guards against a daemon that stays leader while it alone is cut off from the
 // store, so that it can't claim anything.
 func TestUnansweredCallMakesStoreUnavailable(t *testing.T) {
-	withReach(t, func(t *testing.T, r *MonitoredStore, f *flakyStore) {
+	withMonitoredStore(t, func(t *testing.T, m *MonitoredStore, f *flakyStore) {
 		f.set(true, false)
 		time.Sleep(10 * time.Second)
-		if r.Unavailable() {
+		if m.Unavailable() {
 			t.Error("unavailable without a call")
 		}
-		if _, err := r.PutAt(t.Context(), port.TopicClaims, "k", nil, 0); err == nil {
+		if _, err := m.PutAt(t.Context(), port.TopicClaims, "k", nil, 0); err == nil {
 			t.Fatal("answered")
 		}
 		time.Sleep(probeTimeout + time.Millisecond)
-		if !r.Unavailable() {
+		if !m.Unavailable() {
 			t.Error("not unavailable after a call and a probe without an answer")
 		}
 		f.set(false, false)
 		time.Sleep(probeTimeout + probeInterval + time.Millisecond)
-		if r.Unavailable() {
+		if m.Unavailable() {
 			t.Error("still unavailable after the store recovered")
 		}
 		calls := f.calls
@@ -93,14 +93,14 @@
 // Guards against duties that move to another daemon, with the delay of a lease,
 // each time the answer to a single write is lost.
 func TestLostWriteAnswersDoNotMakeStoreUnavailable(t *testing.T) {
-	withReach(t, func(t *testing.T, r *MonitoredStore, f *flakyStore) {
+	withMonitoredStore(t, func(t *testing.T, m *MonitoredStore, f *flakyStore) {
 		f.set(false, true)
 		for range 5 {
-			if _, err := r.PutAt(t.Context(), port.TopicClaims, "k", nil, 0); err == nil {
+			if _, err := m.PutAt(t.Context(), port.TopicClaims, "k", nil, 0); err == nil {
 				t.Fatal("answered")
 			}
 			time.Sleep(probeTimeout)
-			if r.Unavailable() {
+			if m.Unavailable() {
 				t.Fatal("unavailable after lost answers to writes")
 			}
 		}
--- a/process/relay/relay.go
+++ b/process/relay/relay.go
@@ -36,50 +36,50 @@
 }
 
 // Handler serves the reads of other daemons.
-func Handler(tails map[port.Topic]*TopicCache) http.Handler {
+func Handler(caches map[port.Topic]*TopicCache) http.Handler {
 	r := bunrouter.New()
 	r.GET("/listing", func(w http.ResponseWriter, req bunrouter.Request) error {
 		p := params{values: req.URL.Query()}
-		tail := tails[port.Topic(p.number("topic"))]
-		if p.invalid || tail == nil {
+		cache := caches[port.Topic(p.number("topic"))]
+		if p.invalid || cache == nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return nil
 		}
-		l, known := tail.listing()
+		l, known := cache.listing()
 		if !known {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return nil
 		}
-		return tail.write(w, l.key(), l.page.Records, answer{End: l.page.End})
+		return cache.write(w, l.key(), l.page.Records, answer{End: l.page.End})
 	})
 	r.GET("/current", func(w http.ResponseWriter, req bunrouter.Request) error {
 		p := params{values: req.URL.Query()}
-		tail, wait, maxAge := tails[port.Topic(p.number("topic"))], p.ms("wait_ms"), p.ms("max_age_ms")
-		if p.invalid || tail == nil {
+		cache, wait, maxAge := caches[port.Topic(p.number("topic"))], p.ms("wait_ms"), p.ms("max_age_ms")
+		if p.invalid || cache == nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return nil
 		}
-		tail.awaitFirstRead(req.Context(), wait)
-		l, fresh := tail.current(maxAge)
+		cache.awaitFirstRead(req.Context(), wait)
+		l, fresh := cache.current(maxAge)
 		if !fresh {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return nil
 		}
 		metrics.Add("listings_served", 1)
-		return tail.write(w, l.key(), l.page.Records, answer{End: l.page.End, ReadAt: l.readAt})
+		return cache.write(w, l.key(), l.page.Records, answer{End: l.page.End, ReadAt: l.readAt})
 	})
 	r.GET("/records", func(w http.ResponseWriter, req bunrouter.Request) error {
 		p := params{values: req.URL.Query()}
-		tail, from, wait, maxAge := tails[port.Topic(p.number("topic"))], p.number("from"), p.ms("wait_ms"), p.ms("max_age_ms")
-		if p.invalid || tail == nil {
+		cache, from, wait, maxAge := caches[port.Topic(p.number("topic"))], p.number("from"), p.ms("wait_ms"), p.ms("max_age_ms")
+		if p.invalid || cache == nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return nil
 		}
-		b, status := tail.read(req.Context(), from, wait, maxAge)
+		b, status := cache.read(req.Context(), from, wait, maxAge)
 		switch status {
 		case ok:
 			metrics.Add("reads_served", 1)
-			return tail.write(w, b.key(), b.records(), answer{End: b.next, ReadAt: b.readAt})
+			return cache.write(w, b.key(), b.records(), answer{End: b.next, ReadAt: b.readAt})
 		case gap:
 			w.WriteHeader(http.StatusGone)
 		default:
--- a/process/relay/relay_test.go
+++ b/process/relay/relay_test.go
@@ -34,16 +34,16 @@
 	silent  bool  // listings get no answer
 }
 
-func (d *countingStore) Newest(ctx context.Context, _ port.Topic, _ string) (port.KeyedPage, error) {
-	if d.silent {
+func (s *countingStore) Newest(ctx context.Context, _ port.Topic, _ string) (port.KeyedPage, error) {
+	if s.silent {
 		<-ctx.Done()
 		return port.KeyedPage{}, ctx.Err()
 	}
-	return port.KeyedPage{Records: []port.KeyedRecord{{Key: "from the store"}}}, d.listErr
+	return port.KeyedPage{Records: []port.KeyedRecord{{Key: "from the store"}}}, s.listErr
 }
 
-func (d *countingStore) Read(context.Context, port.Topic, int64, time.Duration) (port.KeyedBatch, error) {
-	d.reads++
+func (s *countingStore) Read(context.Context, port.Topic, int64, time.Duration) (port.KeyedBatch, error) {
+	s.reads++
 	return port.KeyedBatch{Records: []port.KeyedRecord{{Key: "from the store"}}}, nil
 }
 
@@ -62,14 +62,14 @@
 // newReaderAndStore returns a reader's TopicCache and the Store of another
 // daemon that reads from it.
 func newReaderAndStore(t *testing.T) (*TopicCache, *Store, *countingStore) {
-	tail := NewTopicCache(&sink{}, nil)
-	tail.Confirm(tail.now(), 0)
-	srv := httptest.NewServer(Handler(map[port.Topic]*TopicCache{port.TopicTargets: tail}))
+	cache := NewTopicCache(&sink{}, nil)
+	cache.Confirm(cache.now(), 0)
+	srv := httptest.NewServer(Handler(map[port.Topic]*TopicCache{port.TopicTargets: cache}))
 	t.Cleanup(srv.Close)
 	d := &countingStore{}
 	addr := strings.TrimPrefix(srv.URL, "http://")
 	nobody := "127.0.0.1:1"
-	return tail, NewStore(d, func() []string { return []string{addr} }, func() []string { return []string{addr, nobody} }, port.TopicTargets), d
+	return cache, NewStore(d, func() []string { return []string{addr} }, func() []string { return []string{addr, nobody} }, port.TopicTargets), d
 }
 
 // Guards against a rolling restart during an outage of the store after which no
@@ -77,15 +77,15 @@
 // the records that are needed. Also guards against listings that lack changes
 // or contain deleted records.
 func TestListingOfAnotherDaemon(t *testing.T) {
-	tail, s, d := newReaderAndStore(t)
-	away := errors.New("the store is unavailable")
-	d.listErr = away
-	if _, err := s.Newest(t.Context(), port.TopicTargets, ""); !errors.Is(err, away) {
+	cache, s, d := newReaderAndStore(t)
+	errUnavailable := errors.New("the store is unavailable")
+	d.listErr = errUnavailable
+	if _, err := s.Newest(t.Context(), port.TopicTargets, ""); !errors.Is(err, errUnavailable) {
 		t.Errorf("a daemon that has read nothing returned a listing: %v", err)
 	}
-	tail.Reset([]port.KeyedRecord{record(1, "stays"), record(2, "changes"), record(3, "goes")}, 5)
-	tail.Apply([]port.KeyedRecord{record(5, "changes"), {Key: "goes", Offset: 6}, record(7, "new")})
-	tail.StoreLost(away)
+	cache.Reset([]port.KeyedRecord{record(1, "stays"), record(2, "changes"), record(3, "goes")}, 5)
+	cache.Apply([]port.KeyedRecord{record(5, "changes"), {Key: "goes", Offset: 6}, record(7, "new")})
+	cache.StoreLost(errUnavailable)
 	page, err := s.Newest(t.Context(), port.TopicTargets, "")
 	got := make(map[string]int64)
 	for _, r := range page.Records {
@@ -100,7 +100,7 @@
 		t.Errorf("a store without an answer: %+v, %v", page, err)
 	}
 	d.silent = false
-	if _, err := s.Newest(t.Context(), port.TopicClaims, ""); !errors.Is(err, away) {
+	if _, err := s.Newest(t.Context(), port.TopicClaims, ""); !errors.Is(err, errUnavailable) {
 		t.Errorf("claims were listed from another daemon: %v", err)
 	}
 	d.listErr = nil
@@ -110,10 +110,10 @@
 }
 
 func TestRecordsComeFromTheReader(t *testing.T) {
-	tail, s, d := newReaderAndStore(t)
-	tail.Reset([]port.KeyedRecord{record(3, "old")}, 5)
-	tail.Apply([]port.KeyedRecord{record(5, "a"), record(6, "b")})
-	tail.Apply([]port.KeyedRecord{record(7, "c")})
+	cache, s, d := newReaderAndStore(t)
+	cache.Reset([]port.KeyedRecord{record(3, "old")}, 5)
+	cache.Apply([]port.KeyedRecord{record(5, "a"), record(6, "b")})
+	cache.Apply([]port.KeyedRecord{record(7, "c")})
 	batch, err := s.Read(t.Context(), port.TopicTargets, 6, 0)
 	got := batch.Records
 	if err != nil || len(got) != 2 || batch.Next != 8 || got[0].Key != "b" || got[1].Offset != 7 || d.reads != 0 {
@@ -127,14 +127,14 @@
 // Guards against missed changes: the reader doesn't have them because it lost
 // the store or is behind.
 func TestStoreIsReadWhenReaderIsNotCurrent(t *testing.T) {
-	for name, spoil := range map[string]func(tail *TopicCache){
-		"lost the store":   func(tail *TopicCache) { tail.StoreLost(errors.New("the store is unavailable")) },
-		"behind the asker": func(tail *TopicCache) { tail.Reset(nil, 1); tail.Apply([]port.KeyedRecord{record(1, "y")}) },
+	for name, spoil := range map[string]func(cache *TopicCache){
+		"lost the store":   func(cache *TopicCache) { cache.StoreLost(errors.New("the store is unavailable")) },
+		"behind the asker": func(cache *TopicCache) { cache.Reset(nil, 1); cache.Apply([]port.KeyedRecord{record(1, "y")}) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			tail, s, d := newReaderAndStore(t)
-			tail.Apply([]port.KeyedRecord{record(5, "a")})
-			spoil(tail)
+			cache, s, d := newReaderAndStore(t)
+			cache.Apply([]port.KeyedRecord{record(5, "a")})
+			spoil(cache)
 			got, err := s.Read(t.Context(), port.TopicTargets, 5, 0)
 			if err != nil || d.reads != 1 || got.Records[0].Key != "from the store" {
 				t.Errorf("records %+v, %v", got, err)
@@ -151,27 +151,27 @@
 // dropped the changes in between. The topic has to be listed again then, and
 // the listing contains the missed changes.
 func TestTopicIsListedWhenTheReaderHasAGap(t *testing.T) {
-	for name, spoil := range map[string]func(tail *TopicCache){
-		"began later": func(tail *TopicCache) {
-			tail.end = -1
-			tail.Reset([]port.KeyedRecord{record(8, "new")}, 9)
+	for name, spoil := range map[string]func(cache *TopicCache){
+		"began later": func(cache *TopicCache) {
+			cache.end = -1
+			cache.Reset([]port.KeyedRecord{record(8, "new")}, 9)
 		},
-		"dropped some": func(tail *TopicCache) {
+		"dropped some": func(cache *TopicCache) {
 			for at := int64(6); at < 6+2*minChanges; at++ {
-				tail.Apply([]port.KeyedRecord{record(at, "new")})
+				cache.Apply([]port.KeyedRecord{record(at, "new")})
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			tail, s, d := newReaderAndStore(t)
-			tail.Reset(nil, 5)
-			tail.Apply([]port.KeyedRecord{record(5, "a")})
-			spoil(tail)
+			cache, s, d := newReaderAndStore(t)
+			cache.Reset(nil, 5)
+			cache.Apply([]port.KeyedRecord{record(5, "a")})
+			spoil(cache)
 			if got, err := s.Read(t.Context(), port.TopicTargets, 5, 0); !errors.Is(err, port.ErrExpired) {
 				t.Errorf("records %+v, %v", got, err)
 			}
 			page, err := s.Newest(t.Context(), port.TopicTargets, "")
-			if err != nil || d.reads != 0 || page.End != tail.end {
+			if err != nil || d.reads != 0 || page.End != cache.end {
 				t.Errorf("%+v, %v", page, err)
 			}
 			found := false
@@ -188,8 +188,8 @@
 // The configuration changes rarely: a reader that has listed it can report at
 // once that there are no changes.
 func TestReaderReportsNoChangesAfterListing(t *testing.T) {
-	tail, s, d := newReaderAndStore(t)
-	tail.Reset([]port.KeyedRecord{record(3, "old")}, 4)
+	cache, s, d := newReaderAndStore(t)
+	cache.Reset([]port.KeyedRecord{record(3, "old")}, 4)
 	if got, err := s.Read(t.Context(), port.TopicTargets, 4, 0); err != nil || len(got.Records) != 0 || d.reads != 0 {
 		t.Errorf("records %+v, %v, %d reads of the store", got, err, d.reads)
 	}
@@ -205,22 +205,22 @@
 	}
 }
 
-func TestTailHoldsABoundedNumber(t *testing.T) {
+func TestTopicCacheIsBounded(t *testing.T) {
 	for _, keys := range []int64{1, 10 * minChanges} {
-		tail := NewTopicCache(&sink{}, nil)
+		cache := NewTopicCache(&sink{}, nil)
 		const written = 100 * minChanges
 		for i := range int64(written) {
-			tail.Apply([]port.KeyedRecord{record(i, fmt.Sprint("k", i%keys))})
+			cache.Apply([]port.KeyedRecord{record(i, fmt.Sprint("k", i%keys))})
 		}
 		held := max(minChanges, int(keys))
-		if len(tail.changes) != held || tail.end != written {
-			t.Errorf("%d changes up to %d, want %d", len(tail.changes), tail.end, held)
+		if len(cache.changes) != held || cache.end != written {
+			t.Errorf("%d changes up to %d, want %d", len(cache.changes), cache.end, held)
 		}
-		tail.Confirm(tail.now(), 0)
-		if _, status := tail.read(t.Context(), written-int64(held)-1, 0, time.Minute); status != gap {
+		cache.Confirm(cache.now(), 0)
+		if _, status := cache.read(t.Context(), written-int64(held)-1, 0, time.Minute); status != gap {
 			t.Errorf("status %v for a change that was dropped", status)
 		}
-		if got, status := tail.read(t.Context(), written-int64(held), 0, time.Minute); status != ok || len(got.changes) != held {
+		if got, status := cache.read(t.Context(), written-int64(held), 0, time.Minute); status != ok || len(got.changes) != held {
 			t.Errorf("%d changes, %v", len(got.changes), status)
 		}
 	}
@@ -231,19 +231,19 @@
 // anything.
 func TestHeartbeatsAreNotRelayed(t *testing.T) {
 	next := &sink{}
-	tail := NewTopicCache(next, func(a, b port.KeyedRecord) bool { return string(a.Value) == string(b.Value) })
-	tail.Reset([]port.KeyedRecord{record(1, "a"), record(2, "b")}, 3)
+	cache := NewTopicCache(next, func(a, b port.KeyedRecord) bool { return string(a.Value) == string(b.Value) })
+	cache.Reset([]port.KeyedRecord{record(1, "a"), record(2, "b")}, 3)
 	for at := int64(3); at < 100; at += 2 {
-		tail.Apply([]port.KeyedRecord{record(at, "a"), record(at+1, "b")})
+		cache.Apply([]port.KeyedRecord{record(at, "a"), record(at+1, "b")})
 	}
-	tail.Confirm(tail.now(), 101)
-	if b, status := tail.read(t.Context(), 3, 0, time.Minute); status != ok || len(b.changes) != 0 || b.next != 101 || next.applied != 0 {
+	cache.Confirm(cache.now(), 101)
+	if b, status := cache.read(t.Context(), 3, 0, time.Minute); status != ok || len(b.changes) != 0 || b.next != 101 || next.applied != 0 {
 		t.Errorf("%+v, %v, %d records applied", b, status, next.applied)
 	}
 	leaves := port.KeyedRecord{Key: "a", Value: []byte("leaves"), Offset: 101}
 	back := port.KeyedRecord{Key: "a", Value: []byte("v"), Offset: 102}
-	tail.Apply([]port.KeyedRecord{leaves, back, {Key: "b", Offset: 103}, record(104, "b")})
-	if b, status := tail.read(t.Context(), 3, 0, time.Minute); status != ok || len(b.changes) != 4 || b.next != 105 || next.applied != 4 {
+	cache.Apply([]port.KeyedRecord{leaves, back, {Key: "b", Offset: 103}, record(104, "b")})
+	if b, status := cache.read(t.Context(), 3, 0, time.Minute); status != ok || len(b.changes) != 4 || b.next != 105 || next.applied != 4 {
 		t.Errorf("%+v, %v, %d records applied", b, status, next.applied)
 	}
 }
@@ -252,10 +252,10 @@
 // history. A daemon gets only the difference from a reader that has listed the
 // topic again.
 func TestReaderSendsDifferenceAfterRelisting(t *testing.T) {
-	tail, s, d := newReaderAndStore(t)
-	tail.same = func(a, b port.KeyedRecord) bool { return string(a.Value) == string(b.Value) }
-	tail.Reset([]port.KeyedRecord{record(1, "stays"), record(2, "changes"), record(3, "goes")}, 5)
-	tail.Reset([]port.KeyedRecord{record(90, "stays"), {Key: "changes", Value: []byte("w"), Offset: 91}, record(80, "new")}, 95)
+	cache, s, d := newReaderAndStore(t)
+	cache.same = func(a, b port.KeyedRecord) bool { return string(a.Value) == string(b.Value) }
+	cache.Reset([]port.KeyedRecord{record(1, "stays"), record(2, "changes"), record(3, "goes")}, 5)
+	cache.Reset([]port.KeyedRecord{record(90, "stays"), {Key: "changes", Value: []byte("w"), Offset: 91}, record(80, "new")}, 95)
 	for _, from := range []int64{5, 95} {
 		batch, err := s.Read(t.Context(), port.TopicTargets, from, 0)
 		got := make(map[string]bool)
@@ -280,22 +280,22 @@
 // behind them. Each call to the store is paid for.
 func TestReadWaitsForReaderToCatchUp(t *testing.T) {
 	const wait = 2 * time.Second
-	for name, begin := range map[string]func(tail *TopicCache){
+	for name, begin := range map[string]func(cache *TopicCache){
 		"has read nothing":   func(*TopicCache) {},
-		"is a little behind": func(tail *TopicCache) { tail.Reset(nil, 5); tail.Confirm(0, 0) },
+		"is a little behind": func(cache *TopicCache) { cache.Reset(nil, 5); cache.Confirm(0, 0) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				tail := NewTopicCache(&sink{}, nil)
-				tail.now = clock.NewRuntime().Now
-				begin(tail)
-				time.AfterFunc(300*time.Millisecond, func() { tail.Reset(nil, 7); tail.Confirm(tail.now(), 0) })
-				time.AfterFunc(800*time.Millisecond, func() { tail.Apply([]port.KeyedRecord{record(7, "a")}) })
-				b, w := tail.read(t.Context(), 7, wait, wait)
-				if w != ok || len(b.changes) != 1 || tail.now() != 800*time.Millisecond {
-					t.Errorf("%+v, %v after %v", b, w, tail.now())
+				cache := NewTopicCache(&sink{}, nil)
+				cache.now = clock.NewRuntime().Now
+				begin(cache)
+				time.AfterFunc(300*time.Millisecond, func() { cache.Reset(nil, 7); cache.Confirm(cache.now(), 0) })
+				time.AfterFunc(800*time.Millisecond, func() { cache.Apply([]port.KeyedRecord{record(7, "a")}) })
+				b, w := cache.read(t.Context(), 7, wait, wait)
+				if w != ok || len(b.changes) != 1 || cache.now() != 800*time.Millisecond {
+					t.Errorf("%+v, %v after %v", b, w, cache.now())
 				}
-				if _, w := tail.read(t.Context(), 9, wait, wait); w == ok {
+				if _, w := cache.read(t.Context(), 9, wait, wait); w == ok {
 					t.Error("a reader that stays behind reported no changes")
 				}
 			})
@@ -307,17 +307,17 @@
 // store before they know their readers. That took 553 calls for 295 daemons.
 func TestFirstReadWaitsForReaderAddresses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tail := NewTopicCache(&sink{}, nil)
-		tail.now = clock.NewRuntime().Now
-		tail.Reset(nil, 5)
-		tail.Confirm(0, 0)
+		cache := NewTopicCache(&sink{}, nil)
+		cache.now = clock.NewRuntime().Now
+		cache.Reset(nil, 5)
+		cache.Confirm(0, 0)
 		d, listed := &countingStore{}, make(chan struct{})
 		s := NewStore(d, func() []string { return []string{"reader", "other"} }, func() []string { return nil }, port.TopicTargets)
-		s.now, s.ReadersKnown = tail.now, listed
-		s.client = &http.Client{Transport: memoryTransport{"reader": Handler(map[port.Topic]*TopicCache{port.TopicTargets: tail})}}
+		s.now, s.ReadersKnown = cache.now, listed
+		s.client = &http.Client{Transport: memoryTransport{"reader": Handler(map[port.Topic]*TopicCache{port.TopicTargets: cache})}}
 		time.AfterFunc(400*time.Millisecond, func() { close(listed) })
-		if _, err := s.Read(t.Context(), port.TopicTargets, 5, 0); err != nil || d.reads != 0 || tail.now() != 400*time.Millisecond {
-			t.Errorf("%d reads of the store after %v, %v", d.reads, tail.now(), err)
+		if _, err := s.Read(t.Context(), port.TopicTargets, 5, 0); err != nil || d.reads != 0 || cache.now() != 400*time.Millisecond {
+			t.Errorf("%d reads of the store after %v, %v", d.reads, cache.now(), err)
 		}
 		s.ReadersKnown = make(chan struct{}) // the store is unavailable: the readers stay unknown
 		s.readers = func() []string { return nil }
@@ -332,9 +332,9 @@
 // reader, the 29 daemons that read from it made 280 calls in three seconds.
 func TestAnotherReaderIsAskedFirst(t *testing.T) {
 	first, second := NewTopicCache(&sink{}, nil), NewTopicCache(&sink{}, nil)
-	for _, tail := range []*TopicCache{first, second} {
-		tail.Reset(nil, 5)
-		tail.Confirm(tail.now(), 0)
+	for _, cache := range []*TopicCache{first, second} {
+		cache.Reset(nil, 5)
+		cache.Confirm(cache.now(), 0)
 	}
 	first.StoreLost(errors.New("the store is unavailable"))
 	second.Apply([]port.KeyedRecord{record(5, "a")})
@@ -360,7 +360,7 @@
 // than half a second.
 func TestRecordsOfAWholeFleetFitThroughASlowLink(t *testing.T) {
 	const targets, daemons, link = 248, 30, 20e6 / 8 // bytes a second
-	tail := NewTopicCache(&sink{}, nil)
+	cache := NewTopicCache(&sink{}, nil)
 	var all []port.KeyedRecord
 	for i := range int64(targets) {
 		id := fmt.Sprintf("i-%010x", uint64(i+1)*0x9e3779b97f4a7c15>>24)
@@ -368,10 +368,10 @@
 			id, i%5, i, i%5, 1786143069049594548+i*7919, i%3)
 		all = append(all, port.KeyedRecord{Key: id, Value: []byte(value), Offset: i})
 	}
-	tail.Reset(nil, 0)
-	tail.Apply(all)
-	tail.Confirm(tail.now(), 0)
-	h := Handler(map[port.Topic]*TopicCache{port.TopicTargets: tail})
+	cache.Reset(nil, 0)
+	cache.Apply(all)
+	cache.Confirm(cache.now(), 0)
+	h := Handler(map[port.Topic]*TopicCache{port.TopicTargets: cache})
 	sent := 0
 	for _, path := range []string{"/records?topic=1&from=0&wait_ms=0&max_age_ms=1000", "/current?topic=1&max_age_ms=1000&wait_ms=0"} {
 		w := httptest.NewRecorder()
@@ -394,11 +394,11 @@
 // unavailableStore is a store that fails all reads and counts them.
 type unavailableStore struct {
 	port.Store
-	asked int
+	reads int
 }
 
-func (r *unavailableStore) Read(context.Context, port.Topic, int64, time.Duration) (port.KeyedBatch, error) {
-	r.asked++
+func (s *unavailableStore) Read(context.Context, port.Topic, int64, time.Duration) (port.KeyedBatch, error) {
+	s.reads++
 	return port.KeyedBatch{}, port.ErrUnavailable
 }
 
@@ -410,11 +410,11 @@
 func TestUnavailableStoreIsRarelyCalled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		now := clock.NewRuntime().Now
-		tail := NewTopicCache(&sink{}, nil)
-		tail.now = now
+		cache := NewTopicCache(&sink{}, nil)
+		cache.now = now
 		d := &unavailableStore{}
 		s := NewStore(d, func() []string { return []string{"reader"} }, func() []string { return nil }, port.TopicTargets, port.TopicConfig)
-		s.now, s.client = now, &http.Client{Transport: memoryTransport{"reader": Handler(map[port.Topic]*TopicCache{port.TopicTargets: tail, port.TopicConfig: tail})}}
+		s.now, s.client = now, &http.Client{Transport: memoryTransport{"reader": Handler(map[port.Topic]*TopicCache{port.TopicTargets: cache, port.TopicConfig: cache})}}
 		s.RetryDelay = func(bool) time.Duration { return 1800 * time.Millisecond }
 		for now() < 5*time.Second {
 			for _, topic := range []port.Topic{port.TopicTargets, port.TopicConfig} {
@@ -424,14 +424,14 @@
 			}
 			_ = pause.For(t.Context(), 200*time.Millisecond)
 		}
-		if d.asked < 1 || d.asked > 3 {
-			t.Errorf("the store was asked %d times in 5 s, want 1 to 3", d.asked)
+		if d.reads < 1 || d.reads > 3 {
+			t.Errorf("the store was read %d times in 5 s, want 1 to 3", d.reads)
 		}
-		asked := d.asked
-		tail.Reset(nil, 7)
-		tail.Confirm(now(), 0)
-		if _, err := s.Read(t.Context(), port.TopicTargets, 7, 0); err != nil || d.asked != asked {
-			t.Errorf("with the reader back: %v, the store was asked %d times", err, d.asked)
+		before := d.reads
+		cache.Reset(nil, 7)
+		cache.Confirm(now(), 0)
+		if _, err := s.Read(t.Context(), port.TopicTargets, 7, 0); err != nil || d.reads != before {
+			t.Errorf("with the reader back: %v, the store was read %d times", err, d.reads)
 		}
 	})
 }
@@ -439,8 +439,8 @@
 // Guards against a deadlock: the delay depends on the membership, which calls
 // Store.UsesFallback under its own lock.
 func TestRetryDelayIsCalledWithoutLock(t *testing.T) {
-	tail, s, d := newReaderAndStore(t)
-	tail.StoreLost(errors.New("the store is unavailable"))
+	cache, s, d := newReaderAndStore(t)
+	cache.StoreLost(errors.New("the store is unavailable"))
 	s.RetryDelay = func(bool) time.Duration {
 		s.UsesFallback()
 		return 0
@@ -464,10 +464,10 @@
 // drops its history. Only the reader lists the topics from the store; the
 // daemons whose records it no longer holds list them from the reader.
 func TestListingComesFromReaderAfterRelisting(t *testing.T) {
-	tail, s, d := newReaderAndStore(t)
-	tail.Reset([]port.KeyedRecord{record(3, "old")}, 5)
-	tail.Apply([]port.KeyedRecord{record(5, "a")})
-	tail.Reset([]port.KeyedRecord{record(8, "a"), record(9, "b")}, 10)
+	cache, s, d := newReaderAndStore(t)
+	cache.Reset([]port.KeyedRecord{record(3, "old")}, 5)
+	cache.Apply([]port.KeyedRecord{record(5, "a")})
+	cache.Reset([]port.KeyedRecord{record(8, "a"), record(9, "b")}, 10)
 	if _, err := s.Read(t.Context(), port.TopicTargets, 4, 0); !errors.Is(err, port.ErrExpired) {
 		t.Errorf("records that the reader no longer holds: %v", err)
 	}
@@ -475,18 +475,18 @@
 	if err != nil || page.Relayed || page.End != 10 || len(page.Records) != 2 || d.reads != 0 {
 		t.Errorf("%+v, %v, %d reads of the store", page, err, d.reads)
 	}
-	if asOf := s.AsOf(port.TopicTargets); asOf <= 0 || asOf > tail.asOf {
-		t.Errorf("complete up to %v, the reader's data up to %v", asOf, tail.asOf)
+	if asOf := s.AsOf(port.TopicTargets); asOf <= 0 || asOf > cache.asOf {
+		t.Errorf("complete up to %v, the reader's data up to %v", asOf, cache.asOf)
 	}
 	// A listing that is too old, or from a reader that lost the store, isn't
 	// used.
-	now := tail.now
-	tail.now = func() time.Duration { return now() + MaxAge(0, 1) }
+	now := cache.now
+	cache.now = func() time.Duration { return now() + MaxAge(0, 1) }
 	if page, err := s.Newest(t.Context(), port.TopicTargets, ""); err != nil || page.End == 10 {
 		t.Errorf("an outdated listing was used: %+v, %v", page, err)
 	}
-	tail.now = now
-	tail.StoreLost(errors.New("the store is unavailable"))
+	cache.now = now
+	cache.StoreLost(errors.New("the store is unavailable"))
 	if page, err := s.Newest(t.Context(), port.TopicTargets, ""); err != nil || page.End == 10 {
 		t.Errorf("the listing of a reader without the store was used: %+v, %v", page, err)
 	}
--- a/process/relay/silence_test.go
+++ b/process/relay/silence_test.go
@@ -21,15 +21,15 @@
 	// leaveBound is the time after which no request may reach a target that
 	// announced that it leaves.
 	leaveBound = 3 * time.Second
-	// readWait and readPace are the wait and the interval of reads of the
+	// readWait and readInterval are the wait and the interval of reads of the
 	// targets' topic for that bound.
-	readWait = 1200 * time.Millisecond
-	readPace = 400 * time.Millisecond
-	// clientPatience is how long the store's client waits for an answer beyond
+	readWait     = 1200 * time.Millisecond
+	readInterval = 400 * time.Millisecond
+	// clientTimeout is how long the store's client waits for an answer beyond
 	// the wait of a read.
-	clientPatience = 1500 * time.Millisecond
-	// beatEvery is the time between two heartbeats of the targets.
-	beatEvery = 300 * time.Millisecond
+	clientTimeout = 1500 * time.Millisecond
+	// heartbeatInterval is the time between two heartbeats of the targets.
+	heartbeatInterval = 300 * time.Millisecond
 )
 
 // sharedStore is a store that can stop answering single VMs.
@@ -67,7 +67,7 @@
 }
 
 func (v vmStore) Read(ctx context.Context, _ port.Topic, from int64, wait time.Duration) (port.KeyedBatch, error) {
-	limit := time.NewTimer(wait + clientPatience)
+	limit := time.NewTimer(wait + clientTimeout)
 	defer limit.Stop()
 	waited := time.NewTimer(wait)
 	defer waited.Stop()
@@ -136,7 +136,7 @@
 	}
 }
 
-func (f *follower) knows(key string) bool {
+func (f *follower) hasKey(key string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.known[key]
@@ -146,8 +146,8 @@
 // reads from; empty means the store.
 func newFollower(vm string, s *sharedStore, net memoryTransport, now func() time.Duration, reader func() string) *follower {
 	f := &follower{known: make(map[string]bool)}
-	tail := NewTopicCache(f, nil)
-	tail.now = now
+	cache := NewTopicCache(f, nil)
+	cache.now = now
 	readers := func() []string {
 		if addr := reader(); addr != "" {
 			return []string{addr}
@@ -158,12 +158,12 @@
 	store.now = now
 	store.client = &http.Client{Transport: net}
 	f.store = store
-	net[vm] = Handler(map[port.Topic]*TopicCache{port.TopicTargets: tail})
+	net[vm] = Handler(map[port.Topic]*TopicCache{port.TopicTargets: cache})
 	f.Follower = topic.New(topic.Options{
-		Store: store, Topic: port.TopicTargets, Name: vm, Sink: tail,
+		Store: store, Topic: port.TopicTargets, Name: vm, Sink: cache,
 		Wait:         func() time.Duration { return readWait },
-		ReadInterval: func() time.Duration { return readPace },
-		OnCurrent:    func(next int64) { tail.Confirm(store.AsOf(port.TopicTargets), next) },
+		ReadInterval: func() time.Duration { return readInterval },
+		OnCurrent:    func(next int64) { cache.Confirm(store.AsOf(port.TopicTargets), next) },
 	})
 	return f
 }
@@ -198,7 +198,7 @@
 				fourth := newFollower("fourth", s, net, now, func() string { return "second" })
 				ctx, stop := context.WithCancel(t.Context())
 				go func() {
-					for pause.For(ctx, beatEvery) == nil {
+					for pause.For(ctx, heartbeatInterval) == nil {
 						s.add("stays")
 					}
 				}()
@@ -210,7 +210,7 @@
 				s.add("leaves")
 				_ = pause.For(ctx, leaveBound)
 				for name, f := range map[string]*follower{"second": second, "third": third, "fourth": fourth} {
-					if !f.knows("leaves") {
+					if !f.hasKey("leaves") {
 						t.Errorf("%s doesn't know after %v that the target leaves", name, leaveBound)
 					}
 				}
@@ -235,17 +235,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				tail := NewTopicCache(&sink{}, nil)
-				tail.now = clock.NewRuntime().Now
-				tail.Reset(nil, 7)
-				tail.Confirm(0, 0)
-				loss := time.AfterFunc(c.lostAfter, func() { tail.StoreLost(port.ErrUnavailable) })
+				cache := NewTopicCache(&sink{}, nil)
+				cache.now = clock.NewRuntime().Now
+				cache.Reset(nil, 7)
+				cache.Confirm(0, 0)
+				loss := time.AfterFunc(c.lostAfter, func() { cache.StoreLost(port.ErrUnavailable) })
 				defer loss.Stop()
-				if _, w := tail.read(t.Context(), 7, wait, maxAge); w == ok || tail.now() != c.want {
-					t.Errorf("status %v after %v, want after %v", w, tail.now(), c.want)
+				if _, w := cache.read(t.Context(), 7, wait, maxAge); w == ok || cache.now() != c.want {
+					t.Errorf("status %v after %v, want after %v", w, cache.now(), c.want)
 				}
-				if _, w := tail.read(t.Context(), 7, wait, maxAge); w == ok || tail.now() != c.want {
-					t.Errorf("second read: status %v after %v", w, tail.now())
+				if _, w := cache.read(t.Context(), 7, wait, maxAge); w == ok || cache.now() != c.want {
+					t.Errorf("second read: status %v after %v", w, cache.now())
 				}
 			})
 		})
@@ -255,11 +255,11 @@
 // slowStore answers each read after a fixed time.
 type slowStore struct {
 	port.Store
-	takes time.Duration
+	latency time.Duration
 }
 
 func (s *slowStore) Read(ctx context.Context, _ port.Topic, _ int64, _ time.Duration) (port.KeyedBatch, error) {
-	return port.KeyedBatch{}, pause.For(ctx, s.takes)
+	return port.KeyedBatch{}, pause.For(ctx, s.latency)
 }
 
 // Guards against a daemon that stops reading a store that answers, but takes
@@ -267,7 +267,7 @@
 // take longer until one is answered quickly again.
 func TestSlowStoreIsStillRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		slow := &slowStore{takes: 2 * readGrace}
+		slow := &slowStore{latency: 2 * readGrace}
 		s := NewStore(slow, func() []string { return nil }, nil, port.TopicTargets)
 		s.now = clock.NewRuntime().Now
 		read := func() bool {
@@ -277,11 +277,11 @@
 		if read() || !read() || !read() {
 			t.Error("want one timeout of a slow store, then successful reads")
 		}
-		slow.takes = readGrace / 2
+		slow.latency = readGrace / 2
 		if !read() {
 			t.Error("a read of a store that is fast again failed")
 		}
-		slow.takes = 2 * readGrace
+		slow.latency = 2 * readGrace
 		if read() {
 			t.Error("no timeout of a store that is slow again")
 		}
--- a/process/relay/store.go
+++ b/process/relay/store.go
@@ -178,7 +178,7 @@
 		}
 		batch, err := s.toBatch(t, begun, r, err)
 		if err == nil || errors.Is(err, port.ErrExpired) {
-			s.noteAnswer()
+			s.recordAnswer()
 			return batch, err
 		}
 		failures = append(failures, fmt.Errorf("reader %s: %w", addr, err))
@@ -189,8 +189,8 @@
 	return port.KeyedBatch{}, errors.Join(failures...)
 }
 
-// noteAnswer records that a reader answered with current data.
-func (s *Store) noteAnswer() {
+// recordAnswer records that a reader answered with current data.
+func (s *Store) recordAnswer() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.readersNotCurrent = false
@@ -230,16 +230,16 @@
 	}
 }
 
-// toBatch converts the reply of another daemon to a request made at the time
-// asked. It returns port.ErrExpired if the daemon no longer holds the records.
-func (s *Store) toBatch(t port.Topic, asked time.Duration, r reply, err error) (port.KeyedBatch, error) {
+// toBatch converts the reply of another daemon to a request that was sent at
+// start. It returns port.ErrExpired if the daemon no longer holds the records.
+func (s *Store) toBatch(t port.Topic, start time.Duration, r reply, err error) (port.KeyedBatch, error) {
 	if errors.Is(err, errGap) {
 		return port.KeyedBatch{}, fmt.Errorf("relay: %w", port.ErrExpired)
 	}
 	if err != nil {
 		return port.KeyedBatch{}, err
 	}
-	s.advanceAsOf(t, asked+r.readAt)
+	s.advanceAsOf(t, start+r.readAt)
 	return r.KeyedBatch, nil
 }
 
--- a/process/relay/tail.go
+++ b/process/relay/tail.go
@@ -227,17 +227,17 @@
 
 // StoreLost implements topic.Sink.
 func (t *TopicCache) StoreLost(err error) {
-	t.setLost(true)
+	t.setStoreLost(true)
 	t.next.StoreLost(err)
 }
 
 // StoreRecovered implements topic.Sink.
 func (t *TopicCache) StoreRecovered() {
-	t.setLost(false)
+	t.setStoreLost(false)
 	t.next.StoreRecovered()
 }
 
-func (t *TopicCache) setLost(on bool) {
+func (t *TopicCache) setStoreLost(on bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.lost = on
@@ -281,13 +281,13 @@
 // catch up within the wait. Otherwise all daemons that start together would
 // read the store themselves.
 func (t *TopicCache) read(ctx context.Context, from int64, wait, maxAge time.Duration) (batch, status) {
-	asked := t.now()
+	start := t.now()
 	for {
-		v := t.readFrom(from, asked, maxAge)
+		v := t.readFrom(from, start, maxAge)
 		if v.status == stale || v.status == gap || len(v.batch.changes) > 0 {
 			return v.batch, v.status
 		}
-		rest := asked + wait - t.now()
+		rest := start + wait - t.now()
 		if rest <= 0 {
 			return v.batch, v.status
 		}
@@ -339,7 +339,7 @@
 	changed  <-chan struct{} // closed at the next change
 }
 
-func (t *TopicCache) readFrom(from int64, asked, maxAge time.Duration) view {
+func (t *TopicCache) readFrom(from int64, start, maxAge time.Duration) view {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	v := view{validFor: maxAge, changed: t.changed}
@@ -360,7 +360,7 @@
 	default:
 		v.status = ok
 		first, _ := slices.BinarySearchFunc(t.changes, from, func(c change, from int64) int { return cmp.Compare(c.at, from) })
-		v.batch = batch{changes: t.changes[first:len(t.changes):len(t.changes)], next: t.end, readAt: t.asOf - asked}
+		v.batch = batch{changes: t.changes[first:len(t.changes):len(t.changes)], next: t.end, readAt: t.asOf - start}
 	}
 	return v
 }
--- a/process/roles/planner.go
+++ b/process/roles/planner.go
@@ -393,7 +393,7 @@
 // demandHistory holds a service's latest demand samples.
 type demandHistory struct {
 	samples    Demand
-	lastSample time.Duration // of the newest one
+	lastSample time.Duration // time of the newest sample
 }
 
 // keepMovesToDecode drops the moves from decoding. Long streams end last, so until
--- a/process/roles/roles_test.go
+++ b/process/roles/roles_test.go
@@ -102,23 +102,23 @@
 	simulate := func(decoders int, plan bool) (lost float64, orders int) {
 		current := decoders
 		var d Demand
-		until, away := 0.0, 0
+		until, moved := 0.0, 0
 		for s := 0.0; s < 30; s += 1.0 / samplesPerSecond {
 			l := load(s)
 			d = append(d, l)
 			prefill, decode := 12-current, current
 			if s < until {
-				if away > 0 {
-					decode -= away
+				if moved > 0 {
+					decode -= moved
 				} else {
-					prefill += away
+					prefill += moved
 				}
 			}
 			lost += overloadLoss(l.Prefill, float64(prefill)) + overloadLoss(l.Streams, float64(64*decode))
 			if plan && s >= until {
 				if want := d.bestDecoders(12, 64, current); want != current {
 					orders += max(want-current, current-want)
-					away, current, until = want-current, want, s+change
+					moved, current, until = want-current, want, s+change
 				}
 			}
 		}
@@ -254,14 +254,14 @@
 	dead func(id string) bool
 }
 
-func (c deadEngines) Report(_ context.Context, _, id string) (port.RoleReport, error) {
-	if c.dead(id) {
+func (e deadEngines) Report(_ context.Context, _, id string) (port.RoleReport, error) {
+	if e.dead(id) {
 		return port.RoleReport{}, errors.New("connection refused")
 	}
 	return port.RoleReport{Role: port.RolePrefill}, nil
 }
 
-func (c deadEngines) Order(context.Context, port.RoleOrder) error { return nil }
+func (e deadEngines) Order(context.Context, port.RoleOrder) error { return nil }
 
 // Guards against seconds without decoding engines after an outage of the store. The plan
 // chose engines that had failed during the outage, which look idle, and waited for their
--- a/process/roster/aggregate.go
+++ b/process/roster/aggregate.go
@@ -149,7 +149,7 @@
 	case !p.unansweredSince.IsZero() && now.Sub(p.unansweredSince) > replyTimeout:
 		return false
 	}
-	return !p.known || p.alive(now, r.patience())
+	return !p.known || p.alive(now, r.deadTimeout())
 }
 
 // heartbeatReceivers returns the receivers of a heartbeat in a large fleet: the
@@ -251,8 +251,8 @@
 }
 
 // observeContact records a datagram of another daemon. After a gap without any datagram
-// this daemon was isolated, so the timers by which it judges others start anew. Callers
-// hold r.mu.
+// this daemon was isolated, so it restarts the timeouts after which it marks others
+// unresponsive. Callers hold r.mu.
 func (r *Roster) observeContact(now time.Time) {
 	if now.Sub(r.agg.lastContact) > deadAfter {
 		r.agg.since = now
--- a/process/roster/aggregate_test.go
+++ b/process/roster/aggregate_test.go
@@ -12,23 +12,23 @@
 	"github.com/pomelospool/pomelospool/port"
 )
 
-// withLarge runs a test on a fleet of n daemons in the given number of zones, all started
+// withLargeFleet runs a test on a fleet of n daemons in the given number of zones, all started
 // at once.
-func withLarge(t *testing.T, n, zones int, test func(t *testing.T, d *testFleet)) {
+func withLargeFleet(t *testing.T, n, zones int, test func(t *testing.T, f *testFleet)) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDaemons()
-		d.zones = zones
+		f := newTestFleet()
+		f.zones = zones
 		for i := range n {
-			d.add(i+1, 1)
+			f.add(i+1, 1)
 		}
-		defer d.stop()
+		defer f.stop()
 		sleep(6 * time.Second)
-		test(t, d)
+		test(t, f)
 	})
 }
 
-func (d *testFleet) stop() {
-	for _, r := range d.all {
+func (f *testFleet) stop() {
+	for _, r := range f.all {
 		_ = r.Stop()
 	}
 	synctest.Wait()
@@ -38,9 +38,9 @@
 
 // expect checks that every daemon except the excluded ones returns the given number of
 // addresses.
-func (d *testFleet) expect(t *testing.T, want int, what string, except map[int]bool) {
+func (f *testFleet) expect(t *testing.T, want int, what string, except map[int]bool) {
 	t.Helper()
-	for i, r := range d.all {
+	for i, r := range f.all {
 		if n := addrs(r); !except[i+1] && n != want {
 			t.Errorf("%s: daemon %d names %d addresses, want %d", what, i+1, n, want)
 			return
@@ -49,22 +49,22 @@
 }
 
 // setCut cuts or restores the network of daemons.
-func (d *testFleet) setCut(vms map[int]bool, on bool) {
+func (f *testFleet) setCut(vms map[int]bool, on bool) {
 	for vm := range vms {
-		d.net.SetUnreachable(peerAddr(vm), on)
+		f.net.SetUnreachable(peerAddr(vm), on)
 	}
 }
 
 // cutAndRestore cuts the network of daemons and restores it. After each step all other
 // daemons must return the expected number of addresses within the given time.
-func (d *testFleet) cutAndRestore(t *testing.T, out map[int]bool, dead, back time.Duration) {
+func (f *testFleet) cutAndRestore(t *testing.T, out map[int]bool, dead, back time.Duration) {
 	t.Helper()
-	d.setCut(out, true)
+	f.setCut(out, true)
 	sleep(dead)
-	d.expect(t, len(d.all)-len(out), "dead", out)
-	d.setCut(out, false)
+	f.expect(t, len(f.all)-len(out), "dead", out)
+	f.setCut(out, false)
 	sleep(back)
-	d.expect(t, len(d.all), "back", nil)
+	f.expect(t, len(f.all), "back", nil)
 }
 
 // Guards against a datagram rate per daemon that grows with the fleet. When each daemon
@@ -73,11 +73,11 @@
 func TestDatagramRateDoesNotGrowWithFleet(t *testing.T) {
 	perSecond := map[int]int{}
 	for _, n := range []int{60, 300} {
-		withLarge(t, n, 5, func(t *testing.T, d *testFleet) {
-			d.expect(t, n, fmt.Sprint("fleet of ", n), nil)
-			before := d.net.Sent()
+		withLargeFleet(t, n, 5, func(t *testing.T, f *testFleet) {
+			f.expect(t, n, fmt.Sprint("fleet of ", n), nil)
+			before := f.net.Sent()
 			sleep(10 * time.Second)
-			perSecond[n] = (d.net.Sent() - before) / 10 / n
+			perSecond[n] = (f.net.Sent() - before) / 10 / n
 		})
 	}
 	if perSecond[300] > 2*perSecond[60] || perSecond[300] > 60 {
@@ -89,25 +89,25 @@
 // direct heartbeats to all, the intervals between heartbeats were long, and four of them
 // had to be missed.
 func TestUnresponsiveDaemonOfLargeFleetIsRemoved(t *testing.T) {
-	withLarge(t, 60, 3, func(t *testing.T, d *testFleet) {
+	withLargeFleet(t, 60, 3, func(t *testing.T, f *testFleet) {
 		out := map[int]bool{40: true}
-		d.setCut(out, true)
+		f.setCut(out, true)
 		sleep(2500 * time.Millisecond)
-		d.expect(t, 59, "silent", out)
-		d.setCut(out, false)
+		f.expect(t, 59, "silent", out)
+		f.setCut(out, false)
 		sleep(2 * time.Second)
-		d.expect(t, 60, "back", out)
+		f.expect(t, 60, "back", out)
 		sleep(3 * time.Second)
-		d.expect(t, 60, "and knows the others", nil)
+		f.expect(t, 60, "and knows the others", nil)
 	})
 }
 
 // If all aggregators of a zone die together, the zone's daemons receive nothing from other
 // zones. The next daemons in the order must become aggregators.
 func TestAggregatorsThatDieTogetherAreReplaced(t *testing.T) {
-	withLarge(t, 60, 3, func(t *testing.T, d *testFleet) {
+	withLargeFleet(t, 60, 3, func(t *testing.T, f *testFleet) {
 		out := map[int]bool{3: true, 6: true} // the first of the third zone
-		d.cutAndRestore(t, out, 6*time.Second, 6*time.Second)
+		f.cutAndRestore(t, out, 6*time.Second, 6*time.Second)
 	})
 }
 
@@ -151,75 +151,75 @@
 
 // More than half of all daemons lose power at the same moment.
 func TestSimultaneousDeathOfMostDaemons(t *testing.T) {
-	withLarge(t, 60, 3, func(t *testing.T, d *testFleet) {
+	withLargeFleet(t, 60, 3, func(t *testing.T, f *testFleet) {
 		out := map[int]bool{}
 		for vm := 1; vm <= 33; vm++ {
 			out[vm] = true
 		}
-		d.cutAndRestore(t, out, 10*time.Second, 8*time.Second)
+		f.cutAndRestore(t, out, 10*time.Second, 8*time.Second)
 	})
 }
 
 // Guards against callers that open connections to a stopping daemon and lose them.
 func TestLeavingDaemonOfLargeFleetIsRemovedAtOnce(t *testing.T) {
-	withLarge(t, 60, 3, func(t *testing.T, d *testFleet) {
+	withLargeFleet(t, 60, 3, func(t *testing.T, f *testFleet) {
 		for _, vm := range []int{3, 50} {
-			d.all[vm-1].SetState(Leaving)
+			f.all[vm-1].SetState(Leaving)
 			synctest.Wait()
 		}
-		d.expect(t, 58, "leaving", nil)
+		f.expect(t, 58, "leaving", nil)
 	})
 }
 
 // Aggregates that were built earlier must not revive a daemon that has announced that it
 // leaves.
 func TestLeavingDaemonStaysOutUnderLoss(t *testing.T) {
-	withLarge(t, 60, 3, func(t *testing.T, d *testFleet) {
-		d.net.SetLossRate(0.1)
-		d.all[49].SetState(Leaving)
+	withLargeFleet(t, 60, 3, func(t *testing.T, f *testFleet) {
+		f.net.SetLossRate(0.1)
+		f.all[49].SetState(Leaving)
 		sleep(3 * time.Second)
 		for range 20 {
 			sleep(100 * time.Millisecond)
-			d.expect(t, 59, "leaving", nil)
+			f.expect(t, 59, "leaving", nil)
 		}
 	})
 }
 
 // Lost datagrams must not make live daemons count as dead.
 func TestLossDoesNotRemoveDaemons(t *testing.T) {
-	withLarge(t, 60, 3, func(t *testing.T, d *testFleet) {
-		d.net.SetLossRate(0.05)
+	withLargeFleet(t, 60, 3, func(t *testing.T, f *testFleet) {
+		f.net.SetLossRate(0.05)
 		for range 100 {
 			sleep(100 * time.Millisecond)
-			d.expect(t, 60, "one datagram in twenty is lost", nil)
+			f.expect(t, 60, "one datagram in twenty is lost", nil)
 		}
 	})
 }
 
 // A daemon that joins later or restarts becomes known to all others, and learns of them.
 func TestDaemonsThatJoinLater(t *testing.T) {
-	withLarge(t, 40, 3, func(t *testing.T, d *testFleet) {
-		_ = d.all[2].Stop()
-		d.all = append(d.all[:2], d.all[3:]...)
+	withLargeFleet(t, 40, 3, func(t *testing.T, f *testFleet) {
+		_ = f.all[2].Stop()
+		f.all = append(f.all[:2], f.all[3:]...)
 		sleep(time.Second)
-		d.add(3, 2)
-		d.add(41, 1)
+		f.add(3, 2)
+		f.add(41, 1)
 		sleep(2 * time.Second)
-		d.expect(t, 41, "later", nil)
+		f.expect(t, 41, "later", nil)
 	})
 }
 
 // Guards against counting a daemon's own prompts twice, once directly and once as part of
 // the aggregates. The engines that it uses would look busier to it than to others.
 func TestDigestsExcludeReceiversOwnWork(t *testing.T) {
-	withLarge(t, 60, 3, func(t *testing.T, d *testFleet) {
+	withLargeFleet(t, 60, 3, func(t *testing.T, f *testFleet) {
 		parts := []port.PromptPart{{ID: 1, Tokens: 500}, {ID: 2, Tokens: 50}}
 		for _, vm := range []int{10, 20, 33, 3} { // several zones; one of them is an aggregator
-			defer d.books[vm-1].Prefill("e", 10_000, parts, 0, 100*time.Millisecond)()
-			defer d.books[vm-1].Decode("f", 10_000, parts, 0)()
+			defer f.trackers[vm-1].Prefill("e", 10_000, parts, 0, 100*time.Millisecond)()
+			defer f.trackers[vm-1].Decode("f", 10_000, parts, 0)()
 		}
 		sleep(3 * time.Second)
-		for i, b := range d.books {
+		for i, b := range f.trackers {
 			if n := b.Load("f", nil).Streams; n != 4 {
 				t.Errorf("daemon %d counts %d streams, want 4", i+1, n)
 			}
@@ -227,11 +227,11 @@
 				t.Errorf("daemon %d doesn't know the cached parts", i+1)
 			}
 		}
-		d.books[19].SetRoleChange("g", port.RoleDecode)
-		d.books[20].MarkDown("h", time.Now().Add(time.Minute))
-		d.books[21].MarkDown("h", time.Now().Add(time.Minute))
+		f.trackers[19].SetRoleChange("g", port.RoleDecode)
+		f.trackers[20].MarkDown("h", time.Now().Add(time.Minute))
+		f.trackers[21].MarkDown("h", time.Now().Add(time.Minute))
 		sleep(2 * time.Second)
-		for i, b := range d.books {
+		for i, b := range f.trackers {
 			if b.Load("g", nil).Becomes != port.RoleDecode || !b.Load("h", nil).Unreachable() {
 				t.Errorf("daemon %d: %+v, %+v", i+1, b.Load("g", nil), b.Load("h", nil))
 			}
@@ -242,15 +242,15 @@
 // An isolated aggregator finds all others unresponsive, and must not report that once it
 // is reachable again.
 func TestIsolatedAggregatorRemovesNoDaemons(t *testing.T) {
-	withLarge(t, 60, 3, func(t *testing.T, d *testFleet) {
+	withLargeFleet(t, 60, 3, func(t *testing.T, f *testFleet) {
 		out := map[int]bool{3: true}
-		d.setCut(out, true)
+		f.setCut(out, true)
 		sleep(5 * time.Second)
-		d.expect(t, 59, "cut off", out)
-		d.setCut(out, false)
+		f.expect(t, 59, "cut off", out)
+		f.setCut(out, false)
 		for range 30 {
 			sleep(100 * time.Millisecond)
-			for i, r := range d.all {
+			for i, r := range f.all {
 				if n := addrs(r); n < 59 && i != 2 {
 					t.Fatalf("daemon %d names %d addresses after the return of one", i+1, n)
 				}
@@ -297,9 +297,9 @@
 // their links; while a fleet starts their answers are late, and all daemons of the zone
 // read the store themselves for seconds.
 func TestAggregatorsDoNotRelayStore(t *testing.T) {
-	withLarge(t, 60, 3, func(t *testing.T, d *testFleet) {
+	withLargeFleet(t, 60, 3, func(t *testing.T, f *testFleet) {
 		direct, from := 0, map[string]int{}
-		for _, r := range d.all {
+		for _, r := range f.all {
 			sources := r.Upstream().Peers
 			if len(sources) == 0 {
 				direct++
@@ -326,16 +326,16 @@
 // the store at once, and stop using those that turn out not to be alive.
 func TestStartingDaemonsReadFromThoseThatAreListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDaemons()
-		d.zones = 3
+		f := newTestFleet()
+		f.zones = 3
 		for vm := 2; vm <= 60; vm++ {
-			value := fmt.Sprintf(`{"addr":%q,"zone":%q}`, peerAddr(vm), d.zone(vm))
-			if _, err := d.store.Put(t.Context(), port.TopicDaemons, fmt.Sprintf("vm%03d", vm), []byte(value)); err != nil {
+			value := fmt.Sprintf(`{"addr":%q,"zone":%q}`, peerAddr(vm), f.zone(vm))
+			if _, err := f.store.Put(t.Context(), port.TopicDaemons, fmt.Sprintf("vm%03d", vm), []byte(value)); err != nil {
 				t.Fatal(err)
 			}
 		}
-		r := d.add(1, 1)
-		defer d.stop()
+		r := f.add(1, 1)
+		defer f.stop()
 		<-r.ContactsListed()
 		if got := r.Upstream().Peers; len(got) != 2 {
 			t.Errorf("reads from %v", got)
@@ -351,7 +351,7 @@
 // were more reads than fit into a digest, it held the first ones, most of them of a few
 // hundred tokens, and both aggregators of a zone sent the same ones.
 func TestLargestReadsAreReported(t *testing.T) {
-	withLarge(t, 60, 3, func(t *testing.T, d *testFleet) {
+	withLargeFleet(t, 60, 3, func(t *testing.T, f *testFleet) {
 		const prompts, small, large = 400, 300, 13_000
 		part := func(i int) []port.PromptPart {
 			tokens := small
@@ -361,10 +361,10 @@
 			return []port.PromptPart{{ID: uint64(i + 1), Tokens: tokens}, {ID: uint64(i+1) << 32, Tokens: 50}}
 		}
 		for i := range prompts {
-			defer d.books[i%60].Prefill(fmt.Sprint("e", i%20), 1_000_000, part(i), 0, 0)()
+			defer f.trackers[i%60].Prefill(fmt.Sprint("e", i%20), 1_000_000, part(i), 0, 0)()
 		}
 		sleep(3 * time.Second)
-		for vm, b := range d.books {
+		for vm, b := range f.trackers {
 			missing := 0
 			for i := range prompts {
 				if parts := part(i); parts[0].Tokens == large && b.Load(fmt.Sprint("e", i%20), parts).Cached < large {
@@ -383,11 +383,11 @@
 // choose the engine that was idle then, and prompts queue there while other engines are
 // idle.
 func TestOwnersKnowQueuesAtOnce(t *testing.T) {
-	withLarge(t, 60, 3, func(t *testing.T, d *testFleet) {
+	withLargeFleet(t, 60, 3, func(t *testing.T, f *testFleet) {
 		ids := []string{"e", "f", "g"}
 		ask := func(vm int, want ...time.Duration) {
 			t.Helper()
-			got := d.all[vm-1].Queues(context.Background(), ids)
+			got := f.all[vm-1].Queues(context.Background(), ids)
 			for i := range want {
 				if got[i] != want[i] {
 					t.Errorf("daemon %d: waits %v, want %v", vm, got, want)
@@ -395,9 +395,9 @@
 				}
 			}
 		}
-		one := d.books[6].Prefill("e", 10_000, nil, 0, 300*time.Millisecond)
-		two := d.books[41].Prefill("e", 10_000, nil, 0, 300*time.Millisecond)
-		defer d.books[33].Prefill("f", 10_000, nil, 0, 100*time.Millisecond)()
+		one := f.trackers[6].Prefill("e", 10_000, nil, 0, 300*time.Millisecond)
+		two := f.trackers[41].Prefill("e", 10_000, nil, 0, 300*time.Millisecond)
+		defer f.trackers[33].Prefill("f", 10_000, nil, 0, 100*time.Millisecond)()
 		synctest.Wait()
 		for vm := 1; vm <= 60; vm++ {
 			ask(vm, 600*time.Millisecond, 100*time.Millisecond, 0)
@@ -408,7 +408,7 @@
 		// Unfinished work is reported again, also to a new owner.
 		sleep(5 * time.Second)
 		ask(20, 0, 0, 0) // the predicted time has passed
-		defer d.books[10].Prefill("e", 10_000, nil, 0, 300*time.Millisecond)()
+		defer f.trackers[10].Prefill("e", 10_000, nil, 0, 300*time.Millisecond)()
 		synctest.Wait()
 		ask(20, 300*time.Millisecond)
 		two()
@@ -418,17 +418,17 @@
 // An engine's owner dies with its state. Current work must be reported to the next owner,
 // and queries must not wait for the dead one beyond the time limit.
 func TestOwnerFailover(t *testing.T) {
-	withLarge(t, 60, 3, func(t *testing.T, d *testFleet) {
-		defer d.books[6].Prefill("e", 10_000, nil, 0, time.Hour)()
+	withLargeFleet(t, 60, 3, func(t *testing.T, f *testFleet) {
+		defer f.trackers[6].Prefill("e", 10_000, nil, 0, time.Hour)()
 		synctest.Wait()
-		r := d.all[19]
+		r := f.all[19]
 		r.mu.Lock()
 		to := r.owner(engines.Hash("e"), time.Now())
 		r.mu.Unlock()
 		if to == nil {
 			t.Fatal("the querying daemon owns the engine")
 		}
-		d.net.SetUnreachable(to.String(), true)
+		f.net.SetUnreachable(to.String(), true)
 		begun := time.Now()
 		if got := r.Queues(context.Background(), []string{"e"}); got[0] != -1 || time.Since(begun) > queryTimeout {
 			t.Errorf("reply of a dead owner: %v after %v", got, time.Since(begun))
@@ -448,11 +448,11 @@
 	busy := engines.Work{Target: 7, Prompts: 1, Reading: 500_000}
 	r.handleWorkReport(&workReport{Seq: 2, Work: engines.Work{Target: 7}}, "a", now)
 	r.handleWorkReport(&workReport{Seq: 1, Work: busy}, "a", now)
-	if w := r.ownership.book.LoadOf(7, nil).Wait; w != 0 {
+	if w := r.ownership.tracker.LoadOf(7, nil).Wait; w != 0 {
 		t.Errorf("wait %v", w)
 	}
 	r.handleWorkReport(&workReport{Seq: 1, Work: busy}, "a", now.Add(2*deadAfter)) // restarted
-	if w := r.ownership.book.LoadOf(7, nil).Wait; w == 0 {
+	if w := r.ownership.tracker.LoadOf(7, nil).Wait; w == 0 {
 		t.Error("the report of a restarted daemon is ignored")
 	}
 }
@@ -462,17 +462,17 @@
 func TestDaemonsBehindWideLinksAggregate(t *testing.T) {
 	const narrow, wide = 20, 200
 	synctest.Test(t, func(t *testing.T) {
-		d := newDaemons()
-		defer d.stop()
+		f := newTestFleet()
+		defer f.stop()
 		for vm := 1; vm <= 30; vm++ {
 			link := uint32(narrow)
 			if vm >= 20 {
 				link = wide
 			}
-			d.addBehind(vm, 1, link)
+			f.addBehind(vm, 1, link)
 		}
 		sleep(6 * time.Second)
-		for i, r := range d.all {
+		for i, r := range f.all {
 			r.mu.Lock()
 			on := r.agg.on
 			r.mu.Unlock()
@@ -480,6 +480,6 @@
 				t.Errorf("daemon %d aggregates: %v", i+1, on)
 			}
 		}
-		d.expect(t, len(d.all), "fleet with two kinds of links", nil)
+		f.expect(t, len(f.all), "fleet with two kinds of links", nil)
 	})
 }
--- a/process/roster/announce.go
+++ b/process/roster/announce.go
@@ -17,7 +17,7 @@
 	// listBackoff is the delay after a failed listing of the contacts.
 	listBackoff = 500 * time.Millisecond
 	// minContacts is the number of contacts that suffices. With that many a starting
-	// daemon can tell that the fleet is large.
+	// daemon knows that the fleet is large.
 	minContacts = maxFullMeshPeers + 2
 	// minZoneContacts is the number of contacts in a daemon's availability zone, with
 	// links at least as wide as its own, that suffices.
--- a/process/roster/announce_test.go
+++ b/process/roster/announce_test.go
@@ -10,10 +10,10 @@
 // against daemons that don't find each other by the contacts.
 func TestFewContactsSufficeForWholeFleet(t *testing.T) {
 	const size = 300
-	withLarge(t, size, 5, func(t *testing.T, d *testFleet) {
-		d.expect(t, size, "after the start", nil)
-		if d.store.puts > size/4 || len(d.store.records) < minContacts || d.store.lists > 2*size+2*d.store.puts {
-			t.Errorf("%d writes, %d listings, %d contacts", d.store.puts, d.store.lists, len(d.store.records))
+	withLargeFleet(t, size, 5, func(t *testing.T, f *testFleet) {
+		f.expect(t, size, "after the start", nil)
+		if f.store.puts > size/4 || len(f.store.records) < minContacts || f.store.lists > 2*size+2*f.store.puts {
+			t.Errorf("%d writes, %d listings, %d contacts", f.store.puts, f.store.lists, len(f.store.records))
 		}
 	})
 }
@@ -22,22 +22,22 @@
 // finds.
 func TestContactsThatAreGoneAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDaemons()
+		f := newTestFleet()
 		for vm := range 30 {
-			d.add(vm+1, 1)
+			f.add(vm+1, 1)
 		}
 		sleep(5 * time.Second)
-		d.stop()
-		d.all = nil
-		gone := d.store.puts
+		f.stop()
+		f.all = nil
+		before := f.store.puts
 		for vm := range 3 {
-			d.add(vm+101, 1)
+			f.add(vm+101, 1)
 		}
-		defer d.stop()
+		defer f.stop()
 		sleep(2*noContactTimeout + peerExpiry)
-		if d.store.puts != gone+3 {
-			t.Errorf("%d of 3 daemons wrote themselves", d.store.puts-gone)
+		if f.store.puts != before+3 {
+			t.Errorf("%d of 3 daemons wrote themselves", f.store.puts-before)
 		}
-		d.expect(t, 3, "after the contacts were replaced", nil)
+		f.expect(t, 3, "after the contacts were replaced", nil)
 	})
 }
--- a/process/roster/digest.go
+++ b/process/roster/digest.go
@@ -158,7 +158,7 @@
 	own := uint64(r.self.token())
 	var alive []*peer
 	for _, p := range r.peers {
-		if p.alive(now, r.patience()) {
+		if p.alive(now, r.deadTimeout()) {
 			own += uint64(p.member.token())
 			alive = append(alive, p)
 		}
--- a/process/roster/heartbeat.go
+++ b/process/roster/heartbeat.go
@@ -42,7 +42,7 @@
 // maxSentHeartbeats is the number of own heartbeats kept: those of about 4 s.
 const maxSentHeartbeats = 16
 
-// Claim states how long the newest claim on a subject has stood at least.
+// Claim states the minimum age of the newest claim on a subject.
 type Claim struct {
 	_       struct{} `cbor:",toarray"`
 	Subject string
@@ -176,7 +176,7 @@
 func (r *Roster) allPeers(now time.Time) (to []net.Addr, named []string) {
 	for addr, p := range r.peers {
 		to = append(to, p.addr)
-		if r.seq%heartbeatsPerPeerList == 0 && len(named) < maxListedPeers && p.alive(now, r.patience()) {
+		if r.seq%heartbeatsPerPeerList == 0 && len(named) < maxListedPeers && p.alive(now, r.deadTimeout()) {
 			named = append(named, addr)
 		}
 	}
--- a/process/roster/idle_test.go
+++ b/process/roster/idle_test.go
@@ -15,27 +15,27 @@
 	const size, serving, busy = 400, 10, 500
 	const span = 5 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		d := newDaemons()
-		d.zones = 2
-		d.rate = func(vm int) float64 {
+		f := newTestFleet()
+		f.zones = 2
+		f.rate = func(vm int) float64 {
 			if vm > size-serving {
 				return 3
 			}
 			return 0
 		}
 		for i := range size {
-			d.add(i+1, 1)
+			f.add(i+1, 1)
 		}
-		defer d.stop()
+		defer f.stop()
 		sleep(8 * time.Second)
 		for i := range busy {
-			d.books[size-1-i%serving].Decode(fmt.Sprint("engine", i), 1000, nil, 0)
+			f.trackers[size-1-i%serving].Decode(fmt.Sprint("engine", i), 1000, nil, 0)
 		}
 		sleep(2 * time.Second)
-		before := d.received()
+		before := f.received()
 		sleep(span)
 		perSecond := make([]int, size)
-		for i, n := range d.received() {
+		for i, n := range f.received() {
 			perSecond[i] = (n - before[i]) / int(span/time.Second)
 		}
 		// The first daemons of each zone are aggregators and receive heartbeats.
@@ -44,7 +44,7 @@
 				t.Errorf("daemon %d receives %d bytes a second", i+1, perSecond[i])
 			}
 		}
-		last := d.books[size-1]
+		last := f.trackers[size-1]
 		known := 0
 		for i := range busy {
 			known += min(last.Load(fmt.Sprint("engine", i), nil).Streams, 1)
@@ -52,14 +52,14 @@
 		if known < maxWorkPerDigest/2 {
 			t.Errorf("a daemon with requests knows the work of %d engines", known)
 		}
-		d.expect(t, size, "with sums of the living", nil)
+		f.expect(t, size, "with sums of the living", nil)
 	})
 }
 
 // received returns the number of bytes that each daemon has received.
-func (d *testFleet) received() []int {
+func (f *testFleet) received() []int {
 	var out []int
-	for _, e := range d.ends {
+	for _, e := range f.ends {
 		_, n := e.Bytes()
 		out = append(out, n)
 	}
--- a/process/roster/owner.go
+++ b/process/roster/owner.go
@@ -62,11 +62,11 @@
 // daemon owns each engine's queue and receives each change as it happens, and a daemon
 // that is about to choose queries the owners of a few engines.
 type ownership struct {
-	book *engines.Tracker // work at the engines whose queues this daemon owns
+	tracker *engines.Tracker // work at the engines whose queues this daemon owns
 
 	mu          sync.Mutex
 	seq         uint64
-	lastReports map[string]receivedReport // by name of the report in the book
+	lastReports map[string]receivedReport // by name of the report in tracker
 	reported    map[uint64]ownWork        // own work that was reported to owners
 	lastQueryID uint64
 	pending     map[uint64]*pendingQuery
@@ -93,7 +93,7 @@
 
 func newOwnership() ownership {
 	return ownership{
-		book:        engines.New(time.Now, func(engines.Work) {}),
+		tracker:     engines.New(time.Now, func(engines.Work) {}),
 		lastReports: make(map[string]receivedReport),
 		reported:    make(map[uint64]ownWork),
 		pending:     make(map[uint64]*pendingQuery),
@@ -135,18 +135,18 @@
 	r.sendMessage(kindWorkReport, &report, to)
 }
 
-// repeatWorkReports reports work again that hasn't ended, in case that the owner changed
-// or a report was lost.
+// repeatWorkReports reports unfinished work again, in case the owner changed or a report
+// was lost.
 func (r *Roster) repeatWorkReports(now time.Time) {
-	var again []engines.Work
+	var repeated []engines.Work
 	r.ownership.mu.Lock()
 	for _, t := range r.ownership.reported {
 		if now.Sub(t.at) >= workReportInterval {
-			again = append(again, t.work)
+			repeated = append(repeated, t.work)
 		}
 	}
 	r.ownership.mu.Unlock()
-	for _, w := range again {
+	for _, w := range repeated {
 		r.sendWorkReport(w, now)
 	}
 }
@@ -157,8 +157,8 @@
 	list []ownerPoint
 }
 
-// ownerPoint is a daemon by the hash of its peer address. A nil addr stands for this
-// daemon.
+// ownerPoint is a daemon that may own queues, with the hash of its peer address. addr is
+// nil for this daemon.
 type ownerPoint struct {
 	hash uint64
 	addr net.Addr
@@ -178,7 +178,7 @@
 		cache.list = append(cache.list, ownerPoint{hash: engines.Hash(r.self.PeerAddr)})
 	}
 	for addr, p := range r.peers {
-		if p.member.State != Leaving && p.alive(now, r.patience()) {
+		if p.member.State != Leaving && p.alive(now, r.deadTimeout()) {
 			cache.list = append(cache.list, ownerPoint{hash: engines.Hash(addr), addr: p.addr})
 		}
 	}
@@ -237,10 +237,10 @@
 	}
 	s.lastReports[name] = receivedReport{seq: report.Seq, at: now}
 	if report.Work.Idle() {
-		s.book.Merge(name, nil, nil)
+		s.tracker.Merge(name, nil, nil)
 		return
 	}
-	s.book.Merge(name, []engines.Work{report.Work}, nil)
+	s.tracker.Merge(name, []engines.Work{report.Work}, nil)
 }
 
 // CanQueryQueues reports whether owners are queried. In a small fleet they aren't, because each
@@ -268,7 +268,7 @@
 		if to := r.owner(hash, now); to != nil {
 			queries[to] = append(queries[to], hash)
 		} else {
-			waits[hash] = r.ownership.book.LoadOf(hash, nil).Wait
+			waits[hash] = r.ownership.tracker.LoadOf(hash, nil).Wait
 		}
 	}
 	r.mu.Unlock()
@@ -315,7 +315,7 @@
 func (r *Roster) handleQueueQuery(q *queueQuery, from net.Addr) {
 	out := queueReply{ID: q.ID}
 	for _, t := range q.Targets {
-		wait := r.ownership.book.LoadOf(t, nil).Wait
+		wait := r.ownership.tracker.LoadOf(t, nil).Wait
 		out.Queues = append(out.Queues, queue{Target: t, WaitUs: uint32(wait.Microseconds())})
 	}
 	r.sendMessage(kindQueueReply, &out, from)
--- a/process/roster/paused.go
+++ b/process/roster/paused.go
@@ -55,9 +55,9 @@
 // isAlive reports whether a daemon counts as alive, by what was received recently or
 // before a recent pause of this process. Callers hold r.mu.
 func (r *Roster) isAlive(p *peer, now time.Time) bool {
-	if p.alive(now, r.patience()) {
+	if p.alive(now, r.deadTimeout()) {
 		return true
 	}
 	before, paused := r.paused.recentStart(now)
-	return paused && p.alive(before, r.patience())
+	return paused && p.alive(before, r.deadTimeout())
 }
--- a/process/roster/peer.go
+++ b/process/roster/peer.go
@@ -33,16 +33,16 @@
 const newPeerAge = 5 * time.Second
 
 // alive reports whether a daemon was seen within the given time and isn't marked dead.
-func (p *peer) alive(now time.Time, patience time.Duration) bool {
-	return p.known && !p.dead && now.Sub(p.lastSeen) < patience
+func (p *peer) alive(now time.Time, timeout time.Duration) bool {
+	return p.known && !p.dead && now.Sub(p.lastSeen) < timeout
 }
 
 // small reports whether each daemon sends to all others. Callers hold r.mu.
 func (r *Roster) small() bool { return len(r.peers) <= maxFullMeshPeers }
 
-// patience returns the time without reports after which a daemon counts as dead. Callers
+// deadTimeout returns the time without reports after which a daemon counts as dead. Callers
 // hold r.mu.
-func (r *Roster) patience() time.Duration {
+func (r *Roster) deadTimeout() time.Duration {
 	if r.small() {
 		return deadAfter
 	}
--- a/process/roster/publish.go
+++ b/process/roster/publish.go
@@ -293,7 +293,7 @@
 	var rows []row
 	now := time.Now()
 	for _, p := range r.peers {
-		if p.alive(now, r.patience()) {
+		if p.alive(now, r.deadTimeout()) {
 			rows = append(rows, rowOf(p, now))
 		}
 	}
--- a/process/roster/roster.go
+++ b/process/roster/roster.go
@@ -234,8 +234,8 @@
 	return out
 }
 
-// KnownDaemons returns the number of daemons known, including dead ones that haven't expired and
-// this one.
+// KnownDaemons returns the number of daemons known, including dead ones that haven't
+// expired and this one.
 func (r *Roster) KnownDaemons() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/process/roster/roster_test.go
+++ b/process/roster/roster_test.go
@@ -34,101 +34,101 @@
 	records map[string]port.KeyedRecord
 }
 
-func (l *fakeStore) Newest(context.Context, port.Topic, string) (port.KeyedPage, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.lists++
+func (s *fakeStore) Newest(context.Context, port.Topic, string) (port.KeyedPage, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.lists++
 	var page port.KeyedPage
-	for _, r := range l.records {
+	for _, r := range s.records {
 		page.Records = append(page.Records, r)
 	}
 	return page, nil
 }
 
-func (l *fakeStore) Put(_ context.Context, _ port.Topic, key string, value []byte) (int64, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.puts++
-	l.records[key] = port.KeyedRecord{Key: key, Value: value}
+func (s *fakeStore) Put(_ context.Context, _ port.Topic, key string, value []byte) (int64, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.puts++
+	s.records[key] = port.KeyedRecord{Key: key, Value: value}
 	return 0, nil
 }
 
-func (l *fakeStore) Read(context.Context, port.Topic, int64, time.Duration) (port.KeyedBatch, error) {
+func (s *fakeStore) Read(context.Context, port.Topic, int64, time.Duration) (port.KeyedBatch, error) {
 	return port.KeyedBatch{}, errors.New("not used")
 }
 
-func (l *fakeStore) PutAt(context.Context, port.Topic, string, []byte, int64) (int64, error) {
+func (s *fakeStore) PutAt(context.Context, port.Topic, string, []byte, int64) (int64, error) {
 	return 0, errors.New("not used")
 }
 
 // testFleet is a fleet of rosters on a simulated network.
 type testFleet struct {
-	net       *packetnet.Net
-	store     *fakeStore
-	storeAway atomic.Bool
-	zones     int                  // number of availability zones, 0: one
-	rate      func(vm int) float64 // requests per second of each daemon, nil: not counted
-	all       []*Roster
-	books     []*engines.Tracker
-	ends      []*packetnet.Conn
-	claims    []*fakeClaims
+	net              *packetnet.Net
+	store            *fakeStore
+	storeUnavailable atomic.Bool
+	zones            int                  // number of availability zones, 0: one
+	rate             func(vm int) float64 // requests per second of each daemon, nil: not counted
+	all              []*Roster
+	trackers         []*engines.Tracker
+	ends             []*packetnet.Conn
+	claims           []*fakeClaims
 }
 
 func peerAddr(vm int) string { return fmt.Sprintf("10.0.%d.%d:7000", vm/250, vm%250) }
 
-func (d *testFleet) zone(vm int) string { return fmt.Sprint("z", vm%max(d.zones, 1)) }
+func (f *testFleet) zone(vm int) string { return fmt.Sprint("z", vm%max(f.zones, 1)) }
 
-func (d *testFleet) add(vm int, incarnation uint64) *Roster {
-	return d.addBehind(vm, incarnation, 0)
+func (f *testFleet) add(vm int, incarnation uint64) *Roster {
+	return f.addBehind(vm, incarnation, 0)
 }
 
 // addBehind adds a daemon whose link has the given bandwidth.
-func (d *testFleet) addBehind(vm int, incarnation uint64, linkMbps uint32) *Roster {
+func (f *testFleet) addBehind(vm int, incarnation uint64, linkMbps uint32) *Roster {
 	addr := peerAddr(vm)
 	var r *Roster
-	book := engines.New(time.Now, func(w engines.Work) {
+	tracker := engines.New(time.Now, func(w engines.Work) {
 		if r != nil {
 			r.WorkChanged(w)
 		}
 	})
 	claims := &fakeClaims{}
-	end := d.net.Open(addr)
-	d.ends = append(d.ends, end)
+	end := f.net.Open(addr)
+	f.ends = append(f.ends, end)
 	var rate func() float64
-	if d.rate != nil {
-		rate = func() float64 { return d.rate(vm) }
+	if f.rate != nil {
+		rate = func() float64 { return f.rate(vm) }
 	}
 	r, err := New(Options{
 		Rate: rate,
 		Self: Member{
-			VM: fmt.Sprintf("vm%03d", vm), Incarnation: incarnation, Zone: d.zone(vm),
+			VM: fmt.Sprintf("vm%03d", vm), Incarnation: incarnation, Zone: f.zone(vm),
 			CallerAddr: fmt.Sprintf("10.0.%d.%d:80", vm/250, vm%250), PeerAddr: addr, LinkMbps: linkMbps,
 		},
 		Claims: claims, Speeds: speed.NewTracker(), Demand: demand.New(time.Now),
-		Store: d.store, Engines: book, TTL: time.Second, StoreUnavailable: d.storeAway.Load, Conn: end,
+		Store: f.store, Engines: tracker, TTL: time.Second, StoreUnavailable: f.storeUnavailable.Load, Conn: end,
 	})
 	if err != nil {
 		panic(err)
 	}
 	r.Start()
 	r.SetState(Ready)
-	d.all, d.books, d.claims = append(d.all, r), append(d.books, book), append(d.claims, claims)
+	f.all, f.trackers, f.claims = append(f.all, r), append(f.trackers, tracker), append(f.claims, claims)
 	return r
 }
 
-func newDaemons() *testFleet {
+func newTestFleet() *testFleet {
 	return &testFleet{net: packetnet.New(2), store: &fakeStore{records: map[string]port.KeyedRecord{}}}
 }
 
-func withFleet(t *testing.T, n int, test func(t *testing.T, d *testFleet)) {
+func withFleet(t *testing.T, n int, test func(t *testing.T, f *testFleet)) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDaemons()
+		f := newTestFleet()
 		for i := range n {
-			d.add(i+1, 1)
+			f.add(i+1, 1)
 		}
 		_ = pause.For(context.Background(), 2*time.Second)
-		test(t, d)
-		for _, r := range d.all {
+		test(t, f)
+		for _, r := range f.all {
 			_ = r.Stop()
 		}
 		synctest.Wait()
@@ -141,13 +141,13 @@
 }
 
 func TestDaemonsFindEachOther(t *testing.T) {
-	withFleet(t, 5, func(t *testing.T, d *testFleet) {
-		for i, r := range d.all {
+	withFleet(t, 5, func(t *testing.T, f *testFleet) {
+		for i, r := range f.all {
 			if len(r.Members()) != 5 || addrs(r) != 5 {
 				t.Errorf("daemon %d knows %d members, %d addresses", i, len(r.Members()), addrs(r))
 			}
 		}
-		if !d.all[0].MayLead() || d.all[1].MayLead() {
+		if !f.all[0].MayLead() || f.all[1].MayLead() {
 			t.Error("not the first by name leads")
 		}
 	})
@@ -155,55 +155,55 @@
 
 // Guards against callers that open connections to a stopping daemon and lose them.
 func TestLeavingDaemonIsRemovedFromAddressesAtOnce(t *testing.T) {
-	withFleet(t, 3, func(t *testing.T, d *testFleet) {
-		d.all[2].SetState(Leaving)
+	withFleet(t, 3, func(t *testing.T, f *testFleet) {
+		f.all[2].SetState(Leaving)
 		synctest.Wait()
-		if addrs(d.all[0]) != 2 || addrs(d.all[2]) != 2 {
-			t.Errorf("%d and %d addresses, want 2", addrs(d.all[0]), addrs(d.all[2]))
+		if addrs(f.all[0]) != 2 || addrs(f.all[2]) != 2 {
+			t.Errorf("%d and %d addresses, want 2", addrs(f.all[0]), addrs(f.all[2]))
 		}
 	})
 }
 
 // Guards against sending callers to a killed daemon for seconds.
 func TestUnresponsiveDaemonIsRemoved(t *testing.T) {
-	withFleet(t, 3, func(t *testing.T, d *testFleet) {
-		d.net.SetUnreachable("10.0.0.3:7000", true)
+	withFleet(t, 3, func(t *testing.T, f *testFleet) {
+		f.net.SetUnreachable("10.0.0.3:7000", true)
 		_ = pause.For(context.Background(), deadAfter+heartbeatInterval)
-		if addrs(d.all[0]) != 2 {
-			t.Errorf("%d addresses, want 2", addrs(d.all[0]))
+		if addrs(f.all[0]) != 2 {
+			t.Errorf("%d addresses, want 2", addrs(f.all[0]))
 		}
-		d.net.SetUnreachable("10.0.0.3:7000", false)
+		f.net.SetUnreachable("10.0.0.3:7000", false)
 		_ = pause.For(context.Background(), 2*heartbeatInterval)
-		if addrs(d.all[0]) != 3 {
-			t.Errorf("%d addresses after its return, want 3", addrs(d.all[0]))
+		if addrs(f.all[0]) != 3 {
+			t.Errorf("%d addresses after its return, want 3", addrs(f.all[0]))
 		}
 	})
 }
 
 // Guards against an isolated daemon that sends all callers that ask it to itself alone.
 func TestIsolatedDaemonStillNamesOthers(t *testing.T) {
-	withFleet(t, 3, func(t *testing.T, d *testFleet) {
-		d.net.SetUnreachable("10.0.0.1:7000", true)
-		d.storeAway.Store(true)
+	withFleet(t, 3, func(t *testing.T, f *testFleet) {
+		f.net.SetUnreachable("10.0.0.1:7000", true)
+		f.storeUnavailable.Store(true)
 		_ = pause.For(context.Background(), 5*time.Second)
-		if addrs(d.all[0]) != 3 {
-			t.Errorf("%d addresses, want 3", addrs(d.all[0]))
+		if addrs(f.all[0]) != 3 {
+			t.Errorf("%d addresses, want 3", addrs(f.all[0]))
 		}
-		d.storeAway.Store(false)
-		if addrs(d.all[0]) != 1 {
-			t.Errorf("%d addresses though the store is reachable and the others are gone", addrs(d.all[0]))
+		f.storeUnavailable.Store(false)
+		if addrs(f.all[0]) != 1 {
+			t.Errorf("%d addresses though the store is reachable and the others are gone", addrs(f.all[0]))
 		}
 	})
 }
 
 // pause pauses a daemon: it sends and receives nothing for the given time.
-func (d *testFleet) pause(vm int, long time.Duration) {
+func (f *testFleet) pause(vm int, long time.Duration) {
 	resumed := make(chan struct{})
-	d.claims[vm-1].resumed.Store(&resumed)
-	d.net.SetUnreachable(peerAddr(vm), true)
+	f.claims[vm-1].resumed.Store(&resumed)
+	f.net.SetUnreachable(peerAddr(vm), true)
 	_ = pause.For(context.Background(), long)
-	d.net.SetUnreachable(peerAddr(vm), false)
-	d.claims[vm-1].resumed.Store(nil)
+	f.net.SetUnreachable(peerAddr(vm), false)
+	f.claims[vm-1].resumed.Store(nil)
 	close(resumed)
 }
 
@@ -211,20 +211,20 @@
 // received no heartbeat of others while it was paused.
 func TestPausedDaemonStillNamesOthers(t *testing.T) {
 	for _, n := range []int{3, 30} {
-		withFleet(t, n, func(t *testing.T, d *testFleet) {
+		withFleet(t, n, func(t *testing.T, f *testFleet) {
 			_ = pause.For(context.Background(), 4*time.Second)
-			d.pause(n, 5*time.Second)
-			if got := addrs(d.all[n-1]); got != n {
+			f.pause(n, 5*time.Second)
+			if got := addrs(f.all[n-1]); got != n {
 				t.Errorf("%d of %d addresses after the pause", got, n)
 			}
 			_ = pause.For(context.Background(), 2*settleAfterPause)
-			if got := addrs(d.all[n-1]); got != n {
+			if got := addrs(f.all[n-1]); got != n {
 				t.Errorf("%d of %d addresses some time later", got, n)
 			}
-			d.net.SetUnreachable(peerAddr(1), true)
-			d.pause(n, 5*time.Second)
+			f.net.SetUnreachable(peerAddr(1), true)
+			f.pause(n, 5*time.Second)
 			_ = pause.For(context.Background(), settleAfterPause+heartbeatInterval)
-			if got := addrs(d.all[n-1]); got != n-1 {
+			if got := addrs(f.all[n-1]); got != n-1 {
 				t.Errorf("%d of %d addresses though one died during the pause", got, n)
 			}
 		})
@@ -233,13 +233,13 @@
 
 // Guards against ignoring a daemon forever that restarted with its clock set back.
 func TestRestartWithAnEarlierClock(t *testing.T) {
-	withFleet(t, 2, func(t *testing.T, d *testFleet) {
-		_ = d.all[1].Stop()
+	withFleet(t, 2, func(t *testing.T, f *testFleet) {
+		_ = f.all[1].Stop()
 		_ = pause.For(context.Background(), time.Second)
-		d.add(2, 0)
+		f.add(2, 0)
 		_ = pause.For(context.Background(), time.Second)
-		if addrs(d.all[0]) != 2 {
-			t.Errorf("%d addresses, want 2", addrs(d.all[0]))
+		if addrs(f.all[0]) != 2 {
+			t.Errorf("%d addresses, want 2", addrs(f.all[0]))
 		}
 	})
 }
@@ -299,18 +299,18 @@
 // Guards against six daemons that each send a long prompt to the engine that looks idle to
 // all of them.
 func TestWorkIsKnownElsewhereSoon(t *testing.T) {
-	withFleet(t, 3, func(t *testing.T, d *testFleet) {
+	withFleet(t, 3, func(t *testing.T, f *testFleet) {
 		parts := []port.PromptPart{{ID: 1, Tokens: 500}}
-		done := d.books[0].Prefill("e", 10_000, parts, 0, 500*time.Millisecond)
+		done := f.trackers[0].Prefill("e", 10_000, parts, 0, 500*time.Millisecond)
 		_ = pause.For(context.Background(), 3*batchDelay)
 		synctest.Wait()
-		if l := d.books[2].Load("e", parts); l.Wait < 400*time.Millisecond || l.Cached != 500 {
+		if l := f.trackers[2].Load("e", parts); l.Wait < 400*time.Millisecond || l.Cached != 500 {
 			t.Errorf("the other daemon knows %+v", l)
 		}
 		done()
 		_ = pause.For(context.Background(), 3*batchDelay)
 		synctest.Wait()
-		if l := d.books[2].Load("e", nil); l.Wait != 0 {
+		if l := f.trackers[2].Load("e", nil); l.Wait != 0 {
 			t.Errorf("work that has ended still counts elsewhere: %+v", l)
 		}
 	})
@@ -339,16 +339,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	book := &fakeClaims{}
+	claims := &fakeClaims{}
 	r := &Roster{
-		o:     Options{Engines: engines.New(time.Now, func(engines.Work) {}), Claims: book, Speeds: speed.NewTracker(), Demand: demand.New(time.Now)},
+		o:     Options{Engines: engines.New(time.Now, func(engines.Work) {}), Claims: claims, Speeds: speed.NewTracker(), Demand: demand.New(time.Now)},
 		peers: map[string]*peer{}, tokens: map[uint32]string{}, updates: make(chan struct{}, 1),
 	}
 	if err := r.handleDatagram(data, &net.UDPAddr{}); err != nil {
 		t.Fatal(err)
 	}
-	if len(book.received) != 1 || book.received[0] != want {
-		t.Errorf("received %+v", book.received)
+	if len(claims.received) != 1 || claims.received[0] != want {
+		t.Errorf("received %+v", claims.received)
 	}
 }
 
--- a/process/roster/tree.go
+++ b/process/roster/tree.go
@@ -36,14 +36,14 @@
 // then by descending link bandwidth, then by descending VM name. The order of names is the
 // reverse of that of the aggregators, whose digests saturate a narrow link for seconds.
 func relaysBefore(a, b *Member) int {
-	away := 0
+	order := 0
 	if a.StoreFails != b.StoreFails {
-		away = -1
+		order = -1
 		if a.StoreFails {
-			away = 1
+			order = 1
 		}
 	}
-	return cmp.Or(away, cmp.Compare(b.LinkMbps, a.LinkMbps), cmp.Compare(b.VM, a.VM))
+	return cmp.Or(order, cmp.Compare(b.LinkMbps, a.LinkMbps), cmp.Compare(b.VM, a.VM))
 }
 
 // readersOf returns the number of daemons that may read from one daemon in a fleet of the
@@ -182,9 +182,9 @@
 	if p.member.State == Leaving || p.dead || p.member.VM == "" {
 		return false
 	}
-	return p.alive(now, r.patience()) || !p.known && now.Sub(r.listedAt) < startupPeriod
+	return p.alive(now, r.deadTimeout()) || !p.known && now.Sub(r.listedAt) < startupPeriod
 }
 
-// ContactsListed returns a channel that is closed once the contacts were listed, or two attempts
-// to list them failed.
+// ContactsListed returns a channel that is closed once the contacts were listed, or two
+// attempts to list them failed.
 func (r *Roster) ContactsListed() <-chan struct{} { return r.listed }
--- a/process/roster/tree_test.go
+++ b/process/roster/tree_test.go
@@ -93,7 +93,7 @@
 			}
 		}
 		if direct != 1 {
-			t.Errorf("away for all: %v, %d daemons read the store", all, direct)
+			t.Errorf("the store fails for all: %v, %d daemons read it", all, direct)
 		}
 	}
 }
--- a/process/scale/plan.go
+++ b/process/scale/plan.go
@@ -113,8 +113,8 @@
 	zones := slices.Collect(maps.Keys(goal))
 	for zone, one := range spread(onDemand, zones, s.Max) {
 		// On-demand targets that haven't left yet count against the zone's maximum.
-		room := s.Max - max(one.OnDemand, present[zone].OnDemand)
-		out[zone] = Count{OnDemand: one.OnDemand, Spot: min(goal[zone].Spot, max(room, present[zone].Spot))}
+		free := s.Max - max(one.OnDemand, present[zone].OnDemand)
+		out[zone] = Count{OnDemand: one.OnDemand, Spot: min(goal[zone].Spot, max(free, present[zone].Spot))}
 	}
 	return out
 }
--- a/process/scale/scaler.go
+++ b/process/scale/scaler.go
@@ -146,8 +146,8 @@
 }
 
 // scaleService orders the targets that a service lacks, and the removal of surplus ones.
-// While the service's capacity is unknown, the number of on-demand targets present
-// stands in for it, and only reclaimable targets are ordered.
+// While the service's capacity is unknown, the number of on-demand targets present is
+// used instead, and only reclaimable targets are ordered.
 func (s *Scaler) scaleService(ctx context.Context, svc *route.Service) {
 	snap := s.o.Targets.Snapshot()
 	if svc.Scaling == nil || !snap.Listed {
--- a/process/scale/scaler_test.go
+++ b/process/scale/scaler_test.go
@@ -169,16 +169,16 @@
 	on bool
 }
 
-func (l *fakeRoster) MayLead() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.on
+func (r *fakeRoster) MayLead() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.on
 }
 
-func (l *fakeRoster) set(on bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.on = on
+func (r *fakeRoster) set(on bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.on = on
 }
 
 // startScaler starts a daemon's Scaler.
--- a/process/topic/follower_test.go
+++ b/process/topic/follower_test.go
@@ -102,16 +102,16 @@
 	log []string
 }
 
-func (s *sink) note(text string) {
+func (s *sink) record(text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.log = append(s.log, text)
 }
 
-func (s *sink) Reset(r []port.KeyedRecord, _ int64) { s.note("reset " + keys(r)) }
-func (s *sink) Apply(r []port.KeyedRecord)          { s.note("apply " + keys(r)) }
-func (s *sink) StoreLost(error)                     { s.note("lost") }
-func (s *sink) StoreRecovered()                     { s.note("back") }
+func (s *sink) Reset(r []port.KeyedRecord, _ int64) { s.record("reset " + keys(r)) }
+func (s *sink) Apply(r []port.KeyedRecord)          { s.record("apply " + keys(r)) }
+func (s *sink) StoreLost(error)                     { s.record("lost") }
+func (s *sink) StoreRecovered()                     { s.record("back") }
 
 func (s *sink) calls() string {
 	s.mu.Lock()
@@ -127,11 +127,11 @@
 	return out
 }
 
-func run(t *testing.T, pace time.Duration, test func(s *fakeStore, k *sink)) {
+func run(t *testing.T, interval time.Duration, test func(s *fakeStore, k *sink)) {
 	synctest.Test(t, func(t *testing.T) {
 		s, k := &fakeStore{}, &sink{}
 		s.add("a", "1")
-		f := New(Options{Store: s, Name: "test", Sink: k, Wait: func() time.Duration { return wait }, ReadInterval: func() time.Duration { return pace }})
+		f := New(Options{Store: s, Name: "test", Sink: k, Wait: func() time.Duration { return wait }, ReadInterval: func() time.Duration { return interval }})
 		f.Start()
 		test(s, k)
 		_ = f.Stop()
--- a/process/usage/reporter.go
+++ b/process/usage/reporter.go
@@ -342,8 +342,8 @@
 	if time.Since(r.savedAt) < saveInterval {
 		return nil
 	}
-	rows, changes := r.ledger.rows(from)
-	if changes == r.savedRevision {
+	rows, revision := r.ledger.rows(from)
+	if revision == r.savedRevision {
 		return nil
 	}
 	value, err := encodeRows(rows)
@@ -353,7 +353,7 @@
 	if err := r.put(ctx, keyRows, value); err != nil {
 		return err
 	}
-	r.savedRevision, r.savedAt = changes, time.Now()
+	r.savedRevision, r.savedAt = revision, time.Now()
 	return nil
 }
 
--- a/version/publish/run.go
+++ b/version/publish/run.go
@@ -65,10 +65,10 @@
 // tail before it appends again, to find the document if the log holds it. If
 // the first append takes effect even later, both records have the same id and
 // count once.
-func (r *publication) loop(ctx context.Context) error {
+func (p *publication) loop(ctx context.Context) error {
 	backoff := initialBackoff
 	for {
-		decided, err := r.step(ctx)
+		decided, err := p.step(ctx)
 		switch {
 		case decided:
 			return err
@@ -79,7 +79,7 @@
 			return err
 		}
 		if pause.For(ctx, backoff) != nil {
-			return r.timeoutError(err)
+			return p.timeoutError(err)
 		}
 		backoff = min(2*backoff, maxBackoff)
 	}
@@ -87,58 +87,58 @@
 
 // step reads once, and appends the document if it wasn't found up to the tail.
 // It reports whether the outcome is known, with the error to return for it.
-func (r *publication) step(ctx context.Context) (bool, error) {
+func (p *publication) step(ctx context.Context) (bool, error) {
 	if err := ctx.Err(); err != nil {
 		return false, err
 	}
 	poll := time.Duration(0)
-	if r.hasRecord() {
+	if p.hasRecord() {
 		poll = pollWait
 	}
-	if err := r.read(ctx, poll); err != nil {
+	if err := p.read(ctx, poll); err != nil {
 		return false, err
 	}
-	if decided, err := r.checkOutcome(); decided || !r.atTail || r.hasRecord() {
+	if decided, err := p.checkOutcome(); decided || !p.atTail || p.hasRecord() {
 		return decided, err
 	}
-	if svc := r.state.Services[r.doc.Service]; svc.Version != r.doc.Base {
-		return true, r.conflictError(svc.Version)
+	if svc := p.state.Services[p.doc.Service]; svc.Version != p.doc.Base {
+		return true, p.conflictError(svc.Version)
 	}
-	r.appendTried = true
-	offset, err := r.log.Append(ctx, record.Control, r.data)
+	p.appendTried = true
+	offset, err := p.log.Append(ctx, record.Control, p.data)
 	if err != nil {
 		return false, err
 	}
-	r.appendOffset = offset
+	p.appendOffset = offset
 	return false, nil
 }
 
 // hasRecord reports whether the log is known to hold the document.
-func (r *publication) hasRecord() bool { return r.result.Version > 0 || r.appendOffset > 0 }
+func (p *publication) hasRecord() bool { return p.result.Version > 0 || p.appendOffset > 0 }
 
 // checkOutcome looks up the document in the folded state. It reports whether
 // the outcome is known, with the error to return for it.
-func (r *publication) checkOutcome() (bool, error) {
-	if r.state == nil {
+func (p *publication) checkOutcome() (bool, error) {
+	if p.state == nil {
 		return false, nil
 	}
-	svc := r.state.Services[r.doc.Service]
-	r.result.Newest = svc.Version
+	svc := p.state.Services[p.doc.Service]
+	p.result.Newest = svc.Version
 	for _, c := range svc.Pending {
-		if c.ID == r.id {
-			r.recordVersion(c.Version)
+		if c.ID == p.id {
+			p.recordVersion(c.Version)
 		}
 	}
-	o, ok := r.state.Outcome(r.doc.Service, r.id)
+	o, ok := p.state.Outcome(p.doc.Service, p.id)
 	if !ok {
 		return false, nil
 	}
-	r.recordVersion(o.Version)
+	p.recordVersion(o.Version)
 	switch o.Code {
 	case code.OK:
 		return true, nil
 	case code.BaseConflict:
-		return true, r.conflictError(o.Winner)
+		return true, p.conflictError(o.Winner)
 	default:
 		return true, code.New(o.Code, "%s", o.Detail)
 	}
@@ -146,25 +146,25 @@
 
 // recordVersion stores the document's offset in the result. The document is a
 // duplicate if its record was found before this publication tried to append.
-func (r *publication) recordVersion(version int64) {
-	r.result.Duplicate = r.result.Duplicate || r.result.Version == 0 && !r.appendTried
-	r.result.Version = version
+func (p *publication) recordVersion(version int64) {
+	p.result.Duplicate = p.result.Duplicate || p.result.Version == 0 && !p.appendTried
+	p.result.Version = version
 }
 
 // conflictError stores the winner in the result and returns the error for it.
-func (r *publication) conflictError(winner int64) error {
-	r.result.Winner = winner
+func (p *publication) conflictError(winner int64) error {
+	p.result.Winner = winner
 	if winner == 0 {
-		return code.New(code.BaseConflict, "no version of %s is in force, so the base is 0", r.doc.Service)
+		return code.New(code.BaseConflict, "no version of %s is in force, so the base is 0", p.doc.Service)
 	}
-	return code.New(code.BaseConflict, "version %d of %s is in force in place of base %d", winner, r.doc.Service, r.doc.Base)
+	return code.New(code.BaseConflict, "version %d of %s is in force in place of base %d", winner, p.doc.Service, p.doc.Base)
 }
 
 // timeoutError returns the error for a publication that ended without an
 // outcome; err is the last error of the log.
-func (r *publication) timeoutError(err error) error {
-	if r.appendTried || r.result.Version > 0 {
-		return code.Wrap(code.PublishUnknown, err, "document of %s on base %d", r.doc.Service, r.doc.Base)
+func (p *publication) timeoutError(err error) error {
+	if p.appendTried || p.result.Version > 0 {
+		return code.Wrap(code.PublishUnknown, err, "document of %s on base %d", p.doc.Service, p.doc.Base)
 	}
 	return withUnavailableCode(err)
 }
