--- a/cmd/pomelosbench/chaos.go
+++ b/cmd/pomelosbench/chaos.go
@@ -37,7 +37,7 @@
 	add(p, "fault", "Switch a fault of a stand-in", faultHelp, &faultCommand{})
 }
 
-var errFaultyRun = errors.New("not every request was answered once and whole")
+var errFaultyRun = errors.New("not every request was answered exactly once and completely")
 
 type chaosPlanCommand struct {
 	Seed      uint64        `long:"seed" default:"1" description:"Seed of the schedule"`
@@ -146,7 +146,7 @@
 // maxReportedFaults bounds the faulty requests that are printed individually.
 const maxReportedFaults = 30
 
-var errNoRecords = errors.New("no records, nothing to judge by")
+var errNoRecords = errors.New("no records of targets to check the outcomes against")
 
 func readAll[T any](pattern string) ([]T, error) {
 	files, err := filepath.Glob(pattern)
--- a/cmd/pomelospoold/front.go
+++ b/cmd/pomelospoold/front.go
@@ -13,7 +13,7 @@
 // runFront runs the daemon of a platform with a store until a stop signal.
 func runFront(o options, s *settings.Settings, signals <-chan os.Signal) error {
 	defer front.SetLog(s.Log, os.Stdout)()
-	log.WithField("vm", s.VM).Info("front: handles signals")
+	log.WithField("vm", s.VM).Info("front: signal handlers registered")
 	d, err := front.New(s)
 	if err != nil {
 		return err
--- a/process/burn/burn_test.go
+++ b/process/burn/burn_test.go
@@ -71,18 +71,18 @@
 // must end the alert soon, while the spent budget stays visible for three days.
 func TestAlertStartsAndEnds(t *testing.T) {
 	c := newClock()
-	b := c.newTracker("a")
+	tracker := c.newTracker("a")
 	run := func(d time.Duration, x Sample) {
 		for range int(d / time.Minute) {
 			c.now = c.now.Add(time.Minute)
 			for range 10 {
-				b.Observe(x)
+				tracker.Observe(x)
 			}
 		}
 	}
 	check := func(what string, alert Alert, rates ...float64) Service {
 		t.Helper()
-		s := b.Report().Services[0]
+		s := tracker.Report().Services[0]
 		if got := s.Alert(WholeAnswer); got != alert {
 			t.Errorf("%s: alert %q, want %q", what, got, alert)
 		}
@@ -119,12 +119,12 @@
 	c := newClock()
 	strict := goals
 	strict.Target = 0.99
-	b := New(Options{Now: func() time.Time { return c.now }, Objectives: func(string) (document.Objectives, bool) { return strict, true }})
+	tracker := New(Options{Now: func() time.Time { return c.now }, Objectives: func(string) (document.Objectives, bool) { return strict, true }})
 	for range 20 {
 		c.now = c.now.Add(time.Minute)
-		b.Observe(sample(code.NoTarget, 0, 0, 1))
+		tracker.Observe(sample(code.NoTarget, 0, 0, 1))
 	}
-	if got := b.Report().Services[0].Alert(WholeAnswer); got != AlertPage {
+	if got := tracker.Report().Services[0].Alert(WholeAnswer); got != AlertPage {
 		t.Errorf("alert %q", got)
 	}
 }
@@ -180,7 +180,7 @@
 // busiest must have groups of their own, and the sum must include every request.
 func TestOrganisationsAreBounded(t *testing.T) {
 	c := newClock()
-	b := c.newTracker("a")
+	tracker := c.newTracker("a")
 	const n = 20000
 	for i := range n {
 		c.now = c.now.Add(100 * time.Millisecond)
@@ -189,9 +189,9 @@
 		if i%4 == 0 {
 			x.Org = "busy"
 		}
-		b.Observe(x)
+		tracker.Observe(x)
 	}
-	s := b.Report().Services[0]
+	s := tracker.Report().Services[0]
 	sum, busy := uint64(0), uint64(0)
 	for _, o := range s.Orgs {
 		good := o.Windows[2].Counts[WholeAnswer].Good
@@ -256,11 +256,11 @@
 	log := logsvc.New(logsvc.Options{})
 	defer log.Close()
 	run := func(n int) *Tracker {
-		b := c.newTracker("a")
+		tracker := c.newTracker("a")
 		for range n {
-			b.Observe(goodSample())
+			tracker.Observe(goodSample())
 		}
-		return b
+		return tracker
 	}
 	first := run(3)
 	if err := errors.Join(first.Load(t.Context(), log), first.Save(t.Context(), log, "1")); err != nil {
@@ -293,13 +293,13 @@
 }
 
 func BenchmarkObserve(b *testing.B) {
-	burn := newClock().newTracker("a")
+	tracker := newClock().newTracker("a")
 	x := goodSample()
 	x.Total = time.Second
 	b.ReportAllocs()
 	for i := range b.N {
 		x.Org = orgNames[i%len(orgNames)]
-		burn.Observe(x)
+		tracker.Observe(x)
 	}
 }
 
@@ -315,11 +315,11 @@
 func BenchmarkService(b *testing.B) {
 	b.ReportAllocs()
 	for range b.N {
-		burn := newClock().newTracker("a")
+		tracker := newClock().newTracker("a")
 		for i := range orgNames {
 			x := goodSample()
 			x.Org = orgNames[i]
-			burn.Observe(x)
+			tracker.Observe(x)
 		}
 	}
 }
--- a/process/daemon/parts.go
+++ b/process/daemon/parts.go
@@ -23,15 +23,15 @@
 // onceMembers returns the other daemons, for the at-most-once log.
 func (d *Daemon) onceMembers() []once.Member {
 	var out []once.Member
-	for _, s := range d.members.View().Members {
-		if s.Member.Incarnation == "" {
+	for _, m := range d.members.View().Members {
+		if m.Member.Incarnation == "" {
 			continue
 		}
 		out = append(out, once.Member{
-			Incarnation: s.Member.Incarnation,
-			Addr:        s.Member.PeerAddr,
-			Live:        s.Member.State != peerpb.Member_DEAD,
-			Leaving:     s.Leaving,
+			Incarnation: m.Member.Incarnation,
+			Addr:        m.Member.PeerAddr,
+			Live:        m.Member.State != peerpb.Member_DEAD,
+			Leaving:     m.Leaving,
 		})
 	}
 	return out
@@ -67,9 +67,9 @@
 // livePeers returns the peer addresses of the other responsive daemons.
 func (d *Daemon) livePeers() []string {
 	var out []string
-	for _, s := range d.members.View().Members {
-		if s.Member.State == peerpb.Member_LIVE || s.Member.State == peerpb.Member_LEAVING {
-			out = append(out, s.Member.PeerAddr)
+	for _, m := range d.members.View().Members {
+		if m.Member.State == peerpb.Member_LIVE || m.Member.State == peerpb.Member_LEAVING {
+			out = append(out, m.Member.PeerAddr)
 		}
 	}
 	return out
--- a/process/daemon/peers.go
+++ b/process/daemon/peers.go
@@ -45,9 +45,9 @@
 // queried forever.
 func (p *peerRecords) Fetch(ctx context.Context, from int64) (follow.Batch, error) {
 	var live []membership.MemberView
-	for _, s := range p.d.members.View().Members {
-		if s.Member.State == peerpb.Member_LIVE {
-			live = append(live, s)
+	for _, m := range p.d.members.View().Members {
+		if m.Member.State == peerpb.Member_LIVE {
+			live = append(live, m)
 		}
 	}
 	if len(live) == 0 {
@@ -100,9 +100,9 @@
 		return 0, false
 	}
 	live := []lease.Candidate{{ID: view.Self.Id, Zone: view.Self.Zone}}
-	for _, s := range view.Members {
-		if s.Usable() {
-			live = append(live, lease.Candidate{ID: s.Member.Id, Zone: s.Member.Zone})
+	for _, m := range view.Members {
+		if m.Usable() {
+			live = append(live, lease.Candidate{ID: m.Member.Id, Zone: m.Member.Zone})
 		}
 	}
 	return lease.Rank(group, zoneOfGroup(group), view.Self.Id, live)
@@ -128,14 +128,14 @@
 		Zone:    d.s.Zone,
 		Leaving: d.phase() >= phaseLeaving,
 	}}
-	for _, s := range view.Members {
-		if s.Member.State == peerpb.Member_DEAD || s.Member.CallerAddr == "" {
+	for _, m := range view.Members {
+		if m.Member.State == peerpb.Member_DEAD || m.Member.CallerAddr == "" {
 			continue
 		}
 		out = append(out, address.Member{
-			Addr:    s.Member.CallerAddr,
-			Zone:    s.Member.Zone,
-			Leaving: s.Leaving || s.Member.State == peerpb.Member_SUSPECT,
+			Addr:    m.Member.CallerAddr,
+			Zone:    m.Member.Zone,
+			Leaving: m.Leaving || m.Member.State == peerpb.Member_SUSPECT,
 		})
 	}
 	return out
--- a/process/follow/follow_test.go
+++ b/process/follow/follow_test.go
@@ -272,11 +272,11 @@
 	} {
 		s, _ := Recover(context.Background(), &logtest.Log{})
 		s.Applied, s.Checkpoint.At, s.Checkpoint.Covers = 100, c.at, c.covers
-		o := &dueWrites{lastCheckpoint: s.Checkpoint, earliest: c.early}
-		if got := o.checkpointDue(s, c.age, 0, 50, 10*time.Minute); got != c.want {
+		d := &dueWrites{lastCheckpoint: s.Checkpoint, earliest: c.early}
+		if got := d.checkpointDue(s, c.age, 0, 50, 10*time.Minute); got != c.want {
 			t.Errorf("%s: due %v", c.name, got)
 		}
-		if c.want && o.checkpointDue(s, c.age, time.Second, 50, 10*time.Minute) {
+		if c.want && d.checkpointDue(s, c.age, time.Second, 50, 10*time.Minute) {
 			t.Errorf("%s: a daemon with a higher rank does not wait", c.name)
 		}
 	}
--- a/process/logging/async_test.go
+++ b/process/logging/async_test.go
@@ -24,17 +24,17 @@
 // Guards against requests that block on their log lines, because the reader of
 // the daemon's standard output has stopped and the pipe is full.
 func TestBlockedWriterDoesNotBlockLogging(t *testing.T) {
-	s := &blockedWriter{}
-	s.mu.Lock()
-	a := NewAsync(s, 10)
+	w := &blockedWriter{}
+	w.mu.Lock()
+	a := NewAsync(w, 10)
 	logger := &log.Logger{Handler: a, Level: log.InfoLevel}
 	for range 1000 {
 		logger.Info("line")
 	}
-	s.mu.Unlock()
+	w.mu.Unlock()
 	logger.Info("last")
 	a.Close()
-	text := s.buf.String()
+	text := w.buf.String()
 	if n := strings.Count(text, `"line"`); n > 12 {
 		t.Errorf("%d lines were queued", n)
 	}
@@ -42,20 +42,20 @@
 }
 
 func TestDroppedLinesAreReported(t *testing.T) {
-	s := &blockedWriter{}
-	s.mu.Lock()
-	a := NewAsync(s, 4)
+	w := &blockedWriter{}
+	w.mu.Lock()
+	a := NewAsync(w, 4)
 	logger := &log.Logger{Handler: a, Level: log.InfoLevel}
 	for range 50 {
 		logger.Info("line")
 	}
-	s.mu.Unlock()
+	w.mu.Unlock()
 	for len(a.lines) > 0 {
 		logger.Debug("below the level")
 	}
 	logger.Info("next")
 	a.Close()
-	if text := s.buf.String(); !strings.Contains(text, DroppedMessage) {
+	if text := w.buf.String(); !strings.Contains(text, DroppedMessage) {
 		t.Errorf("no line reports the dropped lines: %s", text)
 	}
 }
--- a/process/membership/membership_test.go
+++ b/process/membership/membership_test.go
@@ -67,13 +67,13 @@
 func (f *testFleet) start(id string) *testDaemon {
 	running := make(chan struct{})
 	close(running)
-	n := &testDaemon{id: id, running: running, deaths: map[string]int{}}
+	d := &testDaemon{id: id, running: running, deaths: map[string]int{}}
 	began := time.Now()
 	f.mu.Lock()
 	f.starts++
 	seed := f.starts
 	f.mu.Unlock()
-	n.membership = New(Options{
+	d.membership = New(Options{
 		Self:     &peerpb.Member{Id: id, Incarnation: fmt.Sprintf("%s/%d", id, seed), StartedMs: seed, PeerAddr: id},
 		Prober:   &link{f: f, from: id},
 		VMs:      f,
@@ -84,10 +84,10 @@
 		Period:   period, DeadAfter: deadAfter, Seed: seed,
 	})
 	f.mu.Lock()
-	f.daemons[id] = n
+	f.daemons[id] = d
 	f.mu.Unlock()
-	n.membership.Start()
-	return n
+	d.membership.Start()
+	return d
 }
 
 func (f *testFleet) runningOf(id string) chan struct{} {
@@ -123,9 +123,9 @@
 }
 
 func (f *testFleet) stop() {
-	for _, n := range f.daemons {
-		if !n.killed {
-			_ = n.membership.Stop()
+	for _, d := range f.daemons {
+		if !d.killed {
+			_ = d.membership.Stop()
 		}
 	}
 }
@@ -133,11 +133,11 @@
 // states counts the states of id in the views of the other running daemons.
 func (f *testFleet) states(id string) map[peerpb.Member_State]int {
 	out := map[peerpb.Member_State]int{}
-	for _, n := range f.daemons {
-		if n.killed || n.id == id {
+	for _, d := range f.daemons {
+		if d.killed || d.id == id {
 			continue
 		}
-		for _, s := range n.membership.View().Members {
+		for _, s := range d.membership.View().Members {
 			if s.Member.Id == id {
 				out[s.Member.State]++
 			}
@@ -307,8 +307,8 @@
 		f.kill("vm-002")
 		fresh := f.start("vm-002")
 		_, ok := waitUntil(30*time.Second, func() bool {
-			for _, n := range f.daemons {
-				if n.id != "vm-002" && n.membership.View().Liveness("vm-002", old) != Gone {
+			for _, d := range f.daemons {
+				if d.id != "vm-002" && d.membership.View().Liveness("vm-002", old) != Gone {
 					return false
 				}
 			}
@@ -349,11 +349,11 @@
 		advance(time.Minute)
 		fresh := f.start("vm-new")
 		advance(deadAfter)
-		for id, n := range f.daemons {
+		for id, d := range f.daemons {
 			if id == "vm-new" {
 				continue
 			}
-			if got := fresh.membership.View().Liveness(id, n.membership.View().Self.Incarnation); got != Alive {
+			if got := fresh.membership.View().Liveness(id, d.membership.View().Self.Incarnation); got != Alive {
 				t.Errorf("%s: liveness %d", id, got)
 			}
 		}
--- a/process/membership/view.go
+++ b/process/membership/view.go
@@ -61,11 +61,11 @@
 		}
 		return Gone
 	}
-	for _, s := range v.Members {
-		if s.Member.Id != vm || s.Member.StartedMs == 0 {
+	for _, m := range v.Members {
+		if m.Member.Id != vm || m.Member.StartedMs == 0 {
 			continue
 		}
-		if s.Member.Incarnation == incarnation && s.Member.State != peerpb.Member_DEAD {
+		if m.Member.Incarnation == incarnation && m.Member.State != peerpb.Member_DEAD {
 			return Alive
 		}
 		return Gone
@@ -77,12 +77,12 @@
 // A process that is leaving ranks last.
 func (v *View) Rank() (rank, of int) {
 	of = 1
-	for _, s := range v.Members {
-		if !s.Usable() {
+	for _, m := range v.Members {
+		if !m.Usable() {
 			continue
 		}
 		of++
-		if s.Member.Id < v.Self.Id {
+		if m.Member.Id < v.Self.Id {
 			rank++
 		}
 	}
@@ -94,12 +94,12 @@
 
 // Reachable returns the numbers of live and of known members, without self.
 func (v *View) Reachable() (live, known int) {
-	for _, s := range v.Members {
-		if s.Member.StartedMs == 0 || !s.Listed && s.Member.State == peerpb.Member_DEAD {
+	for _, m := range v.Members {
+		if m.Member.StartedMs == 0 || !m.Listed && m.Member.State == peerpb.Member_DEAD {
 			continue
 		}
 		known++
-		if s.Member.State == peerpb.Member_LIVE || s.Member.State == peerpb.Member_LEAVING {
+		if m.Member.State == peerpb.Member_LIVE || m.Member.State == peerpb.Member_LEAVING {
 			live++
 		}
 	}
--- a/process/roster/aggregate_test.go
+++ b/process/roster/aggregate_test.go
@@ -219,11 +219,11 @@
 			defer f.trackers[vm-1].Decode("f", 10_000, parts, 0)()
 		}
 		sleep(3 * time.Second)
-		for i, b := range f.trackers {
-			if n := b.Load("f", nil).Streams; n != 4 {
+		for i, tracker := range f.trackers {
+			if n := tracker.Load("f", nil).Streams; n != 4 {
 				t.Errorf("daemon %d counts %d streams, want 4", i+1, n)
 			}
-			if b.Load("e", parts).Cached < 500 {
+			if tracker.Load("e", parts).Cached < 500 {
 				t.Errorf("daemon %d doesn't know the cached parts", i+1)
 			}
 		}
@@ -231,9 +231,9 @@
 		f.trackers[20].MarkDown("h", time.Now().Add(time.Minute))
 		f.trackers[21].MarkDown("h", time.Now().Add(time.Minute))
 		sleep(2 * time.Second)
-		for i, b := range f.trackers {
-			if b.Load("g", nil).Becomes != port.RoleDecode || !b.Load("h", nil).Unreachable() {
-				t.Errorf("daemon %d: %+v, %+v", i+1, b.Load("g", nil), b.Load("h", nil))
+		for i, tracker := range f.trackers {
+			if tracker.Load("g", nil).Becomes != port.RoleDecode || !tracker.Load("h", nil).Unreachable() {
+				t.Errorf("daemon %d: %+v, %+v", i+1, tracker.Load("g", nil), tracker.Load("h", nil))
 			}
 		}
 	})
@@ -364,10 +364,10 @@
 			defer f.trackers[i%60].Prefill(fmt.Sprint("e", i%20), 1_000_000, part(i), 0, 0)()
 		}
 		sleep(3 * time.Second)
-		for vm, b := range f.trackers {
+		for vm, tracker := range f.trackers {
 			missing := 0
 			for i := range prompts {
-				if parts := part(i); parts[0].Tokens == large && b.Load(fmt.Sprint("e", i%20), parts).Cached < large {
+				if parts := part(i); parts[0].Tokens == large && tracker.Load(fmt.Sprint("e", i%20), parts).Cached < large {
 					missing++
 				}
 			}
--- a/process/roster/roster_test.go
+++ b/process/roster/roster_test.go
@@ -353,11 +353,11 @@
 }
 
 func TestHeartbeatFitsIntoDatagram(t *testing.T) {
-	b := &heartbeat{Member: Member{VM: "a"}}
+	hb := &heartbeat{Member: Member{VM: "a"}}
 	for i := range 60 {
-		b.Reads = append(b.Reads, engines.Read{Target: uint64(i) << 40, Parts: make([]port.PromptPart, 4)})
+		hb.Reads = append(hb.Reads, engines.Read{Target: uint64(i) << 40, Parts: make([]port.PromptPart, 4)})
 	}
-	data, err := encodeHeartbeat(b)
+	data, err := encodeHeartbeat(hb)
 	if err != nil || len(data) > maxDatagramSize {
 		t.Errorf("%d bytes, %v", len(data), err)
 	}
--- a/process/roster/tree_test.go
+++ b/process/roster/tree_test.go
@@ -10,11 +10,11 @@
 func fleetOf(size, wide int) []*Member {
 	var out []*Member
 	for i := range size {
-		n := &Member{PeerAddr: fmt.Sprint("addr", i), VM: fmt.Sprintf("vm%05d", i), Zone: fmt.Sprint("z", i%5), LinkMbps: 20}
+		m := &Member{PeerAddr: fmt.Sprint("addr", i), VM: fmt.Sprintf("vm%05d", i), Zone: fmt.Sprint("z", i%5), LinkMbps: 20}
 		if i/5 < wide {
-			n.LinkMbps = 1000
+			m.LinkMbps = 1000
 		}
-		out = append(out, n)
+		out = append(out, m)
 	}
 	return out
 }
@@ -31,9 +31,9 @@
 			byAddr := make(map[string]*Member)
 			readers := make(map[string]int)
 			direct := 0
-			for _, n := range fleet {
-				up := upstreamOf(n, fleet, true)
-				places[n.PeerAddr], byAddr[n.PeerAddr] = up, n
+			for _, m := range fleet {
+				up := upstreamOf(m, fleet, true)
+				places[m.PeerAddr], byAddr[m.PeerAddr] = up, m
 				if len(up.Peers) == 0 {
 					direct++
 					continue
@@ -73,9 +73,9 @@
 func TestTreeSkipsDaemonWithoutStore(t *testing.T) {
 	fleet := fleetOf(100, 2)
 	var root *Member
-	for _, n := range fleet {
-		if len(upstreamOf(n, fleet, true).Peers) == 0 {
-			root = n
+	for _, m := range fleet {
+		if len(upstreamOf(m, fleet, true).Peers) == 0 {
+			root = m
 		}
 	}
 	root.StoreFails = true
@@ -84,11 +84,11 @@
 	}
 	for _, all := range []bool{false, true} {
 		direct := 0
-		for _, n := range fleet {
-			n.StoreFails = n.StoreFails || all
+		for _, m := range fleet {
+			m.StoreFails = m.StoreFails || all
 		}
-		for _, n := range fleet {
-			if len(upstreamOf(n, fleet, true).Peers) == 0 {
+		for _, m := range fleet {
+			if len(upstreamOf(m, fleet, true).Peers) == 0 {
 				direct++
 			}
 		}
