--- a/process/membership/exchange.go
+++ b/process/membership/exchange.go
@@ -125,7 +125,7 @@
 }
 
 // HandleHeartbeat answers a peer's heartbeat and, if requested, probes another member for
-// it. It is called by the grpc server.
+// it. It is called by the gRPC server.
 func (m *Membership) HandleHeartbeat(ctx context.Context, r *peerpb.HeartbeatRequest) (*peerpb.HeartbeatReply, error) {
 	var reply *peerpb.HeartbeatReply
 	ok := m.do(func() {
--- a/process/roster/roster.go
+++ b/process/roster/roster.go
@@ -1,7 +1,7 @@
 // Package roster tracks the other daemons of the fleet: which of them are alive and take
 // requests, and how much work each has at the engines. Daemons exchange small UDP
 // datagrams. A lost datagram does no harm, because each one repeats the state that still
-// holds. A grpc stream would delay newer updates behind a retransmitted packet.
+// holds. A gRPC stream would delay newer updates behind a retransmitted packet.
 //
 // In a small fleet each daemon sends to all others. In a large fleet a few daemons of each
 // availability zone aggregate what the zone's daemons send, exchange the aggregates with
--- a/version/route/organisation_test.go
+++ b/version/route/organisation_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkOrganisation compares look-ups among a hundred to a million keys. The
+// BenchmarkOrganisation compares lookups among a hundred to a million keys. The
 // time must not depend on the number of keys.
 func BenchmarkOrganisation(b *testing.B) {
 	for _, n := range []int{100, 10_000, 1_000_000} {
