--- a/operator/ctl/status.go
+++ b/operator/ctl/status.go
@@ -34,7 +34,7 @@
 		c.print(fleet)
 	}
 	if err == nil {
-		err = unansweredError(fleet.Asked-fleet.Answered, fleet.Asked)
+		err = unansweredError(fleet.Queried-fleet.Answered, fleet.Queried)
 	}
 	return err
 }
--- a/process/daemon/parts.go
+++ b/process/daemon/parts.go
@@ -23,15 +23,15 @@
 // onceMembers returns the other daemons, for the at-most-once log.
 func (d *Daemon) onceMembers() []once.Member {
 	var out []once.Member
-	for _, s := range d.members.View().Members {
-		if s.Member.Incarnation == "" {
+	for _, m := range d.members.View().Members {
+		if m.Member.Incarnation == "" {
 			continue
 		}
 		out = append(out, once.Member{
-			Incarnation: s.Member.Incarnation,
-			Addr:        s.Member.PeerAddr,
-			Live:        s.Member.State != peerpb.Member_DEAD,
-			Leaving:     s.Leaving,
+			Incarnation: m.Member.Incarnation,
+			Addr:        m.Member.PeerAddr,
+			Live:        m.Member.State != peerpb.Member_DEAD,
+			Leaving:     m.Leaving,
 		})
 	}
 	return out
@@ -49,27 +49,27 @@
 // newCrashTracker returns the quarantine. A crash is reported to all live peers
 // immediately, before the caller has its answer and can send the request again.
 func (d *Daemon) newCrashTracker() *quarantine.CrashTracker {
-	fleet := &quarantine.Broadcaster{
+	broadcaster := &quarantine.Broadcaster{
 		Self:   func() *peerpb.Member { return d.members.View().Self },
 		Addrs:  d.livePeers,
 		Client: d.dialer.Client,
 	}
-	var book *quarantine.CrashTracker
-	book = quarantine.New(quarantine.Options{
+	var tracker *quarantine.CrashTracker
+	tracker = quarantine.New(quarantine.Options{
 		Self: d.self,
 		Broadcast: func(ctx context.Context, convictions []*peerpb.Conviction) {
-			fleet.Broadcast(ctx, convictions, book.Incoming)
+			broadcaster.Broadcast(ctx, convictions, tracker.Incoming)
 		},
 	})
-	return book
+	return tracker
 }
 
 // livePeers returns the peer addresses of the other responsive daemons.
 func (d *Daemon) livePeers() []string {
 	var out []string
-	for _, s := range d.members.View().Members {
-		if s.Member.State == peerpb.Member_LIVE || s.Member.State == peerpb.Member_LEAVING {
-			out = append(out, s.Member.PeerAddr)
+	for _, m := range d.members.View().Members {
+		if m.Member.State == peerpb.Member_LIVE || m.Member.State == peerpb.Member_LEAVING {
+			out = append(out, m.Member.PeerAddr)
 		}
 	}
 	return out
--- a/process/front/front.go
+++ b/process/front/front.go
@@ -81,11 +81,11 @@
 	control     port.EngineControl
 	roster      *roster.Roster
 	planner     *roles.Planner
-	clock       *clock.Fleet
+	clock       *clock.Estimator
 	incarnation uint64          // of this process
 	usage       *usage.Reporter // nil: usage isn't reported
 	scaler      *scale.Scaler   // nil: engines aren't ordered
-	claims      *claim.AgeTracker
+	claimAges   *claim.AgeTracker
 	ingress     *ingress.Ingress
 	metrics     *metrics
 	rate        *rateMeter // of callers' requests
@@ -107,16 +107,16 @@
 // New opens the daemon's ports and wires its parts. It starts nothing.
 func New(s *settings.Settings) (*Daemon, error) {
 	d := &Daemon{
-		s:      s,
-		config: inforce.New(platform.DecodeConfig),
-		pool:   h1.New(h1.Options{}),
-		claims: claim.NewAgeTracker(clock.Boot{}),
-		speed:  speed.NewTracker(),
-		demand: demand.New(time.Now),
-		rate:   newRateMeter(time.Now),
+		s:         s,
+		config:    inforce.New(platform.DecodeConfig),
+		pool:      h1.New(h1.Options{}),
+		claimAges: claim.NewAgeTracker(clock.Boot{}),
+		speed:     speed.NewTracker(),
+		demand:    demand.New(time.Now),
+		rate:      newRateMeter(time.Now),
 	}
 	d.incarnation = uint64(time.Now().UnixNano())
-	d.clock = clock.NewFleet(clock.Boot{}, time.Now)
+	d.clock = clock.NewEstimator(clock.Boot{}, time.Now)
 	d.registry = discovery.New(discovery.Options{Decode: platform.DecodeTarget})
 	d.engines = engines.New(time.Now, func(w engines.Work) {
 		if d.roster != nil {
@@ -186,8 +186,8 @@
 			Millicores:  d.s.Processor.Millicores(),
 		},
 		Store:            d.store,
-		Book:             d.engines,
-		Claims:           d.claims,
+		Engines:          d.engines,
+		Claims:           d.claimAges,
 		Speeds:           d.speed,
 		Demand:           d.demand,
 		TTL:              min(addressTTL, d.s.Bounds.AddressTTL),
@@ -247,7 +247,7 @@
 		Demand:  d.demand,
 		Speed:   d.speed,
 		Lease:   d.s.Bounds.Lease,
-		Seen:    d.claims,
+		Ages:    d.claimAges,
 	})
 }
 
--- a/process/membership/exchange.go
+++ b/process/membership/exchange.go
@@ -44,8 +44,8 @@
 }
 
 // check probes a member directly, then through relays, outside of the loop goroutine. The
-// result is passed to done on the loop goroutine. conclusive is false if this process was paused
-// since the check began, so that a missing answer proves nothing.
+// result is passed to done on the loop goroutine. conclusive is false if this process was
+// paused since the check began, so that a missing answer proves nothing.
 func (m *Membership) check(e *tableEntry, done func(reached, conclusive bool)) {
 	addr := e.member.PeerAddr
 	req := m.request()
@@ -125,7 +125,7 @@
 }
 
 // HandleHeartbeat answers a peer's heartbeat and, if requested, probes another member for
-// it. It is called by the grpc server.
+// it. It is called by the gRPC server.
 func (m *Membership) HandleHeartbeat(ctx context.Context, r *peerpb.HeartbeatRequest) (*peerpb.HeartbeatReply, error) {
 	var reply *peerpb.HeartbeatReply
 	ok := m.do(func() {
--- a/process/roster/roster.go
+++ b/process/roster/roster.go
@@ -1,7 +1,7 @@
 // Package roster tracks the other daemons of the fleet: which of them are alive and take
 // requests, and how much work each has at the engines. Daemons exchange small UDP
 // datagrams. A lost datagram does no harm, because each one repeats the state that still
-// holds. A grpc stream would delay newer updates behind a retransmitted packet.
+// holds. A gRPC stream would delay newer updates behind a retransmitted packet.
 //
 // In a small fleet each daemon sends to all others. In a large fleet a few daemons of each
 // availability zone aggregate what the zone's daemons send, exchange the aggregates with
@@ -83,13 +83,13 @@
 
 // Options configures a Roster.
 type Options struct {
-	Self   Member
-	Store  port.Store
-	Book   *engines.Tracker
-	Claims Claims        // claims that the daemons exchange
-	Speeds Speeds        // measured speeds of engines
-	Demand Demand        // demand of callers
-	TTL    time.Duration // how long callers may cache addresses
+	Self    Member
+	Store   port.Store
+	Engines *engines.Tracker
+	Claims  Claims        // claims that the daemons exchange
+	Speeds  Speeds        // measured speeds of engines
+	Demand  Demand        // demand of callers
+	TTL     time.Duration // how long callers may cache addresses
 	// StoreUnavailable reports whether this daemon has no current data of the store.
 	StoreUnavailable func() bool
 	// StoreFails reports whether this daemon's own calls to the store fail. If nil,
@@ -234,8 +234,8 @@
 	return out
 }
 
-// KnownDaemons returns the number of daemons known, including dead ones that haven't expired and
-// this one.
+// KnownDaemons returns the number of daemons known, including dead ones that haven't
+// expired and this one.
 func (r *Roster) KnownDaemons() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
