--- a/bench/policy/policy_test.go
+++ b/bench/policy/policy_test.go
@@ -64,7 +64,7 @@
 	t.Helper()
 	for _, results := range each {
 		for _, r := range results {
-			ends := r.OnTime + r.Refused + r.LateFirst + r.LateBetween + r.LateAnswer + r.Lost
+			ends := r.OnTime + r.Refused + r.LateFirstToken + r.LateBetweenTokens + r.LateAnswer + r.Lost
 			if ends != r.Offered {
 				t.Errorf("%s, %s, seed %d: %d requests, %d ends", r.System, r.Trace, r.Seed, r.Offered, ends)
 			}
--- a/bench/policy/result.go
+++ b/bench/policy/result.go
@@ -6,25 +6,25 @@
 // engine-seconds on dedicated engines, so that prompts and outputs are weighted
 // by their cost.
 type Result struct {
-	System        string  `json:"system"`
-	Trace         string  `json:"trace"`
-	Seed          uint64  `json:"seed"`
-	Goodput       float64 `json:"goodput"` // work that met all objectives, in engines
-	Bound         float64 `json:"bound"`   // upper bound of the goodput, see Bound
-	Share         float64 `json:"share"`   // Goodput / Bound
-	Tokens        float64 `json:"tokens"`  // output tokens/s within all objectives
-	Offered       int     `json:"offered"` // requests
-	OnTime        int     `json:"on_time"`
-	Refused       int     `json:"refused"`
-	LateFirst     int     `json:"late_first"`
-	LateBetween   int     `json:"late_between"`
-	LateAnswer    int     `json:"late_answer"`
-	Lost          int     `json:"lost"` // lost their engine in a crash and found no other before the deadline
-	Changes       int     `json:"changes"`
-	LostPerChange float64 `json:"lost_each"`    // engine-seconds of work lost per role change
-	FirstBias     float64 `json:"first_bias"`   // mean of the first token's time minus the predicted time, in seconds
-	FirstError    float64 `json:"first_error"`  // mean absolute error of the predicted time to the first token, in seconds
-	FinishRatio   float64 `json:"finish_ratio"` // mean ratio of the time to completion to the predicted one
+	System            string  `json:"system"`
+	Trace             string  `json:"trace"`
+	Seed              uint64  `json:"seed"`
+	Goodput           float64 `json:"goodput"` // work that met all objectives, in engines
+	Bound             float64 `json:"bound"`   // upper bound of the goodput, see Bound
+	Share             float64 `json:"share"`   // Goodput / Bound
+	Tokens            float64 `json:"tokens"`  // output tokens/s within all objectives
+	Offered           int     `json:"offered"` // requests
+	OnTime            int     `json:"on_time"`
+	Refused           int     `json:"refused"`
+	LateFirstToken    int     `json:"late_first"`
+	LateBetweenTokens int     `json:"late_between"`
+	LateAnswer        int     `json:"late_answer"`
+	Lost              int     `json:"lost"` // lost their engine in a crash and found no other before the deadline
+	Changes           int     `json:"changes"`
+	LostPerChange     float64 `json:"lost_each"`    // engine-seconds of work lost per role change
+	FirstBias         float64 `json:"first_bias"`   // mean of the first token's time minus the predicted time, in seconds
+	FirstError        float64 `json:"first_error"`  // mean absolute error of the predicted time to the first token, in seconds
+	FinishRatio       float64 `json:"finish_ratio"` // mean ratio of the time to completion to the predicted one
 
 	offered, onTimeWork, tokens, lostWork float64
 	compared                              int
--- a/bench/policy/run.go
+++ b/bench/policy/run.go
@@ -275,9 +275,9 @@
 	}
 	switch {
 	case j.firstTokenAt-j.at > FirstToken.Seconds():
-		r.res.LateFirst++
+		r.res.LateFirstToken++
 	case between > BetweenTokens.Seconds():
-		r.res.LateBetween++
+		r.res.LateBetweenTokens++
 	case at-j.at > Deadline.Seconds():
 		r.res.LateAnswer++
 	default:
--- a/bench/policy/summary.go
+++ b/bench/policy/summary.go
@@ -59,8 +59,8 @@
 	s.Offered += r.Offered
 	s.OnTime += r.OnTime
 	s.Refused += r.Refused
-	s.LateFirst += r.LateFirst
-	s.LateBetween += r.LateBetween
+	s.LateFirstToken += r.LateFirstToken
+	s.LateBetweenTokens += r.LateBetweenTokens
 	s.LateAnswer += r.LateAnswer
 	s.Lost += r.Lost
 	s.Changes += r.Changes
--- a/cmd/pomelosbench/policy.go
+++ b/cmd/pomelosbench/policy.go
@@ -116,7 +116,7 @@
 			pct := func(n int) string { return fmt.Sprintf("%.1f%%", 100*float64(n)/float64(max(s.Offered, 1))) }
 			fmt.Fprintf(w, "%s\t%s\t%s\t%.2f\t%.1f%%\t%.0f\t%d\t%s\t%s\t%s\t%d\t%d\t%.1f\n",
 				r.Deployment, r.Trace, s.System, s.Goodput, 100*s.Share, s.Tokens, s.Offered,
-				pct(s.Refused), pct(s.LateFirst), pct(s.LateBetween), s.Lost, s.Changes, s.LostPerChange)
+				pct(s.Refused), pct(s.LateFirstToken), pct(s.LateBetweenTokens), s.Lost, s.Changes, s.LostPerChange)
 		}
 	}
 	if err := w.Flush(); err != nil {
--- a/connection/load/cache.go
+++ b/connection/load/cache.go
@@ -41,7 +41,7 @@
 		}
 		c.blocks[b] = struct{}{}
 	}
-	for _, b := range e.Gone {
+	for _, b := range e.Removed {
 		delete(c.blocks, b)
 	}
 }
--- a/connection/load/load_test.go
+++ b/connection/load/load_test.go
@@ -187,7 +187,7 @@
 		return port.CacheEvent{Seq: seq, Added: blocks}
 	}
 	remove := func(seq int64, blocks ...uint64) port.CacheEvent {
-		return port.CacheEvent{Seq: seq, Gone: blocks}
+		return port.CacheEvent{Seq: seq, Removed: blocks}
 	}
 	cases := []struct {
 		name   string
--- a/port/port.go
+++ b/port/port.go
@@ -89,7 +89,7 @@
 	Incarnation string     `json:"incarnation"` // new at every restart
 	Spec        EngineSpec `json:"spec"`
 	Changing    bool       `json:"changing"`   // an order is being carried out
-	Target      EngineSpec `json:"target"`     // spec that it is changing to
+	NextSpec    EngineSpec `json:"target"`     // spec that it is changing to
 	LastOrder   string     `json:"last_order"` // id of the newest order accepted
 	LastFence   int64      `json:"last_fence"` // highest fencing number seen
 	ChecksFence bool       `json:"checks_fence"`
@@ -114,11 +114,11 @@
 // CacheEvent reports prefix blocks that entered or left an engine's cache.
 // Events arrive with a delay, and some are lost: a gap in Seq shows this.
 type CacheEvent struct {
-	Engine string   `json:"engine"`
-	Seq    int64    `json:"seq"`
-	Added  []uint64 `json:"added,omitempty"`
-	Gone   []uint64 `json:"gone,omitempty"`
-	Reset  bool     `json:"reset,omitempty"` // the cache was emptied
+	Engine  string   `json:"engine"`
+	Seq     int64    `json:"seq"`
+	Added   []uint64 `json:"added,omitempty"`
+	Removed []uint64 `json:"gone,omitempty"`
+	Reset   bool     `json:"reset,omitempty"` // the cache was emptied
 }
 
 // Order asks an engine to change its spec. An order is idempotent by its ID.
--- a/process/agreecheck/invariants_test.go
+++ b/process/agreecheck/invariants_test.go
@@ -58,7 +58,7 @@
 		}
 	}
 	e.ids[x.order.ID] = true
-	e.state.LastOrder, e.state.Changing, e.state.Target = x.order.ID, true, x.order.Spec
+	e.state.LastOrder, e.state.Changing, e.state.NextSpec = x.order.ID, true, x.order.Spec
 	e.changeEnds = w.now + w.ms(0, 4000)
 }
 
--- a/process/agreecheck/world_test.go
+++ b/process/agreecheck/world_test.go
@@ -271,7 +271,7 @@
 
 func (e *engine) finishChange(now time.Duration) {
 	if e.state.Changing && now >= e.changeEnds {
-		e.state.Changing, e.state.Spec = false, e.state.Target
+		e.state.Changing, e.state.Spec = false, e.state.NextSpec
 	}
 }
 
--- a/process/reconcile/harness_test.go
+++ b/process/reconcile/harness_test.go
@@ -45,7 +45,7 @@
 
 func (e *fakeEngine) settle() {
 	if e.state.Changing && !time.Now().Before(e.until) {
-		e.state.Changing, e.state.Spec = false, e.state.Target
+		e.state.Changing, e.state.Spec = false, e.state.NextSpec
 	}
 }
 
@@ -65,7 +65,7 @@
 	}
 	e.state.LastFence = max(o.Fence, e.state.LastFence)
 	if o.ID != e.state.LastOrder {
-		e.state.LastOrder, e.state.Changing, e.state.Target = o.ID, true, o.Spec
+		e.state.LastOrder, e.state.Changing, e.state.NextSpec = o.ID, true, o.Spec
 		e.until = time.Now().Add(changeTime)
 		e.orders = append(e.orders, o)
 	}
--- a/standin/engine/batch_test.go
+++ b/standin/engine/batch_test.go
@@ -142,7 +142,7 @@
 		}
 	}
 	events := b.cache.events.after(epoch, 2)
-	if len(events) != 2 || !slices.Equal(events[0].Added, []uint64{9}) || len(events[0].Gone) != 1 {
+	if len(events) != 2 || !slices.Equal(events[0].Added, []uint64{9}) || len(events[0].Removed) != 1 {
 		t.Fatalf("events %+v", events)
 	}
 }
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -56,7 +56,7 @@
 		evicted = append(evicted, h)
 	}
 	if len(added) > 0 || len(evicted) > 0 {
-		c.events.add(now, port.CacheEvent{Added: added, Gone: evicted})
+		c.events.add(now, port.CacheEvent{Added: added, Removed: evicted})
 	}
 }
 
--- a/standin/engine/order.go
+++ b/standin/engine/order.go
@@ -62,7 +62,7 @@
 		e.markDone(o.ID)
 		return
 	}
-	e.state.Changing, e.state.Target = true, o.Spec
+	e.state.Changing, e.state.NextSpec = true, o.Spec
 	if e.opts.CutOnChange {
 		e.cutAll()
 	}
@@ -89,7 +89,7 @@
 		return
 	}
 	e.changeStarted = true
-	from, to := e.state.Spec, e.state.Target
+	from, to := e.state.Spec, e.state.NextSpec
 	e.t.Go(func() error { return e.change(from, to) })
 }
 
@@ -114,7 +114,7 @@
 
 func (e *Engine) finishChange(to port.EngineSpec, weights bool) {
 	e.state.Spec, e.batch.role = to, to.Role
-	e.state.Changing, e.state.Target = false, port.EngineSpec{}
+	e.state.Changing, e.state.NextSpec = false, port.EngineSpec{}
 	e.changeStarted = false
 	if weights {
 		e.batch.cache.reset(time.Now())
