--- a/bench/audit/judge.go
+++ b/bench/audit/judge.go
@@ -177,12 +177,12 @@
 func finalResult(sends []Outcome) result {
 	worst := resultNotRun
 	for _, o := range sends {
-		switch e := o.result(); e {
+		switch res := o.result(); res {
 		case resultAnswered:
-			return e
+			return res
 		case resultNotRun:
 		default:
-			worst = max(worst, e)
+			worst = max(worst, res)
 		}
 	}
 	return worst
@@ -231,12 +231,12 @@
 // checkRuns compares the result of a request with the runs that targets
 // counted.
 func (r *Report) checkRuns(row *Row, sends []Outcome, runs int) {
-	e, o := finalResult(sends), &sends[0]
+	res, o := finalResult(sends), &sends[0]
 	switch {
-	case e == resultAnswered && runs == 0:
+	case res == resultAnswered && runs == 0:
 		row.Lost++
 		r.addFinding("answered, but never ran: %s", o.describe())
-	case e == resultNotRun && runs > 0:
+	case res == resultNotRun && runs > 0:
 		row.Untrue++
 		r.addFinding("said not run, but ran %d times: %s", runs, o.describe())
 	}
--- a/bench/chaos/load.go
+++ b/bench/chaos/load.go
@@ -45,7 +45,7 @@
 	maxInFlight    = 2048
 	callersPerZone = 3 // callers per zone, each with its own address cache
 	maxShortTokens = 8 // longest short stream
-	// longStreamShare is the share of long streams if LoadOptions.Short is set.
+	// longStreamShare is the share of long streams if LoadOptions.ShortStreams is set.
 	// They outlast the time that a daemon waits before it drains.
 	longStreamShare   = 0.03
 	minLongTokens     = 500
@@ -143,8 +143,8 @@
 	if err := l.write(o); err != nil {
 		return err
 	}
-	unsure := !o.Complete && !o.NotRun
-	if a.kind != audit.KindOnce || !a.resend && !unsure {
+	outcomeUnknown := !o.Complete && !o.NotRun
+	if a.kind != audit.KindOnce || !a.resend && !outcomeUnknown {
 		return nil
 	}
 	return l.write(l.send(ctx, a, (a.caller+1)%len(l.clients), true))
@@ -156,15 +156,15 @@
 	return l.enc.Encode(o)
 }
 
-func (l *load) send(ctx context.Context, a arrival, client int, again bool) *audit.Outcome {
+func (l *load) send(ctx context.Context, a arrival, client int, resend bool) *audit.Outcome {
 	r := l.request(a)
-	if again {
+	if resend {
 		r.ID += "-again"
 	}
 	begin := time.Now()
 	answer, err := l.clients[client].Do(ctx, r)
 	o := &audit.Outcome{
-		Kind: a.kind, ID: r.ID, Key: r.Key, Resend: again,
+		Kind: a.kind, ID: r.ID, Key: r.Key, Resend: resend,
 		Code: answer.Code, Status: answer.Status, NotRun: answer.NotRun, Complete: answer.Complete,
 		RequestedTokens: a.tokens, Tokens: answer.Tokens, BodyMatches: bytes.Equal(answer.Body, r.Body),
 		Attempts: answer.Attempts, CutAttempts: answer.CutAttempts, Faults: answer.Faults, Addr: answer.Addr,
--- a/bench/policy/baseline.go
+++ b/bench/policy/baseline.go
@@ -19,7 +19,7 @@
 
 // Route estimates the time to the first token in the same way for all
 // baselines, so that admission doesn't depend on the choice.
-func (c baselineRouter) Route(r routing.Request, ts []routing.Target) (routing.Decision, error) {
+func (b baselineRouter) Route(r routing.Request, ts []routing.Target) (routing.Decision, error) {
 	usable := make([]routing.Target, 0, len(ts))
 	for i := range ts {
 		t := &ts[i]
@@ -27,25 +27,25 @@
 			usable = append(usable, *t)
 		}
 	}
-	p := c.choose(usable, false)
+	p := b.choose(usable, false)
 	if p < 0 {
 		return routing.Decision{}, code.New(code.NoTarget, "none")
 	}
 	d := routing.Decision{Target: usable[p].Name}
 	if usable[p].Role == port.RolePrefill {
-		i := c.choose(usable, true)
+		i := b.choose(usable, true)
 		if i < 0 {
 			return routing.Decision{}, code.New(code.NoTarget, "none")
 		}
 		d.DecodeTarget = usable[i].Name
 	}
 	t := &usable[p]
-	if t.Role == port.RoleMixed && isFull(c.m, t) {
+	if t.Role == port.RoleMixed && isFull(b.m, t) {
 		return routing.Decision{}, code.New(code.Overloaded, "full")
 	}
 	rate := t.Load.PrefillRate
 	if rate == 0 {
-		rate = c.m.prefillRate()
+		rate = b.m.prefillRate()
 	}
 	queue := max(float64(t.Load.QueuedPrefill+t.SentPrefill)-rate*t.LoadAge.Seconds(), 0)
 	d.TimeToFirstToken = duration((queue + float64(r.PromptTokens)) / rate)
@@ -147,7 +147,7 @@
 		return nil
 	}
 	p.last = now
-	var queued, rate, streams, room float64
+	var queued, rate, streams, capacity float64
 	n := map[port.Role]int{}
 	changing := 0
 	for _, e := range obs.Engines {
@@ -164,13 +164,13 @@
 		}
 		if e.Role != port.RolePrefill {
 			streams += float64(e.Load.Running + e.Load.Waiting)
-			room += float64(p.m.Streams[e.Role])
+			capacity += float64(p.m.Streams[e.Role])
 		}
 	}
-	if changing >= maxThresholdChanging || rate == 0 || room == 0 {
+	if changing >= maxThresholdChanging || rate == 0 || capacity == 0 {
 		return nil
 	}
-	queueTime, use := queued/rate, streams/room
+	queueTime, use := queued/rate, streams/capacity
 	switch {
 	case queueTime > prefillQueueHigh && use < decodeUseHigh:
 		return firstChange(obs, n, port.RoleDecode, port.RolePrefill)
--- a/bench/policy/bound.go
+++ b/bench/policy/bound.go
@@ -76,7 +76,7 @@
 // over the time that the objective between tokens allows.
 func (b *bound) fill(t *Trace) {
 	b.slots = make([]slot, int(math.Ceil((t.Length+drainTime)/slotLength)))
-	known := map[uint64]bool{}
+	seenGroups := map[uint64]bool{}
 	for i := range t.arrivals {
 		a := &t.arrivals[i]
 		kind := 1
@@ -84,28 +84,28 @@
 			kind = 0
 		}
 		prompt := a.prompt
-		if a.group != 0 && known[a.group] {
+		if a.group != 0 && seenGroups[a.group] {
 			prompt -= a.sharedPrefix
 		}
-		known[a.group] = true
+		seenGroups[a.group] = true
 		b.add(a, kind, float64(prompt))
 	}
 	b.addDown(t)
 }
 
 func (b *bound) add(a *arrival, kind int, prompt float64) {
-	full := float64(a.prompt) / b.m.prefillRate()
+	prefillTime := float64(a.prompt) / b.m.prefillRate()
 	s := &b.slots[int(a.at/slotLength)].kinds[kind]
 	s.prefill += prompt / slotLength
-	s.value += full / slotLength
-	lasts := float64(a.output) * BetweenTokens.Seconds()
-	perSecond := float64(a.output) / lasts
-	for at := a.at; at < a.at+lasts; {
+	s.value += prefillTime / slotLength
+	decodeTime := float64(a.output) * BetweenTokens.Seconds()
+	perSecond := float64(a.output) / decodeTime
+	for at := a.at; at < a.at+decodeTime; {
 		i := int(at/slotLength + 1e-9)
 		if i >= len(b.slots) {
 			return
 		}
-		end := min(float64(i+1)*slotLength, a.at+lasts)
+		end := min(float64(i+1)*slotLength, a.at+decodeTime)
 		tokens := perSecond * (end - at)
 		k := &b.slots[i].kinds[kind]
 		k.decode += tokens / slotLength
@@ -116,14 +116,14 @@
 
 func (b *bound) addDown(t *Trace) {
 	for _, ev := range t.events {
-		lasts := b.m.RestartTime
+		downtime := b.m.RestartTime
 		switch ev.kind {
 		case restore:
 			continue
 		case withdraw:
-			lasts = withdrawalTime
+			downtime = withdrawalTime
 		}
-		for i := int(math.Ceil(ev.at / slotLength)); float64(i+1)*slotLength <= ev.at+lasts && i < len(b.slots); i++ {
+		for i := int(math.Ceil(ev.at / slotLength)); float64(i+1)*slotLength <= ev.at+downtime && i < len(b.slots); i++ {
 			b.slots[i].down++
 		}
 	}
@@ -150,13 +150,13 @@
 
 func (b *bound) next(best []float64, s *slot) []float64 {
 	out := make([]float64, len(best))
-	stay := make([]float64, len(best))
+	unchanged := make([]float64, len(best))
 	for i, c := range b.states {
-		stay[i] = b.value(c, s) * slotLength
+		unchanged[i] = b.value(c, s) * slotLength
 	}
 	upper := (s.kinds[0].value + s.kinds[1].value) * slotLength
 	for i, to := range b.states {
-		out[i] = best[i] + stay[i]
+		out[i] = best[i] + unchanged[i]
 		for j, from := range b.states {
 			n := changeCount(from, to)
 			if n == 0 || n > maxSlotChanges || best[j]+upper <= out[i] {
--- a/bench/policy/engine.go
+++ b/bench/policy/engine.go
@@ -157,7 +157,7 @@
 	}
 }
 
-// chunk returns the most prompt tokens that the next step computes.
+// chunk returns the maximum number of prompt tokens that the next step computes.
 func (e *engine) chunk() int {
 	n := len(e.running)
 	if n == 0 {
--- a/bench/policy/model.go
+++ b/bench/policy/model.go
@@ -20,8 +20,8 @@
 	StepTarget      float64           // seconds that a step with streams and prompts should take
 	PrefillChunk    int               // prompt tokens in a step without streams
 	SpillChunk      int               // prompt tokens in a step of a decode engine
-	MinChunk        int               // least prompt tokens in a step of a mixed engine that decodes
-	Streams         map[port.Role]int // most streams at a time
+	MinChunk        int               // minimum prompt tokens in a step of a mixed engine that decodes
+	Streams         map[port.Role]int // maximum streams at a time
 	KVCapacity      int               // tokens
 	CacheTokens     int               // capacity of the prefix cache
 	KVTransferRate  float64           // tokens/s between two engines
--- a/bench/policy/policy_test.go
+++ b/bench/policy/policy_test.go
@@ -51,8 +51,8 @@
 			changes += us.Changes
 			threshold += Find(sums, Threshold).Changes
 		}
-		most := map[string]float64{"jadranski": maxChangeRatio, "halen": maxChangeRatioHalen}[deployment]
-		if float64(changes) > most*float64(threshold) {
+		maxRatio := map[string]float64{"jadranski": maxChangeRatio, "halen": maxChangeRatioHalen}[deployment]
+		if float64(changes) > maxRatio*float64(threshold) {
 			t.Errorf("%s: %d changes, threshold rule %d", deployment, changes, threshold)
 		}
 	}
@@ -136,6 +136,6 @@
 	}
 	e.advance(60, done, nil)
 	if ended == 0 || e.role != port.RolePrefill || e.downUntil < ended+m.ChangeTime {
-		t.Errorf("ended %v, role %s, away till %v", ended, e.role, e.downUntil)
+		t.Errorf("ended %v, role %s, down until %v", ended, e.role, e.downUntil)
 	}
 }
--- a/bench/policy/result.go
+++ b/bench/policy/result.go
@@ -46,10 +46,10 @@
 	if j.expected.TimeToCompletion <= 0 || len(j.tried) > 0 {
 		return
 	}
-	off := j.firstTokenAt - j.sentAt - j.expected.TimeToFirstToken.Seconds()
+	deviation := j.firstTokenAt - j.sentAt - j.expected.TimeToFirstToken.Seconds()
 	r.compared++
-	r.FirstBias += off
-	r.FirstError += math.Abs(off)
+	r.FirstBias += deviation
+	r.FirstError += math.Abs(deviation)
 	r.FinishRatio += (at - j.sentAt) / j.expected.TimeToCompletion.Seconds()
 }
 
--- a/bench/policy/run.go
+++ b/bench/policy/run.go
@@ -218,31 +218,31 @@
 		if err != nil || (j.prefillAt == nil && d.TimeToFirstToken > maxAdmittedFirst) {
 			return false
 		}
-		p := r.byName[d.Target]
-		if p.downUntil > p.now {
+		e := r.byName[d.Target]
+		if e.downUntil > e.now {
 			j.tried = append(j.tried, d.Target)
 			continue
 		}
-		r.send(j, p, &d, v)
+		r.send(j, e, &d, v)
 		return true
 	}
 	return false
 }
 
-func (r *run) send(j *job, p *engine, d *routing.Decision, v *view) {
+func (r *run) send(j *job, e *engine, d *routing.Decision, v *view) {
 	first := j.firstTokenAt == 0 && j.prefillAt == nil
-	j.decodeAt = p
+	j.decodeAt = e
 	j.expected, j.sentAt = *d, r.now
-	if d.DecodeTarget != "" && d.DecodeTarget != p.name {
+	if d.DecodeTarget != "" && d.DecodeTarget != e.name {
 		j.decodeAt = r.byName[d.DecodeTarget]
 		j.decodeAt.expectedStreams++
 		v.recordSend(r.index[d.DecodeTarget], sentWork{r.now, 0, j.estimate})
 	}
 	if d.KVSource != "" && j.group != 0 {
-		p.cache.add(j.group, r.byName[d.KVSource].cache.lookup(j.group, r.now), r.now)
+		e.cache.add(j.group, r.byName[d.KVSource].cache.lookup(j.group, r.now), r.now)
 	}
-	p.submit(j, r.now)
-	v.recordSend(r.index[p.name], sentWork{r.now, j.prompt, j.estimate})
+	e.submit(j, r.now)
+	v.recordSend(r.index[e.name], sentWork{r.now, j.prompt, j.estimate})
 	if first {
 		r.demand.Prefill += float64(j.prompt)
 	}
--- a/bench/policy/summary.go
+++ b/bench/policy/summary.go
@@ -95,8 +95,8 @@
 	return Summary{}
 }
 
-// The goals: the least share of the bound, and the most changes in relation to
-// the threshold rule.
+// The goals: the minimum share of the bound, and the maximum number of changes in
+// relation to that of the threshold rule.
 const (
 	minBoundShare       = 0.90
 	maxChangeRatio      = 0.5
@@ -119,12 +119,12 @@
 			out = append(out, fmt.Sprintf("goodput %.2f, not above %.2f of %q", us.Goodput, b.Goodput, name))
 		}
 	}
-	most := maxChangeRatio
+	maxRatio := maxChangeRatio
 	if deployment == "halen" {
-		most = maxChangeRatioHalen
+		maxRatio = maxChangeRatioHalen
 	}
-	if float64(us.Changes) > most*float64(thresh.Changes) {
-		out = append(out, fmt.Sprintf("%d changes, goal at most %.1f of the threshold rule's %d", us.Changes, most*float64(thresh.Changes), thresh.Changes))
+	if float64(us.Changes) > maxRatio*float64(thresh.Changes) {
+		out = append(out, fmt.Sprintf("%d changes, goal at most %.1f of the threshold rule's %d", us.Changes, maxRatio*float64(thresh.Changes), thresh.Changes))
 	}
 	return out
 }
--- a/bench/soak/client.go
+++ b/bench/soak/client.go
@@ -171,7 +171,7 @@
 	o.Err = err
 	var ne net.Error
 	if errors.As(err, &ne) && ne.Timeout() && !o.Canceled {
-		c.Judge.ReportFault("%s %s at daemon %d: no end %v after its deadline", o.Class, o.ID, o.Daemon, c.Grace)
+		c.Judge.ReportFault("%s %s at daemon %d: still open %v after its deadline", o.Class, o.ID, o.Daemon, c.Grace)
 	}
 	if o.Complete {
 		o.Canceled = false
--- a/bench/soak/fleet_test.go
+++ b/bench/soak/fleet_test.go
@@ -66,7 +66,7 @@
 	case !p.killedAt.IsZero():
 		p.judge.RecordKill(p.index, p.killedAt, time.Now())
 	case !p.stopRequested:
-		p.judge.ReportFault("daemon %d ended by itself: %v", p.index, err)
+		p.judge.ReportFault("daemon %d exited unexpectedly: %v", p.index, err)
 	case err != nil && !p.terminatedBeforeStart(cmd):
 		p.judge.ReportFault("daemon %d: planned stop ended with %v", p.index, err)
 	}
--- a/bench/soak/judge.go
+++ b/bench/soak/judge.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Class tells how a request is answered and whether it may be repeated.
+// Class is the kind of a request. It determines how the request is answered and
+// whether it may be repeated.
 type Class int
 
 // The classes.
@@ -75,7 +76,8 @@
 	j.faults = append(j.faults, fmt.Sprintf(format, args...))
 }
 
-// Totals counts the requests by how they ended.
+// Totals counts the requests by how they ended. An answer counts as Broken if it
+// is incomplete, and as Left if its caller canceled the request.
 type Totals struct {
 	Attempts, Good, Refused, Failed, Broken, Left int
 }
@@ -119,13 +121,13 @@
 		faults = append(faults, "ran twice")
 	}
 	if o.Complete && o.NotRun && runs > 0 {
-		faults = append(faults, "told that it didn't run, and it ran")
+		faults = append(faults, "reported as not run, but it ran")
 	}
 	if o.Complete && o.Status == 200 && o.Body != o.WantBody {
-		faults = append(faults, fmt.Sprintf("answer isn't whole or another's: %.80q", o.Body))
+		faults = append(faults, fmt.Sprintf("answer is incomplete or another request's: %.80q", o.Body))
 	}
 	if o.Complete && o.Status == 200 && runs == 0 {
-		faults = append(faults, "a good answer that no target gave")
+		faults = append(faults, "answered, but no target ran it")
 	}
 	if !o.Complete && !o.Canceled && o.Class != Stream && !j.killedWhileOpen(o) {
 		faults = append(faults, "cut, though its daemon wasn't killed")
--- a/bench/soak/plan.go
+++ b/bench/soak/plan.go
@@ -39,9 +39,9 @@
 	At   time.Duration // since the start of the load
 	For  time.Duration // duration; 0 for an event without one
 	Kind Kind
-	On   int  // index of the daemon or target
+	On   int  // index of the daemon or target that it affects
 	Mode Mode // of the proxy, for CutStore and CutTarget
-	How  int  // variant, for FailStore and SpoilTarget
+	How  int  // variant, for FailStore and DegradeTarget
 }
 
 // String returns the event as one line.
@@ -120,6 +120,7 @@
 	return all
 }
 
-func randomDuration(r *rand.Rand, most time.Duration) time.Duration {
-	return time.Duration(r.Int64N(int64(most)))
+// randomDuration returns a random duration below limit.
+func randomDuration(r *rand.Rand, limit time.Duration) time.Duration {
+	return time.Duration(r.Int64N(int64(limit)))
 }
--- a/bench/soak/planted_test.go
+++ b/bench/soak/planted_test.go
@@ -19,7 +19,7 @@
 // daemons with a known fault and expects the soak to report it.
 func TestPlantedFaults(t *testing.T) {
 	if !*planted {
-		t.Log("not asked for: -soak.planted")
+		t.Log("not run without -soak.planted")
 		return
 	}
 	cases := []struct {
@@ -34,26 +34,26 @@
 		}, onAll(DegradeTarget, degradeFail), "ran twice"},
 		{"what ran is called not run", []edit{
 			{"request/dispatch/failure.go", "case x.possibleRuns > 0:", "case false:"},
-		}, onAll(DegradeTarget, degradeFail), "told that it didn't run"},
+		}, onAll(DegradeTarget, degradeFail), "reported as not run"},
 		{"a cut stream ends as if whole", []edit{
 			{"request/ingress/ingress.go", "if x.headerSent && err != nil {", "if false {"},
-		}, onAll(DegradeTarget, degradeCut), "isn't whole"},
+		}, onAll(DegradeTarget, degradeCut), "is incomplete"},
 		{"an answer is taken for whoever asks next", []edit{
 			{"request/dispatch/send.go", "Matches:          x.answersCall,", ""},
-		}, onAll(DegradeTarget, degradeExtra), "another's"},
+		}, onAll(DegradeTarget, degradeRepeat), "another request's"},
 		{"a planned stop cuts", []edit{
 			{"process/front/stop.go", "_ = d.callers.http.Shutdown(ctx)", "_ = d.callers.http.Close()"},
 			{"process/front/stop.go", "_ = pause.For(ctx, min(addressCacheFactor*addressTTL+broadcastTime, limit/2))", ""},
 		}, onAll(StopDaemon, 0), "cut, though"},
 		{"requests outlive their deadline", []edit{
 			{"request/dispatch/call.go", "ctx, cancel := context.WithDeadline(ctx, c.Deadline)", "ctx, cancel := context.WithCancel(ctx)"},
-		}, onAll(DegradeTarget, degradeMute), "no end"},
+		}, onAll(DegradeTarget, degradeNoAnswer), "still open"},
 		{"targets learn the callers' keys", []edit{
-			{"platform/headers.go", "if keyed {", "if false {"},
+			{"platform/headers.go", "if dropAPIKey {", "if false {"},
 		}, nil, "with key"},
 		{"the store is given up after a failure", []edit{
 			{"process/topic/follower.go", "f.o.Sink.StoreLost(err)", "f.o.Sink.StoreLost(err); <-f.tomb.Dying()"},
-		}, append([]Event{{At: 0, For: 3 * time.Second, Kind: FailStore, How: storeReset}}, onAll(KillTarget, 0)...), "isn't well"},
+		}, append([]Event{{At: 0, For: 3 * time.Second, Kind: FailStore, How: storeReset}}, onAll(KillTarget, 0)...), "hasn't recovered"},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -77,13 +77,13 @@
 
 // onAll returns a plan that affects all daemons or all targets for two
 // seconds, starting after one second.
-func onAll(kind Kind, how int) (plan []Event) {
+func onAll(kind Kind, variant int) (plan []Event) {
 	count := defaultTargets
 	if kind == StopDaemon {
 		count = defaultDaemons
 	}
 	for i := range count {
-		plan = append(plan, Event{At: time.Second, For: 2 * time.Second, Kind: kind, On: i, How: how})
+		plan = append(plan, Event{At: time.Second, For: 2 * time.Second, Kind: kind, On: i, How: variant})
 	}
 	return plan
 }
--- a/bench/soak/proxy.go
+++ b/bench/soak/proxy.go
@@ -160,7 +160,7 @@
 	return p.mode, p.delay, p.changed
 }
 
-// maxChunk is the most bytes read from a connection at a time.
+// maxChunk is the maximum number of bytes read from a connection at a time.
 const maxChunk = 16 << 10
 
 // relay forwards one direction of a connection. It forwards a reset as a
--- a/bench/soak/site_test.go
+++ b/bench/soak/site_test.go
@@ -131,29 +131,29 @@
 }
 
 func (env *environment) addSlot(i int) {
-	p := &targetSlot{stage: []string{"", "prefill", "decode", ""}[i%4], name: fmt.Sprintf("i-%d", i)}
-	addr := env.startServer(http.HandlerFunc(func(rw http.ResponseWriter, req *http.Request) { p.current.Load().ServeHTTP(rw, req) }), &p.srv)
+	slot := &targetSlot{stage: []string{"", "prefill", "decode", ""}[i%4], name: fmt.Sprintf("i-%d", i)}
+	addr := env.startServer(http.HandlerFunc(func(rw http.ResponseWriter, req *http.Request) { slot.current.Load().ServeHTTP(rw, req) }), &slot.srv)
 	var err error
-	if p.proxy, err = NewProxy("127.0.0.1:0", addr); err != nil {
+	if slot.proxy, err = NewProxy("127.0.0.1:0", addr); err != nil {
 		env.t.Fatal(err)
 	}
-	env.slots = append(env.slots, p)
-	env.replaceTarget(p)
+	env.slots = append(env.slots, slot)
+	env.replaceTarget(slot)
 }
 
 // replaceTarget replaces the target of a slot by a new one.
-func (env *environment) replaceTarget(p *targetSlot) {
+func (env *environment) replaceTarget(slot *targetSlot) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
-	if old := p.current.Load(); old != nil {
+	if old := slot.current.Load(); old != nil {
 		env.store.Withdraw(old.ID)
 	}
-	t := standin.NewTarget(fmt.Sprintf("%s-%d", p.name, p.generation.Add(1)), p.stage)
+	t := standin.NewTarget(fmt.Sprintf("%s-%d", slot.name, slot.generation.Add(1)), slot.stage)
 	t.Set(func(b *standin.Behaviour) { b.Events, b.Gap = events, 2*time.Millisecond })
-	p.current.Store(t)
-	p.targets = append(p.targets, t)
-	p.leaving, p.removed = false, false
-	env.store.Announce(t, p.proxy.Addr(), false)
+	slot.current.Store(t)
+	slot.targets = append(slot.targets, t)
+	slot.leaving, slot.removed = false, false
+	env.store.Announce(t, slot.proxy.Addr(), false)
 }
 
 // announceInterval is the time between two writes of a target's entry. Each
@@ -170,19 +170,19 @@
 			return
 		case <-tick.C:
 		}
-		for _, p := range env.slots {
-			env.announce(p, func() {})
+		for _, slot := range env.slots {
+			env.announce(slot, func() {})
 		}
 	}
 }
 
 // announce changes the state of a slot and writes the entry of its target.
-func (env *environment) announce(p *targetSlot, change func()) {
+func (env *environment) announce(slot *targetSlot, change func()) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	change()
-	if !p.removed {
-		env.store.Announce(p.current.Load(), p.proxy.Addr(), p.leaving)
+	if !slot.removed {
+		env.store.Announce(slot.current.Load(), slot.proxy.Addr(), slot.leaving)
 	}
 }
 
@@ -211,11 +211,11 @@
 func (env *environment) checkDuties() {
 	env.mu.Lock()
 	defer env.mu.Unlock()
-	for _, p := range env.slots {
-		for _, t := range p.targets {
+	for _, slot := range env.slots {
+		for _, t := range slot.targets {
 			for _, a := range t.ReceivedRequests() {
 				if a.Key != "" || a.Organisation != organisation {
-					env.judge.ReportFault("target %s saw a request of organisation %q with key %q", t.ID, a.Organisation, a.Key)
+					env.judge.ReportFault("target %s received a request of organisation %q with key %q", t.ID, a.Organisation, a.Key)
 				}
 			}
 		}
@@ -247,8 +247,8 @@
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	out := make(map[string]int)
-	for _, p := range env.slots {
-		for _, t := range p.targets {
+	for _, slot := range env.slots {
+		for _, t := range slot.targets {
 			for _, id := range t.Ran() {
 				out[id]++
 			}
@@ -348,9 +348,9 @@
 	for _, proxy := range env.storeProxies {
 		proxy.Close()
 	}
-	for _, p := range env.slots {
-		_ = p.srv.Close()
-		p.proxy.Close()
+	for _, slot := range env.slots {
+		_ = slot.srv.Close()
+		slot.proxy.Close()
 	}
 	_ = env.storeServer.Close()
 	_ = env.cloudServer.Close()
--- a/bench/soak/soak_test.go
+++ b/bench/soak/soak_test.go
@@ -169,12 +169,12 @@
 	case DegradeTarget:
 		env.degrade(e, waitEnd)
 	case KillTarget:
-		p := env.slots[e.On]
-		env.announce(p, func() { p.removed = true })
-		p.proxy.Set(Reset, 0)
+		slot := env.slots[e.On]
+		env.announce(slot, func() { slot.removed = true })
+		slot.proxy.Set(Reset, 0)
 		waitEnd()
-		env.replaceTarget(p)
-		p.proxy.Set(Pass, 0)
+		env.replaceTarget(slot)
+		slot.proxy.Set(Pass, 0)
 	case DrainTarget:
 		env.drain(e, waitEnd)
 	case Publish:
@@ -191,10 +191,10 @@
 // storeReset is the variant of FailStore that resets connections.
 const storeReset = 2
 
-func (env *environment) failStore(how int, waitEnd func()) {
+func (env *environment) failStore(variant int, waitEnd func()) {
 	modes := [variantCount]standin.Mode{standin.Unavailable, standin.RateLimited, storeReset: standin.Reset, standin.Hang, standin.Slow, standin.LateEffect}
-	env.store.SetMode(modes[how])
-	env.cloud.SetMode(modes[variantCount-1-how])
+	env.store.SetMode(modes[variant])
+	env.cloud.SetMode(modes[variantCount-1-variant])
 	waitEnd()
 	env.store.SetMode(standin.Up)
 	env.cloud.SetMode(standin.Up)
@@ -204,9 +204,9 @@
 const (
 	degradeRefuse = iota
 	degradeFail
-	degradeMute
-	degradeGarble
-	degradeExtra // sends the previous answer again before each answer, and applies orders without an answer
+	degradeNoAnswer
+	degradeUnsigned
+	degradeRepeat // sends the previous answer again before each answer, and applies orders without an answer
 	degradeCut
 )
 
@@ -220,11 +220,11 @@
 				b.Refuse = on
 			case degradeFail:
 				b.Fail = on
-			case degradeMute:
+			case degradeNoAnswer:
 				b.NoAnswer = on
-			case degradeGarble:
+			case degradeUnsigned:
 				b.Unsigned = on
-			case degradeExtra:
+			case degradeRepeat:
 				b.RepeatPrevious, b.LoseOrderAnswers = on, on
 			case degradeCut:
 				b.CutAfter = 0
@@ -240,10 +240,10 @@
 }
 
 func (env *environment) drain(e Event, waitEnd func()) {
-	p := env.slots[e.On]
-	env.announce(p, func() { p.leaving = true })
+	slot := env.slots[e.On]
+	env.announce(slot, func() { slot.leaving = true })
 	waitEnd()
-	env.announce(p, func() { p.leaving = false })
+	env.announce(slot, func() { slot.leaving = false })
 }
 
 // waitRecovered waits until every daemon is ready and answers correctly.
@@ -257,7 +257,7 @@
 			return env.ready(i) && env.answersAll(i, try)
 		})
 		if !recovered {
-			env.judge.ReportFault("daemon %d isn't well %v after the last disturbance", i, limit)
+			env.judge.ReportFault("daemon %d hasn't recovered %v after the last fault", i, limit)
 		}
 	}
 }
--- a/code/code.go
+++ b/code/code.go
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// Code is the number of a result. Codes are grouped by thousands: 1xxx admission, 2xxx attempts, 3xxx at-most-once, 4xxx the
-// service document and settings, 5xxx agreement, 6xxx peers and operators.
+// Code is the number of a result. Codes are grouped by thousands: 1xxx
+// admission, 2xxx attempts, 3xxx at-most-once, 4xxx the service document and
+// settings, 5xxx agreement, 6xxx peers and operators.
 type Code int
 
 // Info describes one code for callers, operators and the docs.
@@ -99,7 +100,7 @@
 	m := make(map[Code]Info, len(table))
 	for _, i := range table {
 		if _, dup := m[i.Code]; dup {
-			panic(fmt.Sprintf("code %d stands twice in the table", i.Code))
+			panic(fmt.Sprintf("code %d is in the table twice", i.Code))
 		}
 		m[i.Code] = i
 	}
--- a/operator/burnview/burnview_test.go
+++ b/operator/burnview/burnview_test.go
@@ -47,28 +47,28 @@
 func fetch(t *testing.T) (View, string) {
 	dead := httptest.NewServer(nil)
 	dead.Close()
-	gone := dead.Listener.Addr().String()
+	deadAddr := dead.Listener.Addr().String()
 	a := daemon(t, "entry-1")
 	client := status.NewClient(nil, "")
 	t.Cleanup(client.Close)
-	return Fetch(t.Context(), client, []string{a, daemon(t, "entry-2"), gone, a}, 5*time.Second), gone
+	return Fetch(t.Context(), client, []string{a, daemon(t, "entry-2"), deadAddr, a}, 5*time.Second), deadAddr
 }
 
 // One daemon is queried under two addresses, and another is down. The table must
 // name the one that is down and count no sample twice.
 func TestTable(t *testing.T) {
-	v, gone := fetch(t)
+	v, deadAddr := fetch(t)
 	var out strings.Builder
 	if err := v.Table(&out, true); err != nil {
 		t.Fatal(err)
 	}
-	text := strings.ReplaceAll(out.String(), gone, "GONE")
+	text := strings.ReplaceAll(out.String(), deadAddr, "GONE")
 	goldie.New(t).Assert(t, "table", []byte(text))
 }
 
 // The page must load nothing, embed its plots and escape names.
 func TestPageIsSelfContained(t *testing.T) {
-	v, gone := fetch(t)
+	v, deadAddr := fetch(t)
 	var out strings.Builder
 	if err := v.HTML(&out); err != nil {
 		t.Fatal(err)
@@ -88,7 +88,7 @@
 	if strings.Contains(page, "<b>coach") || !strings.Contains(page, "&lt;b&gt;coach") {
 		t.Error("a name is not escaped in the page")
 	}
-	if want := fmt.Sprintf("Not in this report: %s (6003 DAEMON_UNREACHABLE)", gone); !strings.Contains(page, want) {
+	if want := fmt.Sprintf("Not in this report: %s (6003 DAEMON_UNREACHABLE)", deadAddr); !strings.Contains(page, want) {
 		t.Errorf("the page lacks %q", want)
 	}
 }
--- a/operator/burnview/page.go
+++ b/operator/burnview/page.go
@@ -20,7 +20,7 @@
 type section struct {
 	Name  string
 	Rows  []Row
-	Codes []Ended
+	Codes []CodeCount
 	Times []Quantiles
 	Orgs  []OrgRow
 	Plots []template.HTML
--- a/operator/burnview/table.go
+++ b/operator/burnview/table.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// Ended is the number of requests that ended with a code.
-type Ended struct {
+// CodeCount is the number of requests that ended with a code.
+type CodeCount struct {
 	Code  code.Code
 	Name  string
 	Count uint64
@@ -75,7 +75,7 @@
 }
 
 // Codes counts the requests of the longest window by code, most frequent first.
-func Codes(s burn.Service) []Ended {
+func Codes(s burn.Service) []CodeCount {
 	if len(s.Windows) == 0 {
 		return nil
 	}
@@ -84,10 +84,10 @@
 	for _, c := range counts {
 		total += c.Count
 	}
-	var out []Ended
+	var out []CodeCount
 	for _, c := range counts {
 		share := fmt.Sprintf("%.2f%%", percent*float64(c.Count)/float64(total))
-		out = append(out, Ended{c.Code, c.Code.Info().Name, c.Count, share})
+		out = append(out, CodeCount{c.Code, c.Code.Info().Name, c.Count, share})
 	}
 	sort.SliceStable(out, func(i, j int) bool { return out[i].Count > out[j].Count })
 	return out
--- a/operator/caller/caller.go
+++ b/operator/caller/caller.go
@@ -51,8 +51,8 @@
 	MaxAttempts   int         // including the first; default 4
 	Seed          uint64      // of the random choice among addresses
 
-	// MinHeaderTimeout is the least time to wait for an answer's header; default
-	// 5s. A third of the request's deadline applies if that is longer.
+	// MinHeaderTimeout is the minimum time to wait for an answer's header;
+	// default 5s. A third of the request's deadline applies if that is longer.
 	MinHeaderTimeout time.Duration
 	ReadTimeout      time.Duration // longest wait between two reads of an answer; default 5s
 }
--- a/operator/caller/send.go
+++ b/operator/caller/send.go
@@ -43,14 +43,14 @@
 
 // call is one request with all its attempts.
 type call struct {
-	c                *Client
-	r                *Request
-	a                *Answer
-	start            time.Time
-	deadline         time.Time
-	lastFailedAddr   string // last address whose daemon refused or failed
-	mayHaveRun       bool   // an attempt may have run
-	unavailableInRow int    // consecutive attempts at daemons that couldn't serve
+	c                      *Client
+	r                      *Request
+	a                      *Answer
+	start                  time.Time
+	deadline               time.Time
+	lastFailedAddr         string // last address whose daemon refused or failed
+	mayHaveRun             bool   // an attempt may have run
+	consecutiveUnavailable int    // consecutive attempts at daemons that couldn't serve
 }
 
 // finalError turns the last attempt's error into that of the whole request. A
@@ -122,11 +122,11 @@
 // before its deadline.
 func (c *call) backoffDoublings(next retryDecision) int {
 	if !next.otherDaemon {
-		c.unavailableInRow = 0
+		c.consecutiveUnavailable = 0
 		return 0
 	}
-	c.unavailableInRow++
-	return min(c.unavailableInRow-1, maxBackoffDoublings)
+	c.consecutiveUnavailable++
+	return min(c.consecutiveUnavailable-1, maxBackoffDoublings)
 }
 
 const maxBackoffDoublings = 5
--- a/operator/ctl/cli_test.go
+++ b/operator/ctl/cli_test.go
@@ -58,29 +58,29 @@
 	server := newTestSite(t)
 	dead := httptest.NewServer(nil)
 	dead.Close()
-	live, gone := server.Listener.Addr().String(), dead.Listener.Addr().String()
+	live, deadAddr := server.Listener.Addr().String(), dead.Listener.Addr().String()
 	doc := "../../examples/halen-application.yaml"
 	bad := "../../process/settings/testdata/bad/missing.yaml"
 	lines := map[string]int{
-		"publish " + doc + " --log " + server.URL:                  ExitOK,
-		"publish " + doc + " --timeout 300ms --log http://" + gone: ExitUnreachable,
-		"publish " + bad + " --log " + server.URL:                  ExitFailed,
-		"publish " + doc:            ExitUsage,
-		"publish":                   ExitUsage,
-		"check " + doc:              ExitOK,
-		"check " + bad:              ExitFailed,
-		"check none.yaml":           ExitFailed,
-		"status --daemons " + live:  ExitOK,
-		"status --daemons " + gone:  ExitUnreachable,
-		"status":                    ExitUsage,
-		"address --callers " + live: ExitOK,
-		"address --timeout 300ms --callers " + gone:                        ExitUnreachable,
+		"publish " + doc + " --log " + server.URL:                      ExitOK,
+		"publish " + doc + " --timeout 300ms --log http://" + deadAddr: ExitUnreachable,
+		"publish " + bad + " --log " + server.URL:                      ExitFailed,
+		"publish " + doc:               ExitUsage,
+		"publish":                      ExitUsage,
+		"check " + doc:                 ExitOK,
+		"check " + bad:                 ExitFailed,
+		"check none.yaml":              ExitFailed,
+		"status --daemons " + live:     ExitOK,
+		"status --daemons " + deadAddr: ExitUnreachable,
+		"status":                       ExitUsage,
+		"address --callers " + live:    ExitOK,
+		"address --timeout 300ms --callers " + deadAddr:                    ExitUnreachable,
 		"call --callers " + live + " --model m hello":                      ExitOK,
 		"call --callers " + live + " --service none":                       ExitRefused,
 		"call --callers " + live:                                           ExitUsage,
 		"load --callers " + live + " --model m --rate 20 --duration 100ms": ExitOK,
 		"load --callers " + live + " --model m --rate 0":                   ExitUsage,
-		"burn --daemons " + gone:                                           ExitUnreachable,
+		"burn --daemons " + deadAddr:                                       ExitUnreachable,
 		"explain 5001":                                                     ExitOK,
 		"explain 77":                                                       ExitUsage,
 		"trace nobody":                                                     ExitUsage,
--- a/operator/ctl/ctl_test.go
+++ b/operator/ctl/ctl_test.go
@@ -72,7 +72,7 @@
 	server := newTestSite(t)
 	dead := httptest.NewServer(nil)
 	dead.Close()
-	live, gone := server.Listener.Addr().String(), dead.Listener.Addr().String()
+	live, deadAddr := server.Listener.Addr().String(), dead.Listener.Addr().String()
 	changed := filepath.Join(t.TempDir(), "changed.yaml")
 	data, err := os.ReadFile("../../examples/halen-application.yaml")
 	if err != nil {
@@ -96,9 +96,9 @@
 		{"publish " + changed + " --base 1 --wait --json", ExitOK, `"version": 3`},
 		{"publish ../../examples/halen-application.yaml --base 1", ExitRefused, "5001 BASE_CONFLICT: version 3 .* in place of base 1\nwhat to do: Read the version"},
 		{"publish ../../process/settings/testdata/bad/missing.yaml", ExitFailed, "code 4002"},
-		{"publish ../../examples/halen-application.yaml --timeout 300ms --log http://" + gone, ExitUnreachable, "5003 LOG_UNAVAILABLE"},
+		{"publish ../../examples/halen-application.yaml --timeout 300ms --log http://" + deadAddr, ExitUnreachable, "5003 LOG_UNAVAILABLE"},
 		{"status", ExitOK, "version 3 of halen-application in force on 1 of 1 daemons"},
-		{"status --daemons " + gone, ExitUnreachable, "version 3 of halen-application in force on 1 of 2 daemons(.|\n)*" + gone + ": 6003"},
+		{"status --daemons " + deadAddr, ExitUnreachable, "version 3 of halen-application in force on 1 of 2 daemons(.|\n)*" + deadAddr + ": 6003"},
 		{"status --json", ExitOK, `"answered": 1`},
 		{"address", ExitOK, live + "\thall-a\nmay be kept for 5s"},
 		{"call --model m hello there", ExitOK, "^mole\n$"},
--- a/operator/load/load_test.go
+++ b/operator/load/load_test.go
@@ -41,7 +41,7 @@
 // A target stalls for two of ten seconds. A client that waits for each answer
 // sends nothing during the stall, and sees one slow request in a thousand. In
 // reality at least one request in ten would wait, for up to two seconds. Times
-// measured from the intended arrival must show this whatever the limit of open
+// measured from the planned arrival must show this whatever the limit of open
 // requests is.
 func TestCoordinatedOmissionIsCorrected(t *testing.T) {
 	for _, inFlight := range []int{1, 1000} {
--- a/port/httpapi/client.go
+++ b/port/httpapi/client.go
@@ -158,10 +158,11 @@
 var errClosed = errors.New("adapter closed")
 
 // dial opens a connection and registers it, so that close can close it. It guards
-// against bytes that outlive the call: on a connection that has lost its peer, the kernel retransmits
-// the bytes of a call for minutes after the call has failed, so that an old order
-// may arrive late. TCP_USER_TIMEOUT bounds this time while the connection is open,
-// and a linger of 0 discards the bytes as soon as it is closed.
+// against bytes that outlive the call: if the peer can't be reached, the kernel
+// retransmits the bytes of a call for minutes after the call has failed, so that
+// an old order may arrive late. TCP_USER_TIMEOUT bounds this time while the
+// connection is open, and a linger of 0 discards the bytes as soon as it is
+// closed.
 func (c *client) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	raw, err := c.opts.Dial(ctx, network, addr)
 	if err != nil {
--- a/port/target.go
+++ b/port/target.go
@@ -89,16 +89,17 @@
 	// the invalid header.
 	ParseRequest(h http.Header) (RequestMeta, error)
 	// ForwardHeaders returns the headers that are forwarded to a target
-	// unchanged. If keyed, they don't include the caller's API key.
-	ForwardHeaders(h http.Header, keyed bool) http.Header
+	// unchanged. If dropAPIKey is set, they don't include the caller's API key.
+	ForwardHeaders(h http.Header, dropAPIKey bool) http.Header
 	// AddDispatchHeaders adds the daemon's metadata to headers that
 	// ForwardHeaders returned.
 	AddDispatchHeaders(h http.Header, m DispatchMeta)
 	// ParseResponse reads the metadata of a target's answer.
 	ParseResponse(status int, h http.Header) ResponseMeta
 	// SetAnswerHeaders sets the headers of an answer that the daemon itself
-	// produces: the request's id, and when to retry (0: not stated).
-	SetAnswerHeaders(h http.Header, id string, after time.Duration)
+	// produces: the request's id, and the time after which to retry (0: not
+	// stated).
+	SetAnswerHeaders(h http.Header, id string, retryAfter time.Duration)
 	// ParseKVHandle reads the KV cache handle from the answer to a request that
 	// was sent with Prefill.
 	ParseKVHandle(body []byte) (string, error)
--- a/standin/engine/order.go
+++ b/standin/engine/order.go
@@ -97,8 +97,8 @@
 // a change, then applies the new spec.
 func (e *Engine) change(from, to port.EngineSpec) error {
 	ctx := e.t.Context(context.Background())
-	weights := from.Model != to.Model || from.Version != to.Version
-	if weights && e.opts.LoadWeights != nil {
+	newWeights := from.Model != to.Model || from.Version != to.Version
+	if newWeights && e.opts.LoadWeights != nil {
 		for e.opts.LoadWeights(ctx, to.Model, to.Version) != nil {
 			if !e.pause(loadRetry) {
 				return nil
@@ -108,15 +108,15 @@
 	if !e.pause(e.opts.RoleChangeTime) {
 		return nil
 	}
-	e.do(ctx, func() { e.finishChange(to, weights) })
+	e.do(ctx, func() { e.finishChange(to, newWeights) })
 	return nil
 }
 
-func (e *Engine) finishChange(to port.EngineSpec, weights bool) {
+func (e *Engine) finishChange(to port.EngineSpec, newWeights bool) {
 	e.state.Spec, e.batch.role = to, to.Role
 	e.state.Changing, e.state.NextSpec = false, port.EngineSpec{}
 	e.changeStarted = false
-	if weights {
+	if newWeights {
 		e.batch.cache.reset(time.Now())
 	}
 	e.rec.update(func(r *Record) { r.RoleChanges++ })
--- a/standin/logsvc/log.go
+++ b/standin/logsvc/log.go
@@ -144,7 +144,7 @@
 }
 
 // Read returns up to limit records from an offset on, and the newest offset. It
-// waits up to wait for a first record. An offset below 1 stands for 1.
+// waits up to wait for a first record. An offset below 1 is treated as 1.
 func (l *Log) Read(ctx context.Context, name string, from int64, limit int, wait time.Duration) ([]port.Record, int64, error) {
 	if err := l.admit(ctx, true); err != nil {
 		return nil, 0, err
