--- a/operator/ctl/load_test.go
+++ b/operator/ctl/load_test.go
@@ -61,7 +61,7 @@
 		}
 		s = run()
 		if s.Complete != s.Sent || s.Attempts != s.Sent+2 {
-			t.Errorf("%s: %d of %d whole in %d attempts", f.Kind, s.Complete, s.Sent, s.Attempts)
+			t.Errorf("%s: %d of %d complete in %d attempts", f.Kind, s.Complete, s.Sent, s.Attempts)
 		}
 		if s.CutAttempts+s.Faults.Crossed != 2 || (s.CutAttempts == 2) != (f.Kind == "cut") || s.Faults.Wrong+s.Faults.Duplicated+s.Faults.Lost > 0 {
 			t.Errorf("%s: %d cut, %+v", f.Kind, s.CutAttempts, s.Faults)
--- a/operator/ctl/trace.go
+++ b/operator/ctl/trace.go
@@ -54,15 +54,15 @@
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, maxLogLine)
 	for lines.Scan() {
-		before, rest, ok := strings.Cut(lines.Text(), "{")
+		prefix, rest, ok := strings.Cut(lines.Text(), "{")
 		if !ok || !strings.Contains(rest, id) {
 			continue
 		}
-		t := logLine{Prefix: before}
-		if json.Unmarshal([]byte("{"+rest), &t) != nil || t.Fields["request"] != id {
+		line := logLine{Prefix: prefix}
+		if json.Unmarshal([]byte("{"+rest), &line) != nil || line.Fields["request"] != id {
 			continue
 		}
-		out = append(out, t)
+		out = append(out, line)
 	}
 	if err := lines.Err(); err != nil {
 		return nil, fmt.Errorf("read the log: %w", err)
--- a/operator/load/load_test.go
+++ b/operator/load/load_test.go
@@ -48,7 +48,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			s := Run(t.Context(), &stallingDoer{time.Now()}, testOptions(inFlight), new(Progress))
 			if !s.Passed() || s.Complete != s.Planned || s.Planned < 900 || s.Planned > 1100 {
-				t.Fatalf("%d planned, %d whole", s.Planned, s.Complete)
+				t.Fatalf("%d planned, %d complete", s.Planned, s.Complete)
 			}
 			if s.TimeToCompletion.P90 < 500*time.Millisecond || s.TimeToCompletion.Max < 1900*time.Millisecond {
 				t.Errorf("in flight %d: p90 %v, max %v: the stall is hidden", inFlight, s.TimeToCompletion.P90, s.TimeToCompletion.Max)
--- a/operator/proofdoc/proofdoc_test.go
+++ b/operator/proofdoc/proofdoc_test.go
@@ -150,21 +150,21 @@
 func TestNamedTestsExist(t *testing.T) {
 	source, text := scan(t), page(t)
 	for _, m := range quotedTest.FindAllStringSubmatch(text, -1) {
-		whole, pkg, name, kind, sub := m[0], m[1], m[2], m[3], m[4]
+		mention, pkg, name, kind, sub := m[0], m[1], m[2], m[3], m[4]
 		i := slices.IndexFunc(source[name], func(p testFunc) bool {
 			return p.dir == pkg || strings.HasSuffix(p.dir, "/"+pkg)
 		})
 		if i < 0 {
-			t.Errorf("%s is on the page but not in the source", whole)
+			t.Errorf("%s is on the page but not in the source", mention)
 			continue
 		}
 		p := source[name][i]
 		if kind != "" && (kind == "/") != p.hasSubtests {
-			t.Errorf("%s: sub-tests must follow a slash, cases of other tables a colon", whole)
+			t.Errorf("%s: sub-tests must follow a slash, cases of other tables a colon", mention)
 		}
 		for _, part := range strings.Split(sub, "/") {
 			if part != "" && !p.literals[strings.ReplaceAll(part, " ", "_")] {
-				t.Errorf("%s: the test has no %q", whole, part)
+				t.Errorf("%s: the test has no %q", mention, part)
 			}
 		}
 	}
