--- a/operator/load/load_test.go
+++ b/operator/load/load_test.go
@@ -41,14 +41,14 @@
 // A target stalls for two of ten seconds. A client that waits for each answer
 // sends nothing during the stall, and sees one slow request in a thousand. In
 // reality at least one request in ten would wait, for up to two seconds. Times
-// measured from the intended arrival must show this whatever the limit of open
+// measured from the planned arrival must show this whatever the limit of open
 // requests is.
 func TestCoordinatedOmissionIsCorrected(t *testing.T) {
 	for _, inFlight := range []int{1, 1000} {
 		synctest.Test(t, func(t *testing.T) {
 			s := Run(t.Context(), &stallingDoer{time.Now()}, testOptions(inFlight), new(Progress))
 			if !s.Passed() || s.Complete != s.Planned || s.Planned < 900 || s.Planned > 1100 {
-				t.Fatalf("%d planned, %d whole", s.Planned, s.Complete)
+				t.Fatalf("%d planned, %d complete", s.Planned, s.Complete)
 			}
 			if s.TimeToCompletion.P90 < 500*time.Millisecond || s.TimeToCompletion.Max < 1900*time.Millisecond {
 				t.Errorf("in flight %d: p90 %v, max %v: the stall is hidden", inFlight, s.TimeToCompletion.P90, s.TimeToCompletion.Max)
