--- a/connection/load/load_test.go
+++ b/connection/load/load_test.go
@@ -140,7 +140,7 @@
 			}
 			advance(50 * time.Millisecond)
 		}
-		// The report lags by 500 ms and is read every 250 ms; steps are 100 ms.
+		// The report lags by 500 ms and is read every 250 ms; a step is 50 ms.
 		if counted < 10 || counted > 18 {
 			t.Errorf("counted for %d steps of 50 ms", counted)
 		}
--- a/operator/ctl/app.go
+++ b/operator/ctl/app.go
@@ -138,7 +138,7 @@
 // printedError is an error whose details the command has already printed.
 type printedError struct{ error }
 
-func (r printedError) Unwrap() error { return r.error }
+func (e printedError) Unwrap() error { return e.error }
 
 // withTimeout returns a context bounded by --timeout.
 func (a *app) withTimeout() (context.Context, context.CancelFunc) {
--- a/process/clock/fleet.go
+++ b/process/clock/fleet.go
@@ -22,12 +22,12 @@
 
 // Estimator estimates the time of day from the clocks of many VMs, using samples
 // that other daemons send. The estimate is the median, so that stepped clocks
-// affect it only if they are at least half of all clocks. Fleet is safe for
-// concurrent use.
+// affect it only if they are at least half of all clocks. An Estimator is safe
+// for concurrent use.
 type Estimator struct {
 	monotonic   Clock
 	wall        func() time.Time
-	startOffset time.Duration // offset of this VM's clock when the Fleet was created
+	startOffset time.Duration // offset of this VM's clock when the Estimator was created
 
 	mu          sync.Mutex
 	samples     map[string]sample // by sender
@@ -45,56 +45,56 @@
 // NewEstimator returns an Estimator that uses a monotonic clock and this VM's time of
 // day.
 func NewEstimator(monotonic Clock, wall func() time.Time) *Estimator {
-	f := &Estimator{monotonic: monotonic, wall: wall, samples: make(map[string]sample), estimatedAt: -estimateInterval}
-	f.startOffset = f.ownOffset(monotonic.Now())
-	return f
+	e := &Estimator{monotonic: monotonic, wall: wall, samples: make(map[string]sample), estimatedAt: -estimateInterval}
+	e.startOffset = e.ownOffset(monotonic.Now())
+	return e
 }
 
 // ownOffset returns the offset of this VM's clock at now.
-func (f *Estimator) ownOffset(now time.Duration) time.Duration {
-	return time.Duration(f.wall().UnixNano()) - now
+func (e *Estimator) ownOffset(now time.Duration) time.Duration {
+	return time.Duration(e.wall().UnixNano()) - now
 }
 
 // Wall returns this VM's own time of day, which is sent to other daemons.
-func (f *Estimator) Wall() time.Time { return f.wall() }
+func (e *Estimator) Wall() time.Time { return e.wall() }
 
 // Observe records the time of day in a message that was just received from
 // sender.
-func (f *Estimator) Observe(sender string, wall time.Time) {
-	now := f.monotonic.Now()
+func (e *Estimator) Observe(sender string, wall time.Time) {
+	now := e.monotonic.Now()
 	s := sample{offset: time.Duration(wall.UnixNano()) - now, at: now}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	old, known := f.samples[sender]
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	old, known := e.samples[sender]
 	if known && now-old.at < sampleHold && old.offset > s.offset {
 		return
 	}
-	f.samples[sender] = s
+	e.samples[sender] = s
 }
 
 // Now returns the estimated time of day.
-func (f *Estimator) Now() time.Time {
-	now := f.monotonic.Now()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if now-f.estimatedAt >= estimateInterval {
-		f.offset, f.estimatedAt = f.estimate(now), now
+func (e *Estimator) Now() time.Time {
+	now := e.monotonic.Now()
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if now-e.estimatedAt >= estimateInterval {
+		e.offset, e.estimatedAt = e.estimate(now), now
 	}
-	return time.Unix(0, int64(now+f.offset))
+	return time.Unix(0, int64(now+e.offset))
 }
 
 // estimate returns the median offset at now. The caller holds f.mu.
-func (f *Estimator) estimate(now time.Duration) time.Duration {
-	own := f.ownOffset(now)
+func (e *Estimator) estimate(now time.Duration) time.Duration {
+	own := e.ownOffset(now)
 	offsets := []time.Duration{own}
-	if (own - f.startOffset).Abs() > minStep {
+	if (own - e.startOffset).Abs() > minStep {
 		// This VM's clock was stepped since the start, so its offset at the
 		// start is included, too.
-		offsets = append(offsets, f.startOffset)
+		offsets = append(offsets, e.startOffset)
 	}
-	for sender, s := range f.samples {
+	for sender, s := range e.samples {
 		if now-s.at > sampleTTL {
-			delete(f.samples, sender)
+			delete(e.samples, sender)
 			continue
 		}
 		offsets = append(offsets, s.offset)
--- a/process/roles/planner.go
+++ b/process/roles/planner.go
@@ -43,7 +43,7 @@
 	// didn't answer one. An engine may carry out an order up to 12 s after the
 	// order timed out.
 	refusalBackoff = 13 * time.Second
-	// switchGrace is added to the service's switch time, before an engine that
+	// switchGrace is added to the service's RoleChangeTime before an engine that
 	// doesn't show the new role counts as unchanged.
 	switchGrace = 3 * time.Second
 	// drainGrace is added for an engine that leaves decoding. It finishes its
--- a/process/roster/digest.go
+++ b/process/roster/digest.go
@@ -16,20 +16,20 @@
 // summary of this availability zone, the zone's own daemons that of the whole fleet. Each
 // datagram can be processed by itself.
 type digest struct {
-	_       struct{} `cbor:",toarray"`
-	From    string   // peer address of the sender
-	Zone    string   // availability zone that is summarized; empty: the whole fleet
-	Rows    []row
-	Alive   []uint32 // tokens of live daemons
-	HasWork bool     // whether Part, Parts and Work are set
-	Part    uint32   // index of this part; engines are assigned to parts by hash
-	Parts   uint32   // number of parts
-	Work    []engines.Work
-	Reads   []engines.Read
-	Claims  []Claim
-	Speeds  []speed.Update
-	Asked   bool // whether Demand is set
-	Demand  []demand.Update
+	_         struct{} `cbor:",toarray"`
+	From      string   // peer address of the sender
+	Zone      string   // availability zone that is summarized; empty: the whole fleet
+	Rows      []row
+	Alive     []uint32 // tokens of live daemons
+	HasWork   bool     // whether Part, Parts and Work are set
+	Part      uint32   // index of this part; engines are assigned to parts by hash
+	Parts     uint32   // number of parts
+	Work      []engines.Work
+	Reads     []engines.Read
+	Claims    []Claim
+	Speeds    []speed.Update
+	HasDemand bool `cbor:"Asked"` // whether Demand is set
+	Demand    []demand.Update
 	// AliveSum is the sum of the tokens of all live daemons, including the sender and the
 	// receiver; 0 if unset.
 	AliveSum uint64
@@ -144,7 +144,7 @@
 	if d.HasWork {
 		r.mergeLoads(d, &own)
 	}
-	if d.Asked {
+	if d.HasDemand {
 		r.o.Demand.Merge(summaryName(d.Zone), demand.Subtract(d.Demand, own.demand))
 	}
 	if fresh := r.o.Engines.MergeReads(d.Reads); otherZone {
--- a/process/roster/publish.go
+++ b/process/roster/publish.go
@@ -280,7 +280,7 @@
 			}
 		}
 		if part == 0 {
-			c.Claims, c.Speeds, c.Asked, c.Demand, c.Clock, c.AliveSum = d.Claims, d.Speeds, true, d.Demand, d.Clock, d.AliveSum
+			c.Claims, c.Speeds, c.HasDemand, c.Demand, c.Clock, c.AliveSum = d.Claims, d.Speeds, true, d.Demand, d.Clock, d.AliveSum
 		}
 		out = append(out, c)
 	}
--- a/request/attempt/attempt_test.go
+++ b/request/attempt/attempt_test.go
@@ -45,7 +45,7 @@
 
 type staticTargets []routing.Target
 
-func (f staticTargets) Targets(*view.Service) []routing.Target { return f }
+func (s staticTargets) Targets(*view.Service) []routing.Target { return s }
 
 // bodyReceiver stores the body of an answer.
 type bodyReceiver struct{ body string }
--- a/request/attempt/choose.go
+++ b/request/attempt/choose.go
@@ -20,22 +20,22 @@
 // back to a target that failed before. Targets claimed by other suspect content
 // are left out; while there are such targets, choose returns an error, so that
 // the caller waits for them, rather than fall back to a failed one.
-func (u *run) choose() (routing.Target, routing.Decision, error) {
-	targets := without(u.opts.Targets.Targets(u.q.Service), u.claimedElsewhere)
-	if u.nextDecision != nil && !u.route.Exclusive {
-		if t, ok := find(targets, u.nextDecision.Target); ok && t.Live {
-			return t, *u.nextDecision, nil
+func (r *run) choose() (routing.Target, routing.Decision, error) {
+	targets := without(r.opts.Targets.Targets(r.q.Service), r.claimedElsewhere)
+	if r.nextDecision != nil && !r.route.Exclusive {
+		if t, ok := find(targets, r.nextDecision.Target); ok && t.Live {
+			return t, *r.nextDecision, nil
 		}
 	}
-	u.route.Deadline = u.q.Deadline.Sub(u.opts.Now())
-	d, err := u.routeElsewhere(targets)
-	if err != nil && len(u.route.Exclude) > 0 && len(u.claimedElsewhere) == 0 {
-		all := u.route
+	r.route.Deadline = r.q.Deadline.Sub(r.opts.Now())
+	d, err := r.routeElsewhere(targets)
+	if err != nil && len(r.route.Exclude) > 0 && len(r.claimedElsewhere) == 0 {
+		all := r.route
 		all.Exclude = nil
-		d, err = u.opts.Router.Route(all, targets)
+		d, err = r.opts.Router.Route(all, targets)
 	}
 	if err != nil {
-		return routing.Target{}, d, u.exclusiveError(err)
+		return routing.Target{}, d, r.exclusiveError(err)
 	}
 	t, ok := find(targets, d.Target)
 	if !ok {
@@ -44,26 +44,26 @@
 	return t, d, nil
 }
 
-func (u *run) routeElsewhere(targets []routing.Target) (routing.Decision, error) {
-	if u.failedZone == "" {
-		return u.opts.Router.Route(u.route, targets)
+func (r *run) routeElsewhere(targets []routing.Target) (routing.Decision, error) {
+	if r.failedZone == "" {
+		return r.opts.Router.Route(r.route, targets)
 	}
 	var otherZones []routing.Target
 	for _, t := range targets {
-		if t.Zone != u.failedZone {
+		if t.Zone != r.failedZone {
 			otherZones = append(otherZones, t)
 		}
 	}
-	if d, err := u.opts.Router.Route(u.route, otherZones); err == nil {
+	if d, err := r.opts.Router.Route(r.route, otherZones); err == nil {
 		return d, nil
 	}
-	return u.opts.Router.Route(u.route, targets)
+	return r.opts.Router.Route(r.route, targets)
 }
 
 // exclusiveError replaces code.Overloaded with code.CrashSuspect for content that
 // has to run alone.
-func (u *run) exclusiveError(err error) error {
-	if !u.route.Exclusive {
+func (r *run) exclusiveError(err error) error {
+	if !r.route.Exclusive {
 		return err
 	}
 	var ce *code.Error
--- a/request/attempt/place.go
+++ b/request/attempt/place.go
@@ -20,36 +20,36 @@
 // claims the target, and selects another one if other suspect content has
 // claimed it: if two of them shared a target that crashes, the one that didn't
 // cause the crash would be blamed as well.
-func (u *run) place(ctx context.Context) (placement, error) {
-	u.claimedElsewhere = nil
+func (r *run) place(ctx context.Context) (placement, error) {
+	r.claimedElsewhere = nil
 	for {
-		t, d, err := u.choose()
-		if err != nil && len(u.claimedElsewhere) > 0 {
-			err = code.Wrap(code.CrashSuspect, err, "other suspect content runs at %d targets", len(u.claimedElsewhere)).WithRetryAfter(retryAfter)
+		t, d, err := r.choose()
+		if err != nil && len(r.claimedElsewhere) > 0 {
+			err = code.Wrap(code.CrashSuspect, err, "other suspect content runs at %d targets", len(r.claimedElsewhere)).WithRetryAfter(retryAfter)
 		}
 		if err != nil {
 			return placement{}, err
 		}
-		if release, ok := u.claimTarget(ctx, t.Name); ok {
+		if release, ok := r.claimTarget(ctx, t.Name); ok {
 			return placement{target: t, decision: d, release: release}, nil
 		}
-		u.claimedElsewhere = append(u.claimedElsewhere, t.Name)
+		r.claimedElsewhere = append(r.claimedElsewhere, t.Name)
 	}
 }
 
-func (u *run) claimTarget(ctx context.Context, target string) (func(bool), bool) {
-	claimer, ok := u.opts.Quarantine.(quarantine.Claimer)
-	if !ok || !u.suspect {
+func (r *run) claimTarget(ctx context.Context, target string) (func(bool), bool) {
+	claimer, ok := r.opts.Quarantine.(quarantine.Claimer)
+	if !ok || !r.suspect {
 		return func(bool) {}, true
 	}
-	return claimer.ClaimTarget(ctx, u.q.Fingerprint, target)
+	return claimer.ClaimTarget(ctx, r.q.Fingerprint, target)
 }
 
 // attemptAndRelease makes one attempt and releases the target when it ends.
-func (u *run) attemptAndRelease(ctx context.Context, p placement) *failure.Failure {
+func (r *run) attemptAndRelease(ctx context.Context, p placement) *failure.Failure {
 	finished := false
 	defer func() { p.release(finished) }()
-	f := u.attempt(ctx, p.target, p.decision)
+	f := r.attempt(ctx, p.target, p.decision)
 	finished = f == nil
 	return f
 }
--- a/request/attempt/run.go
+++ b/request/attempt/run.go
@@ -32,34 +32,34 @@
 	unpredicted bool // the last target refused, but was not known to refuse requests
 }
 
-func (u *run) loop(ctx context.Context) error {
+func (r *run) loop(ctx context.Context) error {
 	for {
-		err := u.checkQuarantine(ctx)
-		if u.shouldWait(err) && pause.For(ctx, claimRetryDelay) == nil {
+		err := r.checkQuarantine(ctx)
+		if r.shouldWait(err) && pause.For(ctx, claimRetryDelay) == nil {
 			continue
 		}
 		if err != nil {
-			return u.quarantineError(err)
+			return r.quarantineError(err)
 		}
-		u.chosenAt = u.opts.Now()
-		p, err := u.place(ctx)
-		if u.shouldWait(err) && pause.For(ctx, capacityRetryDelay) == nil {
+		r.chosenAt = r.opts.Now()
+		p, err := r.place(ctx)
+		if r.shouldWait(err) && pause.For(ctx, capacityRetryDelay) == nil {
 			continue
 		}
 		if err != nil {
-			return u.routeError(err)
+			return r.routeError(err)
 		}
-		progress := u.recv.Progress()
-		f := u.attemptAndRelease(ctx, p)
+		progress := r.recv.Progress()
+		f := r.attemptAndRelease(ctx, p)
 		if f == nil {
 			return nil
 		}
 		if f.Class == failure.Handover {
-			u.handOver(ctx, p.decision)
+			r.handOver(ctx, p.decision)
 			continue
 		}
-		u.recordFailure(f, p.target)
-		if err := u.mayRepeat(ctx, f, u.recv.Progress() > progress); err != nil {
+		r.recordFailure(f, p.target)
+		if err := r.mayRepeat(ctx, f, r.recv.Progress() > progress); err != nil {
 			return err
 		}
 	}
@@ -69,8 +69,8 @@
 // request that has been attempted must not be refused because the remaining
 // targets are briefly full, or because it was in flight at a crash and now has
 // to run alone. A request that has not been attempted is refused immediately.
-func (u *run) shouldWait(err error) bool {
-	if err == nil || u.lastFailure == nil {
+func (r *run) shouldWait(err error) bool {
+	if err == nil || r.lastFailure == nil {
 		return false
 	}
 	c := code.Of(err)
@@ -81,26 +81,26 @@
 // tracker. After a broken connection it verifies the target before it reports
 // the end, because the tracker suspects only content that is in flight when the
 // crash is reported.
-func (u *run) attempt(ctx context.Context, t routing.Target, d routing.Decision) *failure.Failure {
-	u.result.Attempts++
+func (r *run) attempt(ctx context.Context, t routing.Target, d routing.Decision) *failure.Failure {
+	r.result.Attempts++
 	attemptCount.Add(1)
-	u.result.Target = t.Name
-	if u.opts.Quarantine != nil && u.q.Fingerprint != 0 {
-		u.opts.Quarantine.Begin(u.q.Fingerprint, t.Name)
-		defer u.opts.Quarantine.End(u.q.Fingerprint, t.Name)
+	r.result.Target = t.Name
+	if r.opts.Quarantine != nil && r.q.Fingerprint != 0 {
+		r.opts.Quarantine.Begin(r.q.Fingerprint, t.Name)
+		defer r.opts.Quarantine.End(r.q.Fingerprint, t.Name)
 	}
-	u.moveKV(ctx, d.KVSource, t.Name)
+	r.moveKV(ctx, d.KVSource, t.Name)
 	p := attemptPlan{
-		chosenAt:      u.chosenAt,
-		headerTimeout: max(u.opts.MinHeaderTimeout, d.TimeToFirstToken*headerTimeoutFactor),
-		handover:      d.DecodeTarget != "" && d.DecodeTarget != t.Name && !u.handedOver,
+		chosenAt:      r.chosenAt,
+		headerTimeout: max(r.opts.MinHeaderTimeout, d.TimeToFirstToken*headerTimeoutFactor),
+		handover:      d.DecodeTarget != "" && d.DecodeTarget != t.Name && !r.handedOver,
 	}
-	f, unpredicted := u.send(ctx, u.q, t, p, u.recv)
-	u.unpredicted = unpredicted
+	f, unpredicted := r.send(ctx, r.q, t, p, r.recv)
+	r.unpredicted = unpredicted
 	if f != nil && mayHaveCrashed(f) {
 		vctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), verifyTimeout)
 		defer cancel()
-		u.opts.Verify(vctx, t)
+		r.opts.Verify(vctx, t)
 	}
 	return f
 }
@@ -108,35 +108,35 @@
 // handOver prepares the next attempt to continue on the engine that routing
 // chose for decoding, and transfers the prompt's KV cache there. It is no retry:
 // nothing failed, and the tokens received so far are kept.
-func (u *run) handOver(ctx context.Context, d routing.Decision) {
-	u.handedOver = true
-	u.moveKV(ctx, d.Target, d.DecodeTarget)
-	u.nextDecision = &routing.Decision{Target: d.DecodeTarget, TimeToFirstToken: d.TimeToFirstToken}
+func (r *run) handOver(ctx context.Context, d routing.Decision) {
+	r.handedOver = true
+	r.moveKV(ctx, d.Target, d.DecodeTarget)
+	r.nextDecision = &routing.Decision{Target: d.DecodeTarget, TimeToFirstToken: d.TimeToFirstToken}
 }
 
 // moveKV transfers the prompt's KV cache. If this fails, the engine computes the
 // prompt again: the failure costs only time, bounded by kvMoveTimeout, and is only
 // logged.
-func (u *run) moveKV(ctx context.Context, from, to string) {
-	if from == "" || u.opts.KV == nil {
+func (r *run) moveKV(ctx context.Context, from, to string) {
+	if from == "" || r.opts.KV == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, kvMoveTimeout)
 	defer cancel()
-	if err := u.opts.KV.Move(ctx, from, to, u.q.Route.Prefix); err != nil {
-		log.WithFields(log.Fields{"request": u.q.ID, "from": from, "to": to}).WithError(err).Info("attempt: KV cache transfer failed")
+	if err := r.opts.KV.Move(ctx, from, to, r.q.Route.Prefix); err != nil {
+		log.WithFields(log.Fields{"request": r.q.ID, "from": from, "to": to}).WithError(err).Info("attempt: KV cache transfer failed")
 	}
 }
 
-func (u *run) recordFailure(f *failure.Failure, t routing.Target) {
+func (r *run) recordFailure(f *failure.Failure, t routing.Target) {
 	failureCounts.Add(f.Class.Metric(), 1)
-	u.lastFailure = f
-	u.failedZone = t.Zone
-	u.result.Written = u.result.Written || !f.Unwritten
-	u.route.Exclude = append(u.route.Exclude[:len(u.route.Exclude):len(u.route.Exclude)], t.Name)
-	u.nextDecision = nil
+	r.lastFailure = f
+	r.failedZone = t.Zone
+	r.result.Written = r.result.Written || !f.Unwritten
+	r.route.Exclude = append(r.route.Exclude[:len(r.route.Exclude):len(r.route.Exclude)], t.Name)
+	r.nextDecision = nil
 	log.WithFields(log.Fields{
-		"request": u.q.ID,
+		"request": r.q.ID,
 		"target":  t.Name,
 		"class":   f.Class.String(),
 		"cause":   f.Cause(),
@@ -150,25 +150,25 @@
 // begun to leave or reconfigure: nothing ran, and requests on their way to such
 // a target must not fail for lack of budget. Once the refusal is known, further
 // refused attempts use up the budget.
-func (u *run) mayRepeat(ctx context.Context, f *failure.Failure, progressed bool) error {
-	doc := u.q.Service.Doc
+func (r *run) mayRepeat(ctx context.Context, f *failure.Failure, progressed bool) error {
+	doc := r.q.Service.Doc
 	maxAttempts := doc.Retry.Attempts
 	if maxAttempts <= 0 {
 		maxAttempts = defaultAttempts
 	}
-	if u.unpredicted {
-		u.budgets.Count(doc.Service)
+	if r.unpredicted {
+		r.budgets.Count(doc.Service)
 	}
 	switch {
-	case ctx.Err() != nil || !repeatable(f, u.q.Idempotent) || u.recv.Committed():
-		return u.finalError(f)
-	case u.result.Attempts >= maxAttempts:
-		return u.finalError(f)
-	case !progressed && !u.unpredicted && !u.budgets.Take(doc.Service, doc.Retry.Budget):
-		if !u.result.Written {
-			return u.finalError(f)
+	case ctx.Err() != nil || !repeatable(f, r.q.Idempotent) || r.recv.Committed():
+		return r.finalError(f)
+	case r.result.Attempts >= maxAttempts:
+		return r.finalError(f)
+	case !progressed && !r.unpredicted && !r.budgets.Take(doc.Service, doc.Retry.Budget):
+		if !r.result.Written {
+			return r.finalError(f)
 		}
-		return code.Wrap(code.RetryBudgetSpent, f, "after %d attempts", u.result.Attempts).WithRetryAfter(retryAfter)
+		return code.Wrap(code.RetryBudgetSpent, f, "after %d attempts", r.result.Attempts).WithRetryAfter(retryAfter)
 	}
 	return nil
 }
@@ -176,12 +176,12 @@
 const retryAfter = time.Second
 
 // finalError returns the request's error for its last failure.
-func (u *run) finalError(f *failure.Failure) error {
+func (r *run) finalError(f *failure.Failure) error {
 	c := classCodes[f.Class]
-	if c.Info().NotRun && u.result.Written {
+	if c.Info().NotRun && r.result.Written {
 		c = code.TargetFailed
 	}
-	e := code.Wrap(c, f, "after %d attempts", u.result.Attempts)
+	e := code.Wrap(c, f, "after %d attempts", r.result.Attempts)
 	if c.Info().NotRun {
 		e.WithRetryAfter(retryAfter)
 	}
@@ -191,27 +191,27 @@
 // routeError returns the request's error when no target could be selected. After
 // an attempt it is the error of that attempt: it is more specific, and
 // code.NoTarget would claim that nothing ran, which may be wrong.
-func (u *run) routeError(err error) error {
-	if u.lastFailure != nil {
-		return u.finalError(u.lastFailure)
+func (r *run) routeError(err error) error {
+	if r.lastFailure != nil {
+		return r.finalError(r.lastFailure)
 	}
 	return err
 }
 
 // checkQuarantine refuses convicted content and claims suspect content, which may
 // run only once at a time in the whole fleet.
-func (u *run) checkQuarantine(ctx context.Context) error {
-	if u.opts.Quarantine == nil || u.q.Fingerprint == 0 {
+func (r *run) checkQuarantine(ctx context.Context) error {
+	if r.opts.Quarantine == nil || r.q.Fingerprint == 0 {
 		return nil
 	}
-	verdict, left := u.opts.Quarantine.Check(u.q.Fingerprint)
-	u.route.Exclusive = verdict == quarantine.Suspect
-	u.suspect = u.route.Exclusive || verdict == quarantine.SuspectShared
+	verdict, left := r.opts.Quarantine.Check(r.q.Fingerprint)
+	r.route.Exclusive = verdict == quarantine.Suspect
+	r.suspect = r.route.Exclusive || verdict == quarantine.SuspectShared
 	switch verdict {
 	case quarantine.Convicted:
 		return code.New(code.CrashConvicted, "").WithRetryAfter(left)
 	case quarantine.Suspect, quarantine.SuspectShared:
-		if !u.claim(ctx) {
+		if !r.claim(ctx) {
 			return code.New(code.CrashSuspect, "another run of the content goes on").WithRetryAfter(retryAfter)
 		}
 	}
@@ -220,9 +220,9 @@
 
 // quarantineError returns refusal, whose code says that nothing ran, or a
 // different error if an earlier attempt was written to a target.
-func (u *run) quarantineError(refusal error) error {
-	if u.result.Written {
-		return code.Wrap(code.TargetFailed, u.lastFailure, "the content is in quarantine")
+func (r *run) quarantineError(refusal error) error {
+	if r.result.Written {
+		return code.Wrap(code.TargetFailed, r.lastFailure, "the content is in quarantine")
 	}
 	return refusal
 }
@@ -230,19 +230,19 @@
 // claim claims the right to run suspect content, once for all attempts. It keeps
 // the same content from running on several targets at a time, which could all
 // crash before any daemon informs the others.
-func (u *run) claim(ctx context.Context) bool {
-	claimer, ok := u.opts.Quarantine.(quarantine.Claimer)
-	if !ok || u.release != nil {
+func (r *run) claim(ctx context.Context) bool {
+	claimer, ok := r.opts.Quarantine.(quarantine.Claimer)
+	if !ok || r.release != nil {
 		return true
 	}
-	u.release, ok = claimer.Claim(ctx, u.q.Fingerprint)
+	r.release, ok = claimer.Claim(ctx, r.q.Fingerprint)
 	return ok
 }
 
 // releaseClaim releases the claim on suspect content. A complete answer clears
 // the content.
-func (u *run) releaseClaim(complete bool) {
-	if u.release != nil {
-		u.release(complete)
+func (r *run) releaseClaim(complete bool) {
+	if r.release != nil {
+		r.release(complete)
 	}
 }
--- a/request/attempt/runner.go
+++ b/request/attempt/runner.go
@@ -75,8 +75,8 @@
 // reuse returns the connection reuse for the request. Calls that can't be
 // repeated get a new connection: on an idle connection that has become
 // unresponsive their outcome would be unknown.
-func (q *Request) reuse() h1.Reuse {
-	if q.Idempotent {
+func (r *Request) reuse() h1.Reuse {
+	if r.Idempotent {
 		return h1.ReuseIdle
 	}
 	return h1.ReuseNever
--- a/request/dispatch/send.go
+++ b/request/dispatch/send.go
@@ -20,7 +20,7 @@
 // outgoing describes one send of a call.
 type outgoing struct {
 	target        port.TargetEntry
-	state         port.DispatchMeta // request fills in ID, Target, Organisation and Left
+	state         port.DispatchMeta // request sets RequestID, TargetID, Organisation and Timeout
 	headerTimeout time.Duration     // bounds the wait for the header and the first bytes of the body; 0: only the call's deadline does
 }
 
--- a/request/entry/streamout.go
+++ b/request/entry/streamout.go
@@ -22,37 +22,37 @@
 }
 
 // Event implements stream.Sink.
-func (o *streamSink) Event(data []byte) error {
-	if o.writer == nil {
-		o.begin()
+func (s *streamSink) Event(data []byte) error {
+	if s.writer == nil {
+		s.begin()
 	}
-	return o.writer.Event(data)
+	return s.writer.Event(data)
 }
 
-func (o *streamSink) begin() {
-	o.obs.firstToken()
-	h := o.w.Header()
+func (s *streamSink) begin() {
+	s.obs.firstToken()
+	h := s.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-cache")
 	h.Set(answer.HeaderCode, strconv.Itoa(int(code.OK)))
-	o.w.WriteHeader(http.StatusOK)
-	o.writer = stream.NewWriter(o.w, o.bufferBytes, o.writeTimeout, o.cancel)
+	s.w.WriteHeader(http.StatusOK)
+	s.writer = stream.NewWriter(s.w, s.bufferBytes, s.writeTimeout, s.cancel)
 }
 
 // close ends the answer and returns the final result of the request. An error
 // after the first token is sent as an event that isn't followed by an end
 // marker.
-func (o *streamSink) close(err error) error {
-	if o.writer == nil {
+func (s *streamSink) close(err error) error {
+	if s.writer == nil {
 		if err != nil {
-			writeError(o.w, err)
+			writeError(s.w, err)
 		}
 		return err
 	}
 	if err != nil {
-		_ = o.writer.Event(answer.Marshal(answer.Error(err)))
+		_ = s.writer.Event(answer.Marshal(answer.Error(err)))
 	}
-	if werr := o.writer.Close(); werr != nil && err == nil {
+	if werr := s.writer.Close(); werr != nil && err == nil {
 		return code.Wrap(code.CallerGone, werr, "")
 	}
 	return err
--- a/request/quarantine/quarantine_test.go
+++ b/request/quarantine/quarantine_test.go
@@ -18,37 +18,37 @@
 		poison     []uint64
 		maxCrashes int
 		want       Verdict
-		play       func(r *rig)
+		play       func(r *harness)
 	}{
-		{"to one daemon after another", []uint64{bad}, 2, Convicted, func(r *rig) {
+		{"to one daemon after another", []uint64{bad}, 2, Convicted, func(r *harness) {
 			for i := range 4 * daemons {
 				r.send(i%daemons, bad)
 			}
 		}},
-		{"to all daemons at once after the first crash", []uint64{bad}, 2, Convicted, func(r *rig) {
+		{"to all daemons at once after the first crash", []uint64{bad}, 2, Convicted, func(r *harness) {
 			r.try(r.trackers[0], bad)
 			r.concurrently(daemons, func(i int) { r.send(i, bad) })
 			r.concurrently(daemons, func(i int) { r.send(i, bad) })
 		}},
-		{"again before the first is answered", []uint64{bad}, 2, Convicted, func(r *rig) {
+		{"again before the first is answered", []uint64{bad}, 2, Convicted, func(r *harness) {
 			r.concurrently(2, func(i int) {
 				<-time.After(time.Duration(i) * (crashTime + 5*hopDelay))
 				r.send(i, bad)
 			})
 			r.concurrently(daemons, func(i int) { r.send(i, bad) })
 		}},
-		{"to two daemons at once, never seen before", []uint64{bad}, 2, Convicted, func(r *rig) {
+		{"to two daemons at once, never seen before", []uint64{bad}, 2, Convicted, func(r *harness) {
 			r.concurrently(2, func(i int) { r.send(i, bad) })
 			r.concurrently(daemons, func(i int) { r.send(i, bad) })
 		}},
-		{"in flight elsewhere when the first engine dies", []uint64{bad}, 2, Convicted, func(r *rig) {
+		{"in flight elsewhere when the first engine dies", []uint64{bad}, 2, Convicted, func(r *harness) {
 			r.concurrently(2, func(i int) {
 				<-time.After(time.Duration(i) * crashTime * 3 / 4)
 				r.send(i, bad)
 			})
 			r.concurrently(daemons, func(i int) { r.send(i, bad) })
 		}},
-		{"two such contents at once", []uint64{bad, bad + 1}, 4, Convicted, func(r *rig) {
+		{"two such contents at once", []uint64{bad, bad + 1}, 4, Convicted, func(r *harness) {
 			for range 4 {
 				r.concurrently(2*daemons, func(i int) {
 					if i < 2 {
@@ -57,7 +57,7 @@
 				})
 			}
 		}},
-		{"beside a hundred innocents", []uint64{bad}, 2, Convicted, func(r *rig) {
+		{"beside a hundred innocents", []uint64{bad}, 2, Convicted, func(r *harness) {
 			for range 12 { // no engine is idle, so after exclusiveWait it runs beside others
 				r.concurrently(101, func(i int) {
 					if i == 0 {
@@ -69,7 +69,7 @@
 				<-time.After(time.Second)
 			}
 		}},
-		{"broadcasts lost, heartbeats not", []uint64{bad}, 2, Convicted, func(r *rig) {
+		{"broadcasts lost, heartbeats not", []uint64{bad}, 2, Convicted, func(r *harness) {
 			r.dropBroadcasts = true
 			r.try(r.trackers[0], bad)
 			r.heartbeats(5 * time.Second)
@@ -82,7 +82,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newRig(t, tc.poison...)
+				r := newHarness(t, tc.poison...)
 				defer r.stop()
 				tc.play(r)
 				r.expectMaxCrashes(tc.maxCrashes)
@@ -100,7 +100,7 @@
 func TestUnrelatedRequestsStayClear(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const harmless = 40
-		r := newRig(t, bad)
+		r := newHarness(t, bad)
 		defer r.stop()
 		began := time.Now()
 		longest := time.Duration(0)
@@ -210,7 +210,7 @@
 // then runs alone and crashes a target again is refused for twice as long.
 func TestConvictionDoubles(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, bad)
+		r := newHarness(t, bad)
 		defer r.stop()
 		r.send(0, bad)
 		for _, want := range []time.Duration{10, 20, 40} {
@@ -255,7 +255,7 @@
 // may run it, and another one after the claim is released.
 func TestClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, bad)
+		r := newHarness(t, bad)
 		defer r.stop()
 		last := r.trackers[daemons-1]
 		last.Begin(bad, "engine-11") // in flight there before the crash
--- a/request/quarantine/rig_test.go
+++ b/request/quarantine/rig_test.go
@@ -29,9 +29,9 @@
 	hopDelay   = time.Millisecond      // one-way, between daemons
 )
 
-// rig is a fleet of trackers, and of engines that crash on the contents in
+// harness is a fleet of trackers, and of engines that crash on the contents in
 // poison.
-type rig struct {
+type harness struct {
 	t        *testing.T
 	trackers []*CrashTracker
 	poison   map[uint64]bool
@@ -45,8 +45,8 @@
 	refused        map[uint64]int // answers with code 1012 or 1013, by content
 }
 
-func newRig(t *testing.T, poison ...uint64) *rig {
-	r := &rig{t: t, poison: map[uint64]bool{}, dead: map[string]time.Time{}, noticed: map[string]chan struct{}{}, inFlight: map[string]int{}, refused: map[uint64]int{}}
+func newHarness(t *testing.T, poison ...uint64) *harness {
+	r := &harness{t: t, poison: map[uint64]bool{}, dead: map[string]time.Time{}, noticed: map[string]chan struct{}{}, inFlight: map[string]int{}, refused: map[uint64]int{}}
 	for _, fp := range poison {
 		r.poison[fp] = true
 	}
@@ -60,14 +60,14 @@
 	return r
 }
 
-func (r *rig) stop() {
+func (r *harness) stop() {
 	for _, tr := range r.trackers {
 		_ = tr.Stop()
 	}
 }
 
 // broadcast implements Options.Broadcast over connections that can be cut.
-func (r *rig) broadcast(ctx context.Context, from int, updates []*peerpb.Conviction) {
+func (r *harness) broadcast(ctx context.Context, from int, updates []*peerpb.Conviction) {
 	b := Broadcaster{Self: func() *peerpb.Member { return nil }}
 	b.Addrs = func() (addrs []string) {
 		for i := range r.trackers {
@@ -83,7 +83,7 @@
 
 type peerClient struct {
 	peerpb.PeerClient
-	r  *rig
+	r  *harness
 	to string
 }
 
@@ -106,7 +106,7 @@
 
 // heartbeats exchanges updates around a ring of daemons at the interval of
 // membership heartbeats.
-func (r *rig) heartbeats(d time.Duration) {
+func (r *harness) heartbeats(d time.Duration) {
 	for began := time.Now(); time.Since(began) < d; <-time.After(500 * time.Millisecond) {
 		for i := range r.trackers {
 			r.trackers[(i+1)%daemons].Incoming(r.trackers[i].Outgoing())
@@ -116,7 +116,7 @@
 
 // pick returns the live engine with the fewest requests in flight. If exclusive
 // is set, it considers only idle engines.
-func (r *rig) pick(fp uint64, exclusive bool) string {
+func (r *harness) pick(fp uint64, exclusive bool) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	best := ""
@@ -133,14 +133,14 @@
 	return best
 }
 
-func (r *rig) leave(engine string) {
+func (r *harness) leave(engine string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.inFlight[engine]--
 }
 
 // crash takes an engine down for repairTime.
-func (r *rig) crash(engine string) {
+func (r *harness) crash(engine string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if time.Now().Before(r.dead[engine]) {
@@ -152,7 +152,7 @@
 
 // reportCrash reports a crash to a daemon once. Requests of the daemon wait
 // until it is reported.
-func (r *rig) reportCrash(tr *CrashTracker, engine string) {
+func (r *harness) reportCrash(tr *CrashTracker, engine string) {
 	r.mu.Lock()
 	id := fmt.Sprint(tr.o.Self, engine, r.dead[engine])
 	done, known := r.noticed[id]
@@ -170,7 +170,7 @@
 }
 
 // isDead reports whether the engine is down.
-func (r *rig) isDead(engine string) bool {
+func (r *harness) isDead(engine string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return time.Now().Before(r.dead[engine])
@@ -178,7 +178,7 @@
 
 // send handles a request as request/entry does, with retries, and returns the
 // result code that the caller receives, 0 for an answer.
-func (r *rig) send(daemon int, fp uint64) int {
+func (r *harness) send(daemon int, fp uint64) int {
 	for range 3 {
 		code, again := r.try(r.trackers[daemon], fp)
 		if !again {
@@ -188,7 +188,7 @@
 	return 2003
 }
 
-func (r *rig) countRefusal(fp uint64, code int) int {
+func (r *harness) countRefusal(fp uint64, code int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if code != 0 {
@@ -197,7 +197,7 @@
 	return code
 }
 
-func (r *rig) try(tr *CrashTracker, fp uint64) (code int, again bool) {
+func (r *harness) try(tr *CrashTracker, fp uint64) (code int, again bool) {
 	verdict, _ := tr.Check(fp)
 	finished := false
 	switch verdict {
@@ -232,7 +232,7 @@
 }
 
 // serve runs the content and reports whether the engine answered.
-func (r *rig) serve(engine string, fp uint64) bool {
+func (r *harness) serve(engine string, fp uint64) bool {
 	<-time.After(crashTime)
 	if r.poison[fp] {
 		r.crash(engine)
@@ -242,7 +242,7 @@
 	return !r.isDead(engine)
 }
 
-func (r *rig) concurrently(n int, do func(i int)) {
+func (r *harness) concurrently(n int, do func(i int)) {
 	var wg sync.WaitGroup
 	for i := range n {
 		wg.Go(func() { do(i) })
@@ -251,7 +251,7 @@
 }
 
 // expectMaxCrashes fails the test if more engines crashed.
-func (r *rig) expectMaxCrashes(lost int) {
+func (r *harness) expectMaxCrashes(lost int) {
 	r.t.Helper()
 	r.t.Logf("engines lost: %d", r.enginesLost)
 	if r.enginesLost > lost {
@@ -259,7 +259,7 @@
 	}
 }
 
-func (r *rig) expectVerdict(daemon int, fp uint64, want Verdict) {
+func (r *harness) expectVerdict(daemon int, fp uint64, want Verdict) {
 	r.t.Helper()
 	if got, _ := r.trackers[daemon].Check(fp); got != want {
 		r.t.Errorf("daemon %d: verdict %d for content %d, want %d", daemon, got, fp, want)
--- a/request/quarantine/target_test.go
+++ b/request/quarantine/target_test.go
@@ -13,7 +13,7 @@
 
 // claimAll lets the daemons claim the engine at once, each for its own content,
 // and returns the releases of the granted claims.
-func (r *rig) claimAll(engine string, who ...int) map[int]func(bool) {
+func (r *harness) claimAll(engine string, who ...int) map[int]func(bool) {
 	var mu sync.Mutex
 	granted := make(map[int]func(bool))
 	r.concurrently(len(who), func(i int) {
@@ -36,39 +36,39 @@
 	cases := []struct {
 		name    string
 		first   []int
-		between func(r *rig, granted map[int]func(bool))
+		between func(r *harness, granted map[int]func(bool))
 		second  []int
 		want    int // granted in the second round
 	}{
-		{"two at once, both again while it runs", []int{0, 1}, func(*rig, map[int]func(bool)) {}, []int{0, 1}, 0},
-		{"all at once, all again while it runs", all, func(*rig, map[int]func(bool)) {}, all, 0},
-		{"answered", []int{6, 7}, func(_ *rig, granted map[int]func(bool)) {
+		{"two at once, both again while it runs", []int{0, 1}, func(*harness, map[int]func(bool)) {}, []int{0, 1}, 0},
+		{"all at once, all again while it runs", all, func(*harness, map[int]func(bool)) {}, all, 0},
+		{"answered", []int{6, 7}, func(_ *harness, granted map[int]func(bool)) {
 			granted[6](true)
 			<-time.After(3 * hopDelay)
 		}, all, 1},
-		{"failed, and the crash may show yet", []int{6, 7}, func(_ *rig, granted map[int]func(bool)) {
+		{"failed, and the crash may show yet", []int{6, 7}, func(_ *harness, granted map[int]func(bool)) {
 			granted[6](false)
 			<-time.After(settleTime / 2)
 		}, all, 0},
-		{"failed a while ago", []int{6, 7}, func(_ *rig, granted map[int]func(bool)) {
+		{"failed a while ago", []int{6, 7}, func(_ *harness, granted map[int]func(bool)) {
 			granted[6](false)
 			<-time.After(settleTime + 3*hopDelay)
 		}, all, 1},
-		{"the holder died", []int{0, 1}, func(r *rig, _ map[int]func(bool)) {
+		{"the holder died", []int{0, 1}, func(r *harness, _ map[int]func(bool)) {
 			<-time.After(claimTTL - time.Second)
 			if n := len(r.claimAll("e", 1, 2)); n != 0 {
 				r.t.Errorf("%d may run while the holder could live", n)
 			}
 			<-time.After(time.Second)
 		}, []int{1, 2}, 1},
-		{"the release is lost, heartbeats tell", []int{0, 1}, func(r *rig, granted map[int]func(bool)) {
+		{"the release is lost, heartbeats tell", []int{0, 1}, func(r *harness, granted map[int]func(bool)) {
 			r.dropBroadcasts = true
 			granted[0](true)
 			<-time.After(time.Second)
 			r.dropBroadcasts = false
 			r.heartbeats(maxUpdateDelay / 2)
 		}, []int{1}, 1},
-		{"old news of an ended claim", []int{0}, func(r *rig, granted map[int]func(bool)) {
+		{"old news of an ended claim", []int{0}, func(r *harness, granted map[int]func(bool)) {
 			old := r.trackers[0].Outgoing()
 			granted[0](true)
 			<-time.After(time.Second)
@@ -78,7 +78,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newRig(t)
+				r := newHarness(t)
 				defer r.stop()
 				granted := r.claimAll("e", tc.first...)
 				if len(granted) != 1 || granted[tc.first[0]] == nil {
@@ -148,7 +148,7 @@
 	const first = uint64(7)
 	for _, next := range []int{-1, 0, 1} { // daemon that sends the crashing content, -1 for none
 		synctest.Test(t, func(t *testing.T) {
-			r := newRig(t)
+			r := newHarness(t)
 			defer r.stop()
 			tr := r.trackers[1]
 			tr.Begin(first, "engine-0")
@@ -176,7 +176,7 @@
 }
 
 // begin lets a daemon run suspect content on an engine.
-func (r *rig) begin(daemon int, fp uint64, engine string) (release func(bool)) {
+func (r *harness) begin(daemon int, fp uint64, engine string) (release func(bool)) {
 	r.t.Helper()
 	tr := r.trackers[daemon]
 	if _, ok := tr.Claim(r.t.Context(), fp); !ok {
--- a/standin/engine/serve_test.go
+++ b/standin/engine/serve_test.go
@@ -75,29 +75,29 @@
 	return g
 }
 
-func (g *streamResult) addEvent(data string) {
+func (r *streamResult) addEvent(data string) {
 	if data == "[DONE]" {
-		g.done = true
+		r.done = true
 		return
 	}
 	var c Chunk
-	if g.err = json.Unmarshal([]byte(data), &c); g.err != nil {
+	if r.err = json.Unmarshal([]byte(data), &c); r.err != nil {
 		return
 	}
-	if g.firstIndex < 0 {
-		g.firstIndex = *c.TokenIndex
+	if r.firstIndex < 0 {
+		r.firstIndex = *c.TokenIndex
 	}
-	g.id = c.ID
-	g.text += *c.Choices[0].Text
+	r.id = c.ID
+	r.text += *c.Choices[0].Text
 	if end := c.Choices[0].FinishReason; end != nil {
-		g.finishReason = *end
+		r.finishReason = *end
 	}
 }
 
 // isComplete reports whether g is the complete answer to prompt, with the tokens
 // from index from up to max.
-func (g streamResult) isComplete(prompt string, from, max int) bool {
-	return g.err == nil && g.done && g.finishReason == finishLength && g.text == token.Text(token.Hash(prompt), from, max)
+func (r streamResult) isComplete(prompt string, from, max int) bool {
+	return r.err == nil && r.done && r.finishReason == finishLength && r.text == token.Text(token.Hash(prompt), from, max)
 }
 
 func fault(t *testing.T, e *Engine, f standin.Fault) {
