--- a/process/clock/fleet.go
+++ b/process/clock/fleet.go
@@ -83,7 +83,7 @@
 	return time.Unix(0, int64(now+e.offset))
 }
 
-// estimate returns the median offset at now. The caller holds f.mu.
+// estimate returns the median offset at now. The caller holds e.mu.
 func (e *Estimator) estimate(now time.Duration) time.Duration {
 	own := e.ownOffset(now)
 	offsets := []time.Duration{own}
--- a/process/follow/serve.go
+++ b/process/follow/serve.go
@@ -19,43 +19,43 @@
 	bytes int
 }
 
-// add appends r and evicts the oldest records beyond the bounds. After a
-// recovery from a checkpoint, r may not directly follow the last record; it
+// add appends rec and evicts the oldest records beyond the bounds. After a
+// recovery from a checkpoint, rec may not directly follow the last record; it
 // then replaces all cached records.
-func (c *recent) add(r port.Record) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if n := len(c.recs); n > 0 {
-		last := c.recs[n-1].Offset
-		if r.Offset <= last {
+func (r *recent) add(rec port.Record) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if n := len(r.recs); n > 0 {
+		last := r.recs[n-1].Offset
+		if rec.Offset <= last {
 			return
 		}
-		if r.Offset > last+1 {
-			c.recs, c.bytes = nil, 0
+		if rec.Offset > last+1 {
+			r.recs, r.bytes = nil, 0
 		}
 	}
-	c.recs = append(c.recs, r)
-	c.bytes += len(r.Data)
-	for len(c.recs) > maxRecentRecords || (c.bytes > maxRecentBytes && len(c.recs) > 1) {
-		c.bytes -= len(c.recs[0].Data)
-		c.recs = c.recs[1:]
+	r.recs = append(r.recs, rec)
+	r.bytes += len(rec.Data)
+	for len(r.recs) > maxRecentRecords || (r.bytes > maxRecentBytes && len(r.recs) > 1) {
+		r.bytes -= len(r.recs[0].Data)
+		r.recs = r.recs[1:]
 	}
 }
 
 // from returns up to n records with offsets from offset to last. It returns
 // false if the record at offset is not cached.
-func (c *recent) from(offset, last int64, n int) ([]port.Record, bool) {
+func (r *recent) from(offset, last int64, n int) ([]port.Record, bool) {
 	if offset > last {
 		return nil, true
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if len(c.recs) == 0 || offset < c.recs[0].Offset {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if len(r.recs) == 0 || offset < r.recs[0].Offset {
 		return nil, false
 	}
-	i := min(int(offset-c.recs[0].Offset), len(c.recs))
-	j := min(i+n, int(last-c.recs[0].Offset)+1, len(c.recs))
-	return append([]port.Record(nil), c.recs[i:max(i, j)]...), true
+	i := min(int(offset-r.recs[0].Offset), len(r.recs))
+	j := min(i+n, int(last-r.recs[0].Offset)+1, len(r.recs))
+	return append([]port.Record(nil), r.recs[i:max(i, j)]...), true
 }
 
 // Serve handles a peer's request for records from offset from on. It returns
--- a/request/dispatch/harness_test.go
+++ b/request/dispatch/harness_test.go
@@ -112,13 +112,13 @@
 		prompt = "aa:1000,bb:460"
 	}
 	header := standin.CallerHeaders("req-1", 3*time.Second, prompt)
-	ask, err := platform.TargetProtocol{}.ParseRequest(header)
+	meta, err := platform.TargetProtocol{}.ParseRequest(header)
 	if err != nil {
 		h.t.Fatal(err)
 	}
 	now := time.Now()
 	c := &Call{
-		Ask: ask, Service: svc, Arrived: now, Deadline: now.Add(min(timeout, ask.Timeout)),
+		Ask: meta, Service: svc, Arrived: now, Deadline: now.Add(min(timeout, meta.Timeout)),
 		Method: "POST", URI: "/p/x?y=1", Host: "a.example", Header: platform.TargetProtocol{}.ForwardHeaders(header, false), Body: []byte("body"),
 		Route: &route.Route{Name: "r", Kind: kind, Attempts: attempts, Objective: 500 * time.Millisecond, Timeout: timeout},
 	}
--- a/request/dispatch/pace_test.go
+++ b/request/dispatch/pace_test.go
@@ -99,12 +99,12 @@
 func (h *harness) pacedCall(p *pacedRequest, end time.Time) *Call {
 	c := h.newCall(route.Stream, 1, time.Until(end))
 	header := standin.CallerHeaders(p.id, time.Until(end), "cc:50,dd:40")
-	ask, err := platform.TargetProtocol{}.ParseRequest(header)
+	meta, err := platform.TargetProtocol{}.ParseRequest(header)
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	ask.PromptTokens, ask.MaxOutputTokens, ask.OutputHint = 90, paceLongest*paceTokens, p.hint
-	c.Ask, c.Header, c.Deadline = ask, platform.TargetProtocol{}.ForwardHeaders(header, false), end
+	meta.PromptTokens, meta.MaxOutputTokens, meta.OutputHint = 90, paceLongest*paceTokens, p.hint
+	c.Ask, c.Header, c.Deadline = meta, platform.TargetProtocol{}.ForwardHeaders(header, false), end
 	c.Service.Engine.Slots = paceSlots
 	c.Priority = 1
 	return c
--- a/request/ingress/ingress.go
+++ b/request/ingress/ingress.go
@@ -130,7 +130,7 @@
 	w          http.ResponseWriter
 	req        *http.Request
 	arrived    time.Time
-	ask        port.RequestMeta
+	meta       port.RequestMeta
 	trace      dispatch.Trace
 	status     int
 	headerSent bool          // the header of a target's answer was sent
@@ -139,8 +139,8 @@
 
 // read parses and validates the request.
 func (x *exchange) read() (*dispatch.Call, error) {
-	ask, err := x.o.Wire.ParseRequest(x.req.Header)
-	x.ask = ask
+	meta, err := x.o.Wire.ParseRequest(x.req.Header)
+	x.meta = meta
 	if err != nil {
 		return nil, code.Wrap(code.BadRequest, err, "")
 	}
@@ -154,11 +154,11 @@
 	if r == nil {
 		return nil, code.New(code.UnknownRoute, "version %d", cfg.Version)
 	}
-	org := cfg.Organisation(ask.APIKey)
+	org := cfg.Organisation(meta.APIKey)
 	if org == nil && cfg.RequiresKeys() && !r.Public {
 		return nil, x.unknownKey(cfg)
 	}
-	svc := cfg.Services[r.Service(route.Seed(ask.RequestID))]
+	svc := cfg.Services[r.Service(route.Seed(meta.RequestID))]
 	if svc == nil {
 		return nil, code.New(code.NoTarget, "route %q names a service that the configuration lacks", r.Name).WithRetryAfter(noConfigurationRetryAfter)
 	}
@@ -167,7 +167,7 @@
 		return nil, err
 	}
 	c := &dispatch.Call{
-		Ask:     ask,
+		Ask:     meta,
 		Route:   r,
 		Service: svc,
 		Version: cfg.Version,
@@ -267,7 +267,7 @@
 	duration := time.Since(x.arrived)
 	o := Observation{Code: code.Of(err), Status: x.status, Duration: duration, TimeToFirst: x.trace.TimeToFirst}
 	fields := log.Fields{
-		"request": x.ask.RequestID,
+		"request": x.meta.RequestID,
 		"code":    int(o.Code),
 		"status":  x.status,
 		"ms":      duration.Milliseconds(),
--- a/request/quarantine/quarantine_test.go
+++ b/request/quarantine/quarantine_test.go
@@ -18,76 +18,76 @@
 		poison     []uint64
 		maxCrashes int
 		want       Verdict
-		play       func(r *harness)
+		play       func(h *harness)
 	}{
-		{"to one daemon after another", []uint64{bad}, 2, Convicted, func(r *harness) {
+		{"to one daemon after another", []uint64{bad}, 2, Convicted, func(h *harness) {
 			for i := range 4 * daemons {
-				r.send(i%daemons, bad)
+				h.send(i%daemons, bad)
 			}
 		}},
-		{"to all daemons at once after the first crash", []uint64{bad}, 2, Convicted, func(r *harness) {
-			r.try(r.trackers[0], bad)
-			r.concurrently(daemons, func(i int) { r.send(i, bad) })
-			r.concurrently(daemons, func(i int) { r.send(i, bad) })
+		{"to all daemons at once after the first crash", []uint64{bad}, 2, Convicted, func(h *harness) {
+			h.try(h.trackers[0], bad)
+			h.concurrently(daemons, func(i int) { h.send(i, bad) })
+			h.concurrently(daemons, func(i int) { h.send(i, bad) })
 		}},
-		{"again before the first is answered", []uint64{bad}, 2, Convicted, func(r *harness) {
-			r.concurrently(2, func(i int) {
+		{"again before the first is answered", []uint64{bad}, 2, Convicted, func(h *harness) {
+			h.concurrently(2, func(i int) {
 				<-time.After(time.Duration(i) * (crashTime + 5*hopDelay))
-				r.send(i, bad)
+				h.send(i, bad)
 			})
-			r.concurrently(daemons, func(i int) { r.send(i, bad) })
+			h.concurrently(daemons, func(i int) { h.send(i, bad) })
 		}},
-		{"to two daemons at once, never seen before", []uint64{bad}, 2, Convicted, func(r *harness) {
-			r.concurrently(2, func(i int) { r.send(i, bad) })
-			r.concurrently(daemons, func(i int) { r.send(i, bad) })
+		{"to two daemons at once, never seen before", []uint64{bad}, 2, Convicted, func(h *harness) {
+			h.concurrently(2, func(i int) { h.send(i, bad) })
+			h.concurrently(daemons, func(i int) { h.send(i, bad) })
 		}},
-		{"in flight elsewhere when the first engine dies", []uint64{bad}, 2, Convicted, func(r *harness) {
-			r.concurrently(2, func(i int) {
+		{"in flight elsewhere when the first engine dies", []uint64{bad}, 2, Convicted, func(h *harness) {
+			h.concurrently(2, func(i int) {
 				<-time.After(time.Duration(i) * crashTime * 3 / 4)
-				r.send(i, bad)
+				h.send(i, bad)
 			})
-			r.concurrently(daemons, func(i int) { r.send(i, bad) })
+			h.concurrently(daemons, func(i int) { h.send(i, bad) })
 		}},
-		{"two such contents at once", []uint64{bad, bad + 1}, 4, Convicted, func(r *harness) {
+		{"two such contents at once", []uint64{bad, bad + 1}, 4, Convicted, func(h *harness) {
 			for range 4 {
-				r.concurrently(2*daemons, func(i int) {
+				h.concurrently(2*daemons, func(i int) {
 					if i < 2 {
-						r.send(i, bad+uint64(i))
+						h.send(i, bad+uint64(i))
 					}
 				})
 			}
 		}},
-		{"beside a hundred innocents", []uint64{bad}, 2, Convicted, func(r *harness) {
+		{"beside a hundred innocents", []uint64{bad}, 2, Convicted, func(h *harness) {
 			for range 12 { // no engine is idle, so after exclusiveWait it runs beside others
-				r.concurrently(101, func(i int) {
+				h.concurrently(101, func(i int) {
 					if i == 0 {
-						r.send(0, bad)
+						h.send(0, bad)
 						return
 					}
-					r.send(i%daemons, uint64(i))
+					h.send(i%daemons, uint64(i))
 				})
 				<-time.After(time.Second)
 			}
 		}},
-		{"broadcasts lost, heartbeats not", []uint64{bad}, 2, Convicted, func(r *harness) {
-			r.dropBroadcasts = true
-			r.try(r.trackers[0], bad)
-			r.heartbeats(5 * time.Second)
+		{"broadcasts lost, heartbeats not", []uint64{bad}, 2, Convicted, func(h *harness) {
+			h.dropBroadcasts = true
+			h.try(h.trackers[0], bad)
+			h.heartbeats(5 * time.Second)
 			for i := range daemons {
-				r.send(i, bad)
-				r.heartbeats(5 * time.Second)
+				h.send(i, bad)
+				h.heartbeats(5 * time.Second)
 			}
 		}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newHarness(t, tc.poison...)
-				defer r.stop()
-				tc.play(r)
-				r.expectMaxCrashes(tc.maxCrashes)
+				h := newHarness(t, tc.poison...)
+				defer h.stop()
+				tc.play(h)
+				h.expectMaxCrashes(tc.maxCrashes)
 				for i := range daemons {
-					r.expectVerdict(i, bad, tc.want)
+					h.expectVerdict(i, bad, tc.want)
 				}
 			})
 		})
@@ -100,27 +100,27 @@
 func TestUnrelatedRequestsStayClear(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const harmless = 40
-		r := newHarness(t, bad)
-		defer r.stop()
+		h := newHarness(t, bad)
+		defer h.stop()
 		began := time.Now()
 		longest := time.Duration(0)
 		for i := range harmless {
-			r.trackers[0].Begin(uint64(i+1), "engine-4")
+			h.trackers[0].Begin(uint64(i+1), "engine-4")
 		}
-		r.send(0, bad) // pick prefers engine-4 for it
+		h.send(0, bad) // pick prefers engine-4 for it
 		for i := range harmless {
-			r.trackers[0].End(uint64(i+1), "engine-4")
+			h.trackers[0].End(uint64(i+1), "engine-4")
 		}
-		r.concurrently(harmless, func(i int) {
-			for r.send(i%daemons, uint64(i+1)) != 0 {
+		h.concurrently(harmless, func(i int) {
+			for h.send(i%daemons, uint64(i+1)) != 0 {
 				<-time.After(time.Second)
 			}
-			r.mu.Lock()
+			h.mu.Lock()
 			longest = max(longest, time.Since(began))
-			r.mu.Unlock()
+			h.mu.Unlock()
 		})
 		refusals := 0
-		for fp, n := range r.refused {
+		for fp, n := range h.refused {
 			if fp != bad {
 				refusals += n
 			}
@@ -129,11 +129,11 @@
 		if longest > 10*time.Second {
 			t.Errorf("a harmless request was refused for %v", longest)
 		}
-		r.heartbeats(10 * time.Second)
+		h.heartbeats(10 * time.Second)
 		for i := range harmless {
-			r.expectVerdict(i%daemons, uint64(i+1), Clear)
+			h.expectVerdict(i%daemons, uint64(i+1), Clear)
 		}
-		r.expectMaxCrashes(2)
+		h.expectMaxCrashes(2)
 	})
 }
 
@@ -210,20 +210,20 @@
 // then runs alone and crashes a target again is refused for twice as long.
 func TestConvictionDoubles(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newHarness(t, bad)
-		defer r.stop()
-		r.send(0, bad)
+		h := newHarness(t, bad)
+		defer h.stop()
+		h.send(0, bad)
 		for _, want := range []time.Duration{10, 20, 40} {
 			want *= time.Minute
-			_, left := r.trackers[1].Check(bad)
+			_, left := h.trackers[1].Check(bad)
 			if left > want || left < want-time.Second {
 				t.Fatalf("refused for %v, want %v", left, want)
 			}
 			<-time.After(left)
-			r.expectVerdict(1, bad, Suspect)
-			r.send(1, bad)
+			h.expectVerdict(1, bad, Suspect)
+			h.send(1, bad)
 		}
-		r.expectMaxCrashes(5)
+		h.expectMaxCrashes(5)
 	})
 }
 
@@ -255,12 +255,12 @@
 // may run it, and another one after the claim is released.
 func TestClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newHarness(t, bad)
-		defer r.stop()
-		last := r.trackers[daemons-1]
+		h := newHarness(t, bad)
+		defer h.stop()
+		last := h.trackers[daemons-1]
 		last.Begin(bad, "engine-11") // in flight there before the crash
-		r.try(r.trackers[0], bad)
-		if _, ok := r.trackers[1].Claim(t.Context(), bad); ok {
+		h.try(h.trackers[0], bad)
+		if _, ok := h.trackers[1].Claim(t.Context(), bad); ok {
 			t.Error("a daemon may run it while it is in flight at another")
 		}
 		last.End(bad, "engine-11")
@@ -268,8 +268,8 @@
 		for first := range 3 {
 			var mu sync.Mutex
 			var granted []func(bool)
-			r.concurrently(daemons-first, func(i int) {
-				release, ok := r.trackers[first+i].Claim(t.Context(), bad)
+			h.concurrently(daemons-first, func(i int) {
+				release, ok := h.trackers[first+i].Claim(t.Context(), bad)
 				mu.Lock()
 				defer mu.Unlock()
 				if ok {
--- a/request/quarantine/rig_test.go
+++ b/request/quarantine/rig_test.go
@@ -46,121 +46,121 @@
 }
 
 func newHarness(t *testing.T, poison ...uint64) *harness {
-	r := &harness{t: t, poison: map[uint64]bool{}, dead: map[string]time.Time{}, noticed: map[string]chan struct{}{}, inFlight: map[string]int{}, refused: map[uint64]int{}}
+	h := &harness{t: t, poison: map[uint64]bool{}, dead: map[string]time.Time{}, noticed: map[string]chan struct{}{}, inFlight: map[string]int{}, refused: map[uint64]int{}}
 	for _, fp := range poison {
-		r.poison[fp] = true
+		h.poison[fp] = true
 	}
 	for i := range daemons {
-		r.trackers = append(r.trackers, New(Options{
+		h.trackers = append(h.trackers, New(Options{
 			Self:      fmt.Sprintf("daemon-%d", i),
-			Broadcast: func(ctx context.Context, updates []*peerpb.Conviction) { r.broadcast(ctx, i, updates) },
+			Broadcast: func(ctx context.Context, updates []*peerpb.Conviction) { h.broadcast(ctx, i, updates) },
 		}))
-		r.trackers[i].Start()
+		h.trackers[i].Start()
 	}
-	return r
+	return h
 }
 
-func (r *harness) stop() {
-	for _, tr := range r.trackers {
+func (h *harness) stop() {
+	for _, tr := range h.trackers {
 		_ = tr.Stop()
 	}
 }
 
 // broadcast implements Options.Broadcast over connections that can be cut.
-func (r *harness) broadcast(ctx context.Context, from int, updates []*peerpb.Conviction) {
+func (h *harness) broadcast(ctx context.Context, from int, updates []*peerpb.Conviction) {
 	b := Broadcaster{Self: func() *peerpb.Member { return nil }}
 	b.Addrs = func() (addrs []string) {
-		for i := range r.trackers {
+		for i := range h.trackers {
 			if i != from {
 				addrs = append(addrs, strconv.Itoa(i))
 			}
 		}
 		return addrs
 	}
-	b.Client = func(addr string) (peerpb.PeerClient, error) { return &peerClient{r: r, to: addr}, nil }
-	b.Broadcast(ctx, updates, r.trackers[from].Incoming)
+	b.Client = func(addr string) (peerpb.PeerClient, error) { return &peerClient{harness: h, to: addr}, nil }
+	b.Broadcast(ctx, updates, h.trackers[from].Incoming)
 }
 
 type peerClient struct {
 	peerpb.PeerClient
-	r  *harness
-	to string
+	harness *harness
+	to      string
 }
 
 // Heartbeat implements peerpb.PeerClient.
 func (c *peerClient) Heartbeat(ctx context.Context, h *peerpb.HeartbeatRequest, _ ...grpc.CallOption) (*peerpb.HeartbeatReply, error) {
-	c.r.mu.Lock()
-	dropped := c.r.dropBroadcasts
-	c.r.mu.Unlock()
+	c.harness.mu.Lock()
+	dropped := c.harness.dropBroadcasts
+	c.harness.mu.Unlock()
 	if dropped {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	to, _ := strconv.Atoi(c.to)
 	<-time.After(hopDelay)
-	c.r.trackers[to].Incoming(h.Convictions)
-	reply := c.r.trackers[to].Outgoing()
+	c.harness.trackers[to].Incoming(h.Convictions)
+	reply := c.harness.trackers[to].Outgoing()
 	<-time.After(hopDelay)
 	return &peerpb.HeartbeatReply{Convictions: reply}, nil
 }
 
 // heartbeats exchanges updates around a ring of daemons at the interval of
 // membership heartbeats.
-func (r *harness) heartbeats(d time.Duration) {
+func (h *harness) heartbeats(d time.Duration) {
 	for began := time.Now(); time.Since(began) < d; <-time.After(500 * time.Millisecond) {
-		for i := range r.trackers {
-			r.trackers[(i+1)%daemons].Incoming(r.trackers[i].Outgoing())
+		for i := range h.trackers {
+			h.trackers[(i+1)%daemons].Incoming(h.trackers[i].Outgoing())
 		}
 	}
 }
 
 // pick returns the live engine with the fewest requests in flight. If exclusive
 // is set, it considers only idle engines.
-func (r *harness) pick(fp uint64, exclusive bool) string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (h *harness) pick(fp uint64, exclusive bool) string {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	best := ""
 	for i := range engines {
 		e := fmt.Sprintf("engine-%d", (int(fp)+i)%engines)
-		if time.Now().Before(r.dead[e]) || exclusive && r.inFlight[e] > 0 {
+		if time.Now().Before(h.dead[e]) || exclusive && h.inFlight[e] > 0 {
 			continue
 		}
-		if best == "" || r.inFlight[e] < r.inFlight[best] {
+		if best == "" || h.inFlight[e] < h.inFlight[best] {
 			best = e
 		}
 	}
-	r.inFlight[best]++
+	h.inFlight[best]++
 	return best
 }
 
-func (r *harness) leave(engine string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.inFlight[engine]--
+func (h *harness) leave(engine string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.inFlight[engine]--
 }
 
 // crash takes an engine down for repairTime.
-func (r *harness) crash(engine string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if time.Now().Before(r.dead[engine]) {
+func (h *harness) crash(engine string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if time.Now().Before(h.dead[engine]) {
 		return
 	}
-	r.enginesLost++
-	r.dead[engine] = time.Now().Add(repairTime)
+	h.enginesLost++
+	h.dead[engine] = time.Now().Add(repairTime)
 }
 
 // reportCrash reports a crash to a daemon once. Requests of the daemon wait
 // until it is reported.
-func (r *harness) reportCrash(tr *CrashTracker, engine string) {
-	r.mu.Lock()
-	id := fmt.Sprint(tr.o.Self, engine, r.dead[engine])
-	done, known := r.noticed[id]
+func (h *harness) reportCrash(tr *CrashTracker, engine string) {
+	h.mu.Lock()
+	id := fmt.Sprint(tr.o.Self, engine, h.dead[engine])
+	done, known := h.noticed[id]
 	if !known {
 		done = make(chan struct{})
-		r.noticed[id] = done
+		h.noticed[id] = done
 	}
-	r.mu.Unlock()
+	h.mu.Unlock()
 	if known {
 		<-done
 		return
@@ -170,34 +170,34 @@
 }
 
 // isDead reports whether the engine is down.
-func (r *harness) isDead(engine string) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return time.Now().Before(r.dead[engine])
+func (h *harness) isDead(engine string) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return time.Now().Before(h.dead[engine])
 }
 
 // send handles a request as request/entry does, with retries, and returns the
 // result code that the caller receives, 0 for an answer.
-func (r *harness) send(daemon int, fp uint64) int {
+func (h *harness) send(daemon int, fp uint64) int {
 	for range 3 {
-		code, again := r.try(r.trackers[daemon], fp)
+		code, again := h.try(h.trackers[daemon], fp)
 		if !again {
-			return r.countRefusal(fp, code)
+			return h.countRefusal(fp, code)
 		}
 	}
 	return 2003
 }
 
-func (r *harness) countRefusal(fp uint64, code int) int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (h *harness) countRefusal(fp uint64, code int) int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	if code != 0 {
-		r.refused[fp]++
+		h.refused[fp]++
 	}
 	return code
 }
 
-func (r *harness) try(tr *CrashTracker, fp uint64) (code int, again bool) {
+func (h *harness) try(tr *CrashTracker, fp uint64) (code int, again bool) {
 	verdict, _ := tr.Check(fp)
 	finished := false
 	switch verdict {
@@ -210,11 +210,11 @@
 		}
 		defer func() { release(finished) }()
 	}
-	engine := r.pick(fp, verdict == Suspect)
+	engine := h.pick(fp, verdict == Suspect)
 	if engine == "" {
 		return 1012, false
 	}
-	defer r.leave(engine)
+	defer h.leave(engine)
 	if verdict != Clear {
 		release, ok := tr.ClaimTarget(context.Background(), fp, engine)
 		if !ok {
@@ -224,25 +224,25 @@
 	}
 	tr.Begin(fp, engine)
 	defer tr.End(fp, engine)
-	finished = r.serve(engine, fp)
+	finished = h.serve(engine, fp)
 	if !finished {
-		r.reportCrash(tr, engine)
+		h.reportCrash(tr, engine)
 	}
 	return 0, !finished
 }
 
 // serve runs the content and reports whether the engine answered.
-func (r *harness) serve(engine string, fp uint64) bool {
+func (h *harness) serve(engine string, fp uint64) bool {
 	<-time.After(crashTime)
-	if r.poison[fp] {
-		r.crash(engine)
+	if h.poison[fp] {
+		h.crash(engine)
 		return false
 	}
 	<-time.After(serveTime - crashTime)
-	return !r.isDead(engine)
+	return !h.isDead(engine)
 }
 
-func (r *harness) concurrently(n int, do func(i int)) {
+func (h *harness) concurrently(n int, do func(i int)) {
 	var wg sync.WaitGroup
 	for i := range n {
 		wg.Go(func() { do(i) })
@@ -251,17 +251,17 @@
 }
 
 // expectMaxCrashes fails the test if more engines crashed.
-func (r *harness) expectMaxCrashes(lost int) {
-	r.t.Helper()
-	r.t.Logf("engines lost: %d", r.enginesLost)
-	if r.enginesLost > lost {
-		r.t.Errorf("%d engines lost, at most %d expected", r.enginesLost, lost)
+func (h *harness) expectMaxCrashes(lost int) {
+	h.t.Helper()
+	h.t.Logf("engines lost: %d", h.enginesLost)
+	if h.enginesLost > lost {
+		h.t.Errorf("%d engines lost, at most %d expected", h.enginesLost, lost)
 	}
 }
 
-func (r *harness) expectVerdict(daemon int, fp uint64, want Verdict) {
-	r.t.Helper()
-	if got, _ := r.trackers[daemon].Check(fp); got != want {
-		r.t.Errorf("daemon %d: verdict %d for content %d, want %d", daemon, got, fp, want)
+func (h *harness) expectVerdict(daemon int, fp uint64, want Verdict) {
+	h.t.Helper()
+	if got, _ := h.trackers[daemon].Check(fp); got != want {
+		h.t.Errorf("daemon %d: verdict %d for content %d, want %d", daemon, got, fp, want)
 	}
 }
--- a/request/quarantine/target_test.go
+++ b/request/quarantine/target_test.go
@@ -13,11 +13,11 @@
 
 // claimAll lets the daemons claim the engine at once, each for its own content,
 // and returns the releases of the granted claims.
-func (r *harness) claimAll(engine string, who ...int) map[int]func(bool) {
+func (h *harness) claimAll(engine string, who ...int) map[int]func(bool) {
 	var mu sync.Mutex
 	granted := make(map[int]func(bool))
-	r.concurrently(len(who), func(i int) {
-		release, ok := r.trackers[who[i]].ClaimTarget(r.t.Context(), uint64(who[i]+1), engine)
+	h.concurrently(len(who), func(i int) {
+		release, ok := h.trackers[who[i]].ClaimTarget(h.t.Context(), uint64(who[i]+1), engine)
 		mu.Lock()
 		defer mu.Unlock()
 		if ok {
@@ -36,7 +36,7 @@
 	cases := []struct {
 		name    string
 		first   []int
-		between func(r *harness, granted map[int]func(bool))
+		between func(h *harness, granted map[int]func(bool))
 		second  []int
 		want    int // granted in the second round
 	}{
@@ -54,44 +54,44 @@
 			granted[6](false)
 			<-time.After(settleTime + 3*hopDelay)
 		}, all, 1},
-		{"the holder died", []int{0, 1}, func(r *harness, _ map[int]func(bool)) {
+		{"the holder died", []int{0, 1}, func(h *harness, _ map[int]func(bool)) {
 			<-time.After(claimTTL - time.Second)
-			if n := len(r.claimAll("e", 1, 2)); n != 0 {
-				r.t.Errorf("%d may run while the holder could live", n)
+			if n := len(h.claimAll("e", 1, 2)); n != 0 {
+				h.t.Errorf("%d may run while the holder could live", n)
 			}
 			<-time.After(time.Second)
 		}, []int{1, 2}, 1},
-		{"the release is lost, heartbeats tell", []int{0, 1}, func(r *harness, granted map[int]func(bool)) {
-			r.dropBroadcasts = true
+		{"the release is lost, heartbeats tell", []int{0, 1}, func(h *harness, granted map[int]func(bool)) {
+			h.dropBroadcasts = true
 			granted[0](true)
 			<-time.After(time.Second)
-			r.dropBroadcasts = false
-			r.heartbeats(maxUpdateDelay / 2)
+			h.dropBroadcasts = false
+			h.heartbeats(maxUpdateDelay / 2)
 		}, []int{1}, 1},
-		{"old news of an ended claim", []int{0}, func(r *harness, granted map[int]func(bool)) {
-			old := r.trackers[0].Outgoing()
+		{"old news of an ended claim", []int{0}, func(h *harness, granted map[int]func(bool)) {
+			old := h.trackers[0].Outgoing()
 			granted[0](true)
 			<-time.After(time.Second)
-			r.trackers[1].Incoming(old)
+			h.trackers[1].Incoming(old)
 		}, []int{1}, 1},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newHarness(t)
-				defer r.stop()
-				granted := r.claimAll("e", tc.first...)
+				h := newHarness(t)
+				defer h.stop()
+				granted := h.claimAll("e", tc.first...)
 				if len(granted) != 1 || granted[tc.first[0]] == nil {
 					t.Fatalf("%d of the first may run, want the lowest incarnation alone", len(granted))
 				}
-				tc.between(r, granted)
-				if n := len(r.claimAll("e", tc.second...)); n != tc.want {
+				tc.between(h, granted)
+				if n := len(h.claimAll("e", tc.second...)); n != tc.want {
 					t.Errorf("%d of the second may run, want %d", n, tc.want)
 				}
-				if n := len(r.claimAll("another", tc.second...)); n != 1 {
+				if n := len(h.claimAll("another", tc.second...)); n != 1 {
 					t.Errorf("%d may run at another engine, want 1", n)
 				}
-				for i, tr := range r.trackers {
+				for i, tr := range h.trackers {
 					if len(tr.contents) != 0 {
 						t.Errorf("daemon %d: %d contents held for claims of targets", i, len(tr.contents))
 					}
@@ -148,43 +148,43 @@
 	const first = uint64(7)
 	for _, next := range []int{-1, 0, 1} { // daemon that sends the crashing content, -1 for none
 		synctest.Test(t, func(t *testing.T) {
-			r := newHarness(t)
-			defer r.stop()
-			tr := r.trackers[1]
+			h := newHarness(t)
+			defer h.stop()
+			tr := h.trackers[1]
 			tr.Begin(first, "engine-0")
 			tr.Begin(bad, "engine-0")
 			tr.Crashed("engine-0")
 			tr.End(first, "engine-0")
 			tr.End(bad, "engine-0")
-			release := r.begin(1, first, "engine-1")
+			release := h.begin(1, first, "engine-1")
 			tr.End(first, "engine-1")
 			release(true)
 			<-time.After(3 * hopDelay)
 			if next >= 0 {
-				r.begin(next, bad, "engine-1")
-				r.trackers[next].Crashed("engine-1")
-				r.expectVerdict(1, bad, Convicted)
+				h.begin(next, bad, "engine-1")
+				h.trackers[next].Crashed("engine-1")
+				h.expectVerdict(1, bad, Convicted)
 			}
 			tr.Crashed("engine-1")
 			want := Suspect
 			if next < 0 {
 				want = Convicted
 			}
-			r.expectVerdict(1, first, want)
+			h.expectVerdict(1, first, want)
 		})
 	}
 }
 
 // begin lets a daemon run suspect content on an engine.
-func (r *harness) begin(daemon int, fp uint64, engine string) (release func(bool)) {
-	r.t.Helper()
-	tr := r.trackers[daemon]
-	if _, ok := tr.Claim(r.t.Context(), fp); !ok {
-		r.t.Fatalf("content %d isn't claimed", fp)
+func (h *harness) begin(daemon int, fp uint64, engine string) (release func(bool)) {
+	h.t.Helper()
+	tr := h.trackers[daemon]
+	if _, ok := tr.Claim(h.t.Context(), fp); !ok {
+		h.t.Fatalf("content %d isn't claimed", fp)
 	}
-	release, ok := tr.ClaimTarget(r.t.Context(), fp, engine)
+	release, ok := tr.ClaimTarget(h.t.Context(), fp, engine)
 	if !ok {
-		r.t.Fatalf("engine isn't claimed for content %d", fp)
+		h.t.Fatalf("engine isn't claimed for content %d", fp)
 	}
 	tr.Begin(fp, engine)
 	return release
