--- a/process/front/front.go
+++ b/process/front/front.go
@@ -218,21 +218,21 @@
 		Now:     time.Now,
 	})
 	runner := dispatch.New(dispatch.Options{
-		Wire:    platform.TargetProtocol{},
-		Pool:    d.pool,
-		Targets: directory{d.registry},
-		Engines: d.engines,
-		Health:  d.health,
-		Speed:   d.speed,
-		Demand:  d.demand,
-		Budget:  d.budget,
-		Control: d.control,
-		Queues:  d.roster,
-		Zone:    d.s.Zone,
-		Self:    d.s.VM,
+		Protocol: platform.TargetProtocol{},
+		Pool:     d.pool,
+		Targets:  directory{d.registry},
+		Engines:  d.engines,
+		Health:   d.health,
+		Speed:    d.speed,
+		Demand:   d.demand,
+		Budget:   d.budget,
+		Control:  d.control,
+		Queues:   d.roster,
+		Zone:     d.s.Zone,
+		Self:     d.s.VM,
 	})
 	d.metrics = newMetrics(d)
-	d.ingress = ingress.New(ingress.Options{Config: d.config, Wire: platform.TargetProtocol{}, Runner: runner, Observe: d.observe,
+	d.ingress = ingress.New(ingress.Options{Config: d.config, Protocol: platform.TargetProtocol{}, Runner: runner, Observe: d.observe,
 		TargetsAge: func() (time.Duration, bool) { return d.caches[port.TopicTargets].Age() },
 		ConfigAge:  func() (time.Duration, bool) { return d.caches[port.TopicConfig].Age() }, MaxConfigAge: d.s.Bounds.ApplyConfig, OnStart: d.countUsage})
 	d.planner = roles.New(roles.Options{
--- a/request/dispatch/answer_length_test.go
+++ b/request/dispatch/answer_length_test.go
@@ -64,7 +64,7 @@
 func TestResumedStreamIsNotRecordedAsShortAnswer(t *testing.T) {
 	r := New(Options{})
 	x := &execution{Runner: r, call: &Call{Route: &route.Route{Name: "r"}}}
-	x.call.Ask.OutputHint = 5000
+	x.call.Meta.OutputHint = 5000
 	m := &paceMeter{exec: x, events: 100}
 	m.finish(true)
 	m = &paceMeter{exec: x, events: 1, resumed: true}
--- a/request/dispatch/call.go
+++ b/request/dispatch/call.go
@@ -26,7 +26,7 @@
 
 // Call is one request of a caller, read and matched to its route.
 type Call struct {
-	Ask      port.RequestMeta
+	Meta     port.RequestMeta
 	Route    *route.Route
 	Service  *route.Service
 	Version  int64 // of the configuration
@@ -79,18 +79,18 @@
 
 // Options configures a Runner. All fields are required.
 type Options struct {
-	Wire    port.TargetProtocol
-	Pool    *h1.Pool
-	Targets Targets
-	Engines *engines.Tracker
-	Health  *health.Tracker
-	Budget  *budget.Fleet
-	Control port.EngineControl
-	Queues  Queues
-	Speed   *speed.Tracker
-	Demand  *demand.Tracker
-	Zone    string // availability zone of this process
-	Self    string // name of this process's VM, which determines its preferred targets
+	Protocol port.TargetProtocol
+	Pool     *h1.Pool
+	Targets  Targets
+	Engines  *engines.Tracker
+	Health   *health.Tracker
+	Budget   *budget.Fleet
+	Control  port.EngineControl
+	Queues   Queues
+	Speed    *speed.Tracker
+	Demand   *demand.Tracker
+	Zone     string // availability zone of this process
+	Self     string // name of this process's VM, which determines its preferred targets
 }
 
 // Runner executes calls. It is safe for concurrent use.
--- a/request/dispatch/decode.go
+++ b/request/dispatch/decode.go
@@ -122,8 +122,8 @@
 	m := &paceMeter{exec: x, target: to.ID, resumed: x.lastID != ""}
 	f = x.relay(ctx, to.ID, resp, v, out, streamHooks{first: first, batch: m.addEvents})
 	m.finish(f == nil)
-	if f == nil && x.call.Ask.MaxOutputTokens > 0 {
-		x.opts.Speed.ObserveStream(x.call.Service.Name, x.call.Ask.MaxOutputTokens, time.Since(firstAt), time.Since(start), x.mostUrgent())
+	if f == nil && x.call.Meta.MaxOutputTokens > 0 {
+		x.opts.Speed.ObserveStream(x.call.Service.Name, x.call.Meta.MaxOutputTokens, time.Since(firstAt), time.Since(start), x.mostUrgent())
 	}
 	return f
 }
--- a/request/dispatch/engine.go
+++ b/request/dispatch/engine.go
@@ -84,8 +84,8 @@
 }
 
 func (x *execution) prompt() prompt {
-	p := prompt{parts: x.call.Ask.PromptParts}
-	p.Tokens = x.call.Ask.PromptTokens
+	p := prompt{parts: x.call.Meta.PromptParts}
+	p.Tokens = x.call.Meta.PromptTokens
 	p.Zone = x.opts.Zone
 	p.Objective = x.call.Route.Objective
 	p.RandomSeed = rand.Uint64()
@@ -106,11 +106,11 @@
 // time.
 func (x *execution) admit(ctx context.Context) (prompt, error) {
 	p := x.prompt()
-	x.answerLength(x.call.Route.Name).addCall(x.call.Ask.OutputHint, x.call.Ask.MaxOutputTokens, time.Until(x.call.Deadline))
+	x.answerLength(x.call.Route.Name).addCall(x.call.Meta.OutputHint, x.call.Meta.MaxOutputTokens, time.Until(x.call.Deadline))
 	est := x.opts.Speed.Estimates(x.call.Service.Name)
 	ch := x.choosePrefill(ctx, p, est)
 	x.admitted = &ch
-	x.trace.PredictedDuration = est.StreamDuration(x.call.Ask.MaxOutputTokens)
+	x.trace.PredictedDuration = est.StreamDuration(x.call.Meta.MaxOutputTokens)
 	err := x.checkObjective(&p, est, ch)
 	x.recordDemand(p, est, ch, err != nil)
 	return p, err
@@ -169,7 +169,7 @@
 // jitteredDelay returns the least delay after which a rejected caller is
 // asked to retry.
 func (x *execution) jitteredDelay() time.Duration {
-	part := minRetryShare + (maxRetryShare-minRetryShare)*hashFraction(x.call.Ask.RequestID, "come back")
+	part := minRetryShare + (maxRetryShare-minRetryShare)*hashFraction(x.call.Meta.RequestID, "come back")
 	return min(max(time.Duration(part*float64(time.Until(x.call.Deadline))), minRetryDelay), maxJitteredDelay)
 }
 
@@ -182,7 +182,7 @@
 // the served load.
 func (x *execution) recordDemand(p prompt, est speed.Estimates, ch prefillChoice, rejected bool) {
 	req := demand.Request{
-		Prefill: ch.PrefillTime, StreamDuration: est.StreamDuration(x.call.Ask.MaxOutputTokens), Transfer: x.transferTime(p, ch),
+		Prefill: ch.PrefillTime, StreamDuration: est.StreamDuration(x.call.Meta.MaxOutputTokens), Transfer: x.transferTime(p, ch),
 		Objective: x.call.Route.Objective, Priority: x.call.Priority,
 	}
 	if ch.Index < 0 {
@@ -226,7 +226,7 @@
 		}
 	}
 	switch {
-	case free > 0, doubtful > 0 && hashFraction(x.call.Ask.RequestID, "") < probeShare:
+	case free > 0, doubtful > 0 && hashFraction(x.call.Meta.RequestID, "") < probeShare:
 		return minWait, nil
 	case full > 0:
 		return 0, x.overloaded(cands, minWait, "%d of %d decoding engines are full", full, len(cands))
--- a/request/dispatch/engine_test.go
+++ b/request/dispatch/engine_test.go
@@ -228,7 +228,7 @@
 		p := h.addTarget("llm", port.RolePrefill)
 		h.addTarget("llm", port.RoleDecode)
 		c := h.newCall(route.Stream, 1, 3*time.Second)
-		c.Ask.PromptTokens = 60_000
+		c.Meta.PromptTokens = 60_000
 		if _, err := h.runner.Streamed(t.Context(), c, &recorder{}); err != nil {
 			t.Fatal(err)
 		}
@@ -255,8 +255,8 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		for i := range 30 {
 			c := h.newCall(route.Stream, 1, 3*time.Second)
-			c.Ask.PromptTokens = 14_600
-			c.Ask.PromptParts = []port.PromptPart{{ID: uint64(i), Tokens: 14_600}}
+			c.Meta.PromptTokens = 14_600
+			c.Meta.PromptParts = []port.PromptPart{{ID: uint64(i), Tokens: 14_600}}
 			go func() { _, _ = h.runner.Streamed(ctx, c, &recorder{}) }()
 			synctest.Wait()
 		}
--- a/request/dispatch/harness_test.go
+++ b/request/dispatch/harness_test.go
@@ -86,7 +86,7 @@
 	})
 	pool := h1.New(h1.Options{Dial: h.net.Dial})
 	h.runner = New(Options{
-		Wire: platform.TargetProtocol{}, Pool: pool, Targets: h,
+		Protocol: platform.TargetProtocol{}, Pool: pool, Targets: h,
 		Engines: engines.New(time.Now, func(engines.Work) {}), Health: health.New(time.Now, nil),
 		Budget: h.budget, Control: recordingControl{h}, Zone: "a", Speed: h.speed, Queues: noQueues{}, Demand: demand.New(time.Now),
 	})
@@ -118,7 +118,7 @@
 	}
 	now := time.Now()
 	c := &Call{
-		Ask: meta, Service: svc, Arrived: now, Deadline: now.Add(min(timeout, meta.Timeout)),
+		Meta: meta, Service: svc, Arrived: now, Deadline: now.Add(min(timeout, meta.Timeout)),
 		Method: "POST", URI: "/p/x?y=1", Host: "a.example", Header: platform.TargetProtocol{}.ForwardHeaders(header, false), Body: []byte("body"),
 		Route: &route.Route{Name: "r", Kind: kind, Attempts: attempts, Objective: 500 * time.Millisecond, Timeout: timeout},
 	}
--- a/request/dispatch/pace.go
+++ b/request/dispatch/pace.go
@@ -36,7 +36,7 @@
 // spareTime predicts how much of the call's time is left over if a fully
 // loaded engine makes its answer. It returns false if that is unknown.
 func (x *execution) spareTime(decoders []placement.Candidate) (time.Duration, bool) {
-	if len(decoders) == 0 || x.call.Ask.OutputHint <= 0 {
+	if len(decoders) == 0 || x.call.Meta.OutputHint <= 0 {
 		return 0, false
 	}
 	c := &decoders[0]
@@ -44,7 +44,7 @@
 	if !pace.Known() {
 		return 0, false
 	}
-	duration := x.answerLength(x.call.Route.Name).duration(x.call.Ask.OutputHint, pace.Gap(c.StreamLimit()))
+	duration := x.answerLength(x.call.Route.Name).duration(x.call.Meta.OutputHint, pace.Gap(c.StreamLimit()))
 	return time.Until(x.call.Deadline) - duration, true
 }
 
@@ -104,5 +104,5 @@
 	if m.resumed {
 		return
 	}
-	m.exec.answerLength(m.exec.call.Route.Name).addStream(m.exec.call.Ask.OutputHint, m.events, complete)
+	m.exec.answerLength(m.exec.call.Route.Name).addStream(m.exec.call.Meta.OutputHint, m.events, complete)
 }
--- a/request/dispatch/pace_test.go
+++ b/request/dispatch/pace_test.go
@@ -104,7 +104,7 @@
 		h.t.Fatal(err)
 	}
 	meta.PromptTokens, meta.MaxOutputTokens, meta.OutputHint = 90, paceLongest*paceTokens, p.hint
-	c.Ask, c.Header, c.Deadline = meta, platform.TargetProtocol{}.ForwardHeaders(header, false), end
+	c.Meta, c.Header, c.Deadline = meta, platform.TargetProtocol{}.ForwardHeaders(header, false), end
 	c.Service.Engine.Slots = paceSlots
 	c.Priority = 1
 	return c
--- a/request/dispatch/plain.go
+++ b/request/dispatch/plain.go
@@ -105,7 +105,7 @@
 		if !x.opts.Pool.HasIdle(e.Addr, e.ID, reuse) {
 			cost += dialWeight
 		}
-		cost += zoneWeight / 2 * hashFraction(x.call.Ask.RequestID, e.ID)
+		cost += zoneWeight / 2 * hashFraction(x.call.Meta.RequestID, e.ID)
 		if bestCost < 0 || cost < bestCost {
 			best, bestCost = *e.TargetEntry, cost
 		}
--- a/request/dispatch/prefill.go
+++ b/request/dispatch/prefill.go
@@ -162,7 +162,7 @@
 		f.retryAfter = v.RetryAfter
 		return prefilled{}, f
 	}
-	handle, err := x.opts.Wire.ParseKVHandle(a.Body)
+	handle, err := x.opts.Protocol.ParseKVHandle(a.Body)
 	if err != nil {
 		return prefilled{}, newFailure(failure.NotRun, to.ID, err)
 	}
--- a/request/dispatch/send.go
+++ b/request/dispatch/send.go
@@ -33,16 +33,16 @@
 	if err != nil {
 		return nil, port.ResponseMeta{}, &sendFailure{Failure: failure.ClassifySend(ctx, s.target.ID, err)}
 	}
-	return resp, x.opts.Wire.ParseResponse(resp.Status, resp.Header), nil
+	return resp, x.opts.Protocol.ParseResponse(resp.Status, resp.Header), nil
 }
 
 func (x *execution) request(s outgoing) *h1.Request {
 	h := maps.Clone(x.call.Header)
-	s.state.RequestID = x.call.Ask.RequestID
+	s.state.RequestID = x.call.Meta.RequestID
 	s.state.TargetID = s.target.ID
 	s.state.Organisation = x.call.Organisation
 	s.state.Timeout = time.Until(x.call.Deadline)
-	x.opts.Wire.AddDispatchHeaders(h, s.state)
+	x.opts.Protocol.AddDispatchHeaders(h, s.state)
 	return &h1.Request{
 		Addr:             s.target.Addr,
 		Target:           s.target.ID,
@@ -70,8 +70,8 @@
 // answersCall reports whether an answer belongs to this call. A success must
 // carry the call's id; a rejection or an error may lack it.
 func (x *execution) answersCall(status int, h http.Header) bool {
-	id := x.opts.Wire.ParseResponse(status, h).RequestID
-	return id == x.call.Ask.RequestID || id == "" && status >= http.StatusMultipleChoices
+	id := x.opts.Protocol.ParseResponse(status, h).RequestID
+	return id == x.call.Meta.RequestID || id == "" && status >= http.StatusMultipleChoices
 }
 
 // maxAnswer is the largest answer, in bytes, that is relayed as a whole.
@@ -131,7 +131,7 @@
 		x.opts.Health.Observe(f.Target, o)
 	}
 	log.WithFields(log.Fields{
-		"request": x.call.Ask.RequestID, "target": f.Target, "class": f.Class.String(), "cause": f.Cause(),
+		"request": x.call.Meta.RequestID, "target": f.Target, "class": f.Class.String(), "cause": f.Cause(),
 		"send": x.trace.Sends, "left_ms": time.Until(x.call.Deadline).Milliseconds(),
 	}).Info("dispatch: send failed")
 }
--- a/request/ingress/answer.go
+++ b/request/ingress/answer.go
@@ -69,7 +69,7 @@
 	e := answer.Error(err)
 	x.status = e.Code.Info().Status
 	answer.Write(x.w, e, func(h http.Header) {
-		x.o.Wire.SetAnswerHeaders(h, x.meta.RequestID, e.RetryAfter)
+		x.o.Protocol.SetAnswerHeaders(h, x.meta.RequestID, e.RetryAfter)
 		if e.Code == code.Unauthorized {
 			h.Set("WWW-Authenticate", "Bearer")
 		}
--- a/request/ingress/ingress.go
+++ b/request/ingress/ingress.go
@@ -25,10 +25,10 @@
 // Options configures an Ingress. All fields are required except TargetsAge,
 // ConfigAge and OnStart.
 type Options struct {
-	Config  *inforce.Holder
-	Wire    port.TargetProtocol
-	Runner  *dispatch.Runner
-	Observe func(Observation) // called at the end of each request
+	Config   *inforce.Holder
+	Protocol port.TargetProtocol
+	Runner   *dispatch.Runner
+	Observe  func(Observation) // called at the end of each request
 	// TargetsAge returns the age of the latest list of targets, by which
 	// requests are routed. It returns false if there is none yet. It may be
 	// nil.
@@ -139,7 +139,7 @@
 
 // read parses and validates the request.
 func (x *exchange) read() (*dispatch.Call, error) {
-	meta, err := x.o.Wire.ParseRequest(x.req.Header)
+	meta, err := x.o.Protocol.ParseRequest(x.req.Header)
 	x.meta = meta
 	if err != nil {
 		return nil, code.Wrap(code.BadRequest, err, "")
@@ -167,7 +167,7 @@
 		return nil, err
 	}
 	c := &dispatch.Call{
-		Ask:     meta,
+		Meta:    meta,
 		Route:   r,
 		Service: svc,
 		Version: cfg.Version,
@@ -175,7 +175,7 @@
 		Method:  x.req.Method,
 		URI:     uri,
 		Host:    x.req.Host,
-		Header:  x.o.Wire.ForwardHeaders(x.req.Header, cfg.RequiresKeys()),
+		Header:  x.o.Protocol.ForwardHeaders(x.req.Header, cfg.RequiresKeys()),
 		Body:    body,
 
 		Priority: r.Priority,
@@ -232,8 +232,8 @@
 	if timeout <= 0 {
 		timeout = defaultTimeout
 	}
-	if c.Ask.Timeout > 0 {
-		return min(timeout, c.Ask.Timeout)
+	if c.Meta.Timeout > 0 {
+		return min(timeout, c.Meta.Timeout)
 	}
 	return timeout
 }
@@ -281,11 +281,11 @@
 		fields["service"] = c.Service.Name
 		fields["organisation"] = c.Organisation
 		fields["targets"] = strings.Join(x.trace.Targets, " ")
-		fields["left_ms"] = c.Ask.Timeout.Milliseconds()
+		fields["left_ms"] = c.Meta.Timeout.Milliseconds()
 		fields["timeout_ms"] = c.Route.Timeout.Milliseconds()
-		if c.Ask.MaxOutputTokens > 0 {
-			fields["output_tokens"] = c.Ask.MaxOutputTokens
-			fields["hint_tokens"] = c.Ask.OutputHint
+		if c.Meta.MaxOutputTokens > 0 {
+			fields["output_tokens"] = c.Meta.MaxOutputTokens
+			fields["hint_tokens"] = c.Meta.OutputHint
 			fields["last_event"] = x.trace.LastEvent
 			fields["predicted_stream_ms"] = x.trace.PredictedDuration.Milliseconds()
 		}
@@ -319,7 +319,7 @@
 	}
 	entry.Info("ingress: request ended")
 	if err == nil && c != nil {
-		x.durations.observe(c.Route.Name, c.Ask.MaxOutputTokens, x.trace.TimeToFirst, duration)
+		x.durations.observe(c.Route.Name, c.Meta.MaxOutputTokens, x.trace.TimeToFirst, duration)
 	}
 	if x.o.Observe != nil {
 		x.o.Observe(o)
--- a/request/ingress/ingress_test.go
+++ b/request/ingress/ingress_test.go
@@ -104,9 +104,9 @@
 	pool := h1.New(h1.Options{})
 	t.Cleanup(pool.Close)
 	f.Ingress = New(Options{
-		Config: holder, Wire: platform.TargetProtocol{}, Observe: func(o Observation) { f.observations <- o },
+		Config: holder, Protocol: platform.TargetProtocol{}, Observe: func(o Observation) { f.observations <- o },
 		Runner: dispatch.New(dispatch.Options{
-			Wire: platform.TargetProtocol{}, Pool: pool, Targets: f, Control: noControl{},
+			Protocol: platform.TargetProtocol{}, Pool: pool, Targets: f, Control: noControl{},
 			Engines: engines.New(time.Now, func(engines.Work) {}), Health: health.New(time.Now, nil), Speed: speed.NewTracker(), Queues: noQueues{}, Demand: demand.New(time.Now),
 			Budget: budget.NewFleet(budget.FleetOptions{Slack: 10, Window: 10 * time.Second, Daemons: func() int { return 1 }, Now: time.Now}),
 		}),
@@ -290,7 +290,7 @@
 func TestDurationPrediction(t *testing.T) {
 	var p durationPredictor
 	call := func(name string, output int) *dispatch.Call {
-		return &dispatch.Call{Route: &route.Route{Name: name, Timeout: 15 * time.Second}, Ask: port.RequestMeta{MaxOutputTokens: output}}
+		return &dispatch.Call{Route: &route.Route{Name: name, Timeout: 15 * time.Second}, Meta: port.RequestMeta{MaxOutputTokens: output}}
 	}
 	if got := p.predict(call("s", 10)); got != 15*time.Second {
 		t.Errorf("unknown route: %v", got)
--- a/request/ingress/length.go
+++ b/request/ingress/length.go
@@ -70,6 +70,6 @@
 	if d == nil {
 		return callTimeout(c)
 	}
-	longest := d.first + d.perToken*time.Duration(c.Ask.MaxOutputTokens)
+	longest := d.first + d.perToken*time.Duration(c.Meta.MaxOutputTokens)
 	return min(time.Duration(durationMargin*float64(longest)), callTimeout(c))
 }
