--- a/scripts/chaos.sh
+++ b/scripts/chaos.sh
@@ -1,17 +1,18 @@
 #!/usr/bin/env bash
-# A seeded run under faults: four daemons in three availability zones before
-# four engines and two plain services, all as separate processes. While streams,
-# idempotent calls and calls that may run at most once come in, daemons are
-# killed, paused and stopped in order, engines crash and cut, cross or lose
-# answers, connections go silent and the log fails. SEED= and DURATION= choose
-# the run. pomelosbench judge prints what came of it and sets the exit code.
+# Runs load under random faults: four daemons in three availability zones, four
+# engines and two plain services, all as separate processes. The load consists
+# of streams, idempotent calls and calls that may run at most once. Meanwhile
+# daemons are killed, paused and stopped as planned, engines crash, cut streams,
+# mix up or lose answers, connections stall and the log fails. SEED= and
+# DURATION= (in seconds) select the run. pomelosbench judge prints the results
+# and sets the exit code.
 source "$(dirname "$0")/lib.sh"
 
 SEED=${SEED:-1}
 DURATION=${DURATION:-60}
 DOCS=$ROOT/scripts/chaos
 DAEMONS=4 ENGINES=4 PLAIN=2
-UNFENCED=" 4 " # as the document says
+UNFENCED=" 4 " # as stated in the document
 
 start_fleet $DAEMONS $ENGINES $PLAIN
 publish_all $DAEMONS $ENGINES "$DOCS"/*.yaml
@@ -24,14 +25,15 @@
 LOAD=$!
 BEGAN=$(date +%s%3N)
 
-# wait_until MS waits until so long after the start of the load.
+# wait_until MS waits until MS milliseconds after the start of the load.
 wait_until() {
   local left=$((BEGAN + $1 - $(date +%s%3N)))
   [ $left -gt 0 ] && sleep "$(printf '%d.%03d' $((left / 1000)) $((left % 1000)))"
   return 0
 }
 
-# republish SERVICE publishes a document that differs from the last one.
+# republish SERVICE publishes, in the background, a version of the document that
+# differs from the last one.
 republish() {
   VERSIONS=$((${VERSIONS:-0} + 1))
   sed "s/answer: 20s/answer: $((20000 + VERSIONS))ms/" "$DOCS/$1.yaml" >"$WORK/$1.$VERSIONS.yaml"
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The whole path as separate processes on loopback: three daemons in three
-# availability zones before three model engines and two plain services. In the
-# middle of the load one daemon and one engine are killed. Ends by itself.
+# Demonstrates the system as separate processes on loopback: three daemons in
+# three availability zones, three model engines and two plain services. One
+# daemon and one engine are killed under load. The script ends by itself.
 source "$(dirname "$0")/lib.sh"
 
 step() { printf '\n== %s\n' "$1"; }
@@ -38,7 +38,7 @@
 step "what callers and targets recorded"
 for name in engine-1 engine-3 plain-1 plain-2; do save_record $name; done
 bench judge --outcomes "$WORK/outcomes.jsonl" --records "$RECORDS"
-ctl status || true # daemon-2 is gone
+ctl status || true # daemon-2 isn't running
 
 step "planned stop of what is left"
 for n in 1 3; do send "daemon-$n" TERM; done
--- a/scripts/hunted.sh
+++ b/scripts/hunted.sh
@@ -1,7 +1,9 @@
 #!/usr/bin/env bash
-# Lists the days of the bench's journal that broke a rule, had a fault or fell
-# short of the gate, and counts those that didn't.
-# Usage: scripts/hunted.sh [SINCE], the begin of an entry's name, e.g. 20261203T09
+# Lists the days in the journal's hunt entries that broke a rule, had a fault or
+# missed the gate, and prints for each entry the number of days and of those
+# listed.
+# Usage: scripts/hunted.sh [SINCE]
+# SINCE is a prefix of entry names, like 20261203T09; earlier entries are skipped.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 since=${1:-}
@@ -9,7 +11,7 @@
   name=$(basename "$f")
   [[ "$name" > "$since" ]] || continue
   grep -q '"cmd":"hunt"' "$f" || continue
-  # An entry of a hunt that was ended early has neither a site nor days.
+  # The entry of a hunt that was ended early has neither a site nor days.
   site=$(grep -oE '"site":"[^"]*"' "$f" | head -1 | cut -d'"' -f4) || continue
   { grep -oE '"name":"[^"]*","day"|"rules":\{[^}]*\}|"fault":("[^"]*"|null)|"gate":(true|false),"short":\[[^]]*\]' "$f" || true; } |
     awk -v entry="${name%.json}" -v site="$site" '
--- a/scripts/inforce.sh
+++ b/scripts/inforce.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# How long from the begin of a publish until the version is in force on all of
-# four daemons, which run as separate processes. 20 publishes, about 15 s.
+# Measures the time from the start of a publish until the version is in force on
+# all four daemons, which run as separate processes. It makes 20 publishes and
+# takes about 15 s.
 source "$(dirname "$0")/lib.sh"
 
 ROUNDS=20
--- a/scripts/kinds.sh
+++ b/scripts/kinds.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Plays the days under bench/days/ on the sites given, where the users' bench is
-# present, and lists those on which a rule was broken, a day failed, or none
-# could be played. JOBS plays go on at once.
+# Runs the days under bench/days/ on the sites in SITES with the users' bench, if
+# that is present. Lists the runs in which a rule was broken, a fault occurred or
+# the day couldn't be run. JOBS runs go on at the same time.
 set -u
 cd "$(dirname "$0")/.."
 kit=${KIT:-../given/kit/more/system}
--- a/scripts/lib.sh
+++ b/scripts/lib.sh
@@ -1,5 +1,5 @@
-# Helpers of the scripts that run pomelospool as separate processes on
-# loopback. Every process started here is ended by its own id.
+# Helpers for scripts that run pomelospool as separate processes on loopback.
+# Each process that is started here is ended by its process id.
 set -euo pipefail
 
 ROOT=$(cd "$(dirname "${BASH_SOURCE[0]}")/.." && pwd)
@@ -12,7 +12,7 @@
 WEIGHTS_ADDR=127.0.0.1:17002
 export POMELOS_LOG=http://$LOG_ADDR
 
-# start NAME COMMAND... runs a process and remembers its id.
+# start NAME COMMAND... starts a process in the background and records its id.
 start() {
   local name=$1
   shift
@@ -20,7 +20,7 @@
   PIDS[$name]=$!
 }
 
-# stop NAME SIGNAL ends one process and waits for it.
+# stop NAME SIGNAL sends a signal to a process and waits for its exit.
 stop() {
   local pid=${PIDS[$1]:-}
   [ -n "$pid" ] || return 0
@@ -29,7 +29,7 @@
   wait "$pid" 2>/dev/null || true
 }
 
-# send NAME SIGNAL sends a signal and goes on.
+# send NAME SIGNAL sends a signal to a process without waiting for its exit.
 send() { kill -"$2" "${PIDS[$1]}"; }
 
 cleanup() {
@@ -40,7 +40,8 @@
 }
 trap cleanup EXIT
 
-# until_ok SECONDS COMMAND... repeats a command until it succeeds.
+# until_ok SECONDS COMMAND... repeats a command until it succeeds. It fails after
+# SECONDS.
 until_ok() {
   local end=$((SECONDS + $1))
   shift
@@ -53,7 +54,7 @@
   done
 }
 
-# daemon_settings N ZONE writes the settings of daemon N and prints the file.
+# daemon_settings N ZONE writes the settings of daemon N and prints their path.
 daemon_settings() {
   cat >"$WORK/daemon-$1.yaml" <<YAML
 vm: entry-$1
@@ -68,7 +69,7 @@
 # start_daemon N ZONE starts daemon N.
 start_daemon() { start "daemon-$1" "$BIN/pomelospoold" --settings "$(daemon_settings "$1" "$2")"; }
 
-# start_platform VM... starts the platform's stand-ins with a VM list.
+# start_platform VM... starts the stand-ins of the platform with the VMs listed.
 start_platform() {
   local vm args=()
   for vm in "$@"; do args+=(--vm "$vm"); done
@@ -77,8 +78,8 @@
   start weights "$BIN/pomelostandin" weights --listen $WEIGHTS_ADDR --size 200000000 --rate 1e9
 }
 
-# start_engine N starts model engine N. Those named in UNFENCED ignore the
-# fencing numbers of orders, as some deployments' engines do.
+# start_engine N starts model engine N. Engines listed in UNFENCED ignore the
+# fencing numbers of orders, as the engines of some deployments do.
 UNFENCED=" "
 start_engine() {
   local fence=(--checks-fence)
@@ -94,8 +95,8 @@
 
 bench() { "$BIN/pomelosbench" "$@"; }
 
-# start_fleet DAEMONS ENGINES PLAIN starts the platform and so many processes
-# over three availability zones, and waits until the daemons live.
+# start_fleet DAEMONS ENGINES PLAIN starts the platform and the given numbers of
+# processes in three availability zones, and waits until the daemons are alive.
 start_fleet() {
   local n vms=()
   for n in $(seq "$1"); do vms+=("entry-$n=127.0.1.$n@$(zone "$n")"); done
@@ -112,14 +113,14 @@
   use_daemons $(seq "$1")
 }
 
-# zone N gives the availability zone of the N-th process of a kind.
+# zone N prints the availability zone of the N-th process of a kind.
 zone() {
   local zones=(zone-a zone-b zone-c)
   echo "${zones[$((($1 - 1) % 3))]}"
 }
 
-# publish_all DAEMONS ENGINES FILE... publishes documents, and waits until all
-# daemons serve and all engines have loaded their model.
+# publish_all DAEMONS ENGINES FILE... publishes documents and waits until all
+# daemons are ready and all engines have loaded their model.
 publish_all() {
   local n daemons=$1 engines=$2 f
   shift 2
@@ -133,7 +134,7 @@
   bench get --wait 20s --has 'changing":false' --has 'last_order":"order' "http://127.0.2.$1:17200/control/state"
 }
 
-# save_record NAME keeps what a stand-in recorded up to now in $RECORDS.
+# save_record NAME saves the current record of a stand-in in $RECORDS.
 RECORDS=$WORK/records
 mkdir -p "$RECORDS"
 declare -A LIVES=()
@@ -141,7 +142,7 @@
   bench get --wait 5s "http://$(address "$1")/_standin/record" >"$RECORDS/$1.${LIVES[$1]:-0}.json"
 }
 
-# address NAME gives host and port of a stand-in.
+# address NAME prints the host and port of a stand-in.
 address() {
   case $1 in
   log) echo "$LOG_ADDR" ;;
@@ -150,7 +151,7 @@
   esac
 }
 
-# again NAME starts a process anew once the old one is gone.
+# again NAME waits for the exit of a process and starts it again.
 again() {
   local n=${1##*-}
   if [ -n "${PIDS[$1]:-}" ]; then
@@ -164,15 +165,15 @@
   esac
 }
 
-# ended NAME waits for a process that was told to stop, and fails unless it
-# ended in good order.
+# ended NAME waits for the exit of a process that was asked to stop. It fails if
+# the exit code isn't 0.
 ended() {
   local pid=${PIDS[$1]}
   unset "PIDS[$1]"
   wait "$pid" || { echo "$1 exited $?" >&2; return 1; }
 }
 
-# use_daemons N... names the daemons to pomelosctl.
+# use_daemons N... sets the daemons that pomelosctl uses.
 use_daemons() {
   local n ops=() callers=()
   for n in "$@"; do
--- a/scripts/rolling.sh
+++ b/scripts/rolling.sh
@@ -1,18 +1,17 @@
 #!/usr/bin/env bash
-# Planned changes under load: every daemon is stopped and started again, one
-# after another; an engine is drained and replaced; another one changes its
-# role; the model gets a new version; a target is withdrawn and comes back; and
-# again from the start while requests arrive. No request may be
-# cut, doubled, unknown or failed. SEED= chooses the load, SCALE= multiplies
-# its rates.
+# Makes planned changes under load. In each round all daemons are restarted one
+# after another, an engine is drained and replaced, another one changes its
+# role, the model gets a new version, and a target is withdrawn and added again.
+# Rounds are repeated while requests arrive. No request may be cut, doubled,
+# unknown or failed. SEED= selects the load, SCALE= multiplies its rates.
 source "$(dirname "$0")/lib.sh"
 
 SEED=${SEED:-1}
 SCALE=${SCALE:-1}
 DOC=$ROOT/scripts/chaos/jadranski-language.yaml
 DAEMONS=4 ENGINES=4 PLAIN=2
-UNFENCED=" 4 " # as the document says
-DURATION=${DURATION:-75} # seconds that requests arrive; the last round ends after them
+UNFENCED=" 4 " # as stated in the document
+DURATION=${DURATION:-75} # seconds in which requests arrive; the last round ends later
 
 step() { echo "$(($(date +%s%3N) - BEGAN)) ms: $1"; }
 
@@ -24,7 +23,7 @@
 LOAD=$!
 BEGAN=$(date +%s%3N)
 
-# restart_daemons stops every daemon and starts it again, one after another.
+# restart_daemons restarts the daemons one after another.
 restart_daemons() {
   local n
   for n in $(seq $DAEMONS); do
@@ -36,24 +35,24 @@
   done
 }
 
-# publish SED-SCRIPT publishes the language document with a change.
+# publish SED-SCRIPT publishes the language document, changed by the script.
 publish() {
   VERSIONS=$((${VERSIONS:-0} + 1))
   sed "$1" "$DOC" >"$WORK/language.$VERSIONS.yaml"
   ctl publish "$WORK/language.$VERSIONS.yaml"
 }
 
-# spec N TEXT waits until engine N has carried out an order with the text.
+# spec N TEXT waits until engine N has completed an order that contains the text.
 spec() {
   bench get --wait 30s --has 'changing":false' --has "$2" "http://$(address "engine-$1")/control/state" >/dev/null
 }
 
-# replace_engine drains an engine, waits until nothing runs on it, stops it and
-# starts another in its place.
+# replace_engine drains engine 1, waits until nothing runs on it, stops it and
+# starts a new one at its address.
 replace_engine() {
   step "drain engine-1"
   publish "$MODEL"'; /engine-1/s/}$/, drain: true}/'
-  # A drained target gets no new work after a few seconds, and then nothing runs.
+  # A draining target may get new work for a few seconds; then its work runs out.
   sleep 3
   bench get --wait 20s --has 'running":0' --has 'waiting":0' "http://$(address engine-1)/control/load" >/dev/null
   save_record engine-1
@@ -72,7 +71,7 @@
   spec 2 'role":"mixed'
 }
 
-# change_model VERSION brings all engines to a version of the model.
+# change_model VERSION loads a version of the model on all engines.
 change_model() {
   local n
   step "model version $1"
